--- a/crates/node/src/inbound/bodies.rs
+++ b/crates/node/src/inbound/bodies.rs
@@ -1,11 +1,11 @@
-//! The bodies that other nodes send: runs `policy::intake` for calls whose bodies come in.
+//! The bodies that other nodes send: runs `policy::body_scheduler` for calls whose bodies come in.
 
 use crate::inbound::entry::Call;
 use call::Id;
 use clock::Clock;
 use parking_lot::Mutex;
 use policy::admission::Refusal;
-use policy::intake::{Ask, Intake, Key, Next};
+use policy::body_scheduler::{BodyOffer, BodyScheduler, Key, Next};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::collections::HashMap;
@@ -35,7 +35,7 @@
 }
 
 struct State {
-    intake: Intake,
+    intake: BodyScheduler,
     pulls: HashMap<Key, Pull>,
     keys: HashMap<Id, Key>,
     rng: SmallRng,
@@ -92,7 +92,7 @@
     fn advance(&mut self, now: Instant) {
         while let Some(next) = self.intake.next(now, &mut self.rng) {
             match next {
-                Next::Send(key, bytes) => {
+                Next::Credit(key, bytes) => {
                     if let Some(pull) = self.pulls.get(&key) {
                         pull.call.ask_more(bytes);
                     }
@@ -103,7 +103,7 @@
     }
 
     fn end(&mut self, key: Key, result: Result<(), Error>) {
-        self.intake.end(key);
+        self.intake.remove(key);
         if let Some(pull) = self.pulls.remove(&key) {
             self.keys.remove(&pull.call.id);
             // When nobody waits for it any more, it is given up already.
@@ -120,7 +120,7 @@
     pub(crate) fn spawn(clock: C, rate: Option<f64>, most_held: u64, seed: u64) -> Arc<Self> {
         let bodies = Arc::new(Self {
             state: Mutex::new(State {
-                intake: Intake::new(clock.now(), rate, most_held),
+                intake: BodyScheduler::new(clock.now(), rate, most_held),
                 pulls: HashMap::new(),
                 keys: HashMap::new(),
                 rng: SmallRng::seed_from_u64(seed),
@@ -136,7 +136,7 @@
     pub(crate) async fn pull(
         self: &Arc<Self>,
         call: &Arc<Call>,
-        ask: &Ask,
+        ask: &BodyOffer,
     ) -> Result<Held<C>, Error> {
         let receiver = self.ask(call, ask).map_err(Error::Refused)?;
         let _waiting = Waiting {
@@ -150,7 +150,7 @@
         })
     }
 
-    fn ask(&self, call: &Arc<Call>, ask: &Ask) -> Result<Ended, Refusal> {
+    fn ask(&self, call: &Arc<Call>, ask: &BodyOffer) -> Result<Ended, Refusal> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let state = &mut *state;
@@ -174,8 +174,8 @@
         let Some(key) = state.keys.get(&id).copied() else {
             return;
         };
-        state.intake.take(now, key, bytes as u64);
-        if !state.intake.has(key) {
+        state.intake.receive(now, key, bytes as u64);
+        if !state.intake.is_pending(key) {
             state.end(key, Ok(()));
         } else if end {
             // Shorter than its sender said it would be.
--- a/crates/node/src/inbound/gate.rs
+++ b/crates/node/src/inbound/gate.rs
@@ -77,7 +77,7 @@
     fn tell_slots(&mut self, slots: u16) {
         if self.slots != slots {
             self.slots = slots;
-            self.admission.tell_slots(slots);
+            self.admission.set_advertised_slots(slots);
         }
     }
 
@@ -147,7 +147,7 @@
         let now = self.clock.now();
         let mut state = self.state.lock();
         state.tell_slots(slots);
-        state.admission.outlook(now, request)
+        state.admission.estimate(now, request)
     }
 
     /// Refuses a call that would be refused now, before its body is asked for.
@@ -155,12 +155,12 @@
         let now = self.clock.now();
         let mut state = self.state.lock();
         let state = &mut *state;
-        state.admission.foresee(now, request, &mut state.rng)
+        state.admission.precheck(now, request, &mut state.rng)
     }
 
     /// Gives how long a call of `route` is expected to run.
     pub(crate) fn expect(&self, route: u64) -> Duration {
-        self.state.lock().admission.expect(route)
+        self.state.lock().admission.expected_duration(route)
     }
 
     /// Gives calls running and waiting over slots.
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -22,8 +22,8 @@
 use platform::header;
 use policy::admission;
 use policy::balance::Told;
+use policy::body_scheduler;
 use policy::in_flight;
-use policy::intake;
 use policy::limit::Outcome;
 use policy::retry;
 use std::sync::Arc;
@@ -219,7 +219,7 @@
     if let Some(refusal) = inner.gate.foresee(&asked) {
         return Err(turn_away(inner, request, deadline, refusal));
     }
-    let ask = intake::Ask {
+    let ask = body_scheduler::BodyOffer {
         call: asked,
         length: request.length.min(MOST_HELD),
         run: inner.gate.expect(request.route),
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -6,12 +6,12 @@
 use clock::Clock;
 use config::{Endpoint, EndpointKey, Retry, ServiceKey, View};
 use parking_lot::{Mutex, RwLock};
-use policy::allowance::Bounds;
 use policy::balance::{self, Arm, Balance, Candidate, Distance, Identity, Key, Outcome};
 use policy::elapsed;
 use policy::hedge::Hedge;
 use policy::outlook::Seen;
 use policy::retry::{Budget, Decision, Try};
+use policy::retry_quota::FleetLimits;
 use policy::rollout::SLOW;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -30,7 +30,7 @@
 pub(crate) struct Services {
     known: RwLock<HashMap<SmolStr, Arc<Service>>>,
     /// What the whole fleet may repeat, where that is bounded.
-    bounds: Option<Bounds>,
+    bounds: Option<FleetLimits>,
 }
 
 /// One service.
@@ -45,7 +45,7 @@
     budget: Budget,
     hedge: Hedge,
     /// The longest times that callers start with.
-    elapsed: elapsed::Table,
+    elapsed: elapsed::Estimator,
     /// The view that the balance was last told.
     synced: Weak<View>,
     /// How far roll-outs had changed then.
@@ -113,7 +113,7 @@
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             known: RwLock::default(),
-            bounds: settings.repeat_share.map(|share| Bounds {
+            bounds: settings.repeat_share.map(|share| FleetLimits {
                 share: share.get(),
                 extra: settings.repeat_extra.get(),
                 window: settings.repeat_window,
@@ -138,7 +138,7 @@
                     balances: [Balance::new(), Balance::new()],
                     budget,
                     hedge: Hedge::new(now),
-                    elapsed: elapsed::Table::new(),
+                    elapsed: elapsed::Estimator::new(),
                     synced: Weak::new(),
                     changes: 0,
                     rng: SmallRng::from_os_rng(),
@@ -314,7 +314,7 @@
 
     /// Takes in how much time a caller of `route` has `left`, and gives how long it has waited.
     pub(crate) fn elapsed(&self, route: u64, left: Duration) -> Duration {
-        self.state.lock().elapsed.take(route, left)
+        self.state.lock().elapsed.observe(route, left)
     }
 
     /// Counts a call for the fleet's bound on repeats.
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -14,10 +14,10 @@
 use crate::backoff;
 use crate::drain::{Promise, Rate, Speed};
 use crate::duration;
-use crate::limit::{Limit, Outcome};
+use crate::fair_share::{self, Cells};
+use crate::limit::{ConcurrencyLimit, Outcome};
 use crate::outlook::Outlook;
 use crate::queue::{self, Entry, Queue, TIERS, Tier, rank_of};
-use crate::share::{self, Place};
 use config::Class;
 use rand::Rng;
 use std::time::{Duration, Instant};
@@ -46,8 +46,8 @@
 #[must_use]
 pub struct Ticket {
     tier: Tier,
-    caller: Place,
-    key: Place,
+    caller: Cells,
+    key: Cells,
     route: u64,
     long: bool,
     cost: f64,
@@ -135,13 +135,13 @@
 /// Admission in front of one backend server.
 #[derive(Debug)]
 pub struct Admission {
-    limit: Limit,
-    durations: duration::Table,
+    limit: ConcurrencyLimit,
+    durations: duration::Estimator,
     queue: Queue,
     /// What each caller has had, by class.
-    callers: [share::Table; TIERS.len()],
+    callers: [fair_share::UsageSketch; TIERS.len()],
     /// What calls about each key have had, by class.
-    keys: [share::Table; TIERS.len()],
+    keys: [fair_share::UsageSketch; TIERS.len()],
     /// When a call last found none of its lane waiting.
     in_order_at: [Instant; queue::LANES],
     promises: [Promise; TIERS.len()],
@@ -156,15 +156,17 @@
     /// Makes the admission of a backend server that says it has `slots`.
     #[must_use]
     pub fn new(now: Instant, slots: u16, seed: u64) -> Self {
-        let limit = Limit::new(now, slots);
+        let limit = ConcurrencyLimit::new(now, slots);
         Self {
             speed: Speed::new(now),
             rates: [Rate::new(now, limit.slots()); queue::LANES],
             limit,
-            durations: duration::Table::new(duration::OWN_ROWS),
+            durations: duration::Estimator::new(duration::LOCAL_ROWS),
             queue: Queue::new(),
-            callers: [1, 2, 3, 4, 5, 6].map(|salt| share::Table::new(now, seed.wrapping_add(salt))),
-            keys: [7, 8, 9, 10, 11, 12].map(|salt| share::Table::new(now, seed.wrapping_add(salt))),
+            callers: [1, 2, 3, 4, 5, 6]
+                .map(|salt| fair_share::UsageSketch::new(now, seed.wrapping_add(salt))),
+            keys: [7, 8, 9, 10, 11, 12]
+                .map(|salt| fair_share::UsageSketch::new(now, seed.wrapping_add(salt))),
             in_order_at: [now; queue::LANES],
             promises: [Promise::new(now); TIERS.len()],
             running: 0,
@@ -173,8 +175,8 @@
     }
 
     /// Takes in how many slots the backend server says it has.
-    pub fn tell_slots(&mut self, slots: u16) {
-        self.limit.tell(slots);
+    pub fn set_advertised_slots(&mut self, slots: u16) {
+        self.limit.set_advertised(slots);
     }
 
     /// Gives how many calls run.
@@ -228,7 +230,7 @@
     }
 
     /// Refuses a call that would be refused now, before its body is asked for.
-    pub fn foresee<R>(&mut self, now: Instant, request: &Request, rng: &mut R) -> Option<Refusal>
+    pub fn precheck<R>(&mut self, now: Instant, request: &Request, rng: &mut R) -> Option<Refusal>
     where
         R: Rng,
     {
@@ -242,7 +244,7 @@
     }
 
     /// Gives what would become of a call that is not here yet; it counts for nobody's share.
-    pub fn outlook(&mut self, now: Instant, request: &Request) -> Outlook {
+    pub fn estimate(&mut self, now: Instant, request: &Request) -> Outlook {
         self.limit.end_probe(now);
         let rank = rank_of(find_tier(now, request));
         let places = [
@@ -259,15 +261,15 @@
         Outlook {
             takes: is_free || self.find_fault(now, request, &entry).is_none(),
             wait: seconds(wait),
-            run: self.durations.find_expected(request.route).map(seconds),
+            run: self.durations.route_mean(request.route).map(seconds),
             load: self.load(),
         }
     }
 
     /// Gives how long a call of `route` is expected to run.
     #[must_use]
-    pub fn expect(&self, route: u64) -> Duration {
-        seconds(self.durations.expect(route))
+    pub fn expected_duration(&self, route: u64) -> Duration {
+        seconds(self.durations.expected(route))
     }
 
     /// Takes in that a call asks to be served, and gives what is known of it.
@@ -281,8 +283,8 @@
     }
 
     /// Gives what is known of a call, with the latest moment at which it may start.
-    fn make_entry(&self, now: Instant, request: &Request, places: [Place; 2]) -> Entry {
-        let cost = self.durations.expect(request.route);
+    fn make_entry(&self, now: Instant, request: &Request, places: [Cells; 2]) -> Entry {
+        let cost = self.durations.expected(request.route);
         let left = left_of(now, request);
         let [caller, key] = places;
         let entry = Entry {
@@ -345,11 +347,11 @@
         let stretch = match outcome {
             Outcome::Done => {
                 let light = self.limit.is_light(running);
-                self.durations.learn(route, took, light)
+                self.durations.record(route, took, light)
             }
             Outcome::Shed | Outcome::Failed => None,
         };
-        self.limit.finish(now, running, outcome, stretch);
+        self.limit.record(now, running, outcome, stretch);
         self.speed.finish(now, started, cost);
         // The guess that was charged at the start is made good.
         self.charge(now, tier, caller, key, took.as_secs_f64() - cost);
@@ -442,7 +444,7 @@
             .queue
             .work_before(entry.tier, entry.long, entry.start_by);
         // The slot that gets free next belongs to a call that is half through.
-        let slot = self.durations.mean() / 2.0 / self.drain_rate(now);
+        let slot = self.durations.overall_mean() / 2.0 / self.drain_rate(now);
         slot + work / self.lane_rate(now, entry)
     }
 
@@ -473,7 +475,7 @@
         bound * caller.min(key)
     }
 
-    fn charge(&mut self, now: Instant, tier: Tier, caller: Place, key: Place, work: f64) {
+    fn charge(&mut self, now: Instant, tier: Tier, caller: Cells, key: Cells, work: f64) {
         self.callers[rank_of(tier)].charge(now, caller, work);
         self.keys[rank_of(tier)].charge(now, key, work);
     }
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -135,7 +135,7 @@
     pub(crate) tiers: [Vec<u32>; 4],
     /// In the choice for calls that try a new version.
     pub(crate) trial: Vec<u32>,
-    pub(crate) durations: duration::Table,
+    pub(crate) durations: duration::Estimator,
     probe_due: Option<Instant>,
     pub(crate) pressure: Pressure,
 }
@@ -150,7 +150,7 @@
             known: HashMap::new(),
             tiers: Default::default(),
             trial: Vec::new(),
-            durations: duration::Table::new(duration::SERVICE_ROWS),
+            durations: duration::Estimator::new(duration::SERVICE_ROWS),
             probe_due: None,
             pressure: Pressure::default(),
         }
@@ -197,7 +197,7 @@
     /// Gives the seconds that a call of `route` is expected to take.
     #[must_use]
     pub fn expect(&self, route: u64) -> Duration {
-        Duration::try_from_secs_f64(self.durations.expect(route)).unwrap_or(Duration::ZERO)
+        Duration::try_from_secs_f64(self.durations.expected(route)).unwrap_or(Duration::ZERO)
     }
 
     /// Tells whether one has just started and is slow for that.
@@ -287,8 +287,8 @@
                 // A wait is told by the load. Counted as slowness as well, it
                 // would keep calls away long after the queue is gone.
                 let took = took.saturating_sub(told.map_or(Duration::ZERO, |told| told.waited));
-                let usual = self.durations.expect(route);
-                self.durations.learn(route, took, false);
+                let usual = self.durations.expected(route);
+                self.durations.record(route, took, false);
                 let stretch = took.as_secs_f64() / usual.max(1e-6);
                 self.servers[key.index as usize].see(now, stretch);
                 self.weigh(now, key.index, Sample::Answered(stretch), rng);
@@ -297,7 +297,7 @@
             // is. Counted by the time it had, a backend server whose calls are
             // all overtaken would look hardly slow, and go on to get its share.
             Outcome::Overtaken => {
-                let stretch = took.as_secs_f64() / self.durations.expect(route).max(1e-6);
+                let stretch = took.as_secs_f64() / self.durations.expected(route).max(1e-6);
                 let stretch = stretch.max(outlier::SLOW);
                 self.servers[key.index as usize].see(now, stretch);
                 self.weigh(now, key.index, Sample::Answered(stretch), rng);
--- a/crates/policy/src/intake.rs
+++ b/crates/policy/src/body_scheduler.rs
@@ -16,8 +16,8 @@
 use crate::admission::{Reason, Refusal, Request, find_tier, seconds};
 use crate::backoff;
 use crate::drain::Promise;
+use crate::fair_share::Cells;
 use crate::queue::{self, Entry, Queue, TIERS, rank_of};
-use crate::share::Place;
 use rand::Rng;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -79,7 +79,7 @@
 
 /// A body that asks to be sent.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask {
+pub struct BodyOffer {
     /// The call that it is of.
     pub call: Request,
     /// Its length in bytes.
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
     /// So many further bytes of it are to be sent.
-    Send(Key, u32),
+    Credit(Key, u32),
     /// It is given up, as it can't be whole in time any more.
     Refuse(Key, Refusal),
 }
@@ -166,7 +166,7 @@
 
 /// The bodies that come in over one VM's link.
 #[derive(Debug)]
-pub struct Intake {
+pub struct BodyScheduler {
     rate: Rate,
     queue: Queue,
     waiting: HashMap<queue::Key, Waiting>,
@@ -179,7 +179,7 @@
     next_key: Key,
 }
 
-impl Intake {
+impl BodyScheduler {
     /// Makes the intake of a link of so many bytes a second, if that is known, for a VM
     /// that holds at most so many bytes of bodies.
     ///
@@ -216,12 +216,12 @@
         to_f64(waiting + self.moving_bytes()) / (self.mean_length * FULL)
     }
 
-    /// Decides on a body that asks to be sent; [`Intake::next`] names what is to come of it.
+    /// Decides on a body that asks to be sent; [`BodyScheduler::next`] names what is to come of it.
     ///
     /// # Errors
     ///
     /// When it could not be whole in time.
-    pub fn offer<R>(&mut self, now: Instant, ask: &Ask, rng: &mut R) -> Result<Key, Refusal>
+    pub fn offer<R>(&mut self, now: Instant, ask: &BodyOffer, rng: &mut R) -> Result<Key, Refusal>
     where
         R: Rng,
     {
@@ -250,7 +250,7 @@
     }
 
     /// Gives what is to come of the bodies, one at a time: to be called until it gives
-    /// none, after each of the other calls and at [`Intake::wake_at`].
+    /// none, after each of the other calls and at [`BodyScheduler::wake_at`].
     pub fn next<R>(&mut self, now: Instant, rng: &mut R) -> Option<Next>
     where
         R: Rng,
@@ -272,7 +272,7 @@
     }
 
     /// Takes in that bytes of a body came.
-    pub fn take(&mut self, now: Instant, key: Key, bytes: u64) {
+    pub fn receive(&mut self, now: Instant, key: Key, bytes: u64) {
         let Some(body) = self.moving.iter_mut().find(|body| body.key == key) else {
             return;
         };
@@ -293,7 +293,7 @@
     }
 
     /// Forgets a body that nobody waits for any more and that is not whole.
-    pub fn end(&mut self, key: Key) {
+    pub fn remove(&mut self, key: Key) {
         if let Some(place) = self.moving.iter().position(|body| body.key == key) {
             let body = self.moving.remove(place);
             self.release(body.length);
@@ -315,12 +315,12 @@
 
     /// Tells whether more of a body is to come.
     #[must_use]
-    pub fn has(&self, key: Key) -> bool {
+    pub fn is_pending(&self, key: Key) -> bool {
         self.moving.iter().any(|body| body.key == key)
             || self.waiting.values().any(|body| body.key == key)
     }
 
-    /// Gives when [`Intake::next`] is next worth a call, if nothing comes before.
+    /// Gives when [`BodyScheduler::next`] is next worth a call, if nothing comes before.
     #[must_use]
     pub fn wake_at(&mut self, now: Instant) -> Option<Instant> {
         // What has stalled already waits for nothing that the time alone brings.
@@ -334,7 +334,7 @@
     }
 
     /// Gives what is known of a body, with the latest moment at which it may begin to come.
-    fn entry_of(&self, now: Instant, ask: &Ask) -> Entry {
+    fn entry_of(&self, now: Instant, ask: &BodyOffer) -> Entry {
         let cost = to_f64(ask.length) / self.rate();
         let run = ask.run.as_secs_f64();
         let tier = find_tier(now, &ask.call);
@@ -349,8 +349,8 @@
         }
         Entry {
             tier,
-            caller: Place::default(),
-            key: Place::default(),
+            caller: Cells::default(),
+            key: Cells::default(),
             route: ask.call.route,
             long: false,
             cost,
@@ -378,7 +378,7 @@
         if due == 0 {
             self.rate.since = Some(now);
         }
-        Some(Next::Send(key, u32::try_from(bytes).unwrap_or(u32::MAX)))
+        Some(Next::Credit(key, u32::try_from(bytes).unwrap_or(u32::MAX)))
     }
 
     /// Lets the body come in whose turn it is; gives false when there is none, or no room.
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -103,7 +103,7 @@
         R: Rng,
     {
         let (looks, cost) = if let Some(left) = call.left {
-            let expected = self.score(near, call) * self.durations.expect(call.route);
+            let expected = self.score(near, call) * self.durations.expected(call.route);
             (expected * AMPLE > left, SOONER)
         } else {
             let load = self.servers[near as usize].load(call.now);
@@ -169,7 +169,7 @@
     /// Gives what one is compared with others by: how soon it would answer a
     /// call that has a target, else how much there is in front of the call.
     fn score(&self, index: u32, call: &Call<'_>) -> f64 {
-        let (server, usual) = (&self.servers[index as usize], self.durations.mean());
+        let (server, usual) = (&self.servers[index as usize], self.durations.overall_mean());
         match call.left {
             Some(_) => server.finish(call.now, usual, call.repeatable),
             None => server.score(call.now, usual, call.repeatable),
--- a/crates/policy/src/duration.rs
+++ b/crates/policy/src/duration.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Rows for the one backend server of a node: 12 KB.
-pub const OWN_ROWS: usize = 256;
+pub const LOCAL_ROWS: usize = 256;
 
 /// Rows for each service that a node calls: 1.5 KB, so that 410 services take
 /// 0.6 MB of a node's 32 MB.
@@ -37,7 +37,7 @@
 
 /// Durations learnt per route.
 #[derive(Debug, Clone)]
-pub struct Table {
+pub struct Estimator {
     rows: Box<[Row]>,
     all: Mean<MEMORY>,
     log: Mean<MEMORY>,
@@ -51,7 +51,7 @@
     light: Mean<LIGHT_MEMORY>,
 }
 
-impl Table {
+impl Estimator {
     /// Makes an empty table of so many rows.
     #[must_use]
     pub fn new(rows: usize) -> Self {
@@ -64,19 +64,20 @@
 
     /// Gives the seconds that a call of `route` is expected to take.
     #[must_use]
-    pub fn expect(&self, route: u64) -> f64 {
-        self.find_expected(route).unwrap_or_else(|| self.mean())
+    pub fn expected(&self, route: u64) -> f64 {
+        self.route_mean(route)
+            .unwrap_or_else(|| self.overall_mean())
     }
 
     /// Gives the seconds that a call of `route` is expected to take, if any has run.
     #[must_use]
-    pub fn find_expected(&self, route: u64) -> Option<f64> {
+    pub fn route_mean(&self, route: u64) -> Option<f64> {
         self.find(route).and_then(|row| row.took.get())
     }
 
     /// Gives the seconds that a call of any route takes, on average.
     #[must_use]
-    pub fn mean(&self) -> f64 {
+    pub fn overall_mean(&self) -> f64 {
         self.all.get().unwrap_or(FIRST_GUESS)
     }
 
@@ -96,7 +97,7 @@
     ///
     /// Gives how many times as long it took as calls of its route do under
     /// light load, once that is known.
-    pub fn learn(&mut self, route: u64, took: Duration, light: bool) -> Option<f64> {
+    pub fn record(&mut self, route: u64, took: Duration, light: bool) -> Option<f64> {
         let seconds = took.as_secs_f64().max(1e-6);
         self.all.add(seconds);
         self.log.add(seconds.ln());
--- a/crates/policy/src/elapsed.rs
+++ b/crates/policy/src/elapsed.rs
@@ -23,7 +23,7 @@
 
 /// The longest times that callers start with, by route.
 #[derive(Debug, Clone)]
-pub struct Table {
+pub struct Estimator {
     rows: Box<[Row]>,
 }
 
@@ -33,7 +33,7 @@
     longest: f64,
 }
 
-impl Table {
+impl Estimator {
     /// Makes a table that knows nothing.
     #[must_use]
     pub fn new() -> Self {
@@ -43,7 +43,7 @@
     }
 
     /// Takes in how much time a caller of `route` has `left`, and gives how long it has waited.
-    pub fn take(&mut self, route: u64, left: Duration) -> Duration {
+    pub fn observe(&mut self, route: u64, left: Duration) -> Duration {
         let index = usize::try_from(route % self.rows.len() as u64).unwrap_or(0);
         let row = &mut self.rows[index];
         let left = left.as_secs_f64();
@@ -62,7 +62,7 @@
     }
 }
 
-impl Default for Table {
+impl Default for Estimator {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/fair_share.rs
@@ -28,11 +28,11 @@
 
 /// A caller's place in a table.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place([u16; 2]);
+pub struct Cells([u16; 2]);
 
 /// What each caller of a class has had lately.
 #[derive(Debug, Clone)]
-pub struct Table {
+pub struct UsageSketch {
     seed: u64,
     rows: [Box<[Use]>; 2],
     total: Use,
@@ -61,7 +61,7 @@
     }
 }
 
-impl Table {
+impl UsageSketch {
     /// Makes an empty table; `seed` spreads the callers.
     #[must_use]
     pub fn new(now: Instant, seed: u64) -> Self {
@@ -82,20 +82,20 @@
     }
 
     /// Gives the caller's place.
-    pub(crate) fn place(&self, caller: u64) -> Place {
+    pub(crate) fn place(&self, caller: u64) -> Cells {
         // The finalizer of SplitMix64 spreads neighbouring hashes.
         let mut mixed = caller ^ self.seed;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^= mixed >> 31;
-        Place([mixed, mixed >> 32].map(|half| {
+        Cells([mixed, mixed >> 32].map(|half| {
             let index = half % BUCKETS as u64;
             u16::try_from(index).unwrap_or(0)
         }))
     }
 
     /// Takes in that the caller asks for work, whether or not it gets any; gives its place.
-    pub fn ask(&mut self, now: Instant, caller: u64) -> Place {
+    pub fn ask(&mut self, now: Instant, caller: u64) -> Cells {
         let place = self.place(caller);
         if now.saturating_duration_since(self.epoch_start) >= MEMORY {
             self.epoch = self.epoch.wrapping_add(1);
@@ -112,7 +112,7 @@
     }
 
     /// Takes in work given to the caller, in slot-seconds; negative to correct a guess.
-    pub fn charge(&mut self, now: Instant, place: Place, work: f64) {
+    pub fn charge(&mut self, now: Instant, place: Cells, work: f64) {
         for (row, index) in self.rows.iter_mut().zip(place.0) {
             row[usize::from(index)].add(now, work);
         }
@@ -127,7 +127,7 @@
     /// who have had less, so that use evens out without quotas: with nobody
     /// else about, anyone may use all there is.
     #[must_use]
-    pub fn factor(&self, now: Instant, place: Place, cost: f64) -> f64 {
+    pub fn factor(&self, now: Instant, place: Cells, cost: f64) -> f64 {
         let active = f64::from(self.active.max(self.active_before).max(1));
         let fair = self.total.get(now) / active;
         let cells = self.rows.iter().zip(place.0);
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -73,7 +73,7 @@
 
 /// A concurrency limit that is found from what is seen.
 #[derive(Debug, Clone)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     told: f64,
     found: f64,
     raised_at: Instant,
@@ -124,7 +124,7 @@
     since: Option<Instant>,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// Starts with a probe at half of the slots told: the first calls show the speed under light load.
     #[must_use]
     pub fn new(now: Instant, told: u16) -> Self {
@@ -144,7 +144,7 @@
     }
 
     /// Takes in how many slots the backend server says it has.
-    pub fn tell(&mut self, told: u16) {
+    pub fn set_advertised(&mut self, told: u16) {
         self.told = f64::from(if told == 0 { DEFAULT_SLOTS } else { told });
         self.found = self.found.min(self.told);
     }
@@ -187,7 +187,7 @@
     }
 
     /// Takes in the end of a call that started as the `running`th.
-    pub fn finish(&mut self, now: Instant, running: u32, outcome: Outcome, stretch: Option<f64>) {
+    pub fn record(&mut self, now: Instant, running: u32, outcome: Outcome, stretch: Option<f64>) {
         match outcome {
             Outcome::Shed => self.weigh_shed(now, running),
             Outcome::Failed => {}
--- a/crates/policy/src/outlook.rs
+++ b/crates/policy/src/outlook.rs
@@ -192,7 +192,7 @@
 
     fn foresee(&self, one: &Seen, call: &Call<'_>) -> Option<Prospect> {
         let outlook = one.outlook?;
-        let usual = self.durations.expect(call.route);
+        let usual = self.durations.expected(call.route);
         let run = outlook.run.map_or(UNTRIED * usual, |run| run.as_secs_f64());
         let wait = outlook.wait.as_secs_f64();
         let failures = self.failure_factor(one.key, call.repeatable)?;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -6,12 +6,12 @@
 //! of seconds, and calls are run whose callers have given up. *Grounds:*
 //! stride scheduling (Waldspurger, 1995) between the classes, and within a
 //! class between short and long calls; within those the earliest deadline goes
-//! first. Callers get their fair shares at the entrance (see [`crate::share`]),
+//! first. Callers get their fair shares at the entrance (see [`crate::fair_share`]),
 //! not by the order of the queue: with a round robin of callers here, fresh
 //! callers overtook those that waited, waits could not be foretold, and at ten
 //! times the capacity 1.4% of the refused had waited first.
 
-use crate::share::Place;
+use crate::fair_share::Cells;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
@@ -87,9 +87,9 @@
     /// What it is worth.
     pub tier: Tier,
     /// Its caller's place among the shares.
-    pub caller: Place,
+    pub caller: Cells,
     /// The place of what it is about.
-    pub key: Place,
+    pub key: Cells,
     /// Its route.
     pub route: u64,
     /// Whether it is expected to take many times as long as the typical call.
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -10,8 +10,8 @@
 //! when a call fails deep down, just the layer next to the failure tries
 //! again.
 
-use crate::allowance::{Allowance, Bounds};
 use crate::backoff;
+use crate::retry_quota::{FleetLimits, RetryQuota};
 use call::Verdict;
 use rand::Rng;
 use std::time::{Duration, Instant};
@@ -119,7 +119,7 @@
     tokens: f64,
     share: f64,
     at: Instant,
-    allowance: Option<Allowance>,
+    allowance: Option<RetryQuota>,
 }
 
 impl Budget {
@@ -136,9 +136,9 @@
 
     /// Holds it within this node's part of what the whole fleet may repeat.
     #[must_use]
-    pub fn within(self, now: Instant, bounds: Bounds) -> Self {
+    pub fn within(self, now: Instant, bounds: FleetLimits) -> Self {
         Self {
-            allowance: Some(Allowance::new(now, bounds)),
+            allowance: Some(RetryQuota::new(now, bounds)),
             ..self
         }
     }
@@ -146,21 +146,21 @@
     /// Takes in how many nodes the fleet has.
     pub fn tell_nodes(&mut self, now: Instant, nodes: usize) {
         if let Some(allowance) = &mut self.allowance {
-            allowance.tell_nodes(now, nodes);
+            allowance.set_node_count(now, nodes);
         }
     }
 
     /// Takes in a caller's request for the service.
     pub fn request(&mut self, now: Instant) {
         if let Some(allowance) = &mut self.allowance {
-            allowance.request(now);
+            allowance.record_request(now);
         }
     }
 
     /// Takes in a repeat that can't be left out: a call made by a run that is one.
     pub fn charge(&mut self, now: Instant) {
         if let Some(allowance) = &mut self.allowance {
-            allowance.charge(now);
+            allowance.record_retry(now);
         }
     }
 
--- a/crates/policy/src/allowance.rs
+++ b/crates/policy/src/retry_quota.rs
@@ -26,7 +26,7 @@
 
 /// What the fleet as a whole may repeat.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bounds {
+pub struct FleetLimits {
     /// Repeats as a share of the requests.
     pub share: f64,
     /// Repeats on top of that.
@@ -37,8 +37,8 @@
 
 /// What one node has sent to a service within a span.
 #[derive(Debug, Clone)]
-pub struct Allowance {
-    bounds: Bounds,
+pub struct RetryQuota {
+    bounds: FleetLimits,
     started: Instant,
     nodes: f64,
     nodes_at: Instant,
@@ -52,10 +52,10 @@
     repeats: u32,
 }
 
-impl Allowance {
+impl RetryQuota {
     /// Starts with nothing earned.
     #[must_use]
-    pub fn new(now: Instant, bounds: Bounds) -> Self {
+    pub fn new(now: Instant, bounds: FleetLimits) -> Self {
         Self {
             bounds,
             started: now,
@@ -66,7 +66,7 @@
     }
 
     /// Takes in how many nodes there are, as this one sees it.
-    pub fn tell_nodes(&mut self, now: Instant, nodes: usize) {
+    pub fn set_node_count(&mut self, now: Instant, nodes: usize) {
         let nodes = f64::from(u32::try_from(nodes).unwrap_or(u32::MAX)).max(1.0);
         let is_old = now.saturating_duration_since(self.nodes_at) > NODES_MEMORY;
         if nodes >= self.nodes || is_old {
@@ -76,12 +76,12 @@
     }
 
     /// Counts a request of a caller's.
-    pub fn request(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.part(now).requests += 1;
     }
 
     /// Counts a repeat that nobody asks about: a call made by a run that was itself a repeat.
-    pub fn charge(&mut self, now: Instant) {
+    pub fn record_retry(&mut self, now: Instant) {
         self.part(now).repeats += 1;
     }
 
@@ -99,7 +99,7 @@
         if repeats + 1.0 > self.bounds.share * requests + on_top {
             return false;
         }
-        self.charge(now);
+        self.record_retry(now);
         true
     }
 
--- a/crates/policy/tests/intake.rs
+++ b/crates/policy/tests/body_scheduler.rs
@@ -3,7 +3,7 @@
 use clock::{Clock, Manual};
 use config::Class;
 use policy::admission::{Reason, Request};
-use policy::intake::{Ask, Intake, Key, Next};
+use policy::body_scheduler::{BodyOffer, BodyScheduler, Key, Next};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
@@ -86,7 +86,7 @@
     let clock = Manual::new();
     let start = clock.now();
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut intake = Intake::new(start, told, MOST_HELD);
+    let mut intake = BodyScheduler::new(start, told, MOST_HELD);
     let mut link: VecDeque<(Parcel, f64)> = VecDeque::new();
     let mut on_way: Vec<(Instant, Key, f64)> = Vec::new();
     let mut uploads: Vec<Upload> = Vec::new();
@@ -126,7 +126,7 @@
         }
         while let Some(next) = intake.next(now, &mut rng) {
             match next {
-                Next::Send(key, bytes) => on_way.push((now + ANSWER, key, f64::from(bytes))),
+                Next::Credit(key, bytes) => on_way.push((now + ANSWER, key, f64::from(bytes))),
                 Next::Refuse(key, _) => {
                     uploads.retain(|upload| upload.key != key);
                     report.refused += 1;
@@ -162,11 +162,11 @@
                         clippy::cast_sign_loss,
                         reason = "a piece"
                     )]
-                    intake.take(now, key, bytes as u64);
+                    intake.receive(now, key, bytes as u64);
                     let at = uploads.iter().position(|upload| upload.key == key);
                     if let Some(at) = at {
                         uploads[at].came += bytes;
-                        if !intake.has(key) {
+                        if !intake.is_pending(key) {
                             intake.release(whole_bytes(uploads[at].length));
                             let done = uploads.swap_remove(at);
                             assert!((done.came - done.length).abs() < 1.0, "all of it came");
@@ -197,9 +197,9 @@
     length as u64
 }
 
-fn ask(now: Instant, length: f64) -> Ask {
+fn ask(now: Instant, length: f64) -> BodyOffer {
     let length = whole_bytes(length);
-    Ask {
+    BodyOffer {
         call: Request {
             class: Class::Lookup,
             caller: 1,
@@ -274,7 +274,7 @@
 fn sender_gone() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut intake = Intake::new(clock.now(), Some(RATE), MOST_HELD);
+    let mut intake = BodyScheduler::new(clock.now(), Some(RATE), MOST_HELD);
     let gone: Vec<_> = (0..4)
         .map(|_| {
             intake
@@ -283,7 +283,7 @@
         })
         .collect();
     let mut asked = Vec::new();
-    while let Some(Next::Send(key, _)) = intake.next(clock.now(), &mut rng) {
+    while let Some(Next::Credit(key, _)) = intake.next(clock.now(), &mut rng) {
         asked.push(key);
     }
     assert!(asked.iter().all(|key| gone.contains(key)), "{asked:?}");
@@ -297,7 +297,7 @@
     );
     clock.advance(Duration::from_millis(100));
     let mut asked = Vec::new();
-    while let Some(Next::Send(key, _)) = intake.next(clock.now(), &mut rng) {
+    while let Some(Next::Credit(key, _)) = intake.next(clock.now(), &mut rng) {
         asked.push(key);
     }
     assert!(asked.contains(&live), "{asked:?}");
@@ -309,7 +309,7 @@
 fn hopeless() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut intake = Intake::new(clock.now(), Some(RATE), MOST_HELD);
+    let mut intake = BodyScheduler::new(clock.now(), Some(RATE), MOST_HELD);
     let first = intake.offer(clock.now(), &ask(clock.now(), 300_000.0), &mut rng);
     assert!(first.is_ok(), "nothing is before it");
     while intake.next(clock.now(), &mut rng).is_some() {}
@@ -335,15 +335,15 @@
     let clock = Manual::new();
     let now = clock.now();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut intake = Intake::new(now, Some(100.0 * RATE), 200_000);
+    let mut intake = BodyScheduler::new(now, Some(100.0 * RATE), 200_000);
     let keys: Vec<_> = (0..5)
         .map(|_| intake.offer(now, &ask(now, 60_000.0), &mut rng).unwrap())
         .collect();
     let mut came = Vec::new();
-    let mut pump = |intake: &mut Intake| {
-        while let Some(Next::Send(key, bytes)) = intake.next(now, &mut rng) {
-            intake.take(now, key, bytes.into());
-            if !intake.has(key) {
+    let mut pump = |intake: &mut BodyScheduler| {
+        while let Some(Next::Credit(key, bytes)) = intake.next(now, &mut rng) {
+            intake.receive(now, key, bytes.into());
+            if !intake.is_pending(key) {
                 came.push(key);
             }
         }
--- a/crates/policy/tests/elapsed.rs
+++ b/crates/policy/tests/elapsed.rs
@@ -1,6 +1,6 @@
 //! How long callers have waited, from the time that they have left.
 
-use policy::elapsed::Table;
+use policy::elapsed::Estimator;
 use std::time::Duration;
 
 const ROUTE: u64 = 7;
@@ -14,29 +14,29 @@
 // left, not when its caller began to wait.
 #[test]
 fn caller_back() {
-    let mut table = Table::new();
-    assert_eq!(table.take(ROUTE, ms(2_500)), ms(0));
-    assert_eq!(table.take(ROUTE, ms(2_495)), ms(0));
-    assert_eq!(table.take(ROUTE, ms(1_600)).as_millis(), 899);
-    assert_eq!(table.take(ROUTE, ms(2_500)), ms(0));
+    let mut table = Estimator::new();
+    assert_eq!(table.observe(ROUTE, ms(2_500)), ms(0));
+    assert_eq!(table.observe(ROUTE, ms(2_495)), ms(0));
+    assert_eq!(table.observe(ROUTE, ms(1_600)).as_millis(), 899);
+    assert_eq!(table.observe(ROUTE, ms(2_500)), ms(0));
 }
 
 // Operators shorten the time of a route's callers. They must count as fresh
 // again soon, or all of them would go behind other routes for ever.
 #[test]
 fn shorter_time() {
-    let mut table = Table::new();
-    table.take(ROUTE, ms(2_500));
+    let mut table = Estimator::new();
+    table.observe(ROUTE, ms(2_500));
     for _ in 0..1_000 {
-        table.take(ROUTE, ms(1_200));
+        table.observe(ROUTE, ms(1_200));
     }
-    assert_eq!(table.take(ROUTE, ms(1_200)), ms(0));
+    assert_eq!(table.observe(ROUTE, ms(1_200)), ms(0));
 }
 
 #[test]
 fn other_route() {
-    let mut table = Table::new();
-    table.take(ROUTE, ms(2_500));
-    assert_eq!(table.take(ROUTE + 1, ms(600)), ms(0));
-    assert_eq!(table.take(ROUTE + 32, ms(600)), ms(0));
+    let mut table = Estimator::new();
+    table.observe(ROUTE, ms(2_500));
+    assert_eq!(table.observe(ROUTE + 1, ms(600)), ms(0));
+    assert_eq!(table.observe(ROUTE + 32, ms(600)), ms(0));
 }
--- a/crates/policy/tests/sheds.rs
+++ b/crates/policy/tests/limit.rs
@@ -1,6 +1,6 @@
 //! What refusals of a backend server say of its slots.
 
-use policy::limit::{Limit, Outcome};
+use policy::limit::{ConcurrencyLimit, Outcome};
 use std::time::{Duration, Instant};
 
 /// Ends `calls` calls that were started as the limit allows, one each 10 ms;
@@ -10,7 +10,7 @@
     F: Fn(u32, u32) -> bool,
 {
     let mut now = Instant::now();
-    let mut limit = Limit::new(now, 6);
+    let mut limit = ConcurrencyLimit::new(now, 6);
     let mut least = f64::MAX;
     for call in 0..calls {
         now += Duration::from_millis(10);
@@ -23,7 +23,7 @@
         } else {
             (Outcome::Done, Some(1.0))
         };
-        limit.finish(now, running, outcome, stretch);
+        limit.record(now, running, outcome, stretch);
         if call > calls / 2 {
             least = least.min(limit.slots());
         }
--- a/crates/policy/tests/load/sim.rs
+++ b/crates/policy/tests/load/sim.rs
@@ -340,7 +340,7 @@
             let Some(server) = server.filter(is_lit).filter(|_| one.outlook.is_none()) else {
                 continue;
             };
-            let outlook = self.inbound[server].admission.outlook(now, &request);
+            let outlook = self.inbound[server].admission.estimate(now, &request);
             self.calls[call].seen[index].outlook = Some(outlook);
         }
         self.schedule(self.now + WIRE, Event::Seen(call));
--- a/crates/policy/tests/allowance.rs
+++ b/crates/policy/tests/retry_quota.rs
@@ -1,13 +1,13 @@
 //! What all nodes together may repeat.
 
 use clock::{Clock, Manual};
-use policy::allowance::{Allowance, Bounds};
 use policy::retry::Budget;
+use policy::retry_quota::{FleetLimits, RetryQuota};
 use std::time::Duration;
 
 const NODES: usize = 68;
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: FleetLimits = FleetLimits {
     share: 0.2,
     extra: 176.0,
     window: Duration::from_secs(10),
@@ -54,13 +54,13 @@
     );
     let mut together: Vec<_> = (0..NODES)
         .map(|_| {
-            let mut one = Allowance::new(start, BOUNDS);
-            one.tell_nodes(start, NODES);
+            let mut one = RetryQuota::new(start, BOUNDS);
+            one.set_node_count(start, NODES);
             one
         })
         .collect();
     let (worst, allowed) = worst_span(|clock, node| {
-        together[node].request(clock.now());
+        together[node].record_request(clock.now());
         together[node].spend(clock.now())
     });
     println!("together: {worst} of {allowed}");
@@ -76,10 +76,10 @@
 #[test]
 fn cut_off() {
     let clock = Manual::new();
-    let mut lone = Allowance::new(clock.now(), BOUNDS);
-    lone.tell_nodes(clock.now(), NODES);
+    let mut lone = RetryQuota::new(clock.now(), BOUNDS);
+    lone.set_node_count(clock.now(), NODES);
     clock.advance(BOUNDS.window);
-    lone.tell_nodes(clock.now(), 1);
+    lone.set_node_count(clock.now(), 1);
     let repeats = (0..100).filter(|_| lone.spend(clock.now())).count();
     assert!(repeats <= 3, "{repeats}");
 }
@@ -90,8 +90,8 @@
 fn restarted() {
     let clock = Manual::new();
     let repeats = (0..100).filter(|_| {
-        let mut young = Allowance::new(clock.now(), BOUNDS);
-        young.tell_nodes(clock.now(), NODES);
+        let mut young = RetryQuota::new(clock.now(), BOUNDS);
+        young.set_node_count(clock.now(), NODES);
         clock.advance(Duration::from_millis(100));
         young.spend(clock.now())
     });
