--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/children.rs
@@ -26,7 +26,7 @@
 pub const MAX_DEPTH: usize = 6;
 
 /// What children that were just taken may cost together: eight of a megabyte.
-pub const ADMIT_WORK: Duration = Duration::from_millis(1_600);
+pub const JOIN_BURST: Duration = Duration::from_millis(1_600);
 
 /// Time that a byte for a new child takes, at 40 Mbit/s.
 ///
@@ -42,17 +42,17 @@
 const ROUTE_BYTES: u32 = 6;
 
 /// Wait given by a node that has no room; it will not have any soon.
-pub const WAIT_FULL: Duration = Duration::from_secs(5);
+pub const RETRY_AFTER_FULL: Duration = Duration::from_secs(5);
 
 /// Wait given by a node that has no root itself or is not ready.
-pub const WAIT_UNREADY: Duration = Duration::from_millis(250);
+pub const RETRY_AFTER_UNREADY: Duration = Duration::from_millis(250);
 
 /// Other parents named in one answer.
 pub const MAX_HINTS: usize = 8;
 
 impl Node {
     /// Takes the first frame of a peer that connected.
-    pub(crate) fn on_first(&mut self, now: Instant, key: LinkKey, frame: &Frame) {
+    pub(crate) fn on_handshake(&mut self, now: Instant, key: LinkKey, frame: &Frame) {
         match frame {
             Frame::Join { address, version } => {
                 self.set_address(key, *address);
@@ -63,11 +63,11 @@
             }
             Frame::Meet { address, version } => {
                 self.set_address(key, *address);
-                if self.lease.is_held() && !self.is_leaving {
-                    self.admit(now, key, Role::Equal, *version);
+                if self.lease.is_root() && !self.is_leaving {
+                    self.admit(now, key, Role::RootPeer, *version);
                 } else {
                     let peer = self.links.get(&key).and_then(|link| link.peer.clone());
-                    self.refuse(key, WAIT_FULL);
+                    self.refuse(key, RETRY_AFTER_FULL);
                     if let Some(peer) = peer {
                         self.learn_caller(&peer, now);
                     }
@@ -88,8 +88,8 @@
 
     fn check_join(&mut self, key: LinkKey, now: Instant) -> Result<(), Duration> {
         let name = self.peer_name(key).unwrap_or_default();
-        if !self.is_rooted() || !self.is_ready() || self.is_leaving || self.path.contains(&name) {
-            return Err(WAIT_UNREADY);
+        if !self.has_root() || !self.is_ready() || self.is_leaving || self.path.contains(&name) {
+            return Err(RETRY_AFTER_UNREADY);
         }
         // A child that reconnects takes its own place, not a further one.
         let is_old = |other: &SmolStr| *other == name;
@@ -99,27 +99,27 @@
         for old in old {
             self.close(old);
         }
-        if self.room() == 0 {
-            return Err(WAIT_FULL);
+        if self.child_capacity() == 0 {
+            return Err(RETRY_AFTER_FULL);
         }
-        self.door.take(now, self.cost_of_child())
+        self.join_limiter.admit(now, self.cost_of_child())
     }
 
     /// Gives how long the configuration and the endpoints take to go out to a new child.
     fn cost_of_child(&self) -> Duration {
         let count = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         let endpoints = count(self.table.iter().count()).saturating_mul(ENDPOINT_BYTES);
-        let routes = count(self.holder.held().mesh().routes.len()).saturating_mul(ROUTE_BYTES);
+        let routes = count(self.replica.held().mesh().routes.len()).saturating_mul(ROUTE_BYTES);
         ADMIT_BYTE.saturating_mul(endpoints.saturating_add(routes))
     }
 
     /// Counts the children that this node would still take.
-    pub(crate) fn room(&self) -> u8 {
-        let is_able = self.is_rooted() && self.is_ready() && self.path.len() < MAX_DEPTH;
+    pub(crate) fn child_capacity(&self) -> u8 {
+        let is_able = self.has_root() && self.is_ready() && self.path.len() < MAX_DEPTH;
         if !is_able || self.is_leaving {
             return 0;
         }
-        let most = if self.lease.is_held() {
+        let most = if self.lease.is_root() {
             ROOT_FAN_OUT
         } else {
             FAN_OUT
@@ -133,11 +133,11 @@
             path: self.path.clone(),
             version: self.version(),
             is_ready: self.is_ready(),
-            parents: self.hints(key),
+            parents: self.parent_hints(key),
         };
         self.send(key, frame);
-        self.settle_link(now, key, role, version);
-        if role == Role::Equal && !self.is_synced {
+        self.establish_link(now, key, role, version);
+        if role == Role::RootPeer && !self.is_synced {
             // The caller learns what this one knows by its own question only.
             self.send_sums(key, false);
         }
@@ -148,26 +148,27 @@
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
             version: self.version(),
             is_ready: self.is_ready(),
-            parents: self.hints(key),
+            parents: self.parent_hints(key),
         };
         self.send(key, frame);
         self.close(key);
     }
 
     /// Names other parents for the peer of `key`: children with room, the own parent, roots of the zone.
-    pub(crate) fn hints(&mut self, key: LinkKey) -> Vec<Peer> {
-        let zone = &self.settings.own.zone;
+    pub(crate) fn parent_hints(&mut self, key: LinkKey) -> Vec<Peer> {
+        let zone = &self.settings.local.zone;
         let name = self.peer_name(key).unwrap_or_default();
         let roomy = self.links.iter().filter(|(other, link)| {
             **other != key
-                && (link.role == Role::Parent || (link.role == Role::Child && link.room > 0))
+                && (link.role == Role::Parent
+                    || (link.role == Role::Child && link.child_capacity > 0))
         });
         let roomy: Vec<_> = roomy.filter_map(|(_, link)| link.peer.clone()).collect();
         let mut hints: Vec<_> = roomy
             .choose_multiple(&mut self.rng, MAX_HINTS)
             .cloned()
             .collect();
-        let seats = self.lease.seats().iter().filter(|seat| seat.is_live);
+        let seats = self.lease.leases().iter().filter(|seat| seat.is_live);
         hints.extend(
             seats
                 .map(|seat| &seat.holder)
--- a/crates/fleet/src/crashes.rs
+++ b/crates/fleet/src/crashes.rs
@@ -55,7 +55,7 @@
         if news.is_empty() {
             return;
         }
-        for link in self.find_links(Link::is_settled) {
+        for link in self.find_links(Link::is_established) {
             if origin != Origin::Link(link) {
                 self.send(link, Frame::Crashes(news.clone()));
             }
--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -66,6 +66,6 @@
     pub fn deadline(&self, now: Instant) -> Option<Instant> {
         let first = self.lost.values().min()?;
         // A held loss is looked at again with every beat.
-        Some((*first + GRACE).max(now + crate::link::BEAT / 4))
+        Some((*first + GRACE).max(now + crate::link::HEARTBEAT_INTERVAL / 4))
     }
 }
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -1,10 +1,10 @@
 //! What a root does: it reads the platform, keeps its lease and meets other roots.
 
 use crate::event::{Action, Request, Seat};
-use crate::holder::{Step, Taken};
 use crate::link::{LinkKey, Purpose, Role};
 use crate::node::Node;
 use crate::parent::Source;
+use crate::replica::{ApplyOutcome, Step};
 use config::{Digest, Mesh, Patch, Version};
 use smol_str::SmolStr;
 use std::sync::Arc;
@@ -16,69 +16,68 @@
 
 impl Node {
     pub(crate) fn ask_due(&mut self, now: Instant) {
-        for request in self.lease.due(now) {
+        for request in self.lease.due_requests(now) {
             self.actions.push(Action::Ask(request));
         }
     }
 
     pub(crate) fn on_leases(&mut self, now: Instant, seats: Vec<Seat>) {
-        self.lease.read(seats);
+        self.lease.set_leases(seats);
         self.learn_roots(now);
-        if self.lease.is_held() {
+        if self.lease.is_root() {
             self.meet_roots(now);
             self.nominate(now);
             if !self.is_synced {
-                self.lease.hurry(now);
+                self.lease.read_soon(now);
             }
             return;
         }
         let candidates = &self.candidates;
-        let own = &self.settings.own;
+        let own = &self.settings.local;
         let opening = self
             .lease
-            .opening(own, |holder| candidates.is_unreached(holder.address));
+            .slot_to_claim(own, |holder| candidates.is_unreachable(holder.address));
         match opening {
             // A seat that looked free some seconds ago is mostly taken by now.
             Some(_) if self.search.doubt(now) => {}
             Some(slot) if self.search.is_on() && !self.is_leaving => {
                 self.take_seat(slot, true);
-                let wait = self.draw(SPREAD);
+                let wait = self.jitter(SPREAD);
                 self.search.hurry(now + SPREAD + wait);
             }
             _ => {
-                let wait = self.draw(SPREAD / 10);
+                let wait = self.jitter(SPREAD / 10);
                 self.search.hurry(now + wait);
             }
         }
     }
 
     fn learn_roots(&mut self, now: Instant) {
-        let zone = &self.settings.own.zone;
-        for seat in self.lease.seats() {
+        let zone = &self.settings.local.zone;
+        for seat in self.lease.leases() {
             if seat.is_live && seat.holder.zone == *zone {
-                self.candidates
-                    .learn(seat.holder.address, Source::Root, now);
+                self.candidates.add(seat.holder.address, Source::Root, now);
             }
         }
     }
 
     fn take_seat(&mut self, slot: u8, is_forced: bool) {
-        if let Some(request) = self.lease.ask(slot, is_forced) {
+        if let Some(request) = self.lease.request(slot, is_forced) {
             self.actions.push(Action::Ask(request));
         }
     }
 
     fn meet_roots(&mut self, now: Instant) {
         let links = &self.links;
-        let own_zone = &self.settings.own.zone;
-        let (own, is_new) = (&self.settings.own, !self.is_synced);
-        let wanted = self.lease.meets(own, is_new, now, |holder| {
+        let own_zone = &self.settings.local.zone;
+        let (own, is_new) = (&self.settings.local, !self.is_synced);
+        let wanted = self.lease.roots_to_dial(own, is_new, now, |holder| {
             let is_same = |peer: &wire::control::Peer| {
                 peer.node == holder.node || (holder.zone != *own_zone && peer.zone == holder.zone)
             };
             links
                 .values()
-                .filter(|link| matches!(link.role, Role::Equal))
+                .filter(|link| matches!(link.role, Role::RootPeer))
                 .any(|link| link.peer.as_ref().is_some_and(is_same))
         });
         for peer in wanted {
@@ -88,14 +87,14 @@
 
     /// Hands a free lease of the zone to a child.
     fn nominate(&mut self, now: Instant) {
-        let zone = self.settings.own.zone.clone();
-        let Some(slot) = self.lease.vacancy(&zone) else {
+        let zone = self.settings.local.zone.clone();
+        let Some(slot) = self.lease.vacant_slot(&zone) else {
             return;
         };
-        let children = self.find_links(|link| link.role == Role::Child && link.room > 0);
+        let children = self.find_links(|link| link.role == Role::Child && link.child_capacity > 0);
         if let Some(child) = children.get(usize::from(slot) % children.len().max(1)) {
             self.send(*child, Frame::Nominate { slot });
-            self.lease.nominate(now);
+            self.lease.on_nominated(now);
         }
     }
 
@@ -114,7 +113,7 @@
             self.actions.push(Action::Ask(Request::Release { slot }));
             return;
         }
-        if !self.lease.grant(slot, now) {
+        if !self.lease.on_granted(slot, now) {
             return;
         }
         for parent in self.find_links(|link| link.role == Role::Parent) {
@@ -130,7 +129,7 @@
         if let Some(dialled) = self.search.take_dialled() {
             self.close(dialled);
         }
-        self.tell_path(vec![self.settings.own.node.clone()]);
+        self.propagate_path(vec![self.settings.local.node.clone()]);
         // One that doesn't serve yet has to be told the highest version as well.
         let after = if self.is_ready() {
             self.version()
@@ -149,7 +148,7 @@
 
     /// Steps down: somebody took the lease while this node was paused or cut off.
     pub(crate) fn on_lost(&mut self, now: Instant, slot: u8) {
-        if !self.lease.lose(slot) {
+        if !self.lease.on_lost(slot) {
             if self.search.is_on() {
                 self.pause_search(now);
             }
@@ -162,7 +161,7 @@
     }
 
     pub(crate) fn leave_equals(&mut self) {
-        for equal in self.find_links(|link| link.role == Role::Equal) {
+        for equal in self.find_links(|link| link.role == Role::RootPeer) {
             let parents = Vec::new();
             self.send(equal, Frame::Leave { parents });
             self.close(equal);
@@ -172,11 +171,11 @@
     pub(crate) fn on_failed(&mut self, now: Instant, request: Request) {
         match request {
             Request::Take { slot, .. } => {
-                self.lease.fail(slot);
+                self.lease.on_failed(slot);
                 self.search.hurry(now);
             }
             Request::Leases { .. } => {
-                let wait = self.draw(SPREAD);
+                let wait = self.jitter(SPREAD);
                 self.search.hurry(now + wait);
             }
             Request::Head { .. } => self.gate.miss_platform(now),
@@ -192,9 +191,9 @@
 
     pub(crate) fn on_head(&mut self, now: Instant, version: Version) {
         self.gate.hear_platform(version);
-        self.news.head = self.news.head.max(version);
-        if self.lease.is_held() {
-            self.sync_alone(now);
+        self.sync.platform_head = self.sync.platform_head.max(version);
+        if self.lease.is_root() {
+            self.sync_without_roots(now);
         }
     }
 
@@ -212,25 +211,25 @@
             patch,
             digest,
         };
-        let taken = self.holder.take_step(step.clone());
-        if taken == Taken::Gap && self.lease.is_held() {
+        let taken = self.replica.apply_step(step.clone());
+        if taken == ApplyOutcome::Gap && self.lease.is_root() {
             let after = self.version();
             self.follow(after);
         }
-        self.settle_step(now, taken, &step);
+        self.finish_step(now, taken, &step);
     }
 
     /// Notes a version that can't be taken, once; operators see it in the node's status.
     pub(crate) fn on_unreadable(&mut self, version: Version, reason: SmolStr) {
-        if self.holder.refuse(version, reason) {
+        if self.replica.refuse(version, reason) {
             self.counters.refusals += 1;
         }
     }
 
     pub(crate) fn on_platform_whole(&mut self, now: Instant, version: Version, mesh: Mesh) {
-        match self.holder.take_newest(version, mesh) {
-            (taken, Some(step)) => self.settle_step(now, taken, &step),
-            (taken, None) => self.settle_taken(now, taken),
+        match self.replica.apply_newest(version, mesh) {
+            (taken, Some(step)) => self.finish_step(now, taken, &step),
+            (taken, None) => self.handle_outcome(now, taken),
         }
     }
 }
--- a/crates/fleet/src/beat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -13,25 +13,25 @@
 const DIFFERING: u8 = 3;
 
 impl Node {
-    pub(crate) fn beat_all(&mut self) {
-        for key in self.find_links(Link::is_settled) {
-            self.beat(key);
+    pub(crate) fn send_heartbeats(&mut self) {
+        for key in self.find_links(Link::is_established) {
+            self.send_heartbeat(key);
         }
     }
 
-    pub(crate) fn beat(&mut self, key: LinkKey) {
+    pub(crate) fn send_heartbeat(&mut self, key: LinkKey) {
         let Some(status) = self.status_for(key) else {
             return;
         };
-        let (version, endpoints, room) = (self.version(), self.table.sum(), self.room());
+        let (version, endpoints, room) = (self.version(), self.table.sum(), self.child_capacity());
         let is_ready = self.is_ready();
         let Some(link) = self.links.get_mut(&key) else {
             return;
         };
-        let (count, echo) = link.count_beat();
-        let is_new = link.told.as_ref() != Some(&status);
+        let (count, echo) = link.next_heartbeat_counts();
+        let is_new = link.sent_status.as_ref() != Some(&status);
         if is_new {
-            link.told = Some(status.clone());
+            link.sent_status = Some(status.clone());
         }
         let beat = Beat {
             count,
@@ -45,28 +45,28 @@
         self.send(key, Frame::Beat(beat));
     }
 
-    pub(crate) fn on_beat(&mut self, now: Instant, key: LinkKey, beat: &Beat) {
+    pub(crate) fn on_heartbeat(&mut self, now: Instant, key: LinkKey, beat: &Beat) {
         let is_other = beat.endpoints != self.table.sum();
-        let own = self.settings.own.node.clone();
+        let own = self.settings.local.node.clone();
         let Some(link) = self.links.get_mut(&key) else {
             return;
         };
-        link.hear_beat(beat, now);
-        link.differing = if is_other { link.differing + 1 } else { 0 };
+        link.record_heartbeat(beat, now);
+        link.mismatches = if is_other { link.mismatches + 1 } else { 0 };
         let is_caller = match link.role {
             Role::Parent => true,
-            Role::Equal => link.peer.as_ref().is_some_and(|peer| own < peer.node),
+            Role::RootPeer => link.peer.as_ref().is_some_and(|peer| own < peer.node),
             _ => false,
         };
-        let is_due = is_caller && link.differing >= DIFFERING;
-        if link.differing >= DIFFERING {
-            link.differing = 0;
+        let is_due = is_caller && link.mismatches >= DIFFERING;
+        if link.mismatches >= DIFFERING {
+            link.mismatches = 0;
         }
         if is_due {
             self.send_sums(key, false);
         }
-        self.hear_source(key, beat.version, beat.is_ready);
-        self.hear_version(now, key, beat.version);
+        self.on_version_source(key, beat.version, beat.is_ready);
+        self.on_peer_version(now, key, beat.version);
     }
 
     /// Gives what the peer of a link is to be told.
@@ -75,9 +75,9 @@
         match link.role {
             Role::Parent => Some(self.subtree_status()),
             Role::Child => Some(self.fleet_status()),
-            Role::Equal => {
+            Role::RootPeer => {
                 let zone = link.peer.as_ref().map(|peer| &peer.zone);
-                if zone == Some(&self.settings.own.zone) {
+                if zone == Some(&self.settings.local.zone) {
                     Some(self.subtree_status())
                 } else {
                     Some(self.zone_status())
@@ -88,9 +88,9 @@
     }
 
     fn own_status(&self) -> Status {
-        let refused = self.holder.refused();
+        let refused = self.replica.refused();
         let refusal = refused
-            .map(|(version, reason)| status::refusal(&self.settings.own.node, *version, reason));
+            .map(|(version, reason)| status::refusal(&self.settings.local.node, *version, reason));
         status::single(self.version(), refusal)
     }
 
@@ -105,7 +105,7 @@
     }
 
     fn sum_with(&self, own: &Status, told: Vec<(&SmolStr, &Status)>) -> Status {
-        let own = (&self.settings.own.node, own);
+        let own = (&self.settings.local.node, own);
         status::sum(std::iter::once(own).chain(told).collect::<Vec<_>>())
     }
 
@@ -117,26 +117,30 @@
 
     /// Sums up the own zone, on a root.
     fn zone_status(&self) -> Status {
-        let zone = &self.settings.own.zone;
+        let zone = &self.settings.local.zone;
         let roots = self.told_by(|link| {
-            link.role == Role::Equal && link.peer.as_ref().is_some_and(|peer| peer.zone == *zone)
+            link.role == Role::RootPeer && link.peer.as_ref().is_some_and(|peer| peer.zone == *zone)
         });
         self.sum_with(&self.subtree_status(), roots)
     }
 
     /// Sums up the fleet: a root from what other roots tell, the others by what comes down.
     pub(crate) fn fleet_status(&self) -> Status {
-        if !self.lease.is_held() {
+        if !self.lease.is_root() {
             let parents = self.told_by(|link| link.role == Role::Parent);
             return match parents.first() {
                 Some((_, told)) => Status::clone(told),
                 None => self.subtree_status(),
             };
         }
-        let own_zone = &self.settings.own.zone;
+        let own_zone = &self.settings.local.zone;
         // Several roots of a zone tell of the same nodes: the fullest sum counts.
         let mut zones: BTreeMap<&SmolStr, (&SmolStr, &Status)> = BTreeMap::new();
-        for link in self.links.values().filter(|link| link.role == Role::Equal) {
+        for link in self
+            .links
+            .values()
+            .filter(|link| link.role == Role::RootPeer)
+        {
             let (Some(peer), Some(told)) = (&link.peer, &link.status) else {
                 continue;
             };
--- a/crates/fleet/src/bucket.rs
+++ b/crates/fleet/src/leaky_bucket.rs
@@ -4,12 +4,12 @@
 
 /// A leaky bucket of work, kept as the time at which the work will be done.
 #[derive(Debug, Clone)]
-pub struct Bucket {
+pub struct LeakyBucket {
     most: Duration,
     done_at: Option<Instant>,
 }
 
-impl Bucket {
+impl LeakyBucket {
     /// Makes an empty bucket that holds `most` work.
     #[must_use]
     pub fn new(most: Duration) -> Self {
@@ -24,7 +24,7 @@
     /// # Errors
     ///
     /// Gives the time until there is room.
-    pub fn take(&mut self, now: Instant, work: Duration) -> Result<(), Duration> {
+    pub fn admit(&mut self, now: Instant, work: Duration) -> Result<(), Duration> {
         let begins_at = self.done_at.map_or(now, |at| at.max(now));
         let done_at = begins_at + work;
         match (done_at - now).checked_sub(self.most) {
--- a/crates/fleet/src/root.rs
+++ b/crates/fleet/src/lease.rs
@@ -11,10 +11,10 @@
 use wire::control::Peer;
 
 /// Roots of a zone: two may be lost at once. 15 zones make 45.
-pub const SEATS: u8 = 3;
+pub const ROOTS_PER_ZONE: u8 = 3;
 
 /// Time that a lease runs for.
-pub const TERM: Duration = Duration::from_secs(10);
+pub const LEASE_DURATION: Duration = Duration::from_secs(10);
 
 /// Time between renewals: two may fail. 45 roots write 15 times a second.
 const RENEW: Duration = Duration::from_secs(3);
@@ -45,12 +45,12 @@
         slot: u8,
     },
     /// Root without a lease, as the platform gives out none.
-    StandIn,
+    Provisional,
 }
 
 /// The own lease, if any, and what was read of the others.
 #[derive(Debug)]
-pub struct Lease {
+pub struct LeaseClient {
     state: State,
     since: Instant,
     renew_at: Instant,
@@ -63,7 +63,7 @@
     is_exact: bool,
 }
 
-impl Lease {
+impl LeaseClient {
     /// Makes one that holds nothing.
     #[must_use]
     pub fn new(now: Instant) -> Self {
@@ -80,24 +80,24 @@
 
     /// Tells whether this node is a root.
     #[must_use]
-    pub fn is_held(&self) -> bool {
-        matches!(self.state, State::Held { .. } | State::StandIn)
+    pub fn is_root(&self) -> bool {
+        matches!(self.state, State::Held { .. } | State::Provisional)
     }
 
     /// Tells whether this node is a root without a lease.
     #[must_use]
-    pub fn is_stand_in(&self) -> bool {
-        self.state == State::StandIn
+    pub fn is_provisional(&self) -> bool {
+        self.state == State::Provisional
     }
 
     /// Becomes a root without a lease.
-    pub fn stand_in(&mut self) {
-        self.state = State::StandIn;
+    pub fn become_provisional(&mut self) {
+        self.state = State::Provisional;
     }
 
     /// Ceases to be a root without a lease.
-    pub fn step_aside(&mut self) {
-        if self.state == State::StandIn {
+    pub fn end_provisional(&mut self) {
+        if self.state == State::Provisional {
             self.state = State::None;
         }
     }
@@ -107,21 +107,21 @@
     pub fn slot(&self) -> Option<u8> {
         match self.state {
             State::Held { slot } => Some(slot),
-            State::None | State::Asked { .. } | State::StandIn => None,
+            State::None | State::Asked { .. } | State::Provisional => None,
         }
     }
 
     /// Gives all leases as last read.
     #[must_use]
-    pub fn seats(&self) -> &[Seat] {
+    pub fn leases(&self) -> &[Seat] {
         &self.seats
     }
 
     /// Asks for a lease, unless one is held or asked for.
     ///
     /// `is_forced` when the holder can't be reached.
-    pub fn ask(&mut self, slot: u8, is_forced: bool) -> Option<Request> {
-        if self.state != State::None || slot >= SEATS {
+    pub fn request(&mut self, slot: u8, is_forced: bool) -> Option<Request> {
+        if self.state != State::None || slot >= ROOTS_PER_ZONE {
             return None;
         }
         self.state = State::Asked { slot };
@@ -129,8 +129,8 @@
     }
 
     /// Notes that a lease was granted; tells whether this node thereby became a root.
-    pub fn grant(&mut self, slot: u8, now: Instant) -> bool {
-        let is_new = !self.is_held();
+    pub fn on_granted(&mut self, slot: u8, now: Instant) -> bool {
+        let is_new = !self.is_root();
         self.state = State::Held { slot };
         self.renew_at = now + RENEW;
         if is_new {
@@ -142,7 +142,7 @@
     }
 
     /// Notes that a lease is another's; tells whether this node thereby ceased to be a root.
-    pub fn lose(&mut self, slot: u8) -> bool {
+    pub fn on_lost(&mut self, slot: u8) -> bool {
         let was_held = self.state == State::Held { slot };
         if was_held || self.state == (State::Asked { slot }) {
             self.state = State::None;
@@ -154,19 +154,19 @@
     ///
     /// A holder goes on as root: nobody can take over while the platform is
     /// out, and its zone needs the links to other zones.
-    pub fn fail(&mut self, slot: u8) {
+    pub fn on_failed(&mut self, slot: u8) {
         if self.state == (State::Asked { slot }) {
             self.state = State::None;
         }
     }
 
     /// Notes the leases of all roots.
-    pub fn read(&mut self, seats: Vec<Seat>) {
+    pub fn set_leases(&mut self, seats: Vec<Seat>) {
         self.seats = seats;
     }
 
     /// Gives what a root asks of the platform by now.
-    pub fn due(&mut self, now: Instant) -> Vec<Request> {
+    pub fn due_requests(&mut self, now: Instant) -> Vec<Request> {
         let mut requests = Vec::new();
         let State::Held { slot } = self.state else {
             return requests;
@@ -194,7 +194,7 @@
     ///
     /// The zone's lowest root acts at once and the others only when the lease
     /// is still free at their next reading: the lowest may have no child.
-    pub fn vacancy(&mut self, zone: &str) -> Option<u8> {
+    pub fn vacant_slot(&mut self, zone: &str) -> Option<u8> {
         let own = self.slot()?;
         let is_live = |slot: u8| {
             slot == own
@@ -203,20 +203,20 @@
                     .iter()
                     .any(|seat| seat.holder.zone == zone && seat.slot == slot && seat.is_live)
         };
-        let vacancy = (0..SEATS).find(|slot| !is_live(*slot));
+        let vacancy = (0..ROOTS_PER_ZONE).find(|slot| !is_live(*slot));
         let is_lowest = !(0..own).any(is_live);
         let was_vacant = std::mem::replace(&mut self.was_vacant, vacancy.is_some());
         vacancy.filter(|_| is_lowest || was_vacant)
     }
 
     /// Notes that a child was nominated: the leases are to be read again soon.
-    pub fn nominate(&mut self, now: Instant) {
+    pub fn on_nominated(&mut self, now: Instant) {
         self.read_at = self.read_at.min(now + SETTLE);
         self.is_exact = true;
     }
 
     /// Notes that no other root was met yet: the leases are to be read again at once.
-    pub fn hurry(&mut self, now: Instant) {
+    pub fn read_soon(&mut self, now: Instant) {
         self.read_at = self.read_at.min(now + HURRY);
         self.is_exact = true;
     }
@@ -230,7 +230,7 @@
     /// So is one whose holder had this node's address: that VM is gone, and
     /// whoever looks for it finds this node, which is no root. Left to run out,
     /// it kept a zone that was restarted whole without configuration for 10 s.
-    pub fn opening<F>(&self, own: &Peer, is_unreached: F) -> Option<u8>
+    pub fn slot_to_claim<F>(&self, own: &Peer, is_unreached: F) -> Option<u8>
     where
         F: Fn(&Peer) -> bool,
     {
@@ -247,14 +247,14 @@
         mine.clone().find(is_usable).is_none().then(|| {
             // Any lease will do; different nodes try different ones.
             let hash = crate::endpoints::hash(own.node.as_bytes());
-            let slot = crate::endpoints::pick(hash, SEATS.into());
+            let slot = crate::endpoints::pick(hash, ROOTS_PER_ZONE.into());
             u8::try_from(slot).unwrap_or_default()
         })
     }
 
     /// Tells whether no lease of the own zone that goes before this one is held.
-    pub(crate) fn is_lowest(&self, own: &Peer) -> bool {
-        let slot = self.slot().unwrap_or(SEATS);
+    pub(crate) fn has_lowest_slot(&self, own: &Peer) -> bool {
+        let slot = self.slot().unwrap_or(ROOTS_PER_ZONE);
         let mut others = self
             .seats
             .iter()
@@ -268,12 +268,12 @@
     /// call each other at once. Only a zone's lowest root calls other zones:
     /// with all three calling, links between 45 roots cost each some 1.6 KB a second.
     /// One that has met none yet (`is_new`) waits for no call.
-    pub fn meets<F>(&self, own: &Peer, is_new: bool, now: Instant, is_met: F) -> Vec<Peer>
+    pub fn roots_to_dial<F>(&self, own: &Peer, is_new: bool, now: Instant, is_met: F) -> Vec<Peer>
     where
         F: Fn(&Peer) -> bool,
     {
         let is_patient = now >= self.since + PATIENCE;
-        let is_lowest = self.is_lowest(own);
+        let is_lowest = self.has_lowest_slot(own);
         let mut seats: Vec<_> = self.seats.iter().filter(|seat| seat.is_live).collect();
         seats.sort_by_cached_key(|seat| {
             let pair = format!("{} {}", own.node, seat.holder.node);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,8 +6,8 @@
 //! platform, serve by a new view). It opens no socket and reads no clock, so
 //! that tests run fleets of them in one thread.
 //!
-//! A version's way: a [`root`] follows the platform and pushes each step to
-//! its children; every [`relay`] applies it by its [`holder`] and pushes it
+//! A version's way: a [`lease`] follows the platform and pushes each step to
+//! its children; every [`children`] applies it by its [`replica`] and pushes it
 //! on. Nodes find their [`parent`] among those named to them, serve once the
 //! [`bootstrap`] gate is open, and sum up their [`status`] for their parent.
 //! [`endpoints`] flow both ways over the same links; the [`departure`] guard
@@ -36,20 +36,20 @@
 //! ```
 
 pub mod bootstrap;
-pub mod bucket;
+pub mod children;
 pub mod departure;
 pub mod endpoints;
-pub mod holder;
+pub mod leaky_bucket;
+pub mod lease;
 pub mod link;
 pub mod parent;
-pub mod relay;
-pub mod root;
+pub mod replica;
 pub mod status;
 
-mod beat;
 mod crashes;
 mod duty;
 mod event;
+mod heartbeat;
 mod lookout;
 mod node;
 mod outage;
--- a/crates/fleet/src/link.rs
+++ b/crates/fleet/src/link.rs
@@ -5,18 +5,18 @@
 use wire::control::{Beat, Part, Peer, Status};
 
 /// Time between signs of life: 27 bytes a second each way.
-pub const BEAT: Duration = Duration::from_secs(1);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A peer that said nothing for so long is lost: three beats and a half, so
 /// that two may be late, and a new parent is found well within 6 s.
-pub const SILENT: Duration = Duration::from_millis(3_500);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// A peer that hasn't heard us for so long is lost; one beat more, as what it
 /// heard comes back with its next beat.
-pub const UNHEARD: Duration = Duration::from_millis(4_500);
+pub const ECHO_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 /// Longest wait for a connection or for the answer to the first frame.
-pub const DIAL: Duration = Duration::from_millis(1_500);
+pub const DIAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Longest wait for the connection alone, to a parent in the own zone.
 ///
@@ -53,7 +53,7 @@
     /// A child.
     Child,
     /// Another root.
-    Equal,
+    RootPeer,
 }
 
 /// One link to another node.
@@ -66,17 +66,17 @@
     /// Version that the peer holds or was sent.
     pub(crate) version: Version,
     /// Children that the peer would still take.
-    pub(crate) room: u8,
+    pub(crate) child_capacity: u8,
     /// What the peer's part of the fleet holds.
     pub(crate) status: Option<Status>,
     /// What it was told last.
-    pub(crate) told: Option<Status>,
+    pub(crate) sent_status: Option<Status>,
     /// What the peer's part of the fleet has counted of roll-outs.
-    pub(crate) parts: Vec<Part>,
+    pub(crate) tallies: Vec<Part>,
     /// What it was told of them last.
-    pub(crate) parts_told: Vec<Part>,
+    pub(crate) sent_tallies: Vec<Part>,
     /// Beats in a row that showed other endpoints than ours.
-    pub(crate) differing: u8,
+    pub(crate) mismatches: u8,
     opened: Instant,
     heard: Instant,
     sent: u32,
@@ -91,12 +91,12 @@
             peer,
             role,
             version: Version::ZERO,
-            room: 0,
+            child_capacity: 0,
             status: None,
-            told: None,
-            parts: Vec::new(),
-            parts_told: Vec::new(),
-            differing: 0,
+            sent_status: None,
+            tallies: Vec::new(),
+            sent_tallies: Vec::new(),
+            mismatches: 0,
             opened: now,
             heard: now,
             sent: 0,
@@ -107,31 +107,31 @@
     }
 
     /// Gives the link its role once both ends know it.
-    pub(crate) fn settle(&mut self, role: Role, now: Instant) {
+    pub(crate) fn establish(&mut self, role: Role, now: Instant) {
         self.role = role;
         self.heard = now;
         self.echoed_at = now;
     }
 
     /// Tells whether news flow over the link.
-    pub(crate) fn is_settled(&self) -> bool {
-        matches!(self.role, Role::Parent | Role::Child | Role::Equal)
+    pub(crate) fn is_established(&self) -> bool {
+        matches!(self.role, Role::Parent | Role::Child | Role::RootPeer)
     }
 
     /// Gives when something last came from the peer.
-    pub(crate) fn heard(&self) -> Instant {
+    pub(crate) fn last_heard(&self) -> Instant {
         self.heard
     }
 
     /// Notes that something came from the peer.
-    pub(crate) fn hear(&mut self, now: Instant) {
+    pub(crate) fn mark_heard(&mut self, now: Instant) {
         self.heard = now;
     }
 
     /// Notes a beat of the peer's.
-    pub(crate) fn hear_beat(&mut self, beat: &Beat, now: Instant) {
+    pub(crate) fn record_heartbeat(&mut self, beat: &Beat, now: Instant) {
         self.received = beat.count;
-        self.room = beat.room;
+        self.child_capacity = beat.room;
         if beat.echo > self.echoed {
             self.echoed = beat.echo;
             self.echoed_at = now;
@@ -142,7 +142,7 @@
     }
 
     /// Gives the counters of the next beat: its own and the peer's.
-    pub(crate) fn count_beat(&mut self) -> (u32, u32) {
+    pub(crate) fn next_heartbeat_counts(&mut self) -> (u32, u32) {
         self.sent += 1;
         (self.sent, self.received)
     }
@@ -154,12 +154,12 @@
     /// yesterday's configuration for good. The echo covers the case in which
     /// only our own direction is dead: the peer's beats still come then.
     pub(crate) fn deadline(&self) -> Instant {
-        if self.is_settled() {
-            (self.heard + SILENT).min(self.echoed_at + UNHEARD)
+        if self.is_established() {
+            (self.heard + SILENCE_TIMEOUT).min(self.echoed_at + ECHO_TIMEOUT)
         } else if self.role == Role::Dialled(Purpose::Join) && self.peer.is_none() {
             self.opened + NEAR_CONNECT
         } else {
-            self.opened + DIAL
+            self.opened + DIAL_TIMEOUT
         }
     }
 }
--- a/crates/fleet/src/lookout.rs
+++ b/crates/fleet/src/lookout.rs
@@ -62,24 +62,24 @@
 impl Node {
     /// Gives when the platform is to be asked, if this node does so at all.
     pub(crate) fn next_look(&self) -> Option<Instant> {
-        let looks = self.gate.is_open() && !self.is_leaving && !self.lease.is_held();
+        let looks = self.gate.is_open() && !self.is_leaving && !self.lease.is_root();
         looks.then(|| self.lookout.due_at())
     }
 
     /// Asks the platform for versions when no root has been heard of for too long.
     pub(crate) fn look_out(&mut self, now: Instant) {
-        if self.lease.is_held() {
+        if self.lease.is_root() {
             self.lookout.hear(now);
-        } else if self.is_rooted() {
+        } else if self.has_root() {
             let parents = self.links.values().filter(|link| link.role == Role::Parent);
-            if let Some(heard) = parents.map(Link::heard).max() {
+            if let Some(heard) = parents.map(Link::last_heard).max() {
                 self.lookout.hear(heard);
             }
         }
         if self.next_look().is_none_or(|due| now < due) {
             return;
         }
-        let zone = &self.settings.own.zone;
+        let zone = &self.settings.local.zone;
         let nodes = self.table.iter().filter(|one| one.zone == *zone).count();
         self.lookout.asked = Some(now);
         self.lookout.again = share_rate(nodes);
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,20 +1,20 @@
 //! The state machine of one node: events in, actions out.
 
 use crate::bootstrap::Gate;
-use crate::bucket::Bucket;
 use crate::crashes::{Crashes, Origin};
 use crate::departure::Guard;
 use crate::endpoints::Table;
 use crate::event::{Action, Answer, Event, Request};
-use crate::holder::{Holder, Step};
-use crate::link::{BEAT, Link, LinkKey, Purpose, Role};
+use crate::leaky_bucket::LeakyBucket;
+use crate::lease::LeaseClient;
+use crate::link::{HEARTBEAT_INTERVAL, Link, LinkKey, Purpose, Role};
 use crate::lookout::Lookout;
 use crate::outage::Outage;
 use crate::parent::{Candidates, Source};
 use crate::reading::Reading;
+use crate::replica::{Replica, Step};
 use crate::rollouts::{self, Rollouts};
-use crate::root::Lease;
-use crate::{relay, search, sync};
+use crate::{children, search, sync};
 use config::{Endpoint, Version};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// Name, availability zone, and where it listens for other nodes.
-    pub own: Peer,
+    pub local: Peer,
     /// Region of the availability zone.
     pub region: SmolStr,
     /// Random number of this process.
@@ -43,7 +43,7 @@
     /// Whether roots read operators' roll-outs.
     pub follows_rollouts: bool,
     /// Whether every version is sent whole, which is a baseline to measure patches against.
-    pub sends_whole: bool,
+    pub sends_snapshots: bool,
 }
 
 /// Events counted since the process started.
@@ -67,23 +67,23 @@
     pub(crate) settings: Settings,
     pub(crate) rng: SmallRng,
     pub(crate) links: BTreeMap<LinkKey, Link>,
-    pub(crate) holder: Holder,
+    pub(crate) replica: Replica,
     pub(crate) table: Table,
     pub(crate) gate: Gate,
     pub(crate) guard: Guard,
-    pub(crate) lease: Lease,
+    pub(crate) lease: LeaseClient,
     pub(crate) candidates: Candidates,
     /// Names from the root down to this node; empty without a root.
     pub(crate) path: Vec<SmolStr>,
-    pub(crate) door: Bucket,
+    pub(crate) join_limiter: LeakyBucket,
     pub(crate) search: search::Search,
     pub(crate) lookout: Lookout,
     pub(crate) outage: Outage,
-    pub(crate) news: sync::News,
+    pub(crate) sync: sync::SyncState,
     pub(crate) crashes: Crashes,
     pub(crate) rollouts: Rollouts,
     pub(crate) reading: Reading,
-    pub(crate) own: Option<Endpoint>,
+    pub(crate) local_endpoint: Option<Endpoint>,
     pub(crate) is_synced: bool,
     pub(crate) is_leaving: bool,
     pub(crate) counters: Counters,
@@ -101,32 +101,32 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut candidates = Candidates::default();
         for address in &settings.seeds {
-            candidates.learn(*address, Source::Seed, now);
+            candidates.add(*address, Source::Seed, now);
         }
         // A herd that restarts together must not beat and read in step.
-        let beat_at = now + BEAT.mul_f64(rng.random::<f64>());
+        let beat_at = now + HEARTBEAT_INTERVAL.mul_f64(rng.random::<f64>());
         let refresh_at = now + crate::endpoints::REFRESH.mul_f64(rng.random::<f64>());
         let search = search::Search::new(now, &mut rng);
         Self {
             settings,
             rng,
             links: BTreeMap::new(),
-            holder: Holder::default(),
+            replica: Replica::default(),
             table: Table::default(),
             gate: Gate::new(),
             guard: Guard::default(),
-            lease: Lease::new(now),
+            lease: LeaseClient::new(now),
             candidates,
             path: Vec::new(),
-            door: Bucket::new(relay::ADMIT_WORK),
+            join_limiter: LeakyBucket::new(children::JOIN_BURST),
             search,
             lookout: Lookout::new(now),
             outage: Outage::default(),
-            news: sync::News::default(),
+            sync: sync::SyncState::default(),
             crashes: Crashes::default(),
             rollouts: Rollouts::default(),
             reading: Reading::default(),
-            own: None,
+            local_endpoint: None,
             is_synced: false,
             is_leaving: false,
             counters: Counters::default(),
@@ -152,7 +152,7 @@
         let before = self.version();
         match event {
             Event::Connected { link, peer } => self.on_connected(now, link, peer),
-            Event::Closed { link } => self.lose_link(now, link, false),
+            Event::Closed { link } => self.drop_link(now, link, false),
             Event::Frame { link, frame } => self.on_frame(now, link, frame),
             Event::Platform(answer) => self.on_answer(now, answer),
             Event::Own(backend) => self.announce(now, &backend),
@@ -171,7 +171,7 @@
     pub fn next_wake(&self, now: Instant) -> Instant {
         let others = [
             self.search.deadline(),
-            self.news.deadline(),
+            self.sync.deadline(),
             self.lease.deadline(),
             self.guard.deadline(now),
             self.gate.deadline(),
@@ -189,7 +189,7 @@
     /// Gives the version held.
     #[must_use]
     pub fn version(&self) -> Version {
-        self.holder.version()
+        self.replica.version()
     }
 
     /// Tells whether the process holds enough to serve.
@@ -201,7 +201,7 @@
     /// Tells whether this node is a root.
     #[must_use]
     pub fn is_root(&self) -> bool {
-        self.lease.is_held()
+        self.lease.is_root()
     }
 
     /// Gives the names from the root down to this node; empty without a root.
@@ -212,8 +212,8 @@
 
     /// Gives the configuration and what could not be applied.
     #[must_use]
-    pub fn holder(&self) -> &Holder {
-        &self.holder
+    pub fn replica(&self) -> &Replica {
+        &self.replica
     }
 
     /// Gives all endpoints known.
@@ -241,8 +241,8 @@
     }
 
     fn wake(&mut self, now: Instant) {
-        self.drop_silent(now);
-        self.bury_lost(now);
+        self.drop_silent_links(now);
+        self.remove_lost_nodes(now);
         self.ask_due(now);
         self.step_search(now);
         self.step_reading(now);
@@ -250,8 +250,8 @@
         self.look_out(now);
         self.step_outage(now);
         if now >= self.beat_at {
-            self.beat_at = now + BEAT;
-            self.beat_all();
+            self.beat_at = now + HEARTBEAT_INTERVAL;
+            self.send_heartbeats();
         }
         if now >= self.sweep_at {
             self.sweep_at = now + SWEEP;
@@ -259,9 +259,9 @@
         }
         if now >= self.refresh_at {
             self.refresh_at = now + crate::endpoints::REFRESH;
-            self.refresh(now);
+            self.reannounce(now);
         }
-        self.step_news(now);
+        self.step_sync(now);
         self.step_crashes(now);
         self.step_rollouts(now);
     }
@@ -270,17 +270,17 @@
         let Some(link) = self.links.get_mut(&key) else {
             return;
         };
-        link.hear(now);
+        link.mark_heard(now);
         match link.role {
-            Role::Accepted => self.on_first(now, key, &frame),
-            Role::Dialled(purpose) => self.on_reply(now, key, purpose, frame),
-            Role::Parent | Role::Child | Role::Equal => self.on_news(now, key, frame),
+            Role::Accepted => self.on_handshake(now, key, &frame),
+            Role::Dialled(purpose) => self.on_handshake_reply(now, key, purpose, frame),
+            Role::Parent | Role::Child | Role::RootPeer => self.on_news(now, key, frame),
         }
     }
 
     fn on_news(&mut self, now: Instant, key: LinkKey, frame: Frame) {
         match frame {
-            Frame::Beat(beat) => self.on_beat(now, key, &beat),
+            Frame::Beat(beat) => self.on_heartbeat(now, key, &beat),
             Frame::Step {
                 base,
                 version,
@@ -307,15 +307,15 @@
             }
             Frame::Tallies(parts) => self.on_parts(key, parts),
             Frame::Leave { parents } => {
-                self.learn_hints(now, parents);
-                self.lose_link(now, key, true);
+                self.add_hints(now, parents);
+                self.drop_link(now, key, true);
             }
             // Said only before a link is settled; a second one is a fault of the peer's.
             Frame::Join { .. }
             | Frame::Meet { .. }
             | Frame::Ask
             | Frame::Admit { .. }
-            | Frame::Refuse { .. } => self.lose_link(now, key, false),
+            | Frame::Refuse { .. } => self.drop_link(now, key, false),
         }
     }
 
@@ -381,11 +381,11 @@
         links.map(|(key, _)| *key).collect()
     }
 
-    pub(crate) fn is_rooted(&self) -> bool {
+    pub(crate) fn has_root(&self) -> bool {
         !self.path.is_empty()
     }
 
-    pub(crate) fn draw(&mut self, most: Duration) -> Duration {
+    pub(crate) fn jitter(&mut self, most: Duration) -> Duration {
         most.mul_f64(self.rng.random::<f64>())
     }
 }
--- a/crates/fleet/src/outage.rs
+++ b/crates/fleet/src/outage.rs
@@ -76,7 +76,7 @@
         if answers {
             self.outage.stand_in_at = None;
             self.outage.round_at = None;
-            if self.lease.is_stand_in() {
+            if self.lease.is_provisional() {
                 self.step_aside(now);
             }
         }
@@ -119,7 +119,7 @@
 
     fn dial_lost(&mut self, now: Instant) {
         self.outage.recalls.retain(|_, recall| now < recall.until);
-        let is_rooted = self.is_rooted();
+        let is_rooted = self.has_root();
         let due = self.outage.recalls.values_mut();
         let due: Vec<_> = due
             .filter(|recall| now >= recall.next_at)
@@ -135,23 +135,23 @@
     }
 
     fn stand_in(&mut self, now: Instant) {
-        let wants = self.outage.is_out && self.gate.is_open() && !self.is_rooted();
+        let wants = self.outage.is_out && self.gate.is_open() && !self.has_root();
         if !wants {
             self.outage.stand_in_at = None;
             return;
         }
         let Some(at) = self.outage.stand_in_at else {
-            let wait = STAND_IN + self.draw(STAND_IN);
+            let wait = STAND_IN + self.jitter(STAND_IN);
             self.outage.stand_in_at = Some(now + wait);
             self.learn_neighbours(now);
             return;
         };
-        if now < at || self.lease.is_held() {
+        if now < at || self.lease.is_root() {
             return;
         }
         self.outage.stand_in_at = None;
         self.outage.round_at = Some(now);
-        self.lease.stand_in();
+        self.lease.become_provisional();
         for parent in self.find_links(|link| link.role == Role::Parent) {
             self.close(parent);
         }
@@ -159,13 +159,13 @@
         if let Some(dialled) = self.search.take_dialled() {
             self.close(dialled);
         }
-        self.tell_path(vec![self.settings.own.node.clone()]);
+        self.propagate_path(vec![self.settings.local.node.clone()]);
     }
 
     /// Takes the nodes of the own zone for possible parents: one of them may stand in.
     fn learn_neighbours(&mut self, now: Instant) {
         for address in self.known_nodes(|zone, own| zone == own) {
-            self.candidates.learn(address, Source::Hint, now);
+            self.candidates.add(address, Source::Hint, now);
         }
     }
 
@@ -173,7 +173,7 @@
     where
         F: Fn(&str, &str) -> bool,
     {
-        let own = &self.settings.own;
+        let own = &self.settings.local;
         let others = self.table.iter().filter(|one| one.node != own.node);
         let living = others.filter(|one| one.state != State::Gone);
         living
@@ -186,11 +186,11 @@
     /// Dials a node of each zone that no link leads to, and one of the own zone.
     fn meet_known(&mut self, now: Instant) {
         let linked = |node: &str| {
-            let mut links = self.links.values().filter(|link| link.is_settled());
+            let mut links = self.links.values().filter(|link| link.is_established());
             links.any(|link| link.peer.as_ref().is_some_and(|peer| peer.node == node))
         };
         let mut zones: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
-        let own = &self.settings.own;
+        let own = &self.settings.local;
         for one in self.table.iter() {
             let is_met = one.zone != own.zone && self.meets_zone(&one.zone);
             if one.node != own.node && one.state != State::Gone && !is_met && !linked(&one.node) {
@@ -209,13 +209,16 @@
 
     fn meets_zone(&self, zone: &str) -> bool {
         let is_there = |link: &Link| link.peer.as_ref().is_some_and(|peer| peer.zone == zone);
-        let mut equals = self.links.values().filter(|link| link.role == Role::Equal);
+        let mut equals = self
+            .links
+            .values()
+            .filter(|link| link.role == Role::RootPeer);
         equals.any(is_there)
     }
 
     /// Gives the place of a root up, as the platform can give out leases again.
     fn step_aside(&mut self, now: Instant) {
-        self.lease.step_aside();
+        self.lease.end_provisional();
         self.leave_equals();
         self.set_path(Vec::new());
         self.start_search(now);
@@ -223,15 +226,15 @@
 
     /// Takes the sender of a first frame that this node can't answer as wished for one to join.
     pub(crate) fn learn_caller(&mut self, peer: &Peer, now: Instant) {
-        if self.is_rooted() {
+        if self.has_root() {
             return;
         }
-        let source = if peer.zone == self.settings.own.zone {
+        let source = if peer.zone == self.settings.local.zone {
             Source::Root
         } else {
-            Source::Witness
+            Source::OtherZone
         };
-        self.candidates.learn(peer.address, source, now);
+        self.candidates.add(peer.address, source, now);
         if source == Source::Root {
             self.search.hurry(now);
         }
--- a/crates/fleet/src/parent.rs
+++ b/crates/fleet/src/parent.rs
@@ -27,7 +27,7 @@
     /// In the settings.
     Seed,
     /// Of another zone: no parent, only asked what it holds.
-    Witness,
+    OtherZone,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -48,7 +48,7 @@
 
 impl Candidates {
     /// Notes a candidate; a root is one even if it was only a hint before.
-    pub fn learn(&mut self, address: SocketAddr, source: Source, now: Instant) {
+    pub fn add(&mut self, address: SocketAddr, source: Source, now: Instant) {
         if self.known.len() >= MAX_CANDIDATES && !self.known.contains_key(&address) {
             self.forget_worst();
         }
@@ -68,7 +68,7 @@
         let hints = self
             .known
             .iter()
-            .filter(|(_, at)| matches!(at.source, Source::Hint | Source::Witness));
+            .filter(|(_, at)| matches!(at.source, Source::Hint | Source::OtherZone));
         let worst = hints
             .max_by_key(|(_, at)| at.tries)
             .map(|(address, _)| *address);
@@ -79,7 +79,7 @@
 
     /// Gives the candidate to try next: the least tried, then by source, then by rendezvous.
     pub fn pick(&mut self, own: &str, now: Instant) -> Option<SocketAddr> {
-        let is_ready = |at: &Candidate| at.source != Source::Witness && at.not_before <= now;
+        let is_ready = |at: &Candidate| at.source != Source::OtherZone && at.not_before <= now;
         let ready = self.known.iter_mut().filter(|(_, at)| is_ready(at));
         let best = ready.min_by_key(|(address, at)| {
             let rank = std::cmp::Reverse(rendezvous(own, **address));
@@ -91,7 +91,7 @@
     }
 
     /// Gives one to ask what it holds, in turn; last those that the parent may have named.
-    pub fn pick_witness(&mut self, parent: Option<SocketAddr>) -> Option<SocketAddr> {
+    pub fn pick_version_source(&mut self, parent: Option<SocketAddr>) -> Option<SocketAddr> {
         let others = self.known.iter_mut();
         let others = others.filter(|(address, _)| Some(**address) != parent);
         let best = others.min_by_key(|(_, known)| (known.asked, std::cmp::Reverse(known.source)));
@@ -109,7 +109,7 @@
     }
 
     /// Notes that a candidate could not be reached or fell silent.
-    pub fn miss(&mut self, address: SocketAddr, now: Instant) {
+    pub fn mark_unreachable(&mut self, address: SocketAddr, now: Instant) {
         if let Some(known) = self.known.get_mut(&address) {
             known.not_before = now + UNREACHED;
             known.is_unreached = true;
@@ -118,14 +118,14 @@
 
     /// Tells whether the last try to reach a node failed.
     #[must_use]
-    pub fn is_unreached(&self, address: SocketAddr) -> bool {
+    pub fn is_unreachable(&self, address: SocketAddr) -> bool {
         self.known
             .get(&address)
             .is_some_and(|known| known.is_unreached)
     }
 
     /// Starts a new search: all are as good as untried, but for those just lost.
-    pub fn reset(&mut self) {
+    pub fn reset_attempts(&mut self) {
         for known in self.known.values_mut() {
             known.tries = 0;
         }
@@ -135,7 +135,7 @@
     #[must_use]
     pub fn deadline(&self) -> Option<Instant> {
         let parents = self.known.values();
-        let parents = parents.filter(|known| known.source != Source::Witness);
+        let parents = parents.filter(|known| known.source != Source::OtherZone);
         parents.map(|known| known.not_before).min()
     }
 }
--- a/crates/fleet/src/holder.rs
+++ b/crates/fleet/src/replica.rs
@@ -47,11 +47,11 @@
 
 /// What became of a version that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum ApplyOutcome {
     /// It is held now.
     Applied,
     /// It is not news.
-    Known,
+    Stale,
     /// Versions before it are missing.
     Gap,
     /// It can't be applied; nothing of it was.
@@ -71,7 +71,7 @@
 
 /// The configuration of a node.
 #[derive(Debug, Default)]
-pub struct Holder {
+pub struct Replica {
     held: Held,
     steps: VecDeque<Step>,
     kept: usize,
@@ -81,7 +81,7 @@
     chunks: OnceCell<Vec<Chunk>>,
 }
 
-impl Holder {
+impl Replica {
     /// Gives what is held.
     #[must_use]
     pub fn held(&self) -> &Held {
@@ -111,12 +111,12 @@
     }
 
     /// Takes a step, if it is the next one.
-    pub fn take_step(&mut self, step: Step) -> Taken {
+    pub fn apply_step(&mut self, step: Step) -> ApplyOutcome {
         let result = self
             .held
             .step(step.base, step.version, &step.patch, step.digest);
         let taken = self.settle(step.version, result);
-        if taken == Taken::Applied {
+        if taken == ApplyOutcome::Applied {
             self.keep(step);
         }
         taken
@@ -127,14 +127,14 @@
     /// Whoever reads a source of whole versions makes the step, so that the
     /// nodes below get what changed: a version of 350 routes is some 40 kB,
     /// and most change a few.
-    pub fn take_newest(&mut self, version: Version, mesh: Mesh) -> (Taken, Option<Step>) {
+    pub fn apply_newest(&mut self, version: Version, mesh: Mesh) -> (ApplyOutcome, Option<Step>) {
         if version <= self.version() {
-            return (Taken::Known, None);
+            return (ApplyOutcome::Stale, None);
         }
         let base = self.held.clone();
         let result = self.held.adopt(version, mesh);
         let taken = self.settle(version, result);
-        if taken != Taken::Applied {
+        if taken != ApplyOutcome::Applied {
             return (taken, None);
         }
         if base.version() == Version::ZERO {
@@ -151,10 +151,10 @@
     }
 
     /// Takes a whole configuration, if it is a higher version.
-    pub fn take_whole(&mut self, version: Version, mesh: Mesh, digest: Digest) -> Taken {
+    pub fn apply_snapshot(&mut self, version: Version, mesh: Mesh, digest: Digest) -> ApplyOutcome {
         let result = self.held.replace(version, mesh, digest);
         let taken = self.settle(version, result);
-        if taken == Taken::Applied {
+        if taken == ApplyOutcome::Applied {
             // The steps kept don't lead up to this version.
             self.steps.clear();
             self.kept = 0;
@@ -163,9 +163,9 @@
     }
 
     /// Takes a part of a whole configuration; parts come in order over one link.
-    pub fn take_chunk(&mut self, chunk: &Chunk) -> Taken {
+    pub fn apply_chunk(&mut self, chunk: &Chunk) -> ApplyOutcome {
         if chunk.version <= self.version() {
-            return Taken::Known;
+            return ApplyOutcome::Stale;
         }
         if chunk.index == 0 && chunk.count <= MAX_CHUNKS {
             self.assembly = Some(Assembly {
@@ -176,30 +176,30 @@
             });
         }
         let Some(assembly) = &mut self.assembly else {
-            return Taken::Gap;
+            return ApplyOutcome::Gap;
         };
         let is_next = (assembly.version, assembly.digest, assembly.next)
             == (chunk.version, chunk.digest, chunk.index);
         if !is_next {
-            return Taken::Gap;
+            return ApplyOutcome::Gap;
         }
         assembly.bytes.extend_from_slice(&chunk.bytes);
         assembly.next += 1;
         if assembly.next < chunk.count {
-            return Taken::Partial;
+            return ApplyOutcome::Partial;
         }
         self.finish_assembly()
     }
 
-    fn finish_assembly(&mut self) -> Taken {
+    fn finish_assembly(&mut self) -> ApplyOutcome {
         let Some(whole) = self.assembly.take() else {
-            return Taken::Gap;
+            return ApplyOutcome::Gap;
         };
         match wire::control::join(&whole.bytes) {
-            Ok(mesh) => self.take_whole(whole.version, mesh, whole.digest),
+            Ok(mesh) => self.apply_snapshot(whole.version, mesh, whole.digest),
             Err(error) => {
                 self.refused = Some((whole.version, error.to_smolstr()));
-                Taken::Refused
+                ApplyOutcome::Refused
             }
         }
     }
@@ -231,20 +231,20 @@
         chunks.iter().cloned().map(Frame::Chunk).collect()
     }
 
-    fn settle(&mut self, version: Version, result: Result<(), Error>) -> Taken {
+    fn settle(&mut self, version: Version, result: Result<(), Error>) -> ApplyOutcome {
         match result {
             Ok(()) => {
                 if self.refused.as_ref().is_some_and(|(at, _)| *at <= version) {
                     self.refused = None;
                 }
                 self.chunks = OnceCell::new();
-                Taken::Applied
+                ApplyOutcome::Applied
             }
-            Err(Error::Stale(..)) => Taken::Known,
-            Err(Error::Gap(..)) => Taken::Gap,
+            Err(Error::Stale(..)) => ApplyOutcome::Stale,
+            Err(Error::Gap(..)) => ApplyOutcome::Gap,
             Err(error) => {
                 self.refused = Some((version, error.to_smolstr()));
-                Taken::Refused
+                ApplyOutcome::Refused
             }
         }
     }
--- a/crates/fleet/src/rollouts.rs
+++ b/crates/fleet/src/rollouts.rs
@@ -153,7 +153,7 @@
                 Origin::Platform => !told.stage.is_final() && stands.target == told.target,
                 Origin::Link(_) => is_news && stands.stage == Stage::Stopped,
             };
-            if is_untold && self.lease.is_held() {
+            if is_untold && self.lease.is_root() {
                 self.report_verdict(stands);
             }
         }
@@ -173,7 +173,7 @@
 
     /// Has a zone's first root write all verdicts again, which the platform may have lost.
     pub(crate) fn report_all(&mut self, now: Instant) {
-        if !self.lease.is_held() || !self.lease.is_lowest(&self.settings.own) {
+        if !self.lease.is_root() || !self.lease.has_lowest_slot(&self.settings.local) {
             return;
         }
         for rollout in self.rollouts.list(now) {
@@ -185,7 +185,7 @@
         if news.is_empty() {
             return;
         }
-        for link in self.find_links(Link::is_settled) {
+        for link in self.find_links(Link::is_established) {
             if origin != Some(Origin::Link(link)) {
                 self.send(link, Frame::Rollouts(news.to_vec()));
             }
@@ -225,7 +225,7 @@
     /// Takes in what a neighbour's part of the fleet has counted.
     pub(crate) fn on_parts(&mut self, key: LinkKey, parts: Vec<Part>) {
         if let Some(link) = self.links.get_mut(&key) {
-            link.parts = parts;
+            link.tallies = parts;
         }
     }
 
@@ -257,8 +257,8 @@
     }
 
     fn judge_rollout(&mut self, now: Instant, service: &SmolStr) {
-        let is_root = self.lease.is_held();
-        if !is_root && self.is_rooted() {
+        let is_root = self.lease.is_root();
+        if !is_root && self.has_root() {
             return;
         }
         let total = if is_root {
@@ -266,7 +266,7 @@
         } else {
             self.subtree_tally(service)
         };
-        let leads = is_root && self.lease.is_lowest(&self.settings.own);
+        let leads = is_root && self.lease.has_lowest_slot(&self.settings.local);
         let Some(known) = self.rollouts.known.get_mut(service) else {
             return;
         };
@@ -308,12 +308,12 @@
 
     /// Tells parents and other roots what this part of the fleet has counted.
     fn tell_parts(&mut self, services: &[SmolStr]) {
-        for key in self.find_links(|link| matches!(link.role, Role::Parent | Role::Equal)) {
+        for key in self.find_links(|link| matches!(link.role, Role::Parent | Role::RootPeer)) {
             let Some(link) = self.links.get(&key) else {
                 continue;
             };
             let zone = link.peer.as_ref().map(|peer| &peer.zone);
-            let is_far = link.role == Role::Equal && zone != Some(&self.settings.own.zone);
+            let is_far = link.role == Role::RootPeer && zone != Some(&self.settings.local.zone);
             let sum = |service: &SmolStr| {
                 if is_far {
                     self.zone_tally(service)
@@ -330,10 +330,10 @@
                 })
             });
             let parts = parts.collect::<Vec<_>>();
-            if parts != link.parts_told {
+            if parts != link.sent_tallies {
                 self.send(key, Frame::Tallies(parts.clone()));
                 if let Some(link) = self.links.get_mut(&key) {
-                    link.parts_told = parts;
+                    link.sent_tallies = parts;
                 }
             }
         }
@@ -354,7 +354,7 @@
 
     fn find_part<'a>(&self, link: &'a Link, service: &SmolStr) -> Option<&'a Part> {
         let target = &self.rollouts.known.get(service)?.rollout.target;
-        let mut parts = link.parts.iter();
+        let mut parts = link.tallies.iter();
         parts.find(|part| part.service == *service && part.target == *target)
     }
 
@@ -369,10 +369,10 @@
 
     /// Sums up the own zone, on a root.
     fn zone_tally(&self, service: &SmolStr) -> Tally {
-        let zone = &self.settings.own.zone;
+        let zone = &self.settings.local.zone;
         let mut sum = self.sum_parts(service, |link| {
             let peer = link.peer.as_ref();
-            link.role == Role::Equal && peer.is_some_and(|peer| peer.zone == *zone)
+            link.role == Role::RootPeer && peer.is_some_and(|peer| peer.zone == *zone)
         });
         sum.add(&self.subtree_tally(service));
         sum
@@ -380,9 +380,13 @@
 
     /// Sums up all zones, on a root; of several that tell of one zone the fullest sum counts.
     fn fleet_tally(&self, service: &SmolStr) -> Tally {
-        let own_zone = &self.settings.own.zone;
+        let own_zone = &self.settings.local.zone;
         let mut zones: BTreeMap<&SmolStr, &Tally> = BTreeMap::new();
-        for link in self.links.values().filter(|link| link.role == Role::Equal) {
+        for link in self
+            .links
+            .values()
+            .filter(|link| link.role == Role::RootPeer)
+        {
             let (Some(peer), Some(part)) = (&link.peer, self.find_part(link, service)) else {
                 continue;
             };
--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -156,12 +156,12 @@
 
 impl Node {
     pub(crate) fn start_search(&mut self, now: Instant) {
-        if self.is_leaving || self.lease.is_held() {
+        if self.is_leaving || self.lease.is_root() {
             return;
         }
         self.search.stop();
-        self.candidates.reset();
-        self.search.try_at = Some(now + self.draw(BACKOFF.0 / 4));
+        self.candidates.reset_attempts();
+        self.search.try_at = Some(now + self.jitter(BACKOFF.0 / 4));
         self.search.wants_leases = false;
     }
 
@@ -180,7 +180,7 @@
             self.actions.push(Action::Ask(Request::Leases { is_exact }));
             return;
         }
-        let name = self.settings.own.node.clone();
+        let name = self.settings.local.node.clone();
         let next = (self.search.tries < TRIES)
             .then(|| self.candidates.pick(&name, now))
             .flatten();
@@ -201,7 +201,7 @@
         let wait = if is_answered {
             self.search.backoff.next(&mut self.rng)
         } else {
-            let zone = &self.settings.own.zone;
+            let zone = &self.settings.local.zone;
             let nodes = self.table.iter().filter(|one| one.zone == *zone).count();
             let longest = crate::lookout::share_rate(nodes);
             self.search.readings.next(&mut self.rng).min(longest)
@@ -217,7 +217,7 @@
             let peer = link.peer.as_ref();
             link.role == Role::Child && peer.is_some_and(|peer| peer.address == address)
         });
-        address != self.settings.own.address && !is_child
+        address != self.settings.local.address && !is_child
     }
 
     /// Leaves a parent that has had no root for too long.
@@ -227,7 +227,7 @@
         for parent in self.find_links(|link| link.role == Role::Parent) {
             let parents = Vec::new();
             self.send(parent, Frame::Leave { parents });
-            self.lose_link(now, parent, true);
+            self.drop_link(now, parent, true);
         }
         self.search.patience = patience;
     }
--- a/crates/fleet/src/sync.rs
+++ b/crates/fleet/src/sync.rs
@@ -7,9 +7,9 @@
 
 use crate::endpoints::Merged;
 use crate::event::{Action, Backend, Request};
-use crate::holder::{Step, Taken};
 use crate::link::{Link, LinkKey, Role};
 use crate::node::Node;
+use crate::replica::{ApplyOutcome, Step};
 use config::{Endpoint, State, Version, View};
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
 
 /// News that wait to be sent, asked for, or served by.
 #[derive(Debug)]
-pub(crate) struct News {
+pub(crate) struct SyncState {
     /// Nodes with news and the link they came by; several links count as none.
     nodes: BTreeMap<SmolStr, Option<LinkKey>>,
     flush_at: Option<Instant>,
@@ -47,10 +47,10 @@
     /// When a root takes what it has for all endpoints.
     alone_at: Option<Instant>,
     /// Highest version that the platform told of.
-    pub(crate) head: Version,
+    pub(crate) platform_head: Version,
 }
 
-impl Default for News {
+impl Default for SyncState {
     fn default() -> Self {
         Self {
             nodes: BTreeMap::new(),
@@ -59,12 +59,12 @@
             want_at: None,
             want_wait: WANT_AGAIN.0,
             alone_at: None,
-            head: Version::ZERO,
+            platform_head: Version::ZERO,
         }
     }
 }
 
-impl News {
+impl SyncState {
     pub(crate) fn deadline(&self) -> Option<Instant> {
         let all = [self.flush_at, self.view_at, self.want_at, self.alone_at];
         all.into_iter().flatten().min()
@@ -73,7 +73,7 @@
 
 impl Node {
     /// Notes what a peer holds or was sent, and helps whoever is behind.
-    pub(crate) fn hear_version(&mut self, now: Instant, key: LinkKey, version: Version) {
+    pub(crate) fn on_peer_version(&mut self, now: Instant, key: LinkKey, version: Version) {
         let held = self.version();
         let Some(link) = self.links.get_mut(&key) else {
             return;
@@ -81,30 +81,30 @@
         link.version = link.version.max(version);
         if link.version > held {
             self.want_soon(now);
-        } else if link.version < held && link.role != Role::Equal {
+        } else if link.version < held && link.role != Role::RootPeer {
             let after = std::mem::replace(&mut link.version, held);
             self.send_after(key, after, false);
         }
     }
 
-    pub(crate) fn hear_source(&mut self, key: LinkKey, version: Version, is_ready: bool) {
+    pub(crate) fn on_version_source(&mut self, key: LinkKey, version: Version, is_ready: bool) {
         let peer = self.links.get(&key).and_then(|link| link.peer.as_ref());
         if let Some(peer) = peer.filter(|_| is_ready) {
-            let is_near = peer.zone == self.settings.own.zone;
+            let is_near = peer.zone == self.settings.local.zone;
             self.gate.hear(&peer.node, version, is_near);
         }
     }
 
     fn want_soon(&mut self, now: Instant) {
-        self.news.want_at.get_or_insert(now + WANT);
+        self.sync.want_at.get_or_insert(now + WANT);
     }
 
     fn send_after(&mut self, key: LinkKey, after: Version, whole: bool) {
-        let whole = whole || self.settings.sends_whole;
-        let frames = self.holder.frames_after(after, whole);
+        let whole = whole || self.settings.sends_snapshots;
+        let frames = self.replica.frames_after(after, whole);
         if frames.len() > 1 {
             // The peer then knows how far it goes, and makes one view at the end.
-            self.beat(key);
+            self.send_heartbeat(key);
         }
         for frame in frames {
             self.send(key, frame);
@@ -121,14 +121,14 @@
 
     pub(crate) fn on_step(&mut self, now: Instant, key: LinkKey, step: &Step) {
         self.note_version(key, step.version);
-        let taken = self.holder.take_step(step.clone());
-        self.settle_step(now, taken, step);
+        let taken = self.replica.apply_step(step.clone());
+        self.finish_step(now, taken, step);
     }
 
     pub(crate) fn on_chunk(&mut self, now: Instant, key: LinkKey, chunk: &Chunk) {
         self.note_version(key, chunk.version);
-        let taken = self.holder.take_chunk(chunk);
-        self.settle_taken(now, taken);
+        let taken = self.replica.apply_chunk(chunk);
+        self.handle_outcome(now, taken);
     }
 
     fn note_version(&mut self, key: LinkKey, version: Version) {
@@ -138,60 +138,60 @@
     }
 
     /// Goes on after a step; one that only this node can't apply still goes to its children.
-    pub(crate) fn settle_step(&mut self, now: Instant, taken: Taken, step: &Step) {
-        let is_stuck = taken == Taken::Gap && self.holder.refused().is_some();
-        if taken == Taken::Refused || is_stuck {
+    pub(crate) fn finish_step(&mut self, now: Instant, taken: ApplyOutcome, step: &Step) {
+        let is_stuck = taken == ApplyOutcome::Gap && self.replica.refused().is_some();
+        if taken == ApplyOutcome::Refused || is_stuck {
             let behind = |link: &Link| link.role == Role::Child && link.version < step.version;
             for child in self.find_links(behind) {
                 self.note_version(child, step.version);
                 self.send(child, step.frame());
             }
         }
-        self.settle_taken(now, taken);
+        self.handle_outcome(now, taken);
     }
 
-    pub(crate) fn settle_taken(&mut self, now: Instant, taken: Taken) {
+    pub(crate) fn handle_outcome(&mut self, now: Instant, taken: ApplyOutcome) {
         match taken {
-            Taken::Applied => self.advance(now),
-            Taken::Gap => self.want_soon(now),
-            Taken::Refused => {
+            ApplyOutcome::Applied => self.advance(now),
+            ApplyOutcome::Gap => self.want_soon(now),
+            ApplyOutcome::Refused => {
                 self.counters.refusals += 1;
                 self.want_soon(now);
             }
-            Taken::Known | Taken::Partial => {}
+            ApplyOutcome::Stale | ApplyOutcome::Partial => {}
         }
     }
 
     /// Hands a version on that has just been applied, and serves by it.
     fn advance(&mut self, now: Instant) {
         self.counters.versions += 1;
-        self.news.want_wait = WANT_AGAIN.0;
+        self.sync.want_wait = WANT_AGAIN.0;
         let held = self.version();
-        let is_behind = |link: &Link| link.is_settled() && link.version < held;
+        let is_behind = |link: &Link| link.is_established() && link.version < held;
         for key in self.find_links(is_behind) {
             let Some(link) = self.links.get_mut(&key) else {
                 continue;
             };
-            if link.role == Role::Equal {
-                self.beat(key);
+            if link.role == Role::RootPeer {
+                self.send_heartbeat(key);
                 continue;
             }
             let after = std::mem::replace(&mut link.version, held);
             self.send_after(key, after, false);
         }
-        let links = self.links.values().filter(|link| link.is_settled());
+        let links = self.links.values().filter(|link| link.is_established());
         let highest = links.map(|link| link.version).max();
-        if self.news.head.max(highest.unwrap_or_default()) > held {
+        if self.sync.platform_head.max(highest.unwrap_or_default()) > held {
             // On the way to a higher version, which replaces this one at once.
-            self.news.view_at.get_or_insert(now + VIEW);
+            self.sync.view_at.get_or_insert(now + VIEW);
         } else {
-            self.news.view_at = Some(now);
+            self.sync.view_at = Some(now);
         }
     }
 
     pub(crate) fn on_endpoints(&mut self, now: Instant, key: LinkKey, list: &[Arc<Endpoint>]) {
         for endpoint in list.iter().take(MAX_ENDPOINTS) {
-            if endpoint.node == self.settings.own.node {
+            if endpoint.node == self.settings.local.node {
                 self.refute(now, endpoint);
                 continue;
             }
@@ -211,16 +211,16 @@
         if merged == Merged::Known {
             return;
         }
-        self.news.nodes.insert(node.clone(), from);
-        self.news.flush_at.get_or_insert(now + GATHER);
+        self.sync.nodes.insert(node.clone(), from);
+        self.sync.flush_at.get_or_insert(now + GATHER);
         if merged == Merged::Changed {
-            self.news.view_at.get_or_insert(now + VIEW);
+            self.sync.view_at.get_or_insert(now + VIEW);
         }
     }
 
     /// Speaks up when others say of this node what it didn't say itself.
     fn refute(&mut self, now: Instant, endpoint: &Endpoint) {
-        let Some(own) = &mut self.own else {
+        let Some(own) = &mut self.local_endpoint else {
             // A former process of this VM; its place is taken once the backend server is here.
             let merged = self.table.merge(&Arc::new(endpoint.clone()), now);
             self.spread(now, &endpoint.node, merged, None);
@@ -230,23 +230,23 @@
             return;
         }
         supersede(own, endpoint);
-        self.refresh(now);
+        self.reannounce(now);
     }
 
     pub(crate) fn announce(&mut self, now: Instant, backend: &Backend) {
         let settings = &self.settings;
-        let sequence = self.own.as_ref().map_or(0, |own| own.sequence);
-        let started_ms = self.own.as_ref().map(|own| own.started_ms);
+        let sequence = self.local_endpoint.as_ref().map_or(0, |own| own.sequence);
+        let started_ms = self.local_endpoint.as_ref().map(|own| own.started_ms);
         let mut own = Endpoint {
-            node: settings.own.node.clone(),
+            node: settings.local.node.clone(),
             incarnation: settings.incarnation,
             started_ms: started_ms.unwrap_or(settings.started_ms),
             sequence,
             service: backend.service.clone(),
             version: backend.version.clone(),
-            zone: settings.own.zone.clone(),
+            zone: settings.local.zone.clone(),
             region: settings.region.clone(),
-            address: settings.own.address,
+            address: settings.local.address,
             slots: backend.slots,
             process: backend.process,
             cold_ms: backend.cold_ms,
@@ -255,13 +255,13 @@
         if let Some(known) = self.table.get(&own.node) {
             supersede(&mut own, known);
         }
-        self.own = Some(own);
-        self.refresh(now);
+        self.local_endpoint = Some(own);
+        self.reannounce(now);
     }
 
     /// Announces the own endpoint again, under a new number.
-    pub(crate) fn refresh(&mut self, now: Instant) {
-        let Some(own) = &mut self.own else {
+    pub(crate) fn reannounce(&mut self, now: Instant) {
+        let Some(own) = &mut self.local_endpoint else {
             return;
         };
         own.sequence += 1;
@@ -271,23 +271,23 @@
     }
 
     /// Announces that the own endpoint is gone.
-    pub(crate) fn retire(&mut self, now: Instant) {
-        if let Some(own) = &mut self.own {
+    pub(crate) fn withdraw(&mut self, now: Instant) {
+        if let Some(own) = &mut self.local_endpoint {
             own.state = State::Gone;
-            self.refresh(now);
-            self.news.flush_at = Some(now);
+            self.reannounce(now);
+            self.sync.flush_at = Some(now);
         }
     }
 
-    pub(crate) fn bury_lost(&mut self, now: Instant) {
-        let zone = &self.settings.own.zone;
+    pub(crate) fn remove_lost_nodes(&mut self, now: Instant) {
+        let zone = &self.settings.local.zone;
         let is_neighbour = |link: &&Link| match link.role {
             Role::Child => true,
-            Role::Equal => link.peer.as_ref().is_some_and(|peer| peer.zone == *zone),
+            Role::RootPeer => link.peer.as_ref().is_some_and(|peer| peer.zone == *zone),
             _ => false,
         };
         let neighbours = self.links.values().filter(is_neighbour).count();
-        for node in self.guard.take_gone(neighbours, self.is_rooted(), now) {
+        for node in self.guard.take_gone(neighbours, self.has_root(), now) {
             if self.table.bury(&node, now).is_some() {
                 self.counters.departures += 1;
                 self.spread(now, &node, Merged::Changed, None);
@@ -316,7 +316,7 @@
 
     fn set_synced(&mut self) {
         self.is_synced = true;
-        self.news.alone_at = None;
+        self.sync.alone_at = None;
     }
 
     /// Serves without the endpoints of others, at once if no other root is known.
@@ -324,21 +324,21 @@
     /// Guards against a restarted root that serves by the platform's version
     /// with its own endpoint alone: until it met another root, callers at its
     /// VM were told that no service but its own had an endpoint.
-    pub(crate) fn sync_alone(&mut self, now: Instant) {
-        let own = &self.settings.own.node;
-        let mut seats = self.lease.seats().iter();
+    pub(crate) fn sync_without_roots(&mut self, now: Instant) {
+        let own = &self.settings.local.node;
+        let mut seats = self.lease.leases().iter();
         if self.is_synced {
             return;
         }
         if seats.any(|seat| seat.is_live && seat.holder.node != *own) {
-            self.news.alone_at.get_or_insert(now + ALONE);
+            self.sync.alone_at.get_or_insert(now + ALONE);
         } else {
             self.set_synced();
         }
     }
 
     pub(crate) fn step_gate(&mut self, now: Instant) {
-        if self.news.alone_at.is_some_and(|at| now >= at) {
+        if self.sync.alone_at.is_some_and(|at| now >= at) {
             self.set_synced();
         }
         let was_open = self.gate.is_open();
@@ -348,35 +348,35 @@
                 .push(Action::Ask(Request::Head { after: held }));
         }
         if self.gate.wants_source(now) {
-            self.ask_witness(now);
+            self.query_version_source(now);
         }
         if self.gate.pass(held) && !was_open {
-            self.news.view_at = Some(now);
+            self.sync.view_at = Some(now);
         }
     }
 
-    pub(crate) fn step_news(&mut self, now: Instant) {
+    pub(crate) fn step_sync(&mut self, now: Instant) {
         let is_due = |at: Option<Instant>| at.is_some_and(|at| now >= at);
-        if is_due(self.news.flush_at) {
-            self.news.flush_at = None;
+        if is_due(self.sync.flush_at) {
+            self.sync.flush_at = None;
             self.flush();
         }
-        if is_due(self.news.want_at) {
+        if is_due(self.sync.want_at) {
             self.want(now);
         }
-        if is_due(self.news.view_at) && self.is_ready() {
-            self.news.view_at = None;
-            let view = View::join(self.holder.held(), self.table.iter().cloned());
+        if is_due(self.sync.view_at) && self.is_ready() {
+            self.sync.view_at = None;
+            let view = View::join(self.replica.held(), self.table.iter().cloned());
             self.counters.views += 1;
             self.actions.push(Action::Install(Arc::new(view)));
-        } else if is_due(self.news.view_at) {
-            self.news.view_at = Some(now + VIEW);
+        } else if is_due(self.sync.view_at) {
+            self.sync.view_at = Some(now + VIEW);
         }
     }
 
     fn flush(&mut self) {
-        let nodes = std::mem::take(&mut self.news.nodes);
-        for key in self.find_links(Link::is_settled) {
+        let nodes = std::mem::take(&mut self.sync.nodes);
+        for key in self.find_links(Link::is_established) {
             let list: Vec<_> = nodes
                 .iter()
                 .filter(|(_, from)| **from != Some(key))
@@ -390,20 +390,20 @@
 
     /// Asks the neighbour that holds the highest version for what is missing here.
     fn want(&mut self, now: Instant) {
-        self.news.want_at = None;
+        self.sync.want_at = None;
         let after = self.version();
-        let ahead = self.links.iter().filter(|(_, link)| link.is_settled());
+        let ahead = self.links.iter().filter(|(_, link)| link.is_established());
         let best = ahead.max_by_key(|(_, link)| link.version);
         let Some((key, _)) = best.filter(|(_, link)| link.version > after) else {
             return;
         };
         let key = *key;
-        let whole = self.holder.refused().is_some();
+        let whole = self.replica.refused().is_some();
         self.send(key, Frame::Want { after, whole });
-        let wait = self.news.want_wait;
-        self.news.want_at = Some(now + wait + self.draw(wait / 4));
+        let wait = self.sync.want_wait;
+        self.sync.want_at = Some(now + wait + self.jitter(wait / 4));
         if whole {
-            self.news.want_wait = (wait * 2).min(WANT_AGAIN.1);
+            self.sync.want_wait = (wait * 2).min(WANT_AGAIN.1);
         }
     }
 }
--- a/crates/fleet/src/tree.rs
+++ b/crates/fleet/src/tree.rs
@@ -3,11 +3,11 @@
 //! Paths from the root are carried down. A node never joins below itself: it
 //! refuses a parent whose path names it, and leaves one whose path comes to.
 
+use crate::children;
 use crate::event::{Action, Request};
 use crate::link::{LinkKey, Purpose, Role};
 use crate::node::Node;
 use crate::parent::Source;
-use crate::relay;
 use smol_str::SmolStr;
 use std::time::{Duration, Instant};
 use wire::control::{Frame, Peer};
@@ -21,8 +21,8 @@
             return;
         };
         link.peer = Some(peer);
-        link.hear(now);
-        let (address, version) = (self.settings.own.address, self.version());
+        link.mark_heard(now);
+        let (address, version) = (self.settings.local.address, self.version());
         let frame = match purpose {
             Purpose::Join => Frame::Join { address, version },
             Purpose::Meet => Frame::Meet { address, version },
@@ -31,7 +31,7 @@
         self.send(key, frame);
     }
 
-    pub(crate) fn settle_link(
+    pub(crate) fn establish_link(
         &mut self,
         now: Instant,
         key: LinkKey,
@@ -41,33 +41,39 @@
         let Some(link) = self.links.get_mut(&key) else {
             return;
         };
-        link.settle(role, now);
+        link.establish(role, now);
         link.version = version;
         let name = link.peer.as_ref().map(|peer| peer.node.clone());
         if let Some(name) = name {
             self.guard.find(&name);
             self.end_recall(&name);
         }
-        self.hear_version(now, key, version);
+        self.on_peer_version(now, key, version);
         self.send_crashes(now, key);
         self.send_rollouts(now, key);
     }
 
-    pub(crate) fn learn_hints(&mut self, now: Instant, hints: Vec<Peer>) {
-        for hint in hints.into_iter().take(relay::MAX_HINTS) {
-            let source = if hint.zone == self.settings.own.zone {
+    pub(crate) fn add_hints(&mut self, now: Instant, hints: Vec<Peer>) {
+        for hint in hints.into_iter().take(children::MAX_HINTS) {
+            let source = if hint.zone == self.settings.local.zone {
                 Source::Hint
             } else {
-                Source::Witness
+                Source::OtherZone
             };
-            if hint.node != self.settings.own.node {
-                self.candidates.learn(hint.address, source, now);
+            if hint.node != self.settings.local.node {
+                self.candidates.add(hint.address, source, now);
             }
         }
     }
 
     /// Takes the answer to this node's first frame.
-    pub(crate) fn on_reply(&mut self, now: Instant, key: LinkKey, purpose: Purpose, frame: Frame) {
+    pub(crate) fn on_handshake_reply(
+        &mut self,
+        now: Instant,
+        key: LinkKey,
+        purpose: Purpose,
+        frame: Frame,
+    ) {
         match (frame, purpose) {
             (
                 Frame::Admit {
@@ -78,18 +84,18 @@
                 },
                 Purpose::Join,
             ) => {
-                self.hear_source(key, version, is_ready);
-                self.learn_hints(now, parents);
-                self.take_parent(now, key, path, version);
+                self.on_version_source(key, version, is_ready);
+                self.add_hints(now, parents);
+                self.adopt_parent(now, key, path, version);
             }
             (
                 Frame::Admit {
                     version, is_ready, ..
                 },
                 Purpose::Meet,
-            ) if self.lease.is_held() => {
-                self.hear_source(key, version, is_ready);
-                self.settle_link(now, key, Role::Equal, version);
+            ) if self.lease.is_root() => {
+                self.on_version_source(key, version, is_ready);
+                self.establish_link(now, key, Role::RootPeer, version);
                 self.send_sums(key, false);
             }
             (
@@ -101,11 +107,11 @@
                 },
                 _,
             ) => {
-                self.hear_source(key, version, is_ready);
-                self.learn_hints(now, parents);
+                self.on_version_source(key, version, is_ready);
+                self.add_hints(now, parents);
                 self.on_refused(now, key, Duration::from_millis(wait_ms.into()));
             }
-            _ => self.lose_link(now, key, false),
+            _ => self.drop_link(now, key, false),
         }
     }
 
@@ -113,42 +119,43 @@
         self.close(key);
         if let Some(address) = self.search.end_dial(key) {
             // Half as much again, so that those refused together don't come back together.
-            let wait = wait + self.draw(wait / 2);
+            let wait = wait + self.jitter(wait / 2);
             self.candidates.postpone(address, now + wait);
             self.search.resume(true, now);
         }
     }
 
-    fn take_parent(
+    fn adopt_parent(
         &mut self,
         now: Instant,
         key: LinkKey,
         path: Vec<SmolStr>,
         version: config::Version,
     ) {
-        let is_cycle = path.contains(&self.settings.own.node);
-        if is_cycle || path.is_empty() || path.len() >= relay::MAX_DEPTH || self.lease.is_held() {
-            self.lose_link(now, key, false);
+        let is_cycle = path.contains(&self.settings.local.node);
+        if is_cycle || path.is_empty() || path.len() >= children::MAX_DEPTH || self.lease.is_root()
+        {
+            self.drop_link(now, key, false);
             return;
         }
         self.search.end_dial(key);
         self.search.stop();
         self.counters.parents += 1;
-        self.settle_link(now, key, Role::Parent, version);
+        self.establish_link(now, key, Role::Parent, version);
         self.set_path(path);
         self.send_sums(key, false);
         if std::mem::take(&mut self.search.was_lost) {
             // The former parent may live and count this node as lost.
-            self.refresh(now);
+            self.reannounce(now);
         }
     }
 
     /// Asks another node than the parent what it holds, before this process serves.
-    pub(crate) fn ask_witness(&mut self, now: Instant) {
+    pub(crate) fn query_version_source(&mut self, now: Instant) {
         let parents = self.find_links(|link| link.role == Role::Parent);
         let parent = parents.first().and_then(|key| self.links.get(key));
         let parent = parent.and_then(|link| link.peer.as_ref().map(|peer| peer.address));
-        let witness = self.candidates.pick_witness(parent);
+        let witness = self.candidates.pick_version_source(parent);
         if let Some(address) = witness.filter(|address| self.is_candidate(*address)) {
             self.dial(address, Purpose::Ask, now);
         }
@@ -162,14 +169,14 @@
         if !is_parent {
             return;
         }
-        if path.contains(&self.settings.own.node) || path.len() >= relay::MAX_DEPTH {
+        if path.contains(&self.settings.local.node) || path.len() >= children::MAX_DEPTH {
             self.send(
                 key,
                 Frame::Leave {
                     parents: Vec::new(),
                 },
             );
-            self.lose_link(now, key, true);
+            self.drop_link(now, key, true);
             return;
         }
         self.search.note_root(!path.is_empty(), now, &mut self.rng);
@@ -179,14 +186,14 @@
     /// Sets the path of the parent, empty for none, and tells the children.
     pub(crate) fn set_path(&mut self, mut path: Vec<SmolStr>) {
         if !path.is_empty() {
-            let own = &self.settings.own.node;
+            let own = &self.settings.local.node;
             assert!(!path.contains(own), "no node is below itself");
             path.push(own.clone());
         }
-        self.tell_path(path);
+        self.propagate_path(path);
     }
 
-    pub(crate) fn tell_path(&mut self, path: Vec<SmolStr>) {
+    pub(crate) fn propagate_path(&mut self, path: Vec<SmolStr>) {
         if path == self.path {
             return;
         }
@@ -197,29 +204,29 @@
     }
 
     /// Forgets a link that ended; `is_clean` when it ended on purpose.
-    pub(crate) fn lose_link(&mut self, now: Instant, key: LinkKey, is_clean: bool) {
+    pub(crate) fn drop_link(&mut self, now: Instant, key: LinkKey, is_clean: bool) {
         let Some(link) = self.close(key) else {
             return;
         };
         if let Some(address) = self.search.end_dial(key) {
-            self.candidates.miss(address, now);
+            self.candidates.mark_unreachable(address, now);
             self.search.resume(false, now);
         }
         let is_neighbour = match (link.role, &link.peer) {
             (Role::Child, Some(_)) => true,
-            (Role::Equal, Some(peer)) => peer.zone == self.settings.own.zone,
+            (Role::RootPeer, Some(peer)) => peer.zone == self.settings.local.zone,
             _ => false,
         };
         if let Some(peer) = &link.peer {
             if is_neighbour && !is_clean {
                 self.guard.lose(&peer.node, now);
             }
-            if matches!(link.role, Role::Child | Role::Equal) {
+            if matches!(link.role, Role::Child | Role::RootPeer) {
                 self.recall(peer, now);
             }
             if link.role == Role::Parent {
-                self.candidates.learn(peer.address, Source::Hint, now);
-                self.candidates.miss(peer.address, now);
+                self.candidates.add(peer.address, Source::Hint, now);
+                self.candidates.mark_unreachable(peer.address, now);
             }
         }
         if link.role == Role::Parent {
@@ -229,24 +236,24 @@
         }
     }
 
-    pub(crate) fn drop_silent(&mut self, now: Instant) {
+    pub(crate) fn drop_silent_links(&mut self, now: Instant) {
         for key in self.find_links(|link| now >= link.deadline()) {
-            self.lose_link(now, key, false);
+            self.drop_link(now, key, false);
         }
     }
 
     pub(crate) fn leave(&mut self, now: Instant) {
-        self.retire(now);
-        self.step_news(now);
+        self.withdraw(now);
+        self.step_sync(now);
         self.is_leaving = true;
         self.search.stop();
-        for key in self.find_links(crate::link::Link::is_settled) {
-            let parents = self.hints(key);
+        for key in self.find_links(crate::link::Link::is_established) {
+            let parents = self.parent_hints(key);
             self.send(key, Frame::Leave { parents });
             self.close(key);
         }
         if let Some(slot) = self.lease.slot() {
-            self.lease.lose(slot);
+            self.lease.on_lost(slot);
             self.actions.push(Action::Ask(Request::Unfollow));
             self.actions.push(Action::Ask(Request::Release { slot }));
         }
--- a/crates/fleet/tests/converge.rs
+++ b/crates/fleet/tests/converge.rs
@@ -18,7 +18,7 @@
         let took = world.run_until(S, "a version", |world| world.all_serve(version));
         assert!(took <= 100 * MS, "{took:?}");
     }
-    assert_eq!(world.serving(0), 60);
+    assert_eq!(world.serving_count(0), 60);
     let before = world.platform.calls;
     let bytes = world.bytes;
     world.run(60 * S);
@@ -67,7 +67,7 @@
 fn platform_cut_from_zone() {
     let mut world = started(3, 10, 3);
     for root in roots(&world, 1) {
-        world.platform.silent.insert(root);
+        world.platform.silent_followers.insert(root);
     }
     let version = world.propose();
     world.run_until(S, "through other zones", |world| world.all_serve(version));
@@ -80,20 +80,20 @@
 fn zone_cut() {
     let mut world = started(3, 10, 4);
     let cut = roots(&world, 2);
-    world.cut(2, 0);
-    world.cut(2, 1);
-    world.platform.silent.extend(&cut);
+    world.partition(2, 0);
+    world.partition(2, 1);
+    world.platform.silent_followers.extend(&cut);
     let mut version = world.propose();
     for _ in 0..99 {
         version = world.propose();
     }
     world.run(60 * S);
     for vm in 0..world.vms.len() {
-        assert_eq!(world.serving(vm), 30, "a cut empties no list");
+        assert_eq!(world.serving_count(vm), 30, "a cut empties no list");
         assert_eq!(world.vms[vm].served < version, vm % 3 == 2);
     }
-    world.cuts.clear();
-    world.platform.silent.clear();
+    world.partitions.clear();
+    world.platform.silent_followers.clear();
     let follow = world.propose();
     world.run_until(6 * S, "after the cut", |world| world.all_serve(follow));
     let behind = &world.vms[2].installed;
@@ -128,7 +128,7 @@
 #[test]
 fn platform_out() {
     let mut world = started(3, 10, 6);
-    world.platform.is_out = true;
+    world.platform.is_down = true;
     world.run(600 * S);
     assert!(world.all_rooted(), "{}", world.describe());
     let calls = world.platform.calls;
@@ -154,7 +154,7 @@
         world.all_serve(version)
     });
     assert!(!roots(&world, 0).contains(&frozen));
-    world.thaw(frozen);
+    world.unfreeze(frozen);
     world.run_until(6 * S, "thawed", |world| world.all_serve(version));
     let node = world.vms[frozen].node.as_ref().expect("runs");
     assert!(
@@ -175,7 +175,7 @@
             .as_ref()
             .is_some_and(|node| !node.is_root())
         {
-            world.silence(vm);
+            world.drop_incoming(vm);
         }
     }
     let version = world.propose();
@@ -194,7 +194,7 @@
         node.is_some_and(|node| !node.is_root())
     });
     for vm in leaves.collect::<Vec<_>>() {
-        world.mute(vm);
+        world.drop_outgoing(vm);
     }
     world.run(3_700 * MS);
     let version = world.propose();
@@ -222,7 +222,7 @@
 #[test]
 fn restarts_without_platform() {
     let mut world = started(3, 4, 11);
-    world.platform.is_out = true;
+    world.platform.is_down = true;
     world.run(2 * S);
     let zone: Vec<_> = (0..12).filter(|vm| vm % 3 == 1).collect();
     for vm in &zone {
@@ -232,7 +232,7 @@
         world.run(2 * S);
     }
     world.run_until(4 * S, "found again", |world| {
-        (0..12).all(|vm| world.serving(vm) == 12)
+        (0..12).all(|vm| world.serving_count(vm) == 12)
     });
     world.restore_platform();
     let version = world.propose();
@@ -245,7 +245,7 @@
 #[test]
 fn roots_killed_without_platform() {
     let mut world = started(3, 8, 12);
-    world.platform.is_out = true;
+    world.platform.is_down = true;
     world.run(2 * S);
     let dead = roots(&world, 2);
     for root in &dead {
@@ -255,10 +255,10 @@
     let living: Vec<_> = (0..24)
         .filter(|vm| vm % 3 == 2 && !dead.contains(vm))
         .collect();
-    let before: Vec<_> = living.iter().map(|vm| world.serving(*vm)).collect();
+    let before: Vec<_> = living.iter().map(|vm| world.serving_count(*vm)).collect();
     world.set_backend(0, config::State::Leaving);
     world.run_until(2 * S, "news from another zone", |world| {
-        let now = living.iter().map(|vm| world.serving(*vm));
+        let now = living.iter().map(|vm| world.serving_count(*vm));
         now.zip(&before).all(|(now, before)| now + 1 == *before)
     });
 }
@@ -278,6 +278,6 @@
         world.spawn(vm);
     }
     world.run_until(2_500 * MS, "all endpoints", |world| {
-        (0..9).all(|vm| world.serving(vm) == 9)
+        (0..9).all(|vm| world.serving_count(vm) == 9)
     });
 }
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -19,7 +19,7 @@
 }
 
 fn all_hold(world: &World) -> bool {
-    world.all_judge(deadly(), is_held)
+    world.all_request_status(deadly(), is_held)
 }
 
 /// Three crashes that three nodes saw must count as three at every node, within milliseconds.
@@ -50,7 +50,7 @@
     world.run_until(KNOWN, "to hold", all_hold);
     world.answer(17, deadly());
     world.run_until(KNOWN, "to clear", |world| {
-        world.all_judge(deadly(), |standing| standing == Standing::Clear)
+        world.all_request_status(deadly(), |standing| standing == Standing::Clear)
     });
 }
 
@@ -59,9 +59,9 @@
 fn cut_zones() {
     for warning in [10 * S, Duration::ZERO] {
         let mut world = World::serving_nodes(6);
-        world.cut(0, 1);
-        world.cut(1, 2);
-        world.cut(0, 2);
+        world.partition(0, 1);
+        world.partition(1, 2);
+        world.partition(0, 2);
         world.run(warning);
         for (id, vm) in (1..).zip([0, 1, 2]) {
             world.crash(vm, deadly(), id);
@@ -75,8 +75,8 @@
 fn cut_node() {
     let mut world = World::serving_nodes(6);
     let cut = 16;
-    world.silence(cut);
-    world.mute(cut);
+    world.drop_incoming(cut);
+    world.drop_outgoing(cut);
     for (id, vm) in (1..).zip([0, 1, 2]) {
         world.crash(vm, deadly(), id);
     }
@@ -102,7 +102,11 @@
         while !serves(&world) {
             world.run(MS);
         }
-        assert!(is_held(world.judge(vm, deadly())), "{}", world.describe());
+        assert!(
+            is_held(world.request_status(vm, deadly())),
+            "{}",
+            world.describe()
+        );
     }
 }
 
@@ -129,7 +133,9 @@
     world.run(S);
     let all: Vec<_> = (0..world.vms.len()).collect();
     world.restart(&all);
-    world.watch_starts(&all, |world, vm| is_held(world.judge(vm, deadly())));
+    world.check_when_ready(&all, |world, vm| {
+        is_held(world.request_status(vm, deadly()))
+    });
 }
 
 /// What the platform has lost of crashes must be written again: a fleet that restarts needs it.
@@ -140,7 +146,7 @@
         world.crash(vm, deadly(), id);
     }
     world.run(S);
-    world.restore();
+    world.restore_from_copy();
     world.run(2 * S);
     assert!(!world.platform.crashes().is_empty());
 }
@@ -151,12 +157,12 @@
 fn cost_a_crash() {
     for per_zone in [4, 40, 120] {
         let mut world = World::serving_nodes(per_zone);
-        let before = (world.crash_bytes, world.platform.posts_made);
+        let before = (world.crash_report_bytes, world.platform.crash_writes);
         world.crash(1, deadly(), 1);
         world.run(5 * S);
         let nodes = world.vms.len() as u64;
-        let bytes = (world.crash_bytes - before.0) / nodes;
-        let writes = world.platform.posts_made - before.1;
+        let bytes = (world.crash_report_bytes - before.0) / nodes;
+        let writes = world.platform.crash_writes - before.1;
         println!("{nodes} nodes: {bytes} bytes a node, {writes} writes");
         assert!(bytes <= 300 && writes <= 2, "{nodes}: {bytes}, {writes}");
     }
--- a/crates/fleet/tests/endpoints.rs
+++ b/crates/fleet/tests/endpoints.rs
@@ -9,7 +9,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use world::{Chaos, MS, S, World};
+use world::{MS, NetworkFaults, S, World};
 
 fn endpoint(node: usize, started_ms: u64, sequence: u64, state: State) -> Arc<Endpoint> {
     Arc::new(Endpoint {
@@ -144,7 +144,7 @@
     world.run(15 * S);
     let version = world.propose();
     world.run_until(S, "the first version", |world| world.all_serve(version));
-    assert_eq!(world.serving(0), 36);
+    assert_eq!(world.serving_count(0), 36);
     world
 }
 
@@ -165,7 +165,7 @@
     let vm = leaf(&world);
     world.set_backend(vm, State::Leaving);
     let took = world.run_until(S, "leaving", |world| {
-        (0..36).all(|other| world.serving(other) == 35)
+        (0..36).all(|other| world.serving_count(other) == 35)
     });
     assert!(took <= 300 * MS, "{took:?}");
 }
@@ -177,16 +177,16 @@
 fn lost_news() {
     let mut world = started(25);
     let vm = leaf(&world);
-    world.chaos = Chaos {
-        lose: 1.0,
-        ..Chaos::default()
+    world.network_faults = NetworkFaults {
+        drop: 1.0,
+        ..NetworkFaults::default()
     };
     world.set_backend(vm, State::Leaving);
     world.run(S);
-    world.chaos = Chaos::default();
-    assert!((0..36).any(|other| world.serving(other) == 36));
+    world.network_faults = NetworkFaults::default();
+    assert!((0..36).any(|other| world.serving_count(other) == 36));
     world.run_until(20 * S, "compared", |world| {
-        (0..36).all(|other| world.serving(other) == 35)
+        (0..36).all(|other| world.serving_count(other) == 35)
     });
 }
 
@@ -201,7 +201,7 @@
     let everybody = |world: &World, count: usize| {
         (0..36)
             .filter(|other| *other != vm)
-            .all(|other| world.serving(other) == count)
+            .all(|other| world.serving_count(other) == count)
     };
     world.run_until(10 * S, "declared gone", |world| everybody(world, 35));
     world.spawn(vm);
@@ -214,11 +214,11 @@
 fn changed_parent() {
     let mut world = started(23);
     let vm = leaf(&world);
-    world.silence(vm);
+    world.drop_incoming(vm);
     for _ in 0..200 {
         world.run(50 * MS);
         assert!(
-            (0..36).all(|other| world.serving(other) == 36),
+            (0..36).all(|other| world.serving_count(other) == 36),
             "{}",
             world.describe()
         );
@@ -234,12 +234,12 @@
     let vm = leaf(&world);
     for back in [0, 10] {
         world.kill(vm, false);
-        world.skew_back(vm, Duration::from_secs(back));
+        world.set_clock_back(vm, Duration::from_secs(back));
         world.spawn(vm);
         world.run(3 * S);
     }
     world.set_backend(vm, State::Leaving);
     world.run_until(3 * S, "the new process is heard", |world| {
-        (0..36).all(|other| world.serving(other) == 35)
+        (0..36).all(|other| world.serving_count(other) == 35)
     });
 }
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -2,9 +2,9 @@
 
 use config::Version;
 use fleet::bootstrap::Gate;
-use fleet::bucket::Bucket;
+use fleet::leaky_bucket::LeakyBucket;
+use fleet::lease::LeaseClient;
 use fleet::parent::{Candidates, Source};
-use fleet::root::Lease;
 use fleet::{Action, Answer, Event, LinkKey, Node, Peer, Request, Seat, Settings};
 use policy::backoff::Backoff;
 use rand::SeedableRng;
@@ -26,13 +26,13 @@
 #[test]
 fn bounded_admission() {
     let start = Instant::now();
-    let mut door = Bucket::new(1_600 * MS);
-    let taken = |door: &mut Bucket, at| {
-        let tries = (0..1_000).map(|_| door.take(at, 200 * MS));
+    let mut door = LeakyBucket::new(1_600 * MS);
+    let taken = |door: &mut LeakyBucket, at| {
+        let tries = (0..1_000).map(|_| door.admit(at, 200 * MS));
         tries.flatten().count()
     };
     assert_eq!(taken(&mut door, start), 8);
-    let wait = door.take(start, 200 * MS).expect_err("full");
+    let wait = door.admit(start, 200 * MS).expect_err("full");
     assert!(wait <= 200 * MS);
     assert_eq!(taken(&mut door, start + wait), 1);
     assert_eq!(taken(&mut door, start + Duration::from_hours(1)), 8);
@@ -44,8 +44,8 @@
 #[test]
 fn small_children() {
     let start = Instant::now();
-    let mut door = Bucket::new(1_600 * MS);
-    assert!((0..20).all(|_| door.take(start, 4 * MS).is_ok()));
+    let mut door = LeakyBucket::new(1_600 * MS);
+    assert!((0..20).all(|_| door.admit(start, 4 * MS).is_ok()));
 }
 
 // A zone loses power, and refuses all calls for 10 s after it is back, though the platform
@@ -59,17 +59,17 @@
         zone: "kl-a".into(),
         address: address(port),
     };
-    let mut lease = Lease::new(Instant::now());
-    lease.read(vec![Seat {
+    let mut lease = LeaseClient::new(Instant::now());
+    lease.set_leases(vec![Seat {
         slot: 1,
         holder: peer("kl-a-2", 2),
         is_live: true,
     }]);
     let reached = |_: &Peer| false;
-    assert_eq!(lease.opening(&peer("kl-a-9", 2), reached), Some(1));
-    assert_eq!(lease.opening(&peer("kl-a-2", 5), reached), Some(1));
-    assert_eq!(lease.opening(&peer("kl-a-3", 3), reached), None);
-    assert!(lease.opening(&peer("kl-a-3", 3), |_| true).is_some());
+    assert_eq!(lease.slot_to_claim(&peer("kl-a-9", 2), reached), Some(1));
+    assert_eq!(lease.slot_to_claim(&peer("kl-a-2", 5), reached), Some(1));
+    assert_eq!(lease.slot_to_claim(&peer("kl-a-3", 3), reached), None);
+    assert!(lease.slot_to_claim(&peer("kl-a-3", 3), |_| true).is_some());
 }
 
 // A fleet grows until one child alone costs more than the door lets in at
@@ -77,10 +77,10 @@
 #[test]
 fn huge_child() {
     let start = Instant::now();
-    let mut door = Bucket::new(1_600 * MS);
-    assert_eq!(door.take(start, 5_000 * MS), Ok(()));
-    let wait = door.take(start, 5_000 * MS).expect_err("full");
-    assert_eq!(door.take(start + wait, 5_000 * MS), Ok(()));
+    let mut door = LeakyBucket::new(1_600 * MS);
+    assert_eq!(door.admit(start, 5_000 * MS), Ok(()));
+    let wait = door.admit(start, 5_000 * MS).expect_err("full");
+    assert_eq!(door.admit(start + wait, 5_000 * MS), Ok(()));
 }
 
 #[test]
@@ -105,7 +105,7 @@
     for node in 0..2_400 {
         let mut candidates = Candidates::default();
         for port in 1..=24 {
-            candidates.learn(address(port), Source::Hint, now);
+            candidates.add(address(port), Source::Hint, now);
         }
         let first = candidates.pick(&format!("vm-{node}"), now).expect("some");
         *chosen.entry(first).or_default() += 1;
@@ -120,14 +120,14 @@
 fn postponed_parent() {
     let now = Instant::now();
     let mut candidates = Candidates::default();
-    candidates.learn(address(1), Source::Root, now);
-    candidates.learn(address(2), Source::Seed, now);
+    candidates.add(address(1), Source::Root, now);
+    candidates.add(address(2), Source::Seed, now);
     assert_eq!(candidates.pick("vm", now), Some(address(1)));
     candidates.postpone(address(1), now + 100 * MS);
     assert_eq!(candidates.pick("vm", now), Some(address(2)));
-    candidates.miss(address(2), now);
+    candidates.mark_unreachable(address(2), now);
     assert_eq!(candidates.pick("vm", now), None);
-    assert!(candidates.is_unreached(address(2)) && !candidates.is_unreached(address(1)));
+    assert!(candidates.is_unreachable(address(2)) && !candidates.is_unreachable(address(1)));
     assert_eq!(candidates.pick("vm", now + 100 * MS), Some(address(1)));
 }
 
@@ -197,13 +197,13 @@
 /// A node that looks for its place, a second after its start.
 fn searching(now: Instant) -> Node {
     let settings = Settings {
-        own: peer("vm-1", 1),
+        local: peer("vm-1", 1),
         region: "r".into(),
         incarnation: 1,
         started_ms: 1,
         seeds: vec![address(2)],
         follows_rollouts: false,
-        sends_whole: false,
+        sends_snapshots: false,
     };
     let mut node = Node::new(settings, 1, now);
     node.handle(now + Duration::from_secs(1), Event::Wake);
--- a/crates/fleet/tests/randomised.rs
+++ b/crates/fleet/tests/randomised.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use config::State;
-use world::{Chaos, MS, S, World, zone_name};
+use world::{MS, NetworkFaults, S, World, zone_name};
 use yare::parameterized;
 
 const ZONES: usize = 3;
@@ -15,8 +15,8 @@
 
 /// One random event.
 fn shake(world: &mut World) {
-    let vm = world.draw(NODES);
-    match world.draw(18) {
+    let vm = world.random_index(NODES);
+    match world.random_index(18) {
         0 | 1 => world.kill(vm, false),
         2 => world.kill(vm, true),
         3 => world.leave(vm),
@@ -27,31 +27,31 @@
             }
         }
         7 => world.freeze(vm),
-        8 | 9 => (0..NODES).for_each(|vm| world.thaw(vm)),
-        10 => world.silence(vm),
-        11 => world.platform.is_out = true,
+        8 | 9 => (0..NODES).for_each(|vm| world.unfreeze(vm)),
+        10 => world.drop_incoming(vm),
+        11 => world.platform.is_down = true,
         12 => {
             world.platform.loses_answers = !world.platform.loses_answers;
             world.restore_platform();
         }
         13 => {
-            let (a, b) = (world.draw(ZONES), world.draw(ZONES));
+            let (a, b) = (world.random_index(ZONES), world.random_index(ZONES));
             if a != b {
-                world.cut(a, b);
+                world.partition(a, b);
             }
         }
-        14 => world.cuts.clear(),
+        14 => world.partitions.clear(),
         15 => {
-            let zone = world.draw(ZONES);
-            world.platform.cuts.insert(zone_name(zone));
+            let zone = world.random_index(ZONES);
+            world.platform.unreachable_zones.insert(zone_name(zone));
         }
         16 => {
-            world.platform.cuts.clear();
+            world.platform.unreachable_zones.clear();
             world.restore_platform();
         }
         _ => {
             let states = [State::Serving, State::Leaving];
-            let state = states[world.draw(2)];
+            let state = states[world.random_index(2)];
             world.set_backend(vm, state);
         }
     }
@@ -59,14 +59,14 @@
 
 /// Ends all faults and starts all processes.
 fn heal(world: &mut World) {
-    world.chaos = Chaos::default();
-    world.cuts.clear();
+    world.network_faults = NetworkFaults::default();
+    world.partitions.clear();
     world.platform.loses_answers = false;
-    world.platform.silent.clear();
-    world.platform.cuts.clear();
+    world.platform.silent_followers.clear();
+    world.platform.unreachable_zones.clear();
     world.restore_platform();
     for vm in 0..NODES {
-        world.thaw(vm);
+        world.unfreeze(vm);
         if world.vms[vm].node.is_none() {
             world.spawn(vm);
         }
@@ -84,20 +84,20 @@
     world.run(5 * S);
     for step in 0..STEPS {
         if step % 50 == 25 {
-            world.chaos = Chaos {
-                lose: 0.05,
-                double: 0.05,
+            world.network_faults = NetworkFaults {
+                drop: 0.05,
+                duplicate: 0.05,
                 delay: 0.1,
             };
         }
         if step % 50 == 49 {
-            world.chaos = Chaos::default();
+            world.network_faults = NetworkFaults::default();
         }
         shake(&mut world);
-        if world.draw(2) == 0 && !world.platform.is_out {
+        if world.random_index(2) == 0 && !world.platform.is_down {
             world.propose();
         }
-        let pause = u32::try_from(world.draw(900)).unwrap_or_default();
+        let pause = u32::try_from(world.random_index(900)).unwrap_or_default();
         world.run(pause * MS);
     }
     heal(&mut world);
@@ -106,6 +106,6 @@
         world.all_serve(version) && world.all_rooted()
     });
     world.run_until(30 * S, "endpoints", |world| {
-        (0..NODES).all(|vm| world.serving(vm) == NODES)
+        (0..NODES).all(|vm| world.serving_count(vm) == NODES)
     });
 }
--- a/crates/fleet/tests/refusal.rs
+++ b/crates/fleet/tests/refusal.rs
@@ -1,7 +1,7 @@
 //! A version that one node can't apply stops nobody else, and is reported.
 
 use config::{Change, Class, Digest, Held, Mesh, Patch, Repeat, Route, Service, Target, Version};
-use fleet::holder::{Holder, Step, Taken};
+use fleet::replica::{ApplyOutcome, Replica, Step};
 use fleet::status;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -35,20 +35,20 @@
     (steps.collect(), held)
 }
 
-fn take(holder: &mut Holder, frame: Frame) -> Taken {
+fn take(holder: &mut Replica, frame: Frame) -> ApplyOutcome {
     match frame {
         Frame::Step {
             base,
             version,
             patch,
             digest,
-        } => holder.take_step(Step {
+        } => holder.apply_step(Step {
             base,
             version,
             patch,
             digest,
         }),
-        Frame::Chunk(chunk) => holder.take_chunk(&chunk),
+        Frame::Chunk(chunk) => holder.apply_chunk(&chunk),
         frame => panic!("not a version: {frame:?}"),
     }
 }
@@ -59,8 +59,8 @@
 #[test]
 fn unreadable() {
     let (all, _) = steps(3);
-    let mut holder = Holder::default();
-    holder.take_step(all[0].clone());
+    let mut holder = Replica::default();
+    holder.apply_step(all[0].clone());
     assert!(!holder.refuse(Version(1), "in force".into()));
     assert!(holder.refuse(Version(2), "route shop: odd timeout".into()));
     assert!(!holder.refuse(Version(2), "route shop: odd timeout".into()));
@@ -70,8 +70,8 @@
         (Version(2), "route shop: odd timeout")
     );
     assert_eq!(holder.version(), Version(1), "what is held stays in force");
-    holder.take_step(all[1].clone());
-    holder.take_step(all[2].clone());
+    holder.apply_step(all[1].clone());
+    holder.apply_step(all[2].clone());
     assert_eq!(holder.refused(), None);
 }
 
@@ -81,24 +81,24 @@
 #[test]
 fn refused_then_whole() {
     let (all, held) = steps(4);
-    let mut holder = Holder::default();
-    holder.take_step(all[0].clone());
+    let mut holder = Replica::default();
+    holder.apply_step(all[0].clone());
     let damaged = Step {
         patch: Arc::new(put("other")),
         ..all[1].clone()
     };
-    assert_eq!(holder.take_step(damaged), Taken::Refused);
+    assert_eq!(holder.apply_step(damaged), ApplyOutcome::Refused);
     assert_eq!(holder.version(), Version(1));
     assert_eq!(
         holder.refused().map(|(version, _)| *version),
         Some(Version(2))
     );
-    let mut source = Holder::default();
+    let mut source = Replica::default();
     for step in &all {
-        source.take_step(step.clone());
+        source.apply_step(step.clone());
     }
     for frame in source.frames_after(Version(1), true) {
-        assert_eq!(take(&mut holder, frame), Taken::Applied);
+        assert_eq!(take(&mut holder, frame), ApplyOutcome::Applied);
     }
     assert_eq!(holder.held(), &held);
     assert!(holder.refused().is_none(), "no longer reported");
@@ -109,14 +109,14 @@
 #[test]
 fn ranges_and_wholes() {
     let (all, held) = steps(80);
-    let mut source = Holder::default();
+    let mut source = Replica::default();
     for step in &all {
-        source.take_step(step.clone());
+        source.apply_step(step.clone());
     }
     for after in [0, 10, 16, 17, 79, 80] {
-        let mut behind = Holder::default();
+        let mut behind = Replica::default();
         for step in &all[..after] {
-            behind.take_step(step.clone());
+            behind.apply_step(step.clone());
         }
         let frames = source.frames_after(Version(after as u64), false);
         let is_steps = frames
@@ -137,37 +137,37 @@
     let mut rng = SmallRng::seed_from_u64(3);
     let names = (0..4_000).map(|_| format!("{:032x}", rng.random::<u128>()));
     let many: Vec<_> = names.flat_map(|name| put(&name).changes).collect();
-    let mut source = Holder::default();
+    let mut source = Replica::default();
     for step in &all {
-        source.take_step(step.clone());
+        source.apply_step(step.clone());
     }
     let patch = Arc::new(Patch::from(many));
     let digest = Digest::of(&patch.apply(source.held().mesh()).expect("valid"));
     let version = Version(4);
     assert_eq!(
-        source.take_step(Step {
+        source.apply_step(Step {
             base: Version(3),
             version,
             patch,
             digest
         }),
-        Taken::Applied
+        ApplyOutcome::Applied
     );
     let frames = source.frames_after(Version(3), false);
     assert!(frames.len() > 1, "too long for one frame: {}", frames.len());
-    let mut target = Holder::default();
+    let mut target = Replica::default();
     let last = frames.last().expect("some").clone();
     assert_eq!(
         take(&mut target, last),
-        Taken::Gap,
+        ApplyOutcome::Gap,
         "the end alone is nothing"
     );
     let mut taken = Vec::new();
     for frame in frames {
         taken.push(take(&mut target, frame));
     }
-    assert_eq!(taken.pop(), Some(Taken::Applied));
-    assert!(taken.iter().all(|taken| *taken == Taken::Partial));
+    assert_eq!(taken.pop(), Some(ApplyOutcome::Applied));
+    assert!(taken.iter().all(|taken| *taken == ApplyOutcome::Partial));
     assert_eq!(target.held(), source.held());
 }
 
@@ -218,32 +218,35 @@
             patch.apply(&mesh).expect("valid")
         })
     };
-    let mut source = Holder::default();
-    source.take_newest(Version(3), mesh(2));
+    let mut source = Replica::default();
+    source.apply_newest(Version(3), mesh(2));
     let (first, second) = (
-        source.take_newest(Version(9), mesh(3)),
-        source.take_newest(Version(10), mesh(4)),
+        source.apply_newest(Version(9), mesh(3)),
+        source.apply_newest(Version(10), mesh(4)),
     );
     let (Some(first), Some(second)) = (first.1, second.1) else {
         panic!("a step leads to each version after the first");
     };
     assert_eq!((first.base, first.patch.changes.len()), (Version(3), 1));
-    let mut child = Holder::default();
+    let mut child = Replica::default();
     for frame in source.frames_after(Version::ZERO, true) {
         take(&mut child, frame);
     }
     assert_eq!(child.version(), Version(10));
-    let mut behind = Holder::default();
-    behind.take_newest(Version(3), mesh(2));
-    assert_eq!(behind.take_step(second.clone()), Taken::Gap);
+    let mut behind = Replica::default();
+    behind.apply_newest(Version(3), mesh(2));
+    assert_eq!(behind.apply_step(second.clone()), ApplyOutcome::Gap);
     assert_eq!(behind.version(), Version(3));
     let frames = source.frames_after(Version(3), false);
     assert_eq!(frames.len(), 2);
     for frame in frames {
-        assert_eq!(take(&mut behind, frame), Taken::Applied);
+        assert_eq!(take(&mut behind, frame), ApplyOutcome::Applied);
     }
     assert_eq!(behind.held(), source.held());
-    assert_eq!(source.take_newest(Version(9), mesh(1)).0, Taken::Known);
+    assert_eq!(
+        source.apply_newest(Version(9), mesh(1)).0,
+        ApplyOutcome::Stale
+    );
 }
 
 // An operator adds 1,640 routes. A root relay has 16 children and a link of
@@ -271,9 +274,9 @@
         let prefix = format!("xalo48.example/{:08x}/", name >> 32);
         mesh.routes.insert(prefix.into(), route);
     }
-    let mut root = Holder::default();
-    let (taken, _) = root.take_newest(Version(7), mesh.clone());
-    assert_eq!(taken, Taken::Applied);
+    let mut root = Replica::default();
+    let (taken, _) = root.apply_newest(Version(7), mesh.clone());
+    assert_eq!(taken, ApplyOutcome::Applied);
     let frames = root.frames_after(Version::ZERO, false);
     let bytes: usize = frames
         .iter()
@@ -284,11 +287,11 @@
         .sum();
     // 16 children then have it within 0.31 s at 5 Mbit/s.
     assert!(bytes < 12_000, "{bytes} bytes");
-    let mut child = Holder::default();
+    let mut child = Replica::default();
     let last = frames
         .into_iter()
         .map(|frame| take(&mut child, frame))
         .last();
-    assert_eq!(last, Some(Taken::Applied));
+    assert_eq!(last, Some(ApplyOutcome::Applied));
     assert_eq!(**child.held().mesh(), mesh);
 }
--- a/crates/fleet/tests/rollouts.rs
+++ b/crates/fleet/tests/rollouts.rs
@@ -27,7 +27,7 @@
 fn play(world: &mut World, seconds: u32, failed_percent: u32, end: Stage) -> Option<u32> {
     for second in 1..=seconds {
         for vm in 0..world.vms.len() {
-            world.tell_tally(vm, SERVICE, tally(second, failed_percent));
+            world.report_tally(vm, SERVICE, tally(second, failed_percent));
         }
         world.run(S);
         if all_at(world, end) {
@@ -47,20 +47,20 @@
 #[test]
 fn good_version() {
     let mut world = World::serving_nodes(8);
-    world.order(SERVICE, "v2", DURATION);
+    world.order_rollout(SERVICE, "v2", DURATION);
     world.run_until(200 * MS, "to hear of it", |world| {
         all_at(world, Stage::Canary)
     });
     let took = play(&mut world, 12, 0, Stage::Completed);
     assert!(took.is_some(), "{:?}", world.stage(0, SERVICE));
-    assert_eq!((world.platform.verdicts, world.stops), (1, 0));
+    assert_eq!((world.platform.verdicts, world.stopped_versions), (1, 0));
 }
 
 /// A bad version must get nothing more within two seconds, at no node.
 #[test]
 fn bad_version() {
     let mut world = World::serving_nodes(20);
-    world.order(SERVICE, "v2", DURATION);
+    world.order_rollout(SERVICE, "v2", DURATION);
     world.run(S);
     let took = play(&mut world, 3, 30, Stage::RolledBack);
     assert!(took.is_some_and(|took| took <= 2), "{took:?}");
@@ -71,10 +71,10 @@
 #[test]
 fn cut_zones() {
     let mut world = World::serving_nodes(6);
-    world.order(SERVICE, "v2", DURATION);
+    world.order_rollout(SERVICE, "v2", DURATION);
     world.run(S);
     for (one, other) in [(0, 1), (1, 2), (0, 2)] {
-        world.cut(one, other);
+        world.partition(one, other);
     }
     let took = play(&mut world, 5, 30, Stage::RolledBack);
     assert!(took.is_some_and(|took| took <= 3), "{took:?}");
@@ -84,11 +84,11 @@
 #[test]
 fn platform_out() {
     let mut world = World::serving_nodes(6);
-    world.order(SERVICE, "v2", DURATION);
+    world.order_rollout(SERVICE, "v2", DURATION);
     world.run(S);
-    world.platform.is_out = true;
+    world.platform.is_down = true;
     assert!(play(&mut world, 3, 30, Stage::Stopped).is_some());
-    world.platform.is_out = false;
+    world.platform.is_down = false;
     assert!(play(&mut world, 3, 30, Stage::RolledBack).is_some());
     assert_eq!(world.platform.verdicts, 1);
 }
@@ -97,20 +97,20 @@
 #[test]
 fn handover_waits() {
     let mut world = World::serving_nodes(6);
-    world.order(SERVICE, "v2", DURATION);
+    world.order_rollout(SERVICE, "v2", DURATION);
     world.run(S);
-    world.platform.is_out = true;
+    world.platform.is_down = true;
     assert_eq!(play(&mut world, 14, 0, Stage::Completed), None);
     // Each zone's first root goes on by itself, thrice a second here.
-    let before = world.reports;
+    let before = world.report_attempts;
     world.run(S);
-    assert!((1..=12).contains(&(world.reports - before)));
+    assert!((1..=12).contains(&(world.report_attempts - before)));
     assert!(
         all_at(&world, Stage::Whole),
         "{:?}",
         world.stage(0, SERVICE)
     );
-    world.platform.is_out = false;
+    world.platform.is_down = false;
     assert!(play(&mut world, 3, 0, Stage::Completed).is_some());
 }
 
@@ -121,11 +121,11 @@
 )]
 fn verdict_lost(failed_percent: u32, end: Stage) {
     let mut world = World::serving_nodes(6);
-    world.order(SERVICE, "v2", DURATION);
+    world.order_rollout(SERVICE, "v2", DURATION);
     world.run(500 * MS);
     assert!(play(&mut world, 14, failed_percent, end).is_some());
     let calls = world.platform.calls;
-    world.restore();
+    world.restore_from_copy();
     world.run(2 * S);
     assert!(all_at(&world, end));
     let stands = world.platform.rollouts();
@@ -137,12 +137,12 @@
 #[test]
 fn known_before_served() {
     let mut world = World::serving_nodes(6);
-    world.order(SERVICE, "v2", DURATION);
+    world.order_rollout(SERVICE, "v2", DURATION);
     world.run(S);
     let all: Vec<_> = (0..world.vms.len()).collect();
     for group in [&[4, 9, 14][..], &all] {
         world.restart(group);
-        world.watch_starts(group, |world, vm| world.stage(vm, SERVICE).is_some());
+        world.check_when_ready(group, |world, vm| world.stage(vm, SERVICE).is_some());
     }
 }
 
@@ -153,7 +153,7 @@
 )]
 fn roots_lost(failed_percent: u32, end: Stage) {
     let mut world = World::serving_nodes(6);
-    world.order(SERVICE, "v2", 2 * DURATION);
+    world.order_rollout(SERVICE, "v2", 2 * DURATION);
     world.run(500 * MS);
     let is_root = |world: &World, vm: usize| {
         let node = world.vms[vm].node.as_ref();
@@ -175,7 +175,7 @@
 fn cost_a_trial() {
     for per_zone in [4, 40, 120] {
         let mut world = World::serving_nodes(per_zone);
-        world.order(SERVICE, "v2", DURATION);
+        world.order_rollout(SERVICE, "v2", DURATION);
         world.run(S);
         let before = world.rollout_bytes;
         play(&mut world, 5, 0, Stage::Completed);
@@ -190,22 +190,22 @@
 #[test]
 fn found_apart() {
     let mut world = World::serving_nodes(6);
-    world.order(SERVICE, "v2", 2 * DURATION);
+    world.order_rollout(SERVICE, "v2", 2 * DURATION);
     world.run(S);
     for other in [1, 2] {
-        world.cut(0, other);
+        world.partition(0, other);
     }
-    world.platform.cuts.insert("zone-0".to_owned());
+    world.platform.unreachable_zones.insert("zone-0".to_owned());
     for second in 1..=4 {
         for vm in (0..world.vms.len()).step_by(3) {
-            world.tell_tally(vm, SERVICE, tally(4 * second, 30));
+            world.report_tally(vm, SERVICE, tally(4 * second, 30));
         }
         world.run(S);
     }
     assert_eq!(world.stage(0, SERVICE), Some(Stage::Stopped));
     assert_eq!(world.platform.verdicts, 0);
-    world.cuts.clear();
-    world.platform.cuts.clear();
+    world.partitions.clear();
+    world.platform.unreachable_zones.clear();
     world.run_until(10 * S, "to roll back", |world| {
         all_at(world, Stage::RolledBack)
     });
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -103,9 +103,9 @@
 
 /// How badly the network treats news.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Chaos {
-    pub lose: f64,
-    pub double: f64,
+pub struct NetworkFaults {
+    pub drop: f64,
+    pub duplicate: f64,
     pub delay: f64,
 }
 
@@ -113,18 +113,18 @@
     pub vms: Vec<Vm>,
     pub platform: Platform,
     pub now: Duration,
-    pub chaos: Chaos,
+    pub network_faults: NetworkFaults,
     /// Zones that can't reach each other.
-    pub cuts: BTreeSet<(String, String)>,
+    pub partitions: BTreeSet<(String, String)>,
     pub bytes: u64,
     /// Those of news of crashes.
-    pub crash_bytes: u64,
+    pub crash_report_bytes: u64,
     /// Those of roll-outs.
     pub rollout_bytes: u64,
     /// Versions that a node took out for a fault.
-    pub stops: u64,
+    pub stopped_versions: u64,
     /// Reports on roll-outs that were tried to write.
-    pub reports: u64,
+    pub report_attempts: u64,
     /// Whether processes are started with seeds.
     pub has_seeds: bool,
     start: Instant,
@@ -165,7 +165,7 @@
     }
 
     /// Runs until all of `vms` serve, and checks `is_fit` at the first millisecond of each.
-    pub fn watch_starts<F>(&mut self, vms: &[usize], is_fit: F)
+    pub fn check_when_ready<F>(&mut self, vms: &[usize], is_fit: F)
     where
         F: Fn(&Self, usize) -> bool,
     {
@@ -187,13 +187,13 @@
             vms: Vec::new(),
             platform: Platform::default(),
             now: Duration::ZERO,
-            chaos: Chaos::default(),
-            cuts: BTreeSet::new(),
+            network_faults: NetworkFaults::default(),
+            partitions: BTreeSet::new(),
             bytes: 0,
-            crash_bytes: 0,
+            crash_report_bytes: 0,
             rollout_bytes: 0,
-            stops: 0,
-            reports: 0,
+            stopped_versions: 0,
+            report_attempts: 0,
             has_seeds,
             start: Instant::now(),
             rng: SmallRng::seed_from_u64(seed),
@@ -236,7 +236,7 @@
         self.start + self.now
     }
 
-    pub fn draw(&mut self, count: usize) -> usize {
+    pub fn random_index(&mut self, count: usize) -> usize {
         self.rng.random_range(0..count)
     }
 
@@ -251,13 +251,13 @@
         let slot = &mut self.vms[vm];
         slot.incarnation += 1;
         let settings = Settings {
-            own: slot.own.clone(),
+            local: slot.own.clone(),
             region: "north".into(),
             incarnation: slot.incarnation,
             started_ms: u64::try_from(self.now.saturating_sub(slot.skew).as_millis()).unwrap(),
             seeds,
             follows_rollouts: true,
-            sends_whole: false,
+            sends_snapshots: false,
         };
         slot.node = Some(Node::new(settings, seed, now));
         slot.view = None;
@@ -290,7 +290,7 @@
         self.vms[vm].frozen = Some(VecDeque::new());
     }
 
-    pub fn thaw(&mut self, vm: usize) {
+    pub fn unfreeze(&mut self, vm: usize) {
         let Some(kept) = self.vms[vm].frozen.take() else {
             return;
         };
@@ -301,12 +301,12 @@
     }
 
     /// Sets a VM's time of day back.
-    pub fn skew_back(&mut self, vm: usize, by: Duration) {
+    pub fn set_clock_back(&mut self, vm: usize, by: Duration) {
         self.vms[vm].skew = by;
     }
 
     /// Makes all links of a VM silent towards it; new ones work.
-    pub fn silence(&mut self, vm: usize) {
+    pub fn drop_incoming(&mut self, vm: usize) {
         for conn in &mut self.conns {
             for side in 0..2 {
                 if conn.ends[side].0 == vm {
@@ -317,7 +317,7 @@
     }
 
     /// Loses all that a VM sends over its links, and the news that they were closed; what comes to it still comes.
-    pub fn mute(&mut self, vm: usize) {
+    pub fn drop_outgoing(&mut self, vm: usize) {
         for conn in &mut self.conns {
             for side in 0..2 {
                 if conn.ends[side].0 == vm {
@@ -346,10 +346,10 @@
         self.platform.unfollow(vm);
     }
 
-    pub fn cut(&mut self, a: usize, b: usize) {
+    pub fn partition(&mut self, a: usize, b: usize) {
         let (a, b) = (zone_name(a), zone_name(b));
-        self.cuts.insert((a.clone(), b.clone()));
-        self.cuts.insert((b, a));
+        self.partitions.insert((a.clone(), b.clone()));
+        self.partitions.insert((b, a));
         for conn in 0..self.conns.len() {
             let [one, other] = self.conns[conn].ends.map(|end| end.0);
             if self.is_cut(one, other) {
@@ -360,7 +360,7 @@
 
     fn is_cut(&self, one: usize, other: usize) -> bool {
         let zone = |vm: usize| self.vms[vm].own.zone.to_string();
-        self.cuts.contains(&(zone(one), zone(other)))
+        self.partitions.contains(&(zone(one), zone(other)))
     }
 
     /// Accepts a version that adds a service and a route to it.
@@ -403,7 +403,7 @@
 
     /// Ends an outage: followers catch up.
     pub fn restore_platform(&mut self) {
-        self.platform.is_out = false;
+        self.platform.is_down = false;
         self.feed_followers();
     }
 
@@ -469,7 +469,7 @@
     }
 
     /// Counts the endpoints that take new work in a VM's view.
-    pub fn serving(&self, vm: usize) -> usize {
+    pub fn serving_count(&self, vm: usize) -> usize {
         let view = self.vms[vm].view.as_ref();
         view.map_or(0, |view| {
             let is_serving = |endpoint: &&Arc<config::Endpoint>| endpoint.state == State::Serving;
@@ -672,7 +672,7 @@
                 Action::Post { slot, list } => self.post(vm, slot, list),
                 Action::Rollouts(list) => self.follow_rollouts(vm, list),
                 Action::Report(rollout) => self.report(vm, rollout),
-                Action::Stopped { .. } => self.stops += 1,
+                Action::Stopped { .. } => self.stopped_versions += 1,
             }
         }
     }
@@ -690,7 +690,7 @@
     }
 
     fn report(&mut self, vm: usize, rollout: Rollout) {
-        self.reports += 1;
+        self.report_attempts += 1;
         let zone = self.vms[vm].own.zone.to_string();
         let Some((stands, readers)) = self.platform.report(&zone, &rollout) else {
             // Tried again until it stands.
@@ -705,8 +705,8 @@
     }
 
     /// Has operators order a version.
-    pub fn order(&mut self, service: &str, target: &str, duration: Duration) {
-        let readers = self.platform.order(service, target, duration);
+    pub fn order_rollout(&mut self, service: &str, target: &str, duration: Duration) {
+        let readers = self.platform.order_rollout(service, target, duration);
         for reader in readers {
             let answer = Answer::Rollouts(self.platform.rollouts());
             self.push(reader, 3 * MS, Item::Answer(answer));
@@ -714,8 +714,8 @@
     }
 
     /// Has the platform come back from a copy that lacks all verdicts and crashes.
-    pub fn restore(&mut self) {
-        for reader in self.platform.lose() {
+    pub fn restore_from_copy(&mut self) {
+        for reader in self.platform.lose_recent_writes() {
             self.push(reader, 3 * MS, Item::Answer(Answer::Restored));
             let answer = Answer::Rollouts(self.platform.rollouts());
             self.push(reader, 4 * MS, Item::Answer(answer));
@@ -730,7 +730,7 @@
     }
 
     /// Has a VM's outbound proxy tell what it has counted.
-    pub fn tell_tally(&mut self, vm: usize, service: &str, tally: Tally) {
+    pub fn report_tally(&mut self, vm: usize, service: &str, tally: Tally) {
         self.push(vm, Duration::ZERO, Item::Tally(service.into(), tally));
     }
 
@@ -759,18 +759,18 @@
     }
 
     /// Tells how a request stands at a VM.
-    pub fn judge(&self, vm: usize, request: Digest) -> Standing {
+    pub fn request_status(&self, vm: usize, request: Digest) -> Standing {
         self.vms[vm].quarantine.judge(self.instant(), request)
     }
 
     /// Tells whether all running processes stand so to a request.
-    pub fn all_judge<F>(&self, request: Digest, is_it: F) -> bool
+    pub fn all_request_status<F>(&self, request: Digest, is_it: F) -> bool
     where
         F: Fn(Standing) -> bool,
     {
         let running = |vm: &usize| self.vms[*vm].node.is_some() && self.vms[*vm].frozen.is_none();
         let mut vms = (0..self.vms.len()).filter(running);
-        vms.all(|vm| is_it(self.judge(vm, request)))
+        vms.all(|vm| is_it(self.request_status(vm, request)))
     }
 
     fn learn(&mut self, vm: usize, list: &[Crash]) {
@@ -782,7 +782,7 @@
 
     fn post(&mut self, vm: usize, slot: u8, list: Vec<Crash>) {
         let zone = self.vms[vm].own.zone.to_string();
-        for reader in self.platform.post(&zone, slot, list) {
+        for reader in self.platform.write_crashes(&zone, slot, list) {
             let crashes = self.platform.crashes();
             self.push(reader, 3 * MS, Item::Answer(Answer::Crashes(crashes)));
         }
@@ -819,7 +819,7 @@
         wire::codec::encode(&wire::Frame::Control(frame.clone()), &mut buffer).expect("fits");
         self.bytes += buffer.len() as u64;
         if matches!(frame, Frame::Crashes(_)) {
-            self.crash_bytes += buffer.len() as u64;
+            self.crash_report_bytes += buffer.len() as u64;
         }
         if matches!(frame, Frame::Rollouts(_) | Frame::Tallies(_)) {
             self.rollout_bytes += buffer.len() as u64;
@@ -836,19 +836,19 @@
         let mut wait = self.latency();
         if is_news {
             let roll: f64 = self.rng.random();
-            if roll < self.chaos.lose {
+            if roll < self.network_faults.drop {
                 copies = 0;
-            } else if roll < self.chaos.lose + self.chaos.double {
+            } else if roll < self.network_faults.drop + self.network_faults.duplicate {
                 copies = 2;
             }
-            if self.rng.random::<f64>() < self.chaos.delay {
+            if self.rng.random::<f64>() < self.network_faults.delay {
                 wait += 400 * MS;
             }
         }
         let (to, incarnation, _) = self.conns[conn].ends[side];
         for copy in 0..copies {
             let late = wait + copy * 30 * MS;
-            let at = if is_news && self.chaos.delay > 0.0 {
+            let at = if is_news && self.network_faults.delay > 0.0 {
                 self.now + late
             } else {
                 let at = (self.now + late).max(self.conns[conn].last[side]);
--- a/crates/fleet/tests/world/platform.rs
+++ b/crates/fleet/tests/world/platform.rs
@@ -20,13 +20,13 @@
 
 #[derive(Debug, Default)]
 pub struct Platform {
-    pub is_out: bool,
+    pub is_down: bool,
     /// Whether answers to writes are lost after the write took effect.
     pub loses_answers: bool,
     /// Zones that can't reach the platform.
-    pub cuts: BTreeSet<String>,
+    pub unreachable_zones: BTreeSet<String>,
     /// Followers that get nothing more, and aren't told.
-    pub silent: BTreeSet<usize>,
+    pub silent_followers: BTreeSet<usize>,
     pub calls: u64,
     history: Vec<(Arc<Patch>, Arc<Mesh>, Digest)>,
     held: Held,
@@ -36,7 +36,7 @@
     writes: u64,
     /// Crashes as the holders of leases wrote them.
     posts: BTreeMap<(String, u8), Vec<Crash>>,
-    pub posts_made: u64,
+    pub crash_writes: u64,
     rollouts: BTreeMap<String, Rollout>,
     /// Verdicts that were written.
     pub verdicts: u64,
@@ -83,19 +83,19 @@
     }
 
     /// Takes what the holder of a lease writes; gives those whom it reaches at once.
-    pub fn post(&mut self, zone: &str, slot: u8, list: Vec<Crash>) -> Vec<usize> {
+    pub fn write_crashes(&mut self, zone: &str, slot: u8, list: Vec<Crash>) -> Vec<usize> {
         self.calls += 1;
-        if self.is_out || self.cuts.contains(zone) {
+        if self.is_down || self.unreachable_zones.contains(zone) {
             return Vec::new();
         }
-        self.posts_made += 1;
+        self.crash_writes += 1;
         self.posts.insert((zone.to_owned(), slot), list);
         let readers = self.list_reached();
         readers.filter(|vm| self.readers.contains(vm)).collect()
     }
 
     /// Takes an operator's order; gives those whom it reaches at once.
-    pub fn order(&mut self, service: &str, target: &str, duration: Duration) -> Vec<usize> {
+    pub fn order_rollout(&mut self, service: &str, target: &str, duration: Duration) -> Vec<usize> {
         self.writes += 1;
         let rollout = Rollout {
             service: service.into(),
@@ -115,7 +115,7 @@
     /// Takes a report; gives what stands then and whom it reaches, if the platform answers.
     pub fn report(&mut self, zone: &str, rollout: &Rollout) -> Option<(Rollout, Vec<usize>)> {
         self.calls += 1;
-        if self.is_out || self.cuts.contains(zone) {
+        if self.is_down || self.unreachable_zones.contains(zone) {
             return None;
         }
         let stands = self.rollouts.get_mut(rollout.service.as_str())?;
@@ -128,7 +128,7 @@
     }
 
     /// Loses all verdicts and what was written of crashes, as a copy from before would.
-    pub fn lose(&mut self) -> Vec<usize> {
+    pub fn lose_recent_writes(&mut self) -> Vec<usize> {
         for rollout in self.rollouts.values_mut() {
             rollout.stage = Stage::Canary;
             rollout.place.era += 1;
@@ -144,8 +144,9 @@
     /// Gives the followers that the platform reaches.
     fn list_reached(&self) -> impl Iterator<Item = usize> {
         let followers = self.followers.iter();
-        let reached = followers
-            .filter(|(vm, (zone, _))| !self.silent.contains(vm) && !self.cuts.contains(zone));
+        let reached = followers.filter(|(vm, (zone, _))| {
+            !self.silent_followers.contains(vm) && !self.unreachable_zones.contains(zone)
+        });
         reached.map(|(vm, _)| *vm)
     }
 
@@ -156,20 +157,20 @@
 
     pub fn unfollow(&mut self, vm: usize) {
         self.followers.remove(&vm);
-        self.silent.remove(&vm);
+        self.silent_followers.remove(&vm);
         self.readers.remove(&vm);
     }
 
     /// Gives each follower what it has not got yet.
     pub fn feed(&mut self) -> Vec<(usize, Vec<Answer>)> {
-        if self.is_out {
+        if self.is_down {
             return Vec::new();
         }
         let head = self.head();
         let mut all = Vec::new();
         let mut followers = std::mem::take(&mut self.followers);
         for (vm, (zone, at)) in &mut followers {
-            if !self.silent.contains(vm) && !self.cuts.contains(zone) {
+            if !self.silent_followers.contains(vm) && !self.unreachable_zones.contains(zone) {
                 all.push((*vm, self.steps_after(*at)));
                 *at = head;
             }
@@ -201,7 +202,7 @@
     ) -> Vec<(Duration, Answer)> {
         self.calls += 1;
         let zone = own.zone.to_string();
-        if self.is_out || self.cuts.contains(&zone) {
+        if self.is_down || self.unreachable_zones.contains(&zone) {
             return match request {
                 Request::Follow { after, .. } => {
                     self.followers.insert(vm, (zone, after));
@@ -237,7 +238,7 @@
             }
             Request::Follow { after, is_first } => {
                 self.followers.insert(vm, (zone, self.head()));
-                self.silent.remove(&vm);
+                self.silent_followers.remove(&vm);
                 let mut steps = self.steps_after(after);
                 if is_first {
                     self.readers.insert(vm);
@@ -301,7 +302,7 @@
         self.writes += 1;
         let lease = Lease {
             holder: own.clone(),
-            until: now + fleet::root::TERM,
+            until: now + fleet::lease::LEASE_DURATION,
             revision: self.writes,
         };
         self.leases.insert(key, lease);
--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -271,9 +271,9 @@
         let settings = &self.shared.settings;
         let holder = format!("{} {} {}", settings.name, settings.zone, settings.address());
         let (store, clock) = (self.store.clone(), self.shared.clock.clone());
-        self.leases
-            .entry(slot)
-            .or_insert_with(|| Lease::open(store, clock, &name, &holder, fleet::root::TERM))
+        self.leases.entry(slot).or_insert_with(|| {
+            Lease::open(store, clock, &name, &holder, fleet::lease::LEASE_DURATION)
+        })
     }
 
     fn follow(&mut self, after: config::Version, is_first: bool) {
--- a/crates/node/src/control/link.rs
+++ b/crates/node/src/control/link.rs
@@ -177,7 +177,8 @@
 {
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
-        let opened = tokio::time::timeout(fleet::link::DIAL, connect(&shared, address)).await;
+        let opened =
+            tokio::time::timeout(fleet::link::DIAL_TIMEOUT, connect(&shared, address)).await;
         let input = match opened {
             Ok(Ok((stream, peer))) => Input::Connected {
                 link: key,
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -138,7 +138,7 @@
         let started = started.unwrap_or_default().as_millis();
         let own = &shared.settings;
         let settings = Settings {
-            own: Peer {
+            local: Peer {
                 node: own.name.clone(),
                 zone: own.zone.clone(),
                 address: own.address(),
@@ -148,7 +148,7 @@
             started_ms: u64::try_from(started).unwrap_or_default(),
             seeds: own.seeds.clone(),
             follows_rollouts: own.canary_share.is_some(),
-            sends_whole: own.distribution == Distribution::Whole,
+            sends_snapshots: own.distribution == Distribution::Whole,
         };
         let node = Node::new(settings, rand::random(), now);
         Self {
@@ -336,7 +336,7 @@
             held: self.node.version(),
             path: self.node.path().to_vec(),
             children: self.node.count_links(Role::Child),
-            roots: self.node.count_links(Role::Equal),
+            roots: self.node.count_links(Role::RootPeer),
             versions: counters.versions,
             refusals: counters.refusals,
             parents: counters.parents,
