--- a/crates/fleet/src/children.rs
+++ b/crates/fleet/src/children.rs
@@ -33,7 +33,7 @@
 /// Children are let in by what they cost and not by their number: at one each
 /// 200 ms the 20 nodes of a zone waited for each other after a restart of all,
 /// though a hundred endpoints and 2,000 routes are 18 kB by the figures below.
-const ADMIT_BYTE: Duration = Duration::from_nanos(200);
+const JOIN_TIME_PER_BYTE: Duration = Duration::from_nanos(200);
 
 /// Bytes of an endpoint on its way to a new child.
 const ENDPOINT_BYTES: u32 = 60;
@@ -102,15 +102,15 @@
         if self.child_capacity() == 0 {
             return Err(RETRY_AFTER_FULL);
         }
-        self.join_limiter.admit(now, self.cost_of_child())
+        self.join_limiter.admit(now, self.join_cost())
     }
 
     /// Gives how long the configuration and the endpoints take to go out to a new child.
-    fn cost_of_child(&self) -> Duration {
+    fn join_cost(&self) -> Duration {
         let count = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         let endpoints = count(self.table.iter().count()).saturating_mul(ENDPOINT_BYTES);
         let routes = count(self.replica.held().mesh().routes.len()).saturating_mul(ROUTE_BYTES);
-        ADMIT_BYTE.saturating_mul(endpoints.saturating_add(routes))
+        JOIN_TIME_PER_BYTE.saturating_mul(endpoints.saturating_add(routes))
     }
 
     /// Counts the children that this node would still take.
--- a/crates/fleet/src/heartbeat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -10,7 +10,7 @@
 
 /// Beats in a row with other endpoints before the tables are compared: news
 /// under way make sums differ for a moment.
-const DIFFERING: u8 = 3;
+const MISMATCH_LIMIT: u8 = 3;
 
 impl Node {
     pub(crate) fn send_heartbeats(&mut self) {
@@ -58,8 +58,8 @@
             Role::RootPeer => link.peer.as_ref().is_some_and(|peer| own < peer.node),
             _ => false,
         };
-        let is_due = is_caller && link.mismatches >= DIFFERING;
-        if link.mismatches >= DIFFERING {
+        let is_due = is_caller && link.mismatches >= MISMATCH_LIMIT;
+        if link.mismatches >= MISMATCH_LIMIT {
             link.mismatches = 0;
         }
         if is_due {
@@ -94,7 +94,7 @@
         status::single(self.version(), refusal)
     }
 
-    fn told_by<F>(&self, is_wanted: F) -> Vec<(&SmolStr, &Status)>
+    fn statuses_from<F>(&self, is_wanted: F) -> Vec<(&SmolStr, &Status)>
     where
         F: Fn(&Link) -> bool,
     {
@@ -111,14 +111,14 @@
 
     /// Sums up this node and all below it.
     pub(crate) fn subtree_status(&self) -> Status {
-        let children = self.told_by(|link| link.role == Role::Child);
+        let children = self.statuses_from(|link| link.role == Role::Child);
         self.sum_with(&self.own_status(), children)
     }
 
     /// Sums up the own zone, on a root.
     fn zone_status(&self) -> Status {
         let zone = &self.settings.local.zone;
-        let roots = self.told_by(|link| {
+        let roots = self.statuses_from(|link| {
             link.role == Role::RootPeer && link.peer.as_ref().is_some_and(|peer| peer.zone == *zone)
         });
         self.sum_with(&self.subtree_status(), roots)
@@ -127,7 +127,7 @@
     /// Sums up the fleet: a root from what other roots tell, the others by what comes down.
     pub(crate) fn fleet_status(&self) -> Status {
         if !self.lease.is_root() {
-            let parents = self.told_by(|link| link.role == Role::Parent);
+            let parents = self.statuses_from(|link| link.role == Role::Parent);
             return match parents.first() {
                 Some((_, told)) => Status::clone(told),
                 None => self.subtree_status(),
--- a/crates/fleet/src/leaky_bucket.rs
+++ b/crates/fleet/src/leaky_bucket.rs
@@ -5,17 +5,17 @@
 /// A leaky bucket of work, kept as the time at which the work will be done.
 #[derive(Debug, Clone)]
 pub struct LeakyBucket {
-    most: Duration,
-    done_at: Option<Instant>,
+    capacity: Duration,
+    drained_at: Option<Instant>,
 }
 
 impl LeakyBucket {
-    /// Makes an empty bucket that holds `most` work.
+    /// Makes an empty bucket that holds `capacity` work.
     #[must_use]
-    pub fn new(most: Duration) -> Self {
+    pub fn new(capacity: Duration) -> Self {
         Self {
-            most,
-            done_at: None,
+            capacity,
+            drained_at: None,
         }
     }
 
@@ -25,12 +25,12 @@
     ///
     /// Gives the time until there is room.
     pub fn admit(&mut self, now: Instant, work: Duration) -> Result<(), Duration> {
-        let begins_at = self.done_at.map_or(now, |at| at.max(now));
+        let begins_at = self.drained_at.map_or(now, |at| at.max(now));
         let done_at = begins_at + work;
-        match (done_at - now).checked_sub(self.most) {
+        match (done_at - now).checked_sub(self.capacity) {
             Some(wait) if !wait.is_zero() && begins_at > now => Err(wait.min(begins_at - now)),
             _ => {
-                self.done_at = Some(done_at);
+                self.drained_at = Some(done_at);
                 Ok(())
             }
         }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -17,22 +17,22 @@
 pub const LEASE_DURATION: Duration = Duration::from_secs(10);
 
 /// Time between renewals: two may fail. 45 roots write 15 times a second.
-const RENEW: Duration = Duration::from_secs(3);
+const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time between a root's readings of all leases: 45 roots read 9 times a second.
-const READ: Duration = Duration::from_secs(5);
+const READ_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Wait after a nomination before the leases are read again.
-const SETTLE: Duration = Duration::from_secs(1);
+const NOMINATION_READ_DELAY: Duration = Duration::from_secs(1);
 
 /// Time between the readings of a new root that has met no other yet. After a
 /// restart of all, whoever is to call it mostly is no root itself at its first
 /// reading, and the next one came 5 s later: all VMs then waited 2 s for the
 /// endpoints that others know, and served only by their own meanwhile.
-const HURRY: Duration = Duration::from_millis(250);
+const INITIAL_READ_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time that a root of a higher zone leaves the call to the lower ones.
-const PATIENCE: Duration = Duration::from_secs(7);
+const CROSS_ZONE_DIAL_DELAY: Duration = Duration::from_secs(7);
 
 /// Whether a lease is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -45,22 +45,22 @@
         slot: u8,
     },
     /// Root without a lease, as the platform gives out none.
-    Provisional,
+    Acting,
 }
 
 /// The own lease, if any, and what was read of the others.
 #[derive(Debug)]
 pub struct LeaseClient {
     state: State,
-    since: Instant,
+    root_since: Instant,
     renew_at: Instant,
     read_at: Instant,
-    seats: Vec<Seat>,
+    leases: Vec<Seat>,
     was_vacant: bool,
     /// Whether the next reading is to be of what stands now: one for
     /// safety's sake may be seconds old, which the platform gives for a tenth
     /// of the price.
-    is_exact: bool,
+    wants_exact_read: bool,
 }
 
 impl LeaseClient {
@@ -69,35 +69,35 @@
     pub fn new(now: Instant) -> Self {
         Self {
             state: State::None,
-            since: now,
+            root_since: now,
             renew_at: now,
             read_at: now,
-            seats: Vec::new(),
+            leases: Vec::new(),
             was_vacant: false,
-            is_exact: true,
+            wants_exact_read: true,
         }
     }
 
     /// Tells whether this node is a root.
     #[must_use]
     pub fn is_root(&self) -> bool {
-        matches!(self.state, State::Held { .. } | State::Provisional)
+        matches!(self.state, State::Held { .. } | State::Acting)
     }
 
     /// Tells whether this node is a root without a lease.
     #[must_use]
-    pub fn is_provisional(&self) -> bool {
-        self.state == State::Provisional
+    pub fn is_acting(&self) -> bool {
+        self.state == State::Acting
     }
 
     /// Becomes a root without a lease.
-    pub fn become_provisional(&mut self) {
-        self.state = State::Provisional;
+    pub fn start_acting(&mut self) {
+        self.state = State::Acting;
     }
 
     /// Ceases to be a root without a lease.
-    pub fn end_provisional(&mut self) {
-        if self.state == State::Provisional {
+    pub fn stop_acting(&mut self) {
+        if self.state == State::Acting {
             self.state = State::None;
         }
     }
@@ -107,14 +107,14 @@
     pub fn slot(&self) -> Option<u8> {
         match self.state {
             State::Held { slot } => Some(slot),
-            State::None | State::Asked { .. } | State::Provisional => None,
+            State::None | State::Asked { .. } | State::Acting => None,
         }
     }
 
     /// Gives all leases as last read.
     #[must_use]
     pub fn leases(&self) -> &[Seat] {
-        &self.seats
+        &self.leases
     }
 
     /// Asks for a lease, unless one is held or asked for.
@@ -132,11 +132,11 @@
     pub fn on_granted(&mut self, slot: u8, now: Instant) -> bool {
         let is_new = !self.is_root();
         self.state = State::Held { slot };
-        self.renew_at = now + RENEW;
+        self.renew_at = now + RENEW_INTERVAL;
         if is_new {
-            self.since = now;
+            self.root_since = now;
             self.read_at = now;
-            self.is_exact = true;
+            self.wants_exact_read = true;
         }
         is_new
     }
@@ -162,7 +162,7 @@
 
     /// Notes the leases of all roots.
     pub fn set_leases(&mut self, seats: Vec<Seat>) {
-        self.seats = seats;
+        self.leases = seats;
     }
 
     /// Gives what a root asks of the platform by now.
@@ -172,12 +172,12 @@
             return requests;
         };
         if now >= self.renew_at {
-            self.renew_at = now + RENEW;
+            self.renew_at = now + RENEW_INTERVAL;
             requests.push(Request::Renew { slot });
         }
         if now >= self.read_at {
-            self.read_at = now + READ;
-            let is_exact = std::mem::take(&mut self.is_exact);
+            self.read_at = now + READ_INTERVAL;
+            let is_exact = std::mem::take(&mut self.wants_exact_read);
             requests.push(Request::Leases { is_exact });
         }
         requests
@@ -199,7 +199,7 @@
         let is_live = |slot: u8| {
             slot == own
                 || self
-                    .seats
+                    .leases
                     .iter()
                     .any(|seat| seat.holder.zone == zone && seat.slot == slot && seat.is_live)
         };
@@ -211,14 +211,14 @@
 
     /// Notes that a child was nominated: the leases are to be read again soon.
     pub fn on_nominated(&mut self, now: Instant) {
-        self.read_at = self.read_at.min(now + SETTLE);
-        self.is_exact = true;
+        self.read_at = self.read_at.min(now + NOMINATION_READ_DELAY);
+        self.wants_exact_read = true;
     }
 
     /// Notes that no other root was met yet: the leases are to be read again at once.
     pub fn read_soon(&mut self, now: Instant) {
-        self.read_at = self.read_at.min(now + HURRY);
-        self.is_exact = true;
+        self.read_at = self.read_at.min(now + INITIAL_READ_INTERVAL);
+        self.wants_exact_read = true;
     }
 
     /// Gives the lease that a node without any root should take.
@@ -236,7 +236,7 @@
     {
         let is_former = |holder: &Peer| holder.node == own.node || holder.address == own.address;
         let mine = self
-            .seats
+            .leases
             .iter()
             .filter(|seat| seat.holder.zone == own.zone);
         let former = mine.clone().find(|seat| is_former(&seat.holder));
@@ -256,7 +256,7 @@
     pub(crate) fn has_lowest_slot(&self, own: &Peer) -> bool {
         let slot = self.slot().unwrap_or(ROOTS_PER_ZONE);
         let mut others = self
-            .seats
+            .leases
             .iter()
             .filter(|seat| seat.is_live && seat.slot < slot);
         !others.any(|seat| seat.holder.zone == own.zone && seat.holder.node != own.node)
@@ -272,9 +272,9 @@
     where
         F: Fn(&Peer) -> bool,
     {
-        let is_patient = now >= self.since + PATIENCE;
+        let is_patient = now >= self.root_since + CROSS_ZONE_DIAL_DELAY;
         let is_lowest = self.has_lowest_slot(own);
-        let mut seats: Vec<_> = self.seats.iter().filter(|seat| seat.is_live).collect();
+        let mut seats: Vec<_> = self.leases.iter().filter(|seat| seat.is_live).collect();
         seats.sort_by_cached_key(|seat| {
             let pair = format!("{} {}", own.node, seat.holder.node);
             (
--- a/crates/fleet/src/link.rs
+++ b/crates/fleet/src/link.rs
@@ -24,7 +24,7 @@
 /// for some seconds more: after a restart of all, a node would spend most of its time
 /// on one. A VM of a tenth of a core that starts up itself answers within a fraction
 /// of this.
-const NEAR_CONNECT: Duration = Duration::from_millis(500);
+const SAME_ZONE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Names a link of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -77,11 +77,11 @@
     pub(crate) sent_tallies: Vec<Part>,
     /// Beats in a row that showed other endpoints than ours.
     pub(crate) mismatches: u8,
-    opened: Instant,
-    heard: Instant,
-    sent: u32,
-    received: u32,
-    echoed: u32,
+    opened_at: Instant,
+    last_heard: Instant,
+    sent_count: u32,
+    received_count: u32,
+    echoed_count: u32,
     echoed_at: Instant,
 }
 
@@ -97,11 +97,11 @@
             tallies: Vec::new(),
             sent_tallies: Vec::new(),
             mismatches: 0,
-            opened: now,
-            heard: now,
-            sent: 0,
-            received: 0,
-            echoed: 0,
+            opened_at: now,
+            last_heard: now,
+            sent_count: 0,
+            received_count: 0,
+            echoed_count: 0,
             echoed_at: now,
         }
     }
@@ -109,7 +109,7 @@
     /// Gives the link its role once both ends know it.
     pub(crate) fn establish(&mut self, role: Role, now: Instant) {
         self.role = role;
-        self.heard = now;
+        self.last_heard = now;
         self.echoed_at = now;
     }
 
@@ -120,20 +120,20 @@
 
     /// Gives when something last came from the peer.
     pub(crate) fn last_heard(&self) -> Instant {
-        self.heard
+        self.last_heard
     }
 
     /// Notes that something came from the peer.
     pub(crate) fn mark_heard(&mut self, now: Instant) {
-        self.heard = now;
+        self.last_heard = now;
     }
 
     /// Notes a beat of the peer's.
     pub(crate) fn record_heartbeat(&mut self, beat: &Beat, now: Instant) {
-        self.received = beat.count;
+        self.received_count = beat.count;
         self.child_capacity = beat.room;
-        if beat.echo > self.echoed {
-            self.echoed = beat.echo;
+        if beat.echo > self.echoed_count {
+            self.echoed_count = beat.echo;
             self.echoed_at = now;
         }
         if let Some(status) = &beat.status {
@@ -143,8 +143,8 @@
 
     /// Gives the counters of the next beat: its own and the peer's.
     pub(crate) fn next_heartbeat_counts(&mut self) -> (u32, u32) {
-        self.sent += 1;
-        (self.sent, self.received)
+        self.sent_count += 1;
+        (self.sent_count, self.received_count)
     }
 
     /// Gives when the link is lost unless something comes before.
@@ -155,11 +155,11 @@
     /// only our own direction is dead: the peer's beats still come then.
     pub(crate) fn deadline(&self) -> Instant {
         if self.is_established() {
-            (self.heard + SILENCE_TIMEOUT).min(self.echoed_at + ECHO_TIMEOUT)
+            (self.last_heard + SILENCE_TIMEOUT).min(self.echoed_at + ECHO_TIMEOUT)
         } else if self.role == Role::Dialled(Purpose::Join) && self.peer.is_none() {
-            self.opened + NEAR_CONNECT
+            self.opened_at + SAME_ZONE_CONNECT_TIMEOUT
         } else {
-            self.opened + DIAL_TIMEOUT
+            self.opened_at + DIAL_TIMEOUT
         }
     }
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -25,7 +25,7 @@
 use wire::control::{Frame, Peer, Status};
 
 /// Time between looks for endpoints to expire.
-const SWEEP: Duration = Duration::from_mins(1);
+const EXPIRY_INTERVAL: Duration = Duration::from_mins(1);
 
 /// What a node knows of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -89,9 +89,9 @@
     pub(crate) counters: Counters,
     pub(crate) actions: Vec<Action>,
     next_link: u64,
-    beat_at: Instant,
-    sweep_at: Instant,
-    refresh_at: Instant,
+    heartbeat_at: Instant,
+    expire_at: Instant,
+    reannounce_at: Instant,
 }
 
 impl Node {
@@ -104,8 +104,8 @@
             candidates.add(*address, Source::Seed, now);
         }
         // A herd that restarts together must not beat and read in step.
-        let beat_at = now + HEARTBEAT_INTERVAL.mul_f64(rng.random::<f64>());
-        let refresh_at = now + crate::endpoints::REFRESH.mul_f64(rng.random::<f64>());
+        let heartbeat_at = now + HEARTBEAT_INTERVAL.mul_f64(rng.random::<f64>());
+        let reannounce_at = now + crate::endpoints::REFRESH.mul_f64(rng.random::<f64>());
         let search = search::Search::new(now, &mut rng);
         Self {
             settings,
@@ -132,9 +132,9 @@
             counters: Counters::default(),
             actions: Vec::new(),
             next_link: 0,
-            beat_at,
-            sweep_at: now + SWEEP,
-            refresh_at,
+            heartbeat_at,
+            expire_at: now + EXPIRY_INTERVAL,
+            reannounce_at,
         }
     }
 
@@ -161,7 +161,7 @@
             Event::Leave => self.leave(now),
             Event::Wake => {}
         }
-        self.wake(now);
+        self.run_due(now);
         assert!(self.version() >= before, "a node's version never falls");
         std::mem::take(&mut self.actions)
     }
@@ -183,7 +183,7 @@
         ];
         let links = self.links.values().map(Link::deadline);
         let first = others.into_iter().flatten().chain(links).min();
-        first.map_or(self.beat_at, |first| first.min(self.beat_at))
+        first.map_or(self.heartbeat_at, |first| first.min(self.heartbeat_at))
     }
 
     /// Gives the version held.
@@ -240,7 +240,7 @@
         self.fleet_status()
     }
 
-    fn wake(&mut self, now: Instant) {
+    fn run_due(&mut self, now: Instant) {
         self.drop_silent_links(now);
         self.remove_lost_nodes(now);
         self.ask_due(now);
@@ -249,16 +249,16 @@
         self.step_gate(now);
         self.look_out(now);
         self.step_outage(now);
-        if now >= self.beat_at {
-            self.beat_at = now + HEARTBEAT_INTERVAL;
+        if now >= self.heartbeat_at {
+            self.heartbeat_at = now + HEARTBEAT_INTERVAL;
             self.send_heartbeats();
         }
-        if now >= self.sweep_at {
-            self.sweep_at = now + SWEEP;
+        if now >= self.expire_at {
+            self.expire_at = now + EXPIRY_INTERVAL;
             self.table.expire(now);
         }
-        if now >= self.refresh_at {
-            self.refresh_at = now + crate::endpoints::REFRESH;
+        if now >= self.reannounce_at {
+            self.reannounce_at = now + crate::endpoints::REFRESH;
             self.reannounce(now);
         }
         self.step_sync(now);
@@ -274,11 +274,11 @@
         match link.role {
             Role::Accepted => self.on_handshake(now, key, &frame),
             Role::Dialled(purpose) => self.on_handshake_reply(now, key, purpose, frame),
-            Role::Parent | Role::Child | Role::RootPeer => self.on_news(now, key, frame),
+            Role::Parent | Role::Child | Role::RootPeer => self.on_update(now, key, frame),
         }
     }
 
-    fn on_news(&mut self, now: Instant, key: LinkKey, frame: Frame) {
+    fn on_update(&mut self, now: Instant, key: LinkKey, frame: Frame) {
         match frame {
             Frame::Beat(beat) => self.on_heartbeat(now, key, &beat),
             Frame::Step {
--- a/crates/fleet/src/outage.rs
+++ b/crates/fleet/src/outage.rs
@@ -76,7 +76,7 @@
         if answers {
             self.outage.stand_in_at = None;
             self.outage.round_at = None;
-            if self.lease.is_provisional() {
+            if self.lease.is_acting() {
                 self.step_aside(now);
             }
         }
@@ -151,7 +151,7 @@
         }
         self.outage.stand_in_at = None;
         self.outage.round_at = Some(now);
-        self.lease.become_provisional();
+        self.lease.start_acting();
         for parent in self.find_links(|link| link.role == Role::Parent) {
             self.close(parent);
         }
@@ -218,7 +218,7 @@
 
     /// Gives the place of a root up, as the platform can give out leases again.
     fn step_aside(&mut self, now: Instant) {
-        self.lease.end_provisional();
+        self.lease.stop_acting();
         self.leave_equals();
         self.set_path(Vec::new());
         self.start_search(now);
--- a/crates/fleet/src/parent.rs
+++ b/crates/fleet/src/parent.rs
@@ -15,7 +15,7 @@
 pub const MAX_CANDIDATES: usize = 64;
 
 /// Time before a node that could not be reached is tried again.
-const UNREACHED: Duration = Duration::from_millis(500);
+const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Where a candidate's address comes from; earlier ones are tried first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,11 +33,11 @@
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     source: Source,
-    tries: u32,
+    attempts: u32,
     /// Times that it was asked what it holds.
-    asked: u32,
+    version_queries: u32,
     not_before: Instant,
-    is_unreached: bool,
+    is_unreachable: bool,
 }
 
 /// The nodes that may become the parent.
@@ -50,27 +50,27 @@
     /// Notes a candidate; a root is one even if it was only a hint before.
     pub fn add(&mut self, address: SocketAddr, source: Source, now: Instant) {
         if self.known.len() >= MAX_CANDIDATES && !self.known.contains_key(&address) {
-            self.forget_worst();
+            self.evict_worst();
         }
         let known = self.known.entry(address).or_insert(Candidate {
             source,
-            tries: 0,
-            asked: 0,
+            attempts: 0,
+            version_queries: 0,
             not_before: now,
-            is_unreached: false,
+            is_unreachable: false,
         });
         if source == Source::Root {
             known.source = source;
         }
     }
 
-    fn forget_worst(&mut self) {
+    fn evict_worst(&mut self) {
         let hints = self
             .known
             .iter()
             .filter(|(_, at)| matches!(at.source, Source::Hint | Source::OtherZone));
         let worst = hints
-            .max_by_key(|(_, at)| at.tries)
+            .max_by_key(|(_, at)| at.attempts)
             .map(|(address, _)| *address);
         if let Some(address) = worst {
             self.known.remove(&address);
@@ -83,10 +83,10 @@
         let ready = self.known.iter_mut().filter(|(_, at)| is_ready(at));
         let best = ready.min_by_key(|(address, at)| {
             let rank = std::cmp::Reverse(rendezvous(own, **address));
-            (at.tries, at.source, rank)
+            (at.attempts, at.source, rank)
         });
         let (address, candidate) = best?;
-        candidate.tries += 1;
+        candidate.attempts += 1;
         Some(*address)
     }
 
@@ -94,9 +94,10 @@
     pub fn pick_version_source(&mut self, parent: Option<SocketAddr>) -> Option<SocketAddr> {
         let others = self.known.iter_mut();
         let others = others.filter(|(address, _)| Some(**address) != parent);
-        let best = others.min_by_key(|(_, known)| (known.asked, std::cmp::Reverse(known.source)));
+        let best = others
+            .min_by_key(|(_, known)| (known.version_queries, std::cmp::Reverse(known.source)));
         let (address, known) = best?;
-        known.asked += 1;
+        known.version_queries += 1;
         Some(*address)
     }
 
@@ -104,15 +105,15 @@
     pub fn postpone(&mut self, address: SocketAddr, until: Instant) {
         if let Some(known) = self.known.get_mut(&address) {
             known.not_before = until;
-            known.is_unreached = false;
+            known.is_unreachable = false;
         }
     }
 
     /// Notes that a candidate could not be reached or fell silent.
     pub fn mark_unreachable(&mut self, address: SocketAddr, now: Instant) {
         if let Some(known) = self.known.get_mut(&address) {
-            known.not_before = now + UNREACHED;
-            known.is_unreached = true;
+            known.not_before = now + UNREACHABLE_RETRY_DELAY;
+            known.is_unreachable = true;
         }
     }
 
@@ -121,13 +122,13 @@
     pub fn is_unreachable(&self, address: SocketAddr) -> bool {
         self.known
             .get(&address)
-            .is_some_and(|known| known.is_unreached)
+            .is_some_and(|known| known.is_unreachable)
     }
 
     /// Starts a new search: all are as good as untried, but for those just lost.
     pub fn reset_attempts(&mut self) {
         for known in self.known.values_mut() {
-            known.tries = 0;
+            known.attempts = 0;
         }
     }
 
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -12,14 +12,14 @@
 use wire::control::{Chunk, Frame, MAX_CHUNKS};
 
 /// Steps kept for neighbours that are behind: 25 minutes at 3,700 a day.
-const MAX_STEPS: usize = 64;
+const MAX_RETAINED_STEPS: usize = 64;
 
 /// Changes kept in all steps together: about 1 MB at the largest.
-const MAX_KEPT: usize = 2_000;
+const MAX_RETAINED_CHANGES: usize = 2_000;
 
 /// Longest step that is sent as one: at 46 bytes a route, 100 are 4.6 kB. A
 /// longer one goes as a whole configuration, which is compressed: 6 bytes a route.
-const MAX_CHANGES: usize = 100;
+const MAX_STEP_CHANGES: usize = 100;
 
 /// A step from one version to the next.
 #[derive(Debug, Clone)]
@@ -74,7 +74,7 @@
 pub struct Replica {
     held: Held,
     steps: VecDeque<Step>,
-    kept: usize,
+    retained_changes: usize,
     refused: Option<(Version, SmolStr)>,
     assembly: Option<Assembly>,
     /// What is held, cut up for others, once one has asked for it.
@@ -115,9 +115,9 @@
         let result = self
             .held
             .step(step.base, step.version, &step.patch, step.digest);
-        let taken = self.settle(step.version, result);
+        let taken = self.record_outcome(step.version, result);
         if taken == ApplyOutcome::Applied {
-            self.keep(step);
+            self.retain(step);
         }
         taken
     }
@@ -133,7 +133,7 @@
         }
         let base = self.held.clone();
         let result = self.held.adopt(version, mesh);
-        let taken = self.settle(version, result);
+        let taken = self.record_outcome(version, result);
         if taken != ApplyOutcome::Applied {
             return (taken, None);
         }
@@ -146,18 +146,18 @@
             patch: Arc::new(config::diff(base.mesh(), self.held.mesh())),
             digest: self.held.digest(),
         };
-        self.keep(step.clone());
+        self.retain(step.clone());
         (taken, Some(step))
     }
 
     /// Takes a whole configuration, if it is a higher version.
     pub fn apply_snapshot(&mut self, version: Version, mesh: Mesh, digest: Digest) -> ApplyOutcome {
         let result = self.held.replace(version, mesh, digest);
-        let taken = self.settle(version, result);
+        let taken = self.record_outcome(version, result);
         if taken == ApplyOutcome::Applied {
             // The steps kept don't lead up to this version.
             self.steps.clear();
-            self.kept = 0;
+            self.retained_changes = 0;
         }
         taken
     }
@@ -215,7 +215,7 @@
             let range = self.steps.range(first..);
             if range
                 .clone()
-                .all(|step| step.patch.changes.len() <= MAX_CHANGES)
+                .all(|step| step.patch.changes.len() <= MAX_STEP_CHANGES)
             {
                 return range.map(Step::frame).collect();
             }
@@ -231,7 +231,7 @@
         chunks.iter().cloned().map(Frame::Chunk).collect()
     }
 
-    fn settle(&mut self, version: Version, result: Result<(), Error>) -> ApplyOutcome {
+    fn record_outcome(&mut self, version: Version, result: Result<(), Error>) -> ApplyOutcome {
         match result {
             Ok(()) => {
                 if self.refused.as_ref().is_some_and(|(at, _)| *at <= version) {
@@ -249,12 +249,14 @@
         }
     }
 
-    fn keep(&mut self, step: Step) {
-        self.kept += step.patch.changes.len();
+    fn retain(&mut self, step: Step) {
+        self.retained_changes += step.patch.changes.len();
         self.steps.push_back(step);
-        while self.steps.len() > MAX_STEPS || (self.kept > MAX_KEPT && self.steps.len() > 1) {
+        while self.steps.len() > MAX_RETAINED_STEPS
+            || (self.retained_changes > MAX_RETAINED_CHANGES && self.steps.len() > 1)
+        {
             if let Some(old) = self.steps.pop_front() {
-                self.kept -= old.patch.changes.len();
+                self.retained_changes -= old.patch.changes.len();
             }
         }
     }
--- a/crates/fleet/src/sync.rs
+++ b/crates/fleet/src/sync.rs
@@ -20,32 +20,32 @@
 /// Longest wait of a root for the endpoints that other roots know: meeting one
 /// takes two reads of the leases, and the leases of a zone that is down stay
 /// live for some seconds.
-const ALONE: Duration = Duration::from_secs(2);
+const ROOT_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for a step to come by itself, before it is asked for.
-const WANT: Duration = Duration::from_millis(150);
+const REQUEST_DELAY: Duration = Duration::from_millis(150);
 
 /// Bounds of the time between further questions: the whole is long.
-const WANT_AGAIN: (Duration, Duration) = (Duration::from_secs(1), Duration::from_mins(1));
+const REQUEST_RETRY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_mins(1));
 
 /// Time that news of endpoints are gathered for: six hops then take 120 ms.
-const GATHER: Duration = Duration::from_millis(20);
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 
 /// Time between views made for endpoints alone: one of 14,000 takes a few
 /// milliseconds to make, which must not be spent for each of a burst.
-const VIEW: Duration = Duration::from_millis(50);
+const VIEW_DELAY: Duration = Duration::from_millis(50);
 
 /// News that wait to be sent, asked for, or served by.
 #[derive(Debug)]
 pub(crate) struct SyncState {
     /// Nodes with news and the link they came by; several links count as none.
-    nodes: BTreeMap<SmolStr, Option<LinkKey>>,
+    changed_nodes: BTreeMap<SmolStr, Option<LinkKey>>,
     flush_at: Option<Instant>,
     view_at: Option<Instant>,
-    want_at: Option<Instant>,
-    want_wait: Duration,
+    request_at: Option<Instant>,
+    request_wait: Duration,
     /// When a root takes what it has for all endpoints.
-    alone_at: Option<Instant>,
+    sync_deadline: Option<Instant>,
     /// Highest version that the platform told of.
     pub(crate) platform_head: Version,
 }
@@ -53,12 +53,12 @@
 impl Default for SyncState {
     fn default() -> Self {
         Self {
-            nodes: BTreeMap::new(),
+            changed_nodes: BTreeMap::new(),
             flush_at: None,
             view_at: None,
-            want_at: None,
-            want_wait: WANT_AGAIN.0,
-            alone_at: None,
+            request_at: None,
+            request_wait: REQUEST_RETRY.0,
+            sync_deadline: None,
             platform_head: Version::ZERO,
         }
     }
@@ -66,7 +66,12 @@
 
 impl SyncState {
     pub(crate) fn deadline(&self) -> Option<Instant> {
-        let all = [self.flush_at, self.view_at, self.want_at, self.alone_at];
+        let all = [
+            self.flush_at,
+            self.view_at,
+            self.request_at,
+            self.sync_deadline,
+        ];
         all.into_iter().flatten().min()
     }
 }
@@ -80,10 +85,10 @@
         };
         link.version = link.version.max(version);
         if link.version > held {
-            self.want_soon(now);
+            self.schedule_request(now);
         } else if link.version < held && link.role != Role::RootPeer {
             let after = std::mem::replace(&mut link.version, held);
-            self.send_after(key, after, false);
+            self.send_updates_after(key, after, false);
         }
     }
 
@@ -95,11 +100,11 @@
         }
     }
 
-    fn want_soon(&mut self, now: Instant) {
-        self.sync.want_at.get_or_insert(now + WANT);
+    fn schedule_request(&mut self, now: Instant) {
+        self.sync.request_at.get_or_insert(now + REQUEST_DELAY);
     }
 
-    fn send_after(&mut self, key: LinkKey, after: Version, whole: bool) {
+    fn send_updates_after(&mut self, key: LinkKey, after: Version, whole: bool) {
         let whole = whole || self.settings.sends_snapshots;
         let frames = self.replica.frames_after(after, whole);
         if frames.len() > 1 {
@@ -116,22 +121,22 @@
         if let Some(link) = self.links.get_mut(&key) {
             link.version = link.version.max(held);
         }
-        self.send_after(key, after, whole);
+        self.send_updates_after(key, after, whole);
     }
 
     pub(crate) fn on_step(&mut self, now: Instant, key: LinkKey, step: &Step) {
-        self.note_version(key, step.version);
+        self.note_peer_version(key, step.version);
         let taken = self.replica.apply_step(step.clone());
         self.finish_step(now, taken, step);
     }
 
     pub(crate) fn on_chunk(&mut self, now: Instant, key: LinkKey, chunk: &Chunk) {
-        self.note_version(key, chunk.version);
+        self.note_peer_version(key, chunk.version);
         let taken = self.replica.apply_chunk(chunk);
         self.handle_outcome(now, taken);
     }
 
-    fn note_version(&mut self, key: LinkKey, version: Version) {
+    fn note_peer_version(&mut self, key: LinkKey, version: Version) {
         if let Some(link) = self.links.get_mut(&key) {
             link.version = link.version.max(version);
         }
@@ -143,7 +148,7 @@
         if taken == ApplyOutcome::Refused || is_stuck {
             let behind = |link: &Link| link.role == Role::Child && link.version < step.version;
             for child in self.find_links(behind) {
-                self.note_version(child, step.version);
+                self.note_peer_version(child, step.version);
                 self.send(child, step.frame());
             }
         }
@@ -152,20 +157,20 @@
 
     pub(crate) fn handle_outcome(&mut self, now: Instant, taken: ApplyOutcome) {
         match taken {
-            ApplyOutcome::Applied => self.advance(now),
-            ApplyOutcome::Gap => self.want_soon(now),
+            ApplyOutcome::Applied => self.propagate_version(now),
+            ApplyOutcome::Gap => self.schedule_request(now),
             ApplyOutcome::Refused => {
                 self.counters.refusals += 1;
-                self.want_soon(now);
+                self.schedule_request(now);
             }
             ApplyOutcome::Stale | ApplyOutcome::Partial => {}
         }
     }
 
     /// Hands a version on that has just been applied, and serves by it.
-    fn advance(&mut self, now: Instant) {
+    fn propagate_version(&mut self, now: Instant) {
         self.counters.versions += 1;
-        self.sync.want_wait = WANT_AGAIN.0;
+        self.sync.request_wait = REQUEST_RETRY.0;
         let held = self.version();
         let is_behind = |link: &Link| link.is_established() && link.version < held;
         for key in self.find_links(is_behind) {
@@ -177,13 +182,13 @@
                 continue;
             }
             let after = std::mem::replace(&mut link.version, held);
-            self.send_after(key, after, false);
+            self.send_updates_after(key, after, false);
         }
         let links = self.links.values().filter(|link| link.is_established());
         let highest = links.map(|link| link.version).max();
         if self.sync.platform_head.max(highest.unwrap_or_default()) > held {
             // On the way to a higher version, which replaces this one at once.
-            self.sync.view_at.get_or_insert(now + VIEW);
+            self.sync.view_at.get_or_insert(now + VIEW_DELAY);
         } else {
             self.sync.view_at = Some(now);
         }
@@ -199,7 +204,7 @@
             if merged != Merged::Known && endpoint.state != State::Gone {
                 self.guard.find(&endpoint.node);
             }
-            self.spread(now, &endpoint.node, merged, Some(key));
+            self.propagate_endpoint(now, &endpoint.node, merged, Some(key));
         }
     }
 
@@ -207,14 +212,20 @@
     ///
     /// A mere refresh makes no new view: at 14,000 endpoints these come all the
     /// time, and a view of them takes milliseconds to make.
-    fn spread(&mut self, now: Instant, node: &SmolStr, merged: Merged, from: Option<LinkKey>) {
+    fn propagate_endpoint(
+        &mut self,
+        now: Instant,
+        node: &SmolStr,
+        merged: Merged,
+        from: Option<LinkKey>,
+    ) {
         if merged == Merged::Known {
             return;
         }
-        self.sync.nodes.insert(node.clone(), from);
-        self.sync.flush_at.get_or_insert(now + GATHER);
+        self.sync.changed_nodes.insert(node.clone(), from);
+        self.sync.flush_at.get_or_insert(now + BATCH_DELAY);
         if merged == Merged::Changed {
-            self.sync.view_at.get_or_insert(now + VIEW);
+            self.sync.view_at.get_or_insert(now + VIEW_DELAY);
         }
     }
 
@@ -223,7 +234,7 @@
         let Some(own) = &mut self.local_endpoint else {
             // A former process of this VM; its place is taken once the backend server is here.
             let merged = self.table.merge(&Arc::new(endpoint.clone()), now);
-            self.spread(now, &endpoint.node, merged, None);
+            self.propagate_endpoint(now, &endpoint.node, merged, None);
             return;
         };
         if endpoint.rank() <= own.rank() {
@@ -267,7 +278,7 @@
         own.sequence += 1;
         let endpoint = Arc::new(own.clone());
         let merged = self.table.merge(&endpoint, now);
-        self.spread(now, &endpoint.node, merged, None);
+        self.propagate_endpoint(now, &endpoint.node, merged, None);
     }
 
     /// Announces that the own endpoint is gone.
@@ -290,7 +301,7 @@
         for node in self.guard.take_gone(neighbours, self.has_root(), now) {
             if self.table.bury(&node, now).is_some() {
                 self.counters.departures += 1;
-                self.spread(now, &node, Merged::Changed, None);
+                self.propagate_endpoint(now, &node, Merged::Changed, None);
             }
         }
     }
@@ -316,7 +327,7 @@
 
     fn set_synced(&mut self) {
         self.is_synced = true;
-        self.sync.alone_at = None;
+        self.sync.sync_deadline = None;
     }
 
     /// Serves without the endpoints of others, at once if no other root is known.
@@ -331,14 +342,16 @@
             return;
         }
         if seats.any(|seat| seat.is_live && seat.holder.node != *own) {
-            self.sync.alone_at.get_or_insert(now + ALONE);
+            self.sync
+                .sync_deadline
+                .get_or_insert(now + ROOT_SYNC_TIMEOUT);
         } else {
             self.set_synced();
         }
     }
 
     pub(crate) fn step_gate(&mut self, now: Instant) {
-        if self.sync.alone_at.is_some_and(|at| now >= at) {
+        if self.sync.sync_deadline.is_some_and(|at| now >= at) {
             self.set_synced();
         }
         let was_open = self.gate.is_open();
@@ -359,10 +372,10 @@
         let is_due = |at: Option<Instant>| at.is_some_and(|at| now >= at);
         if is_due(self.sync.flush_at) {
             self.sync.flush_at = None;
-            self.flush();
+            self.send_endpoint_updates();
         }
-        if is_due(self.sync.want_at) {
-            self.want(now);
+        if is_due(self.sync.request_at) {
+            self.request_missing(now);
         }
         if is_due(self.sync.view_at) && self.is_ready() {
             self.sync.view_at = None;
@@ -370,12 +383,12 @@
             self.counters.views += 1;
             self.actions.push(Action::Install(Arc::new(view)));
         } else if is_due(self.sync.view_at) {
-            self.sync.view_at = Some(now + VIEW);
+            self.sync.view_at = Some(now + VIEW_DELAY);
         }
     }
 
-    fn flush(&mut self) {
-        let nodes = std::mem::take(&mut self.sync.nodes);
+    fn send_endpoint_updates(&mut self) {
+        let nodes = std::mem::take(&mut self.sync.changed_nodes);
         for key in self.find_links(Link::is_established) {
             let list: Vec<_> = nodes
                 .iter()
@@ -389,8 +402,8 @@
     }
 
     /// Asks the neighbour that holds the highest version for what is missing here.
-    fn want(&mut self, now: Instant) {
-        self.sync.want_at = None;
+    fn request_missing(&mut self, now: Instant) {
+        self.sync.request_at = None;
         let after = self.version();
         let ahead = self.links.iter().filter(|(_, link)| link.is_established());
         let best = ahead.max_by_key(|(_, link)| link.version);
@@ -400,10 +413,10 @@
         let key = *key;
         let whole = self.replica.refused().is_some();
         self.send(key, Frame::Want { after, whole });
-        let wait = self.sync.want_wait;
-        self.sync.want_at = Some(now + wait + self.jitter(wait / 4));
+        let wait = self.sync.request_wait;
+        self.sync.request_at = Some(now + wait + self.jitter(wait / 4));
         if whole {
-            self.sync.want_wait = (wait * 2).min(WANT_AGAIN.1);
+            self.sync.request_wait = (wait * 2).min(REQUEST_RETRY.1);
         }
     }
 }
--- a/crates/fleet/tests/converge.rs
+++ b/crates/fleet/tests/converge.rs
@@ -77,7 +77,7 @@
 // serves on, its list of endpoints stays whole, and after the cut it catches
 // up in one step.
 #[test]
-fn zone_cut() {
+fn zone_partitioned() {
     let mut world = started(3, 10, 4);
     let cut = roots(&world, 2);
     world.partition(2, 0);
@@ -187,7 +187,7 @@
 // would go on hearing nothing new until it gave up the parent in turn; the
 // echo in the beats shows it earlier that it isn't heard.
 #[test]
-fn link_mute() {
+fn link_one_way() {
     let mut world = started(2, 12, 10);
     let leaves = (0..24).filter(|vm| {
         let node = world.vms[*vm].node.as_ref();
--- a/crates/fleet/tests/randomised.rs
+++ b/crates/fleet/tests/randomised.rs
@@ -14,7 +14,7 @@
 const STEPS: usize = 250;
 
 /// One random event.
-fn shake(world: &mut World) {
+fn inject_fault(world: &mut World) {
     let vm = world.random_index(NODES);
     match world.random_index(18) {
         0 | 1 => world.kill(vm, false),
@@ -58,7 +58,7 @@
 }
 
 /// Ends all faults and starts all processes.
-fn heal(world: &mut World) {
+fn end_faults(world: &mut World) {
     world.network_faults = NetworkFaults::default();
     world.partitions.clear();
     world.platform.loses_answers = false;
@@ -79,7 +79,7 @@
     fifth = { 15 }, sixth = { 16 }, seventh = { 17 }, eighth = { 18 },
     sources_full = { 2027 },
 )]
-fn shaken_fleet(seed: u64) {
+fn random_faults(seed: u64) {
     let mut world = World::new(ZONES, NODES / ZONES, seed);
     world.run(5 * S);
     for step in 0..STEPS {
@@ -93,14 +93,14 @@
         if step % 50 == 49 {
             world.network_faults = NetworkFaults::default();
         }
-        shake(&mut world);
+        inject_fault(&mut world);
         if world.random_index(2) == 0 && !world.platform.is_down {
             world.propose();
         }
         let pause = u32::try_from(world.random_index(900)).unwrap_or_default();
         world.run(pause * MS);
     }
-    heal(&mut world);
+    end_faults(&mut world);
     let version = world.propose();
     world.run_until(30 * S, "healed", |world| {
         world.all_serve(version) && world.all_rooted()
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -26,7 +26,7 @@
 
 /// What comes to a process.
 #[derive(Debug)]
-enum Item {
+enum Input {
     Dialled { from: usize, from_key: LinkKey },
     Connected { key: LinkKey, to: usize },
     Refused { key: LinkKey },
@@ -41,28 +41,28 @@
 }
 
 #[derive(Debug)]
-struct Due {
+struct ScheduledInput {
     at: Duration,
-    order: u64,
+    sequence: u64,
     vm: usize,
     incarnation: u64,
-    item: Item,
+    input: Input,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledInput {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for ScheduledInput {}
+impl PartialOrd for ScheduledInput {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for ScheduledInput {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
@@ -78,26 +78,26 @@
     pub served: Version,
     /// When it began to serve by each version.
     pub installed: BTreeMap<Version, Duration>,
-    frozen: Option<VecDeque<(u64, Item)>>,
+    frozen_inputs: Option<VecDeque<(u64, Input)>>,
     /// What the process knows of crashes.
-    quarantine: Ledger,
+    crash_history: Ledger,
     /// What its calls follow.
     pub rollouts: Vec<Rollout>,
     pub backend: State,
     /// How far the VM's time of day is behind.
-    skew: Duration,
+    clock_offset: Duration,
     wake_at: Duration,
 }
 
 #[derive(Debug)]
-struct Conn {
+struct Connection {
     ends: [(usize, u64, Option<LinkKey>); 2],
     /// Earliest arrival at each end, to keep frames in order.
-    last: [Duration; 2],
+    last_arrival: [Duration; 2],
     /// Whether frames towards each end vanish.
     is_silent: [bool; 2],
     /// Whether neither end learns that the other has closed.
-    loses_close: bool,
+    drops_close: bool,
     is_open: bool,
 }
 
@@ -129,9 +129,9 @@
     pub has_seeds: bool,
     start: Instant,
     rng: SmallRng,
-    queue: BinaryHeap<Reverse<Due>>,
-    order: u64,
-    conns: Vec<Conn>,
+    queue: BinaryHeap<Reverse<ScheduledInput>>,
+    sequence: u64,
+    connections: Vec<Connection>,
     by_key: BTreeMap<(usize, u64, LinkKey), usize>,
     by_address: BTreeMap<SocketAddr, usize>,
 }
@@ -198,8 +198,8 @@
             start: Instant::now(),
             rng: SmallRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
-            order: 0,
-            conns: Vec::new(),
+            sequence: 0,
+            connections: Vec::new(),
             by_key: BTreeMap::new(),
             by_address: BTreeMap::new(),
         };
@@ -218,11 +218,11 @@
                 view: None,
                 served: Version::ZERO,
                 installed: BTreeMap::new(),
-                frozen: None,
-                quarantine: Ledger::default(),
+                frozen_inputs: None,
+                crash_history: Ledger::default(),
                 rollouts: Vec::new(),
                 backend: State::Serving,
-                skew: Duration::ZERO,
+                clock_offset: Duration::ZERO,
                 wake_at: Duration::MAX,
             });
         }
@@ -254,60 +254,61 @@
             local: slot.own.clone(),
             region: "north".into(),
             incarnation: slot.incarnation,
-            started_ms: u64::try_from(self.now.saturating_sub(slot.skew).as_millis()).unwrap(),
+            started_ms: u64::try_from(self.now.saturating_sub(slot.clock_offset).as_millis())
+                .unwrap(),
             seeds,
             follows_rollouts: true,
             sends_snapshots: false,
         };
         slot.node = Some(Node::new(settings, seed, now));
         slot.view = None;
-        slot.frozen = None;
-        slot.quarantine = Ledger::default();
+        slot.frozen_inputs = None;
+        slot.crash_history = Ledger::default();
         slot.rollouts.clear();
         slot.backend = State::Serving;
         slot.wake_at = Duration::MAX;
-        self.push(vm, Duration::ZERO, Item::Own);
+        self.schedule(vm, Duration::ZERO, Input::Own);
     }
 
     /// Ends a VM's process; with `is_vm` the whole VM vanishes, and nobody is told.
     pub fn kill(&mut self, vm: usize, is_vm: bool) {
         self.vms[vm].node = None;
-        self.vms[vm].frozen = None;
+        self.vms[vm].frozen_inputs = None;
         self.platform.unfollow(vm);
-        for conn in 0..self.conns.len() {
-            let ends = self.conns[conn].ends.map(|end| end.0);
-            if self.conns[conn].is_open && ends.contains(&vm) {
+        for conn in 0..self.connections.len() {
+            let ends = self.connections[conn].ends.map(|end| end.0);
+            if self.connections[conn].is_open && ends.contains(&vm) {
                 if is_vm {
-                    self.conns[conn].is_silent = [true; 2];
+                    self.connections[conn].is_silent = [true; 2];
                 } else {
-                    self.end_conn(conn, vm);
+                    self.close_connection(conn, vm);
                 }
             }
         }
     }
 
     pub fn freeze(&mut self, vm: usize) {
-        self.vms[vm].frozen = Some(VecDeque::new());
+        self.vms[vm].frozen_inputs = Some(VecDeque::new());
     }
 
     pub fn unfreeze(&mut self, vm: usize) {
-        let Some(kept) = self.vms[vm].frozen.take() else {
+        let Some(kept) = self.vms[vm].frozen_inputs.take() else {
             return;
         };
-        for (incarnation, item) in kept {
-            self.push_for(vm, incarnation, Duration::ZERO, item);
+        for (incarnation, input) in kept {
+            self.schedule_for(vm, incarnation, Duration::ZERO, input);
         }
-        self.push(vm, Duration::ZERO, Item::Wake);
+        self.schedule(vm, Duration::ZERO, Input::Wake);
     }
 
     /// Sets a VM's time of day back.
     pub fn set_clock_back(&mut self, vm: usize, by: Duration) {
-        self.vms[vm].skew = by;
+        self.vms[vm].clock_offset = by;
     }
 
     /// Makes all links of a VM silent towards it; new ones work.
     pub fn drop_incoming(&mut self, vm: usize) {
-        for conn in &mut self.conns {
+        for conn in &mut self.connections {
             for side in 0..2 {
                 if conn.ends[side].0 == vm {
                     conn.is_silent[side] = true;
@@ -318,11 +319,11 @@
 
     /// Loses all that a VM sends over its links, and the news that they were closed; what comes to it still comes.
     pub fn drop_outgoing(&mut self, vm: usize) {
-        for conn in &mut self.conns {
+        for conn in &mut self.connections {
             for side in 0..2 {
                 if conn.ends[side].0 == vm {
                     conn.is_silent[1 - side] = true;
-                    conn.loses_close = true;
+                    conn.drops_close = true;
                 }
             }
         }
@@ -331,7 +332,7 @@
     /// Makes a VM's backend server leave or come back.
     pub fn set_backend(&mut self, vm: usize, state: State) {
         self.vms[vm].backend = state;
-        self.push(vm, Duration::ZERO, Item::Own);
+        self.schedule(vm, Duration::ZERO, Input::Own);
     }
 
     /// Stops a VM's process in order.
@@ -350,15 +351,15 @@
         let (a, b) = (zone_name(a), zone_name(b));
         self.partitions.insert((a.clone(), b.clone()));
         self.partitions.insert((b, a));
-        for conn in 0..self.conns.len() {
-            let [one, other] = self.conns[conn].ends.map(|end| end.0);
-            if self.is_cut(one, other) {
-                self.conns[conn].is_silent = [true; 2];
+        for conn in 0..self.connections.len() {
+            let [one, other] = self.connections[conn].ends.map(|end| end.0);
+            if self.is_partitioned(one, other) {
+                self.connections[conn].is_silent = [true; 2];
             }
         }
     }
 
-    fn is_cut(&self, one: usize, other: usize) -> bool {
+    fn is_partitioned(&self, one: usize, other: usize) -> bool {
         let zone = |vm: usize| self.vms[vm].own.zone.to_string();
         self.partitions.contains(&(zone(one), zone(other)))
     }
@@ -408,9 +409,9 @@
     }
 
     fn feed_followers(&mut self) {
-        for (vm, answers) in self.platform.feed() {
+        for (vm, answers) in self.platform.take_updates() {
             for answer in answers {
-                self.push(vm, MS, Item::Answer(answer));
+                self.schedule(vm, MS, Input::Answer(answer));
             }
         }
     }
@@ -426,7 +427,7 @@
                 break;
             };
             self.now = self.now.max(due.at);
-            self.take(due);
+            self.deliver(due);
         }
         self.now = end;
     }
@@ -452,7 +453,7 @@
     pub fn all_serve(&self, version: Version) -> bool {
         self.vms
             .iter()
-            .filter(|vm| vm.node.is_some() && vm.frozen.is_none())
+            .filter(|vm| vm.node.is_some() && vm.frozen_inputs.is_none())
             .all(|vm| {
                 vm.view
                     .as_ref()
@@ -489,25 +490,25 @@
                 node.map(Node::path),
                 node.map(Node::is_ready),
                 vm.view.as_ref().map_or(0, |view| view.endpoints().len()),
-                vm.frozen.is_some(),
+                vm.frozen_inputs.is_some(),
             )
         });
         lines.collect::<Vec<_>>().join("\n")
     }
 
-    fn push(&mut self, vm: usize, wait: Duration, item: Item) {
+    fn schedule(&mut self, vm: usize, wait: Duration, input: Input) {
         let incarnation = self.vms[vm].incarnation;
-        self.push_for(vm, incarnation, wait, item);
+        self.schedule_for(vm, incarnation, wait, input);
     }
 
-    fn push_for(&mut self, vm: usize, incarnation: u64, wait: Duration, item: Item) {
-        self.order += 1;
-        self.queue.push(Reverse(Due {
+    fn schedule_for(&mut self, vm: usize, incarnation: u64, wait: Duration, input: Input) {
+        self.sequence += 1;
+        self.queue.push(Reverse(ScheduledInput {
             at: self.now + wait,
-            order: self.order,
+            sequence: self.sequence,
             vm,
             incarnation,
-            item,
+            input,
         }));
     }
 
@@ -515,57 +516,57 @@
         Duration::from_micros(self.rng.random_range(200..700))
     }
 
-    fn take(&mut self, due: Due) {
-        let Due {
+    fn deliver(&mut self, due: ScheduledInput) {
+        let ScheduledInput {
             vm,
             incarnation,
-            item,
+            input,
             ..
         } = due;
         if self.vms[vm].incarnation != incarnation || self.vms[vm].node.is_none() {
-            if let Item::Dialled { from, from_key } = item {
+            if let Input::Dialled { from, from_key } = input {
                 let wait = self.latency();
-                self.push(from, wait, Item::Refused { key: from_key });
+                self.schedule(from, wait, Input::Refused { key: from_key });
             }
             return;
         }
-        if let Some(kept) = &mut self.vms[vm].frozen {
-            kept.push_back((incarnation, item));
+        if let Some(kept) = &mut self.vms[vm].frozen_inputs {
+            kept.push_back((incarnation, input));
             return;
         }
         let now = self.instant();
-        if matches!(item, Item::Wake) {
+        if matches!(input, Input::Wake) {
             self.vms[vm].wake_at = Duration::MAX;
         }
-        let event = match item {
-            Item::Dialled { from, from_key } => {
+        let event = match input {
+            Input::Dialled { from, from_key } => {
                 self.connect(vm, from, from_key);
                 return;
             }
-            Item::Connected { key, to } => Event::Connected {
+            Input::Connected { key, to } => Event::Connected {
                 link: key,
                 peer: self.vms[to].own.clone(),
             },
-            Item::Refused { key } => Event::Closed { link: key },
-            Item::Closed { conn } => match self.key_at(conn, vm) {
+            Input::Refused { key } => Event::Closed { link: key },
+            Input::Closed { conn } => match self.key_at(conn, vm) {
                 Some(link) => Event::Closed { link },
                 None => return,
             },
-            Item::Frame { conn, frame } => match self.key_at(conn, vm) {
+            Input::Frame { conn, frame } => match self.key_at(conn, vm) {
                 Some(link) => Event::Frame {
                     link,
                     frame: *frame,
                 },
                 None => return,
             },
-            Item::Answer(answer) => Event::Platform(answer),
-            Item::Crashes(list) => Event::Crashes(list),
-            Item::Tally(service, tally) => Event::Tallies(vec![(service, tally)]),
-            Item::Report(rollout) => {
+            Input::Answer(answer) => Event::Platform(answer),
+            Input::Crashes(list) => Event::Crashes(list),
+            Input::Tally(service, tally) => Event::Tallies(vec![(service, tally)]),
+            Input::Report(rollout) => {
                 self.report(vm, rollout);
                 return;
             }
-            Item::Own => Event::Own(Backend {
+            Input::Own => Event::Own(Backend {
                 service: self.vms[vm].service.clone().into(),
                 version: "".into(),
                 slots: 6,
@@ -573,17 +574,17 @@
                 cold_ms: None,
                 state: self.vms[vm].backend,
             }),
-            Item::Wake => Event::Wake,
+            Input::Wake => Event::Wake,
         };
         let Some(node) = &mut self.vms[vm].node else {
             return;
         };
         let actions = node.handle(now, event);
         self.run_actions(vm, actions);
-        self.plan_wake(vm);
+        self.schedule_wake(vm);
     }
 
-    fn plan_wake(&mut self, vm: usize) {
+    fn schedule_wake(&mut self, vm: usize) {
         let now = self.instant();
         let Some(node) = &self.vms[vm].node else {
             return;
@@ -593,7 +594,7 @@
         let at = next - self.start;
         if at < self.vms[vm].wake_at {
             self.vms[vm].wake_at = at;
-            self.push(vm, at.saturating_sub(self.now), Item::Wake);
+            self.schedule(vm, at.saturating_sub(self.now), Input::Wake);
         }
     }
 
@@ -609,47 +610,47 @@
             (from, self.vms[from].incarnation, Some(from_key)),
             (vm, self.vms[vm].incarnation, Some(key)),
         ];
-        let conn = self.conns.len();
+        let conn = self.connections.len();
         self.by_key.insert((from, ends[0].1, from_key), conn);
         self.by_key.insert((vm, ends[1].1, key), conn);
-        self.conns.push(Conn {
+        self.connections.push(Connection {
             ends,
-            last: [Duration::ZERO; 2],
+            last_arrival: [Duration::ZERO; 2],
             is_silent: [false; 2],
-            loses_close: false,
+            drops_close: false,
             is_open: true,
         });
         let wait = self.latency();
-        self.push(
+        self.schedule(
             from,
             wait,
-            Item::Connected {
+            Input::Connected {
                 key: from_key,
                 to: vm,
             },
         );
-        self.plan_wake(vm);
+        self.schedule_wake(vm);
     }
 
     fn key_at(&self, conn: usize, vm: usize) -> Option<LinkKey> {
-        let end = self.conns[conn].ends.iter().find(|end| end.0 == vm)?;
+        let end = self.connections[conn].ends.iter().find(|end| end.0 == vm)?;
         (end.1 == self.vms[vm].incarnation).then_some(end.2)?
     }
 
-    fn end_conn(&mut self, conn: usize, by: usize) {
-        self.conns[conn].is_open = false;
-        let side = usize::from(self.conns[conn].ends[0].0 == by);
-        let (vm, incarnation, _) = self.conns[conn].ends[side];
-        if self.conns[conn].is_silent[side] || self.conns[conn].loses_close {
+    fn close_connection(&mut self, conn: usize, by: usize) {
+        self.connections[conn].is_open = false;
+        let side = usize::from(self.connections[conn].ends[0].0 == by);
+        let (vm, incarnation, _) = self.connections[conn].ends[side];
+        if self.connections[conn].is_silent[side] || self.connections[conn].drops_close {
             return;
         }
         let wait = self.latency();
-        let at = (self.now + wait).max(self.conns[conn].last[side]);
-        self.push_for(
+        let at = (self.now + wait).max(self.connections[conn].last_arrival[side]);
+        self.schedule_for(
             vm,
             incarnation,
             at.saturating_sub(self.now),
-            Item::Closed { conn },
+            Input::Closed { conn },
         );
     }
 
@@ -661,15 +662,15 @@
                 Action::Close { link } => {
                     let key = (vm, self.vms[vm].incarnation, link);
                     if let Some(conn) = self.by_key.remove(&key)
-                        && self.conns[conn].is_open
+                        && self.connections[conn].is_open
                     {
-                        self.end_conn(conn, vm);
+                        self.close_connection(conn, vm);
                     }
                 }
-                Action::Ask(request) => self.ask(vm, request),
+                Action::Ask(request) => self.ask_platform(vm, request),
                 Action::Install(view) => self.install(vm, view),
-                Action::Quarantine(list) => self.learn(vm, &list),
-                Action::Post { slot, list } => self.post(vm, slot, list),
+                Action::Quarantine(list) => self.record_crashes(vm, &list),
+                Action::Post { slot, list } => self.write_crashes(vm, slot, list),
                 Action::Rollouts(list) => self.follow_rollouts(vm, list),
                 Action::Report(rollout) => self.report(vm, rollout),
                 Action::Stopped { .. } => self.stopped_versions += 1,
@@ -695,12 +696,12 @@
         let Some((stands, readers)) = self.platform.report(&zone, &rollout) else {
             // Tried again until it stands.
             let incarnation = self.vms[vm].incarnation;
-            self.push_for(vm, incarnation, 300 * MS, Item::Report(rollout));
+            self.schedule_for(vm, incarnation, 300 * MS, Input::Report(rollout));
             return;
         };
         let answer = Answer::Rollouts(vec![stands]);
         for reader in readers.into_iter().chain([vm]) {
-            self.push(reader, 3 * MS, Item::Answer(answer.clone()));
+            self.schedule(reader, 3 * MS, Input::Answer(answer.clone()));
         }
     }
 
@@ -709,16 +710,16 @@
         let readers = self.platform.order_rollout(service, target, duration);
         for reader in readers {
             let answer = Answer::Rollouts(self.platform.rollouts());
-            self.push(reader, 3 * MS, Item::Answer(answer));
+            self.schedule(reader, 3 * MS, Input::Answer(answer));
         }
     }
 
     /// Has the platform come back from a copy that lacks all verdicts and crashes.
     pub fn restore_from_copy(&mut self) {
         for reader in self.platform.lose_recent_writes() {
-            self.push(reader, 3 * MS, Item::Answer(Answer::Restored));
+            self.schedule(reader, 3 * MS, Input::Answer(Answer::Restored));
             let answer = Answer::Rollouts(self.platform.rollouts());
-            self.push(reader, 4 * MS, Item::Answer(answer));
+            self.schedule(reader, 4 * MS, Input::Answer(answer));
         }
     }
 
@@ -731,7 +732,7 @@
 
     /// Has a VM's outbound proxy tell what it has counted.
     pub fn report_tally(&mut self, vm: usize, service: &str, tally: Tally) {
-        self.push(vm, Duration::ZERO, Item::Tally(service.into(), tally));
+        self.schedule(vm, Duration::ZERO, Input::Tally(service.into(), tally));
     }
 
     /// Has a VM's backend server crash under a request; `id` names the crash.
@@ -747,20 +748,20 @@
             is_alone: true,
             is_cleared: false,
         };
-        self.learn(vm, std::slice::from_ref(&crash));
-        self.push(vm, Duration::ZERO, Item::Crashes(vec![crash]));
+        self.record_crashes(vm, std::slice::from_ref(&crash));
+        self.schedule(vm, Duration::ZERO, Input::Crashes(vec![crash]));
     }
 
     /// Has a VM's backend server answer a request.
     pub fn answer(&mut self, vm: usize, request: Digest) {
         let now = self.instant();
-        let cleared = self.vms[vm].quarantine.clear(now, request);
-        self.push(vm, Duration::ZERO, Item::Crashes(cleared));
+        let cleared = self.vms[vm].crash_history.clear(now, request);
+        self.schedule(vm, Duration::ZERO, Input::Crashes(cleared));
     }
 
     /// Tells how a request stands at a VM.
     pub fn request_status(&self, vm: usize, request: Digest) -> Standing {
-        self.vms[vm].quarantine.judge(self.instant(), request)
+        self.vms[vm].crash_history.judge(self.instant(), request)
     }
 
     /// Tells whether all running processes stand so to a request.
@@ -768,23 +769,24 @@
     where
         F: Fn(Standing) -> bool,
     {
-        let running = |vm: &usize| self.vms[*vm].node.is_some() && self.vms[*vm].frozen.is_none();
+        let running =
+            |vm: &usize| self.vms[*vm].node.is_some() && self.vms[*vm].frozen_inputs.is_none();
         let mut vms = (0..self.vms.len()).filter(running);
         vms.all(|vm| is_it(self.request_status(vm, request)))
     }
 
-    fn learn(&mut self, vm: usize, list: &[Crash]) {
+    fn record_crashes(&mut self, vm: usize, list: &[Crash]) {
         let now = self.instant();
         for crash in list {
-            self.vms[vm].quarantine.take(now, crash);
+            self.vms[vm].crash_history.take(now, crash);
         }
     }
 
-    fn post(&mut self, vm: usize, slot: u8, list: Vec<Crash>) {
+    fn write_crashes(&mut self, vm: usize, slot: u8, list: Vec<Crash>) {
         let zone = self.vms[vm].own.zone.to_string();
         for reader in self.platform.write_crashes(&zone, slot, list) {
             let crashes = self.platform.crashes();
-            self.push(reader, 3 * MS, Item::Answer(Answer::Crashes(crashes)));
+            self.schedule(reader, 3 * MS, Input::Answer(Answer::Crashes(crashes)));
         }
     }
 
@@ -792,18 +794,18 @@
         let Some(to) = self.by_address.get(&address).copied() else {
             return;
         };
-        if self.is_cut(vm, to) {
+        if self.is_partitioned(vm, to) {
             return;
         }
         let wait = self.latency();
         if self.vms[to].node.is_none() {
-            self.push(vm, wait, Item::Refused { key: link });
+            self.schedule(vm, wait, Input::Refused { key: link });
             return;
         }
-        self.push(
+        self.schedule(
             to,
             wait,
-            Item::Dialled {
+            Input::Dialled {
                 from: vm,
                 from_key: link,
             },
@@ -824,8 +826,8 @@
         if matches!(frame, Frame::Rollouts(_) | Frame::Tallies(_)) {
             self.rollout_bytes += buffer.len() as u64;
         }
-        let side = usize::from(self.conns[conn].ends[0].0 == vm);
-        if !self.conns[conn].is_open || self.conns[conn].is_silent[side] {
+        let side = usize::from(self.connections[conn].ends[0].0 == vm);
+        if !self.connections[conn].is_open || self.connections[conn].is_silent[side] {
             return;
         }
         let is_news = matches!(
@@ -845,31 +847,31 @@
                 wait += 400 * MS;
             }
         }
-        let (to, incarnation, _) = self.conns[conn].ends[side];
+        let (to, incarnation, _) = self.connections[conn].ends[side];
         for copy in 0..copies {
             let late = wait + copy * 30 * MS;
             let at = if is_news && self.network_faults.delay > 0.0 {
                 self.now + late
             } else {
-                let at = (self.now + late).max(self.conns[conn].last[side]);
-                self.conns[conn].last[side] = at;
+                let at = (self.now + late).max(self.connections[conn].last_arrival[side]);
+                self.connections[conn].last_arrival[side] = at;
                 at
             };
             let frame = Box::new(frame.clone());
-            self.push_for(
+            self.schedule_for(
                 to,
                 incarnation,
                 at.saturating_sub(self.now),
-                Item::Frame { conn, frame },
+                Input::Frame { conn, frame },
             );
         }
     }
 
-    fn ask(&mut self, vm: usize, request: Request) {
+    fn ask_platform(&mut self, vm: usize, request: Request) {
         let own = self.vms[vm].own.clone();
-        let answers = self.platform.ask(vm, &own, request, self.now);
+        let answers = self.platform.handle(vm, &own, request, self.now);
         for (wait, answer) in answers {
-            self.push(vm, wait, Item::Answer(answer));
+            self.schedule(vm, wait, Input::Answer(answer));
         }
     }
 
--- a/crates/fleet/tests/world/platform.rs
+++ b/crates/fleet/tests/world/platform.rs
@@ -35,15 +35,15 @@
     followers: BTreeMap<usize, (String, Version)>,
     writes: u64,
     /// Crashes as the holders of leases wrote them.
-    posts: BTreeMap<(String, u8), Vec<Crash>>,
+    written_crashes: BTreeMap<(String, u8), Vec<Crash>>,
     pub crash_writes: u64,
     rollouts: BTreeMap<String, Rollout>,
     /// Verdicts that were written.
     pub verdicts: u64,
     /// Followers that read crashes: one a zone.
-    readers: BTreeSet<usize>,
+    crash_readers: BTreeSet<usize>,
     /// Revisions of all leases as each VM last read them.
-    seen: BTreeMap<usize, BTreeMap<(String, u8), u64>>,
+    seen_revisions: BTreeMap<usize, BTreeMap<(String, u8), u64>>,
 }
 
 impl Platform {
@@ -89,9 +89,11 @@
             return Vec::new();
         }
         self.crash_writes += 1;
-        self.posts.insert((zone.to_owned(), slot), list);
-        let readers = self.list_reached();
-        readers.filter(|vm| self.readers.contains(vm)).collect()
+        self.written_crashes.insert((zone.to_owned(), slot), list);
+        let readers = self.reachable_followers();
+        readers
+            .filter(|vm| self.crash_readers.contains(vm))
+            .collect()
     }
 
     /// Takes an operator's order; gives those whom it reaches at once.
@@ -109,7 +111,7 @@
             stage: Stage::Canary,
         };
         self.rollouts.insert(service.to_owned(), rollout);
-        self.list_reached().collect()
+        self.reachable_followers().collect()
     }
 
     /// Takes a report; gives what stands then and whom it reaches, if the platform answers.
@@ -124,7 +126,7 @@
             self.verdicts += u64::from(rollout.stage.is_final());
         }
         let stands = stands.clone();
-        Some((stands, self.list_reached().collect()))
+        Some((stands, self.reachable_followers().collect()))
     }
 
     /// Loses all verdicts and what was written of crashes, as a copy from before would.
@@ -133,8 +135,8 @@
             rollout.stage = Stage::Canary;
             rollout.place.era += 1;
         }
-        self.posts.clear();
-        self.list_reached().collect()
+        self.written_crashes.clear();
+        self.reachable_followers().collect()
     }
 
     pub fn rollouts(&self) -> Vec<Rollout> {
@@ -142,7 +144,7 @@
     }
 
     /// Gives the followers that the platform reaches.
-    fn list_reached(&self) -> impl Iterator<Item = usize> {
+    fn reachable_followers(&self) -> impl Iterator<Item = usize> {
         let followers = self.followers.iter();
         let reached = followers.filter(|(vm, (zone, _))| {
             !self.silent_followers.contains(vm) && !self.unreachable_zones.contains(zone)
@@ -152,17 +154,17 @@
 
     /// Gives all that was written of crashes.
     pub fn crashes(&self) -> Vec<Crash> {
-        self.posts.values().flatten().cloned().collect()
+        self.written_crashes.values().flatten().cloned().collect()
     }
 
     pub fn unfollow(&mut self, vm: usize) {
         self.followers.remove(&vm);
         self.silent_followers.remove(&vm);
-        self.readers.remove(&vm);
+        self.crash_readers.remove(&vm);
     }
 
     /// Gives each follower what it has not got yet.
-    pub fn feed(&mut self) -> Vec<(usize, Vec<Answer>)> {
+    pub fn take_updates(&mut self) -> Vec<(usize, Vec<Answer>)> {
         if self.is_down {
             return Vec::new();
         }
@@ -193,7 +195,7 @@
         answers
     }
 
-    pub fn ask(
+    pub fn handle(
         &mut self,
         vm: usize,
         own: &Peer,
@@ -215,16 +217,20 @@
             Request::Leases { .. } => {
                 let revisions = self.leases.iter();
                 let revisions = revisions.map(|(key, lease)| (key.clone(), lease.revision));
-                self.seen.insert(vm, revisions.collect());
-                Answer::Leases(self.seats(now))
+                self.seen_revisions.insert(vm, revisions.collect());
+                Answer::Leases(self.list_leases(now))
             }
             Request::Take { slot, is_forced } => {
                 let key = (own.zone.to_string(), slot);
-                let seen = self.seen.get(&vm).and_then(|seen| seen.get(&key)).copied();
-                self.take(own, slot, seen.filter(|_| is_forced), now)
+                let seen = self
+                    .seen_revisions
+                    .get(&vm)
+                    .and_then(|seen| seen.get(&key))
+                    .copied();
+                self.take_lease(own, slot, seen.filter(|_| is_forced), now)
             }
             Request::Head { .. } => Answer::Head(self.head()),
-            Request::Renew { slot } => self.renew(own, slot, now),
+            Request::Renew { slot } => self.renew_lease(own, slot, now),
             Request::Release { slot } => {
                 let key = (own.zone.to_string(), slot);
                 if self
@@ -241,7 +247,7 @@
                 self.silent_followers.remove(&vm);
                 let mut steps = self.steps_after(after);
                 if is_first {
-                    self.readers.insert(vm);
+                    self.crash_readers.insert(vm);
                     steps.push(Answer::Crashes(self.crashes()));
                 }
                 steps.push(Answer::Rollouts(self.rollouts()));
@@ -264,7 +270,7 @@
         vec![(3 * MS, answer)]
     }
 
-    fn seats(&self, now: Duration) -> Vec<Seat> {
+    fn list_leases(&self, now: Duration) -> Vec<Seat> {
         let seats = self.leases.iter().map(|((_, slot), lease)| Seat {
             slot: *slot,
             holder: lease.holder.clone(),
@@ -274,7 +280,7 @@
     }
 
     /// A lease with time left is taken only as it was `seen`.
-    fn take(&mut self, own: &Peer, slot: u8, seen: Option<u64>, now: Duration) -> Answer {
+    fn take_lease(&mut self, own: &Peer, slot: u8, seen: Option<u64>, now: Duration) -> Answer {
         let key = (own.zone.to_string(), slot);
         let is_held = self.leases.get(&key).is_some_and(|lease| {
             lease.until > now && lease.holder != *own && Some(lease.revision) != seen
@@ -282,10 +288,10 @@
         if is_held {
             return Answer::Lost { slot };
         }
-        self.grant(key, own, now)
+        self.grant_lease(key, own, now)
     }
 
-    fn renew(&mut self, own: &Peer, slot: u8, now: Duration) -> Answer {
+    fn renew_lease(&mut self, own: &Peer, slot: u8, now: Duration) -> Answer {
         let key = (own.zone.to_string(), slot);
         if self
             .leases
@@ -294,10 +300,10 @@
         {
             return Answer::Lost { slot };
         }
-        self.grant(key, own, now)
+        self.grant_lease(key, own, now)
     }
 
-    fn grant(&mut self, key: (String, u8), own: &Peer, now: Duration) -> Answer {
+    fn grant_lease(&mut self, key: (String, u8), own: &Peer, now: Duration) -> Answer {
         let slot = key.1;
         self.writes += 1;
         let lease = Lease {
