--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -199,12 +199,12 @@
     pub(crate) fn pause_search(&mut self, now: Instant) {
         let is_answered = std::mem::take(&mut self.search.is_answered);
         let wait = if is_answered {
-            self.search.backoff.next(&mut self.rng)
+            self.search.backoff.next_delay(&mut self.rng)
         } else {
             let zone = &self.settings.local.zone;
             let nodes = self.table.iter().filter(|one| one.zone == *zone).count();
             let longest = crate::lookout::share_rate(nodes);
-            self.search.readings.next(&mut self.rng).min(longest)
+            self.search.readings.next_delay(&mut self.rng).min(longest)
         };
         self.search.tries = 0;
         self.search.try_at = Some(now + wait);
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -87,7 +87,7 @@
 fn jittered_waits() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut backoff = Backoff::new(200 * MS, 3_000 * MS);
-    let waits: Vec<_> = (0..200).map(|_| backoff.next(&mut rng)).collect();
+    let waits: Vec<_> = (0..200).map(|_| backoff.next_delay(&mut rng)).collect();
     assert!(waits.iter().all(|wait| *wait <= 3_000 * MS));
     let early = waits[8..].iter().filter(|wait| **wait < 1_500 * MS).count();
     assert!(
--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -383,7 +383,7 @@
             let mut backoff = Backoff::new(FIRST_WAIT, LAST_WAIT);
             while let Err(error) = board.post(&seat, &list).await {
                 warn!(seat = seat.as_str(), error:%; "board_not_written");
-                let wait = backoff.next(&mut rand::rng());
+                let wait = backoff.next_delay(&mut rand::rng());
                 tokio::time::sleep(wait).await;
             }
         })));
--- a/crates/node/src/control/rollout.rs
+++ b/crates/node/src/control/rollout.rs
@@ -69,7 +69,7 @@
                     warn!(service = wanted.service.as_str(), error:%; "rollout_not_written");
                 }
             }
-            let wait = backoff.next(&mut rand::rng());
+            let wait = backoff.next_delay(&mut rand::rng());
             tokio::time::sleep(wait).await;
         }
     }
--- a/crates/node/src/inbound.rs
+++ b/crates/node/src/inbound.rs
@@ -28,7 +28,7 @@
 use clock::Clock;
 use parking_lot::Mutex;
 use policy::in_flight;
-use policy::outlook::Outlook;
+use policy::load_probe::Estimate;
 use settings::node::Rate;
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -135,7 +135,7 @@
     }
 
     /// Gives what would become of a call that enters on this VM.
-    pub(crate) fn find_outlook(&self, look: &Look) -> Outlook {
+    pub(crate) fn find_outlook(&self, look: &Look) -> Estimate {
         look::find_outlook(&self.inner, look)
     }
 
--- a/crates/node/src/inbound/deliver.rs
+++ b/crates/node/src/inbound/deliver.rs
@@ -55,7 +55,7 @@
         status: parts.status.as_u16(),
         headers: take_end_to_end(&parts.headers),
         load_percent: percent_of(told.load),
-        waited_ms: whole_ms(told.waited),
+        waited_ms: whole_ms(told.queue_wait),
         end: end && first.is_none(),
     };
     call.send_head(head, first, end);
--- a/crates/node/src/inbound/gate.rs
+++ b/crates/node/src/inbound/gate.rs
@@ -4,7 +4,7 @@
 use parking_lot::Mutex;
 use policy::admission::{Admission, Decision, Next, Refusal, Request, Ticket};
 use policy::limit::Outcome;
-use policy::outlook::Outlook;
+use policy::load_probe::Estimate;
 use policy::queue::Key;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -143,7 +143,7 @@
     }
 
     /// Gives what would become of a call at the backend server, which says that it has `slots`.
-    pub(crate) fn outlook(&self, slots: u16, request: &Request) -> Outlook {
+    pub(crate) fn outlook(&self, slots: u16, request: &Request) -> Estimate {
         let now = self.clock.now();
         let mut state = self.state.lock();
         state.tell_slots(slots);
--- a/crates/node/src/inbound/look.rs
+++ b/crates/node/src/inbound/look.rs
@@ -5,7 +5,7 @@
 use crate::millis::whole_ms;
 use clock::Clock;
 use policy::admission;
-use policy::outlook::Outlook;
+use policy::load_probe::Estimate;
 use std::time::Duration;
 use wire::call::Look;
 
@@ -17,7 +17,7 @@
     let outlook = find_outlook(inner, look);
     wire::call::Outlook {
         serial: look.serial,
-        takes: outlook.takes,
+        takes: outlook.accepts,
         wait_ms: whole_ms(outlook.wait),
         run_ms: outlook.run.map(whole_ms),
         load_percent: percent_of(outlook.load),
@@ -25,13 +25,13 @@
 }
 
 /// Gives what would become of a call; one that is refused whatever the load is not taken.
-pub(crate) fn find_outlook<C>(inner: &Inner<C>, look: &Look) -> Outlook
+pub(crate) fn find_outlook<C>(inner: &Inner<C>, look: &Look) -> Estimate
 where
     C: Clock,
 {
     let Ok(backend) = inner.find_backend(&look.service) else {
-        return Outlook {
-            takes: false,
+        return Estimate {
+            accepts: false,
             wait: Duration::ZERO,
             run: None,
             // As good as full: told as idle, it would draw the calls that nobody is asked about.
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -21,7 +21,7 @@
 use log::info;
 use platform::header;
 use policy::admission;
-use policy::balance::Told;
+use policy::balance::LoadReport;
 use policy::body_scheduler;
 use policy::in_flight;
 use policy::limit::Outcome;
@@ -499,10 +499,10 @@
     }
 
     /// Gives what the outbound proxy is told along with the answer.
-    pub(crate) fn told(&self) -> Told {
-        Told {
+    pub(crate) fn told(&self) -> LoadReport {
+        LoadReport {
             load: self.permit.load().max(f64::from(self.link_percent) / 100.0),
-            waited: Duration::from_millis(self.waited_ms.into()),
+            queue_wait: Duration::from_millis(self.waited_ms.into()),
         }
     }
 }
--- a/crates/node/src/outbound/answer.rs
+++ b/crates/node/src/outbound/answer.rs
@@ -145,7 +145,7 @@
 
 /// Draws a wait, so that those who were refused together don't come back together.
 fn draw_wait() -> u32 {
-    let wait = policy::backoff::spread(RETRY_AFTER, &mut rand::rng());
+    let wait = policy::backoff::add_jitter(RETRY_AFTER, &mut rand::rng());
     whole_ms(wait)
 }
 
--- a/crates/node/src/outbound/hedge.rs
+++ b/crates/node/src/outbound/hedge.rs
@@ -105,7 +105,7 @@
             if matches!(result, Tried::Answered(..)) {
                 plan.known.settle_hedge(true);
                 plan.known.see_first(elapsed(inner, started));
-                first.outcome = Outcome::Overtaken;
+                first.outcome = Outcome::HedgeWon;
                 return (result, second);
             }
             second.outcome = outcome_of(&result);
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -14,7 +14,7 @@
 use clock::Clock;
 use config::Endpoint;
 use http::{HeaderValue, Response, StatusCode, header, request};
-use policy::balance::Told;
+use policy::balance::LoadReport;
 use policy::retry;
 use smol_str::SmolStr;
 use std::future::poll_fn;
@@ -45,7 +45,7 @@
 where
     C: Clock,
 {
-    Answered(Response<Body<C>>, Option<Told>),
+    Answered(Response<Body<C>>, Option<LoadReport>),
     /// No answer; the body is given back when it can be sent again.
     Refused(Refused, Option<sent::Body>),
     /// Nothing by the deadline; what was sent may still come to something.
@@ -222,9 +222,9 @@
     let waiting = poll_fn(|cx| sent.poll_head(cx));
     match tokio::time::timeout(left(inner, plan.deadline), waiting).await {
         Ok(Ok(answer)) => {
-            let told = Told {
+            let told = LoadReport {
                 load: f64::from(answer.load_percent) / 100.0,
-                waited: Duration::from_millis(answer.waited_ms.into()),
+                queue_wait: Duration::from_millis(answer.waited_ms.into()),
             };
             let id = answer.id;
             let head = read_head(answer);
--- a/crates/node/src/outbound/serve.rs
+++ b/crates/node/src/outbound/serve.rs
@@ -18,7 +18,7 @@
 use config::{Objective, Version, View};
 use http::{Request, Response, StatusCode, request};
 use hyper::body::Incoming;
-use policy::balance::{Outcome, Told};
+use policy::balance::{LoadReport, Outcome};
 use policy::quarantine::Standing;
 use policy::retry::{self, Cause, Decision};
 use std::net::IpAddr;
@@ -201,7 +201,7 @@
         let (refused, back) = match tried_once {
             Tried::Answered(response, told) => {
                 picked.outcome = answered(response.status(), told);
-                let waited = told.map_or(Duration::ZERO, |told| told.waited);
+                let waited = told.map_or(Duration::ZERO, |told| told.queue_wait);
                 let answer = Answered {
                     node: &picked.endpoint.node,
                     status: response.status(),
@@ -241,25 +241,25 @@
         };
         body = back;
         let now = inner.shared.clock.now();
-        let failed = retry::Try {
+        let failed = retry::FailedAttempt {
             verdict: refused.verdict,
             cause,
             repeatable: plan.repeats(),
-            tries,
-            reached: history.reached,
+            attempts: tries,
+            dispatched: history.reached,
             crashes: history.crashes,
-            attempts: plan.attempts(),
-            retried_above: plan.retried_above,
-            untried: cause != Cause::Full
+            max_attempts: plan.attempts(),
+            retried_by_caller: plan.retried_above,
+            has_alternative: cause != Cause::Full
                 || plan.nested.is_some()
                 || plan.known.has_room(now, plan.weight, visited.all()),
             deadline: plan.deadline,
-            expected: plan.known.expect(plan.route, plan.weight),
+            expected_duration: plan.known.expect(plan.route, plan.weight),
         };
         match plan.known.decide(now, &failed) {
-            Decision::Again(Duration::ZERO) => {}
-            Decision::Again(wait) => tokio::time::sleep(wait).await,
-            Decision::Stop(_) => break,
+            Decision::Retry(Duration::ZERO) => {}
+            Decision::Retry(wait) => tokio::time::sleep(wait).await,
+            Decision::GiveUp(_) => break,
         }
     }
     tell_end(inner, plan, told, started, visited.count());
@@ -277,7 +277,7 @@
     match tried {
         Tried::Answered(response, told) => {
             let took = now.saturating_duration_since(picked.started);
-            let waited = told.map_or(Duration::ZERO, |told| told.waited);
+            let waited = told.map_or(Duration::ZERO, |told| told.queue_wait);
             let has_failed = response.status().is_server_error();
             picked.count(plan.kind, has_failed, Some(took.saturating_sub(waited)));
         }
@@ -350,7 +350,7 @@
     Ok(fresh)
 }
 
-fn answered(status: StatusCode, told: Option<Told>) -> Outcome {
+fn answered(status: StatusCode, told: Option<LoadReport>) -> Outcome {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Outcome::Full,
         status if status.is_server_error() => Outcome::Failed,
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -6,11 +6,11 @@
 use clock::Clock;
 use config::{Endpoint, EndpointKey, Retry, ServiceKey, View};
 use parking_lot::{Mutex, RwLock};
-use policy::balance::{self, Arm, Balance, Candidate, Distance, Identity, Key, Outcome};
+use policy::balance::{self, Balancer, Candidate, Distance, Identity, Key, Outcome, Track};
 use policy::elapsed;
-use policy::hedge::Hedge;
-use policy::outlook::Seen;
-use policy::retry::{Budget, Decision, Try};
+use policy::hedge::HedgePolicy;
+use policy::load_probe::ProbeResult;
+use policy::retry::{Decision, FailedAttempt, RetryBudget};
 use policy::retry_quota::FleetLimits;
 use policy::rollout::SLOW;
 use rand::SeedableRng;
@@ -41,9 +41,9 @@
 #[derive(Debug)]
 struct State {
     /// Of small calls, and of those with large bodies.
-    balances: [Balance; 2],
-    budget: Budget,
-    hedge: Hedge,
+    balances: [Balancer; 2],
+    budget: RetryBudget,
+    hedge: HedgePolicy,
     /// The longest times that callers start with.
     elapsed: elapsed::Estimator,
     /// The view that the balance was last told.
@@ -126,18 +126,18 @@
         if let Some(known) = self.known.read().get(name) {
             return Arc::clone(known);
         }
-        let budget = Budget::new(now, DEFAULT_BUDGET_PERCENT);
+        let budget = RetryBudget::new(now, DEFAULT_BUDGET_PERCENT);
         let budget = match self.bounds {
-            Some(bounds) => budget.within(now, bounds),
+            Some(bounds) => budget.with_fleet_limits(now, bounds),
             None => budget,
         };
         let mut services = self.known.write();
         let made = services.entry(name.into()).or_insert_with(|| {
             Arc::new(Service {
                 state: Mutex::new(State {
-                    balances: [Balance::new(), Balance::new()],
+                    balances: [Balancer::new(), Balancer::new()],
                     budget,
-                    hedge: Hedge::new(now),
+                    hedge: HedgePolicy::new(now),
                     elapsed: elapsed::Estimator::new(),
                     synced: Weak::new(),
                     changes: 0,
@@ -165,7 +165,7 @@
             let candidates = list_candidates(view, endpoints, ask.place, split.as_ref());
             balance.sync(now, candidates);
         }
-        self.budget.tell_nodes(now, view.endpoints().len());
+        self.budget.set_node_count(now, view.endpoints().len());
     }
 }
 
@@ -182,10 +182,10 @@
             distance: distance_of(endpoint, place),
             slots: endpoint.slots,
             process: endpoint.process,
-            cold: endpoint
+            warm_up: endpoint
                 .cold_ms
                 .map(|cold| Duration::from_millis(cold.into())),
-            arm: split.map_or(Arm::Stable, |split| split.arm(endpoint)),
+            track: split.map_or(Track::Stable, |split| split.arm(endpoint)),
         }
     })
 }
@@ -201,7 +201,7 @@
         view: &Arc<View>,
         name: &str,
         ask: &Ask<'_>,
-        seen: &[Seen],
+        seen: &[ProbeResult],
     ) -> Vec<(Key, Endpoint)>
     where
         C: Clock,
@@ -218,9 +218,9 @@
         state.sync(now, view, service, ask);
         let balance = &state.balances[ask.weight as usize];
         let keys = if seen.is_empty() {
-            balance.survey(now, &ask.call, &mut state.rng)
+            balance.probe_targets(now, &ask.call, &mut state.rng)
         } else {
-            balance.survey_further(now, &ask.call, seen, &mut state.rng)
+            balance.further_probe_targets(now, &ask.call, seen, &mut state.rng)
         };
         let endpoint =
             |key: Key| Some((key, find_endpoint(view, service, balance.identity(key)?)?));
@@ -234,13 +234,13 @@
         view: &Arc<View>,
         name: &str,
         ask: &Ask<'_>,
-        seen: &[Seen],
+        seen: &[ProbeResult],
     ) -> Option<Picked<C>>
     where
         C: Clock,
     {
         self.pick_by(clock, view, name, ask, |balance, now, rng| {
-            balance.pick_seen(now, &ask.call, seen, rng)
+            balance.pick_probed(now, &ask.call, seen, rng)
         })
     }
 
@@ -287,7 +287,7 @@
     ) -> Option<Picked<C>>
     where
         C: Clock,
-        F: FnOnce(&mut Balance, Instant, &mut SmallRng) -> Option<Key>,
+        F: FnOnce(&mut Balancer, Instant, &mut SmallRng) -> Option<Key>,
     {
         let now = clock.now();
         let service = view.find_service(name)?;
@@ -321,15 +321,15 @@
     pub(crate) fn count(&self, now: Instant, origin: Origin) {
         let mut state = self.state.lock();
         match origin {
-            Origin::Caller => state.budget.request(now),
-            Origin::Run(run) if run.is_repeat => state.budget.charge(now),
+            Origin::Caller => state.budget.record_request(now),
+            Origin::Run(run) if run.is_repeat => state.budget.record_retry(now),
             Origin::Run(_) => {}
         }
     }
 
     /// Gives how long a call of `route` is expected to take.
     pub(crate) fn expect(&self, route: u64, weight: Weight) -> Duration {
-        self.state.lock().balances[weight as usize].expect(route)
+        self.state.lock().balances[weight as usize].expected_duration(route)
     }
 
     /// Tells whether an endpoint that has not refused the call may have room.
@@ -342,27 +342,27 @@
         let percent = rule.map_or(DEFAULT_BUDGET_PERCENT, |rule| rule.budget_percent);
         let mut state = self.state.lock();
         state.budget.set_percent(percent);
-        state.budget.succeed();
+        state.budget.record_success();
     }
 
     /// Gives the wait after which a call that `may` be copied is late, if a copy is to be sent.
     pub(crate) fn hedge_wait(&self, now: Instant, may: bool) -> Option<Duration> {
-        self.state.lock().hedge.wait(now, may)
+        self.state.lock().hedge.delay(now, may)
     }
 
     /// Takes in how long a first try took, or that it was overtaken after so long.
     pub(crate) fn see_first(&self, took: Duration) {
-        self.state.lock().hedge.see(took);
+        self.state.lock().hedge.record_latency(took);
     }
 
     /// Takes in whether a copy was answered before the first try.
     pub(crate) fn settle_hedge(&self, won: bool) {
-        self.state.lock().hedge.settle(won);
+        self.state.lock().hedge.record_result(won);
     }
 
     /// Takes in that a try was refused.
     pub(crate) fn pause_hedge(&self, now: Instant) {
-        self.state.lock().hedge.refused(now);
+        self.state.lock().hedge.pause(now);
     }
 
     /// Pays for a copy of a call; tells whether the budget allows it.
@@ -371,7 +371,7 @@
     }
 
     /// Decides what follows a try that came to nothing.
-    pub(crate) fn decide(&self, now: Instant, tried: &Try) -> Decision {
+    pub(crate) fn decide(&self, now: Instant, tried: &FailedAttempt) -> Decision {
         let mut state = self.state.lock();
         let state = &mut *state;
         state.budget.decide(now, tried, &mut state.rng)
@@ -384,7 +384,7 @@
     pub(crate) place: &'a Place,
     pub(crate) weight: Weight,
     pub(crate) rollouts: &'a Arc<Rollouts>,
-    pub(crate) call: balance::Ask<'a>,
+    pub(crate) call: balance::PickArgs<'a>,
 }
 
 impl<C> Picked<C>
@@ -402,7 +402,7 @@
         let now = self.clock.now();
         let state = self.service.state.lock();
         let balance = &state.balances[self.weight as usize];
-        let usual = balance.expect(self.route);
+        let usual = balance.expected_duration(self.route);
         let is_slow = ran.is_none_or(|ran| ran > usual.mul_f64(SLOW));
         let is_cold = balance.is_cold(now, self.key);
         drop(state);
--- a/crates/node/src/outbound/survey.rs
+++ b/crates/node/src/outbound/survey.rs
@@ -1,4 +1,4 @@
-//! Asks some backend servers about a call before it is sent: runs `policy::outlook`.
+//! Asks some backend servers about a call before it is sent: runs `policy::load_probe`.
 
 use crate::millis::whole_ms;
 use crate::outbound::Inner;
@@ -8,7 +8,7 @@
 use config::Endpoint;
 use futures_util::future::join_all;
 use policy::balance::{self, Key};
-use policy::outlook::{Outlook, Seen};
+use policy::load_probe::{Estimate, ProbeResult};
 use std::sync::Arc;
 use std::time::Duration;
 use wire::call::Look;
@@ -33,9 +33,9 @@
         let answers = asked.into_iter().map(|(key, endpoint)| async move {
             let outlook = ask_one(inner, plan, &endpoint);
             let outlook = tokio::time::timeout(PATIENCE, outlook).await;
-            Seen {
+            ProbeResult {
                 key,
-                outlook: outlook.ok().flatten(),
+                estimate: outlook.ok().flatten(),
             }
         });
         seen.extend(join_all(answers).await);
@@ -47,7 +47,7 @@
     inner: &Inner<C>,
     plan: &Plan,
     tried: &[Key],
-    seen: &[Seen],
+    seen: &[ProbeResult],
 ) -> Option<Picked<C>>
 where
     C: Clock,
@@ -81,7 +81,12 @@
     plan.known.pick_trial(clock, &view, &plan.service, &ask)
 }
 
-fn survey<C>(inner: &Inner<C>, plan: &Plan, tried: &[Key], seen: &[Seen]) -> Vec<(Key, Endpoint)>
+fn survey<C>(
+    inner: &Inner<C>,
+    plan: &Plan,
+    tried: &[Key],
+    seen: &[ProbeResult],
+) -> Vec<(Key, Endpoint)>
 where
     C: Clock,
 {
@@ -98,7 +103,7 @@
         place: &inner.place,
         weight: plan.weight,
         rollouts: &inner.shared.rollouts,
-        call: balance::Ask {
+        call: balance::PickArgs {
             tried,
             repeatable: plan.repeatable,
             route: plan.route,
@@ -111,7 +116,7 @@
 }
 
 /// Asks one backend server about a call; nothing comes from one that can't be reached or leaves.
-async fn ask_one<C>(inner: &Arc<Inner<C>>, plan: &Plan, endpoint: &Endpoint) -> Option<Outlook>
+async fn ask_one<C>(inner: &Arc<Inner<C>>, plan: &Plan, endpoint: &Endpoint) -> Option<Estimate>
 where
     C: Clock,
 {
@@ -139,8 +144,8 @@
         return None;
     }
     let told = link.look(look)?.answer().await?;
-    Some(Outlook {
-        takes: told.takes,
+    Some(Estimate {
+        accepts: told.takes,
         wait: Duration::from_millis(told.wait_ms.into()),
         run: told.run_ms.map(|run| Duration::from_millis(run.into())),
         load: f64::from(told.load_percent) / 100.0,
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -3,7 +3,7 @@
 use config::rollout::{Counts, KINDS, Stage, Tally};
 use config::{Endpoint, Rollout, ServiceKey, View};
 use parking_lot::{Mutex, RwLock};
-use policy::balance::Arm;
+use policy::balance::Track;
 use policy::rollout::{self, Sampler, arm_of, count_tried, trial_share};
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, BTreeSet};
@@ -204,7 +204,7 @@
 
 impl Split {
     /// Tells which calls an endpoint takes.
-    pub(crate) fn arm(&self, endpoint: &Endpoint) -> Arm {
+    pub(crate) fn arm(&self, endpoint: &Endpoint) -> Track {
         let endpoint = rollout::Endpoint {
             is_new: endpoint.version == self.target,
             is_tried: self.tried.contains(&endpoint.node),
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -12,12 +12,12 @@
 //! for bursts.
 
 use crate::backoff;
-use crate::drain::{Promise, Rate, Speed};
 use crate::duration;
 use crate::fair_share::{self, Cells};
 use crate::limit::{ConcurrencyLimit, Outcome};
-use crate::outlook::Outlook;
+use crate::load_probe::Estimate;
 use crate::queue::{self, Entry, Queue, TIERS, Tier, rank_of};
+use crate::throughput::{DeferredWork, LaneRate, SlotSpeed};
 use config::Class;
 use rand::Rng;
 use std::time::{Duration, Instant};
@@ -144,10 +144,10 @@
     keys: [fair_share::UsageSketch; TIERS.len()],
     /// When a call last found none of its lane waiting.
     in_order_at: [Instant; queue::LANES],
-    promises: [Promise; TIERS.len()],
-    speed: Speed,
+    promises: [DeferredWork; TIERS.len()],
+    speed: SlotSpeed,
     /// What each lane gets of the slots.
-    rates: [Rate; queue::LANES],
+    rates: [LaneRate; queue::LANES],
     running: u32,
     running_long: u32,
 }
@@ -158,8 +158,8 @@
     pub fn new(now: Instant, slots: u16, seed: u64) -> Self {
         let limit = ConcurrencyLimit::new(now, slots);
         Self {
-            speed: Speed::new(now),
-            rates: [Rate::new(now, limit.slots()); queue::LANES],
+            speed: SlotSpeed::new(now),
+            rates: [LaneRate::new(now, limit.slots()); queue::LANES],
             limit,
             durations: duration::Estimator::new(duration::LOCAL_ROWS),
             queue: Queue::new(),
@@ -168,7 +168,7 @@
             keys: [7, 8, 9, 10, 11, 12]
                 .map(|salt| fair_share::UsageSketch::new(now, seed.wrapping_add(salt))),
             in_order_at: [now; queue::LANES],
-            promises: [Promise::new(now); TIERS.len()],
+            promises: [DeferredWork::new(now); TIERS.len()],
             running: 0,
             running_long: 0,
         }
@@ -244,7 +244,7 @@
     }
 
     /// Gives what would become of a call that is not here yet; it counts for nobody's share.
-    pub fn estimate(&mut self, now: Instant, request: &Request) -> Outlook {
+    pub fn estimate(&mut self, now: Instant, request: &Request) -> Estimate {
         self.limit.end_probe(now);
         let rank = rank_of(find_tier(now, request));
         let places = [
@@ -258,8 +258,8 @@
         } else {
             self.predict_wait(now, &entry)
         };
-        Outlook {
-            takes: is_free || self.find_fault(now, request, &entry).is_none(),
+        Estimate {
+            accepts: is_free || self.find_fault(now, request, &entry).is_none(),
             wait: seconds(wait),
             run: self.durations.route_mean(request.route).map(seconds),
             load: self.load(),
@@ -312,7 +312,7 @@
     fn find_fault(&mut self, now: Instant, request: &Request, entry: &Entry) -> Option<Reason> {
         if !self.queue.has_lane(entry.tier, entry.long) {
             let whole = self.drain_rate(now);
-            self.rates[queue::lane_of(entry.tier, entry.long)].idle(now, whole);
+            self.rates[queue::lane_of(entry.tier, entry.long)].record_idle(now, whole);
         }
         if entry.tier == Tier::Overdue && self.queue.has_fresh() {
             return Some(Reason::Full);
@@ -375,7 +375,7 @@
             return None;
         }
         let (key, entry) = self.queue.pop(self.has_room(true))?;
-        self.rates[queue::lane_of(entry.tier, entry.long)].serve(now, entry.cost);
+        self.rates[queue::lane_of(entry.tier, entry.long)].record_served(now, entry.cost);
         Some(Next::Run(key, self.start(now, &entry)))
     }
 
@@ -494,7 +494,7 @@
         let wait = promise.add(now, entry.cost, rate);
         Refusal {
             reason,
-            retry_after: backoff::spread(seconds(wait), rng),
+            retry_after: backoff::add_jitter(seconds(wait), rng),
         }
     }
 }
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -29,7 +29,7 @@
     }
 
     /// Draws the wait before the next try.
-    pub fn next<R>(&mut self, rng: &mut R) -> Duration
+    pub fn next_delay<R>(&mut self, rng: &mut R) -> Duration
     where
         R: Rng,
     {
@@ -49,7 +49,7 @@
 /// A Retry-After is the time until there is room: coming earlier is in vain,
 /// and all coming exactly then is the next burst.
 #[must_use]
-pub fn spread<R>(wait: Duration, rng: &mut R) -> Duration
+pub fn add_jitter<R>(wait: Duration, rng: &mut R) -> Duration
 where
     R: Rng,
 {
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -14,8 +14,8 @@
 
 use crate::choice::Call;
 use crate::duration;
+use crate::load_probe::Pressure;
 use crate::outlier::{self, Others, Phase, Sample};
-use crate::outlook::Pressure;
 use crate::server::Server;
 use call::{Digest, owner};
 use rand::Rng;
@@ -47,14 +47,14 @@
 
 /// Which calls a backend server takes while a version of its service is brought in.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Arm {
+pub enum Track {
     /// All.
     #[default]
     Stable,
     /// Those that try the new version.
     Trial,
     /// None.
-    Out,
+    Excluded,
 }
 
 /// A backend server as the view names it.
@@ -69,14 +69,14 @@
     /// Names the process of the backend server behind the node.
     pub process: u64,
     /// How long it is slow from now on, if it says so.
-    pub cold: Option<Duration>,
+    pub warm_up: Option<Duration>,
     /// Which calls it takes.
-    pub arm: Arm,
+    pub track: Track,
 }
 
 /// A call that asks for a backend server.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct PickArgs<'a> {
     /// Those that have refused it.
     pub tried: &'a [Key],
     /// Whether it may run more than once.
@@ -87,7 +87,7 @@
     pub target: Option<Instant>,
 }
 
-/// Names a backend server within one [`Balance`].
+/// Names a backend server within one [`Balancer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Key {
     index: u32,
@@ -96,20 +96,20 @@
 
 /// What an inbound proxy tells of itself with an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Told {
+pub struct LoadReport {
     /// Its [`load`](crate::admission::Admission::load).
     pub load: f64,
     /// How long the call waited there for a slot.
-    pub waited: Duration,
+    pub queue_wait: Duration,
 }
 
 /// What a call came to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
     /// It was answered; what the inbound proxy told along with it, if it did.
-    Answered(Option<Told>),
+    Answered(Option<LoadReport>),
     /// A copy that was sent later elsewhere was answered first.
-    Overtaken,
+    HedgeWon,
     /// It failed, or its link did.
     Failed,
     /// It was refused as there is too much load.
@@ -127,7 +127,7 @@
 
 /// The backend servers of one service, as one outbound proxy sees them.
 #[derive(Debug)]
-pub struct Balance {
+pub struct Balancer {
     pub(crate) servers: Vec<Server>,
     free: Vec<u32>,
     known: HashMap<Identity, u32>,
@@ -140,7 +140,7 @@
     pub(crate) pressure: Pressure,
 }
 
-impl Balance {
+impl Balancer {
     /// Makes a balance that knows no backend server.
     #[must_use]
     pub fn new() -> Self {
@@ -176,7 +176,7 @@
             server.present = true;
             server.meet(now, &candidate);
             server.distance = candidate.distance;
-            server.arm = candidate.arm;
+            server.arm = candidate.track;
             server.slots = f64::from(candidate.slots.max(1));
         }
         self.rebuild();
@@ -196,7 +196,7 @@
 
     /// Gives the seconds that a call of `route` is expected to take.
     #[must_use]
-    pub fn expect(&self, route: u64) -> Duration {
+    pub fn expected_duration(&self, route: u64) -> Duration {
         Duration::try_from_secs_f64(self.durations.expected(route)).unwrap_or(Duration::ZERO)
     }
 
@@ -216,7 +216,7 @@
     ///
     /// Only a `repeatable` call is used to probe one that was ejected: a
     /// commit that a sick backend server swallows is a clerk on the telephone.
-    pub fn pick<R>(&mut self, now: Instant, ask: &Ask<'_>, rng: &mut R) -> Option<Key>
+    pub fn pick<R>(&mut self, now: Instant, ask: &PickArgs<'_>, rng: &mut R) -> Option<Key>
     where
         R: Rng,
     {
@@ -231,7 +231,7 @@
     }
 
     /// Chooses a backend server for a call that tries a new version, and counts the call to it.
-    pub fn pick_trial<R>(&mut self, now: Instant, ask: &Ask<'_>, rng: &mut R) -> Option<Key>
+    pub fn pick_trial<R>(&mut self, now: Instant, ask: &PickArgs<'_>, rng: &mut R) -> Option<Key>
     where
         R: Rng,
     {
@@ -246,7 +246,7 @@
     /// *Load pattern:* a request that crashes what runs it comes at many nodes in the same
     /// instant. *Without one owner* its copies run beside each other, and a whole service is
     /// down before the first crash can hold it; with one they wait there for each other.
-    pub fn pick_owner(&mut self, now: Instant, ask: &Ask<'_>, request: Digest) -> Option<Key> {
+    pub fn pick_owner(&mut self, now: Instant, ask: &PickArgs<'_>, request: Digest) -> Option<Key> {
         let open = self
             .present()
             .filter(|index| !ask.tried.contains(&self.key(*index)));
@@ -259,7 +259,7 @@
         Some(self.key(index))
     }
 
-    /// Takes in what a call of [`Balance::pick`] came to.
+    /// Takes in what a call of [`Balancer::pick`] came to.
     pub fn finish<R>(
         &mut self,
         now: Instant,
@@ -286,7 +286,7 @@
                 }
                 // A wait is told by the load. Counted as slowness as well, it
                 // would keep calls away long after the queue is gone.
-                let took = took.saturating_sub(told.map_or(Duration::ZERO, |told| told.waited));
+                let took = took.saturating_sub(told.map_or(Duration::ZERO, |told| told.queue_wait));
                 let usual = self.durations.expected(route);
                 self.durations.record(route, took, false);
                 let stretch = took.as_secs_f64() / usual.max(1e-6);
@@ -296,7 +296,7 @@
             // How long it would have taken is not known, but that it was slow
             // is. Counted by the time it had, a backend server whose calls are
             // all overtaken would look hardly slow, and go on to get its share.
-            Outcome::Overtaken => {
+            Outcome::HedgeWon => {
                 let stretch = took.as_secs_f64() / self.durations.expected(route).max(1e-6);
                 let stretch = stretch.max(outlier::SLOW);
                 self.servers[key.index as usize].see(now, stretch);
@@ -355,9 +355,9 @@
                 continue;
             }
             match server.arm {
-                Arm::Stable => self.tiers[server.distance as usize].push(index),
-                Arm::Trial => self.trial.push(index),
-                Arm::Out => {}
+                Track::Stable => self.tiers[server.distance as usize].push(index),
+                Track::Trial => self.trial.push(index),
+                Track::Excluded => {}
             }
         }
         for index in 0..u32::try_from(self.servers.len()).unwrap_or(u32::MAX) {
@@ -392,7 +392,7 @@
     }
 
     /// Tells whether the call is to probe one that was ejected.
-    pub(crate) fn has_probe(&mut self, now: Instant, ask: &Ask<'_>) -> bool {
+    pub(crate) fn has_probe(&mut self, now: Instant, ask: &PickArgs<'_>) -> bool {
         ask.repeatable && self.find_probe(now, ask.tried).is_some()
     }
 
@@ -508,7 +508,7 @@
     }
 }
 
-impl Default for Balance {
+impl Default for Balancer {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/policy/src/body_scheduler.rs
+++ b/crates/policy/src/body_scheduler.rs
@@ -15,9 +15,9 @@
 
 use crate::admission::{Reason, Refusal, Request, find_tier, seconds};
 use crate::backoff;
-use crate::drain::Promise;
 use crate::fair_share::Cells;
 use crate::queue::{self, Entry, Queue, TIERS, rank_of};
+use crate::throughput::DeferredWork;
 use rand::Rng;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -171,7 +171,7 @@
     queue: Queue,
     waiting: HashMap<queue::Key, Waiting>,
     moving: Vec<Moving>,
-    promises: [Promise; TIERS.len()],
+    promises: [DeferredWork; TIERS.len()],
     mean_length: f64,
     /// Bytes of bodies that come in or are here.
     held: u64,
@@ -192,7 +192,7 @@
             queue: Queue::new(),
             waiting: HashMap::new(),
             moving: Vec::new(),
-            promises: [Promise::new(now); TIERS.len()],
+            promises: [DeferredWork::new(now); TIERS.len()],
             mean_length: 0.0,
             held: 0,
             most_held,
@@ -438,7 +438,7 @@
         let wait = self.promises[rank_of(entry.tier)].add(now, entry.cost, 1.0);
         Refusal {
             reason,
-            retry_after: backoff::spread(seconds(wait), rng),
+            retry_after: backoff::add_jitter(seconds(wait), rng),
         }
     }
 }
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -2,7 +2,7 @@
 //!
 //! The load patterns and grounds stand in [`crate::balance`].
 
-use crate::balance::{Ask, Balance, Distance, Key};
+use crate::balance::{Balancer, Distance, Key, PickArgs};
 use crate::outlier::Phase;
 use rand::Rng;
 use std::time::Instant;
@@ -36,7 +36,7 @@
 }
 
 impl<'a> Call<'a> {
-    pub(crate) fn new(now: Instant, ask: &Ask<'a>) -> Self {
+    pub(crate) fn new(now: Instant, ask: &PickArgs<'a>) -> Self {
         let left = |target: Instant| target.saturating_duration_since(now).as_secs_f64();
         Self {
             now,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Balance {
+impl Balancer {
     /// Chooses for one call: the better of two in the nearest tier, or further away as the near ones fill.
     pub(crate) fn choose<R>(&self, call: &Call<'_>, rng: &mut R) -> Option<u32>
     where
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -32,7 +32,7 @@
 
 /// Second copies of calls that may be repeated, while they pay.
 #[derive(Debug, Clone, Copy)]
-pub struct Hedge {
+pub struct HedgePolicy {
     late: f64,
     seen: u32,
     won: f64,
@@ -40,7 +40,7 @@
     quiet_until: Instant,
 }
 
-impl Hedge {
+impl HedgePolicy {
     /// Starts without an idea of the latencies.
     #[must_use]
     pub fn new(now: Instant) -> Self {
@@ -54,7 +54,7 @@
     }
 
     /// Takes in how long a first copy took, or that it was overtaken after so long.
-    pub fn see(&mut self, took: Duration) {
+    pub fn record_latency(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.seen = self.seen.saturating_add(1);
         if self.seen == 1 {
@@ -69,13 +69,13 @@
     }
 
     /// Takes in that a call was refused for load.
-    pub fn refused(&mut self, now: Instant) {
+    pub fn pause(&mut self, now: Instant) {
         self.quiet_until = now + PAUSE;
     }
 
     /// Gives the wait after which a second copy of a `repeatable` call is due,
-    /// if one is to be sent; that copy is to be paid for by [`Budget::spend`](crate::retry::Budget::spend).
-    pub fn wait(&mut self, now: Instant, repeatable: bool) -> Option<Duration> {
+    /// if one is to be sent; that copy is to be paid for by [`RetryBudget::spend`](crate::retry::RetryBudget::spend).
+    pub fn delay(&mut self, now: Instant, repeatable: bool) -> Option<Duration> {
         if !repeatable || self.seen < ENOUGH || now < self.quiet_until {
             return None;
         }
@@ -90,7 +90,7 @@
     }
 
     /// Takes in whether a second copy was answered before the first.
-    pub fn settle(&mut self, won: bool) {
+    pub fn record_result(&mut self, won: bool) {
         let won = if won { 1.0 } else { 0.0 };
         self.won += WEIGHT * (won - self.won);
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! In front of a backend server, an inbound proxy holds one
 //! [`admission::Admission`] and one [`body_scheduler::BodyScheduler`]. Towards each service, an outbound proxy holds one
-//! [`balance::Balance`], one [`retry::Budget`] and one [`hedge::Hedge`]. What crashes backend
+//! [`balance::Balancer`], one [`retry::RetryBudget`] and one [`hedge::HedgePolicy`]. What crashes backend
 //! servers is found by [`in_flight::Table`] beside each, and remembered by all in a
 //! [`quarantine::Ledger`].
 //!
@@ -44,21 +44,21 @@
 pub mod balance;
 pub mod body_scheduler;
 mod choice;
-mod drain;
 pub mod duration;
 pub mod elapsed;
 pub mod fair_share;
 pub mod hedge;
 pub mod in_flight;
 pub mod limit;
+pub mod load_probe;
 pub mod outlier;
-pub mod outlook;
 pub mod quarantine;
 pub mod queue;
 pub mod retry;
 pub mod retry_quota;
 pub mod rollout;
 mod server;
+mod throughput;
 
 /// Names a caller or a route by a 64-bit FNV-1a hash of its text.
 ///
--- a/crates/policy/src/outlook.rs
+++ b/crates/policy/src/load_probe.rs
@@ -10,7 +10,7 @@
 //! fixed number of them, so that the cost doesn't grow with the fleet. What doesn't answer is
 //! passed over: a VM without power says nothing, and a commit that is sent there is lost.
 
-use crate::balance::{Ask, Balance, Distance, Key};
+use crate::balance::{Balancer, Distance, Key, PickArgs};
 use crate::choice::{AMPLE, Call, SOONER};
 use crate::outlier::Phase;
 use rand::Rng;
@@ -19,9 +19,9 @@
 
 /// What an inbound proxy expects of a call that it has not got.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Outlook {
+pub struct Estimate {
     /// Whether it would be let in.
-    pub takes: bool,
+    pub accepts: bool,
     /// How long it would wait for a slot.
     pub wait: Duration,
     /// How long calls of its route run there, if any has.
@@ -32,11 +32,11 @@
 
 /// A backend server that was asked about a call, and what it told, if it did.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct ProbeResult {
     /// Which one.
     pub key: Key,
     /// What it told.
-    pub outlook: Option<Outlook>,
+    pub estimate: Option<Estimate>,
 }
 
 /// Backend servers of the nearest tier that are asked about a call.
@@ -87,11 +87,11 @@
     }
 }
 
-impl Balance {
+impl Balancer {
     /// Gives the backend servers to ask about a call, those of the nearest tier that has any.
     ///
     /// None are given while the service is far from busy: nearly each has a free slot then.
-    pub fn survey<R>(&self, now: Instant, ask: &Ask<'_>, rng: &mut R) -> Vec<Key>
+    pub fn probe_targets<R>(&self, now: Instant, ask: &PickArgs<'_>, rng: &mut R) -> Vec<Key>
     where
         R: Rng,
     {
@@ -110,11 +110,11 @@
     }
 
     /// Gives further ones to ask, in the next tier, when none of those `seen` suffices.
-    pub fn survey_further<R>(
+    pub fn further_probe_targets<R>(
         &self,
         now: Instant,
-        ask: &Ask<'_>,
-        seen: &[Seen],
+        ask: &PickArgs<'_>,
+        seen: &[ProbeResult],
         rng: &mut R,
     ) -> Vec<Key>
     where
@@ -138,12 +138,12 @@
 
     /// Chooses a backend server by what those that were asked have told, and counts a call to it.
     ///
-    /// When none has told anything, it chooses as [`Balance::pick`] does.
-    pub fn pick_seen<R>(
+    /// When none has told anything, it chooses as [`Balancer::pick`] does.
+    pub fn pick_probed<R>(
         &mut self,
         now: Instant,
-        ask: &Ask<'_>,
-        seen: &[Seen],
+        ask: &PickArgs<'_>,
+        seen: &[ProbeResult],
         rng: &mut R,
     ) -> Option<Key>
     where
@@ -153,7 +153,7 @@
             self.take_outlook(now, one);
         }
         let call = Call::new(now, ask);
-        let is_near = |one: &&Seen| {
+        let is_near = |one: &&ProbeResult| {
             self.distance(one.key)
                 .is_some_and(|distance| distance <= Distance::Zone)
         };
@@ -172,8 +172,8 @@
         Some(chosen.key)
     }
 
-    fn take_outlook(&mut self, now: Instant, one: &Seen) {
-        let Some(outlook) = one.outlook else {
+    fn take_outlook(&mut self, now: Instant, one: &ProbeResult) {
+        let Some(outlook) = one.estimate else {
             self.miss(now, one.key);
             return;
         };
@@ -182,7 +182,7 @@
     }
 
     /// Gives the one that would end the call soonest, of those that would take it if there are any.
-    fn find_best(&self, seen: &[Seen], call: &Call<'_>) -> Option<Prospect> {
+    fn find_best(&self, seen: &[ProbeResult], call: &Call<'_>) -> Option<Prospect> {
         let prospects = seen.iter().filter_map(|one| self.foresee(one, call));
         prospects.min_by(|one, two| {
             let by_taking = two.takes.cmp(&one.takes);
@@ -190,8 +190,8 @@
         })
     }
 
-    fn foresee(&self, one: &Seen, call: &Call<'_>) -> Option<Prospect> {
-        let outlook = one.outlook?;
+    fn foresee(&self, one: &ProbeResult, call: &Call<'_>) -> Option<Prospect> {
+        let outlook = one.estimate?;
         let usual = self.durations.expected(call.route);
         let run = outlook.run.map_or(UNTRIED * usual, |run| run.as_secs_f64());
         let wait = outlook.wait.as_secs_f64();
@@ -199,7 +199,7 @@
         let fullness = outlook.load.min(1.0).powi(2);
         Some(Prospect {
             key: one.key,
-            takes: outlook.takes,
+            takes: outlook.accepts,
             wait,
             run,
             time: (wait + run) * failures,
@@ -221,7 +221,7 @@
         &self,
         tier: Distance,
         now: Instant,
-        ask: &Ask<'_>,
+        ask: &PickArgs<'_>,
         count: usize,
         rng: &mut R,
     ) -> Vec<Key>
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -40,7 +40,7 @@
 
 /// A try that came to nothing.
 #[derive(Debug, Clone, Copy)]
-pub struct Try {
+pub struct FailedAttempt {
     /// Whether it may have run.
     pub verdict: Verdict,
     /// Why it came to nothing.
@@ -48,44 +48,44 @@
     /// Whether the call may be repeated, whatever became of it.
     pub repeatable: bool,
     /// Tries so far, this one included.
-    pub tries: u8,
+    pub attempts: u8,
     /// Those of them that were given to a backend server, or may have been.
-    pub reached: u8,
+    pub dispatched: u8,
     /// Backend servers that ended while they ran the call.
     pub crashes: u8,
     /// Tries allowed by the retry rule.
-    pub attempts: u8,
+    pub max_attempts: u8,
     /// Whether a layer above marked the call as a retry ([`HEADER`]).
-    pub retried_above: bool,
+    pub retried_by_caller: bool,
     /// Whether there are backend servers that have not refused the call, and
     /// after [`Cause::Full`] one that is not known to be full as well.
-    pub untried: bool,
+    pub has_alternative: bool,
     /// When nobody waits for the answer any more.
     pub deadline: Instant,
     /// How long a try is expected to take.
-    pub expected: Duration,
+    pub expected_duration: Duration,
 }
 
 /// What follows a try that came to nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     /// It is tried again after a wait.
-    Again(Duration),
+    Retry(Duration),
     /// The caller gets its final answer now.
-    Stop(Stop),
+    GiveUp(GiveUpReason),
 }
 
 /// Why there is no further try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stop {
+pub enum GiveUpReason {
     /// It may have run, and may not be repeated.
     Unsafe,
     /// All tries are used, or no backend server is left.
     Exhausted,
     /// A layer above tries again already.
-    Layer,
+    RetriedByCaller,
     /// A further try would end after the deadline.
-    Late,
+    Deadline,
     /// The budget is used up.
     Budget,
     /// It seems to crash the backend servers that run it.
@@ -115,14 +115,14 @@
 /// Retries of one service: a share of its successes, and within the part of the
 /// fleet's allowance where operators bound the fleet.
 #[derive(Debug, Clone)]
-pub struct Budget {
+pub struct RetryBudget {
     tokens: f64,
     share: f64,
     at: Instant,
     allowance: Option<RetryQuota>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Makes a budget of retries in per cent of successes.
     #[must_use]
     pub fn new(now: Instant, percent: u8) -> Self {
@@ -136,7 +136,7 @@
 
     /// Holds it within this node's part of what the whole fleet may repeat.
     #[must_use]
-    pub fn within(self, now: Instant, bounds: FleetLimits) -> Self {
+    pub fn with_fleet_limits(self, now: Instant, bounds: FleetLimits) -> Self {
         Self {
             allowance: Some(RetryQuota::new(now, bounds)),
             ..self
@@ -144,21 +144,21 @@
     }
 
     /// Takes in how many nodes the fleet has.
-    pub fn tell_nodes(&mut self, now: Instant, nodes: usize) {
+    pub fn set_node_count(&mut self, now: Instant, nodes: usize) {
         if let Some(allowance) = &mut self.allowance {
             allowance.set_node_count(now, nodes);
         }
     }
 
     /// Takes in a caller's request for the service.
-    pub fn request(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         if let Some(allowance) = &mut self.allowance {
             allowance.record_request(now);
         }
     }
 
     /// Takes in a repeat that can't be left out: a call made by a run that is one.
-    pub fn charge(&mut self, now: Instant) {
+    pub fn record_retry(&mut self, now: Instant) {
         if let Some(allowance) = &mut self.allowance {
             allowance.record_retry(now);
         }
@@ -170,33 +170,33 @@
     }
 
     /// Takes in a success of a first try.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.tokens = (self.tokens + self.share).min(MOST);
     }
 
     /// Decides what follows a try that came to nothing.
-    pub fn decide<R>(&mut self, now: Instant, tried: &Try, rng: &mut R) -> Decision
+    pub fn decide<R>(&mut self, now: Instant, tried: &FailedAttempt, rng: &mut R) -> Decision
     where
         R: Rng,
     {
         if let Some(stop) = find_stop(tried) {
-            return Decision::Stop(stop);
+            return Decision::GiveUp(stop);
         }
         let wait = match tried.cause {
             Cause::Leaving | Cause::Unreached | Cause::Full | Cause::Shed => Duration::ZERO,
-            Cause::Failed | Cause::Held => draw_wait(tried.tries, rng),
+            Cause::Failed | Cause::Held => draw_wait(tried.attempts, rng),
         };
-        if now + wait + tried.expected > tried.deadline {
-            return Decision::Stop(Stop::Late);
+        if now + wait + tried.expected_duration > tried.deadline {
+            return Decision::GiveUp(GiveUpReason::Deadline);
         }
         // Refused at the door, by one that leaves, is full or is not there, the
         // call has cost no backend server anything: a rolling restart, or one that is slow
         // while the others have room, must not use up the budget.
         let is_free = matches!(tried.cause, Cause::Leaving | Cause::Unreached | Cause::Full);
         if is_free || self.spend(now) {
-            Decision::Again(wait)
+            Decision::Retry(wait)
         } else {
-            Decision::Stop(Stop::Budget)
+            Decision::GiveUp(GiveUpReason::Budget)
         }
     }
 
@@ -219,7 +219,7 @@
     }
 }
 
-fn find_stop(tried: &Try) -> Option<Stop> {
+fn find_stop(tried: &FailedAttempt) -> Option<GiveUpReason> {
     let harmless = match tried.verdict {
         Verdict::NotRun => true,
         Verdict::MayHaveRun => tried.repeatable,
@@ -227,21 +227,22 @@
         Verdict::Ran => false,
     };
     if !harmless {
-        return Some(Stop::Unsafe);
+        return Some(GiveUpReason::Unsafe);
     }
     if tried.crashes >= MAX_CRASHES || tried.cause == Cause::Held {
-        return Some(Stop::Crashes);
+        return Some(GiveUpReason::Crashes);
     }
     let is_used_up = match tried.cause {
         Cause::Leaving | Cause::Unreached => false,
         // Turned away at the door, it has cost no backend server anything.
-        Cause::Full => tried.tries >= DOORS.max(tried.attempts),
-        Cause::Shed | Cause::Failed | Cause::Held => tried.reached >= tried.attempts,
+        Cause::Full => tried.attempts >= DOORS.max(tried.max_attempts),
+        Cause::Shed | Cause::Failed | Cause::Held => tried.dispatched >= tried.max_attempts,
     };
-    if is_used_up || !tried.untried {
-        return Some(Stop::Exhausted);
+    if is_used_up || !tried.has_alternative {
+        return Some(GiveUpReason::Exhausted);
     }
-    (tried.retried_above && tried.cause != Cause::Leaving).then_some(Stop::Layer)
+    (tried.retried_by_caller && tried.cause != Cause::Leaving)
+        .then_some(GiveUpReason::RetriedByCaller)
 }
 
 fn draw_wait<R>(tries: u8, rng: &mut R) -> Duration
@@ -250,5 +251,5 @@
 {
     let doublings = u32::from(tries.saturating_sub(1).min(16));
     let ceiling = WAIT.0.saturating_mul(1 << doublings).min(WAIT.1);
-    backoff::Backoff::new(ceiling, ceiling).next(rng)
+    backoff::Backoff::new(ceiling, ceiling).next_delay(rng)
 }
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -11,7 +11,7 @@
 //! sequential probability ratio test ("Sequential Tests of Statistical Hypotheses", 1945), so that
 //! a burst, a slow zone or a worse old version tells nothing against the new one.
 
-use crate::balance::Arm;
+use crate::balance::Track;
 use config::rollout::{Counts, KINDS, Rollout, Stage, Tally};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -128,15 +128,15 @@
 /// Without any of these the service has nothing else to run on, be it that the version which
 /// runs was ordered once more, or that all others have gone.
 #[must_use]
-pub fn arm_of(stage: Stage, endpoint: Endpoint, has_old: bool) -> Arm {
+pub fn arm_of(stage: Stage, endpoint: Endpoint, has_old: bool) -> Track {
     if !has_old {
-        return Arm::Stable;
+        return Track::Stable;
     }
     match stage {
-        Stage::Canary if endpoint.is_new && endpoint.is_tried => Arm::Trial,
-        Stage::Canary | Stage::Stopped | Stage::RolledBack if endpoint.is_new => Arm::Out,
-        Stage::Whole | Stage::Completed if !endpoint.is_new => Arm::Out,
-        _ => Arm::Stable,
+        Stage::Canary if endpoint.is_new && endpoint.is_tried => Track::Trial,
+        Stage::Canary | Stage::Stopped | Stage::RolledBack if endpoint.is_new => Track::Excluded,
+        Stage::Whole | Stage::Completed if !endpoint.is_new => Track::Excluded,
+        _ => Track::Stable,
     }
 }
 
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -1,6 +1,6 @@
 //! What an outbound proxy knows of one backend server.
 
-use crate::balance::{Arm, Candidate, Distance, Identity};
+use crate::balance::{Candidate, Distance, Identity, Track};
 use crate::outlier::Health;
 use std::time::{Duration, Instant};
 
@@ -57,7 +57,7 @@
     pub(crate) present: bool,
     pub(crate) leaving: bool,
     pub(crate) distance: Distance,
-    pub(crate) arm: Arm,
+    pub(crate) arm: Track,
     pub(crate) slots: f64,
     pub(crate) in_flight: u32,
     /// Sum of the starts of the calls in flight, in seconds since `epoch`.
@@ -86,7 +86,7 @@
             present: true,
             leaving: false,
             distance: candidate.distance,
-            arm: candidate.arm,
+            arm: candidate.track,
             slots: 1.0,
             in_flight: 0,
             starts: 0.0,
@@ -98,7 +98,7 @@
             load_at: now,
             // At one's own start all are new, and none of them is cold for that.
             warm_from: (!first).then_some(now),
-            slow_start: candidate.cold.unwrap_or(SLOW_START),
+            slow_start: candidate.warm_up.unwrap_or(SLOW_START),
             unheard_until: None,
             health: Health::new(now),
         }
@@ -116,7 +116,7 @@
         self.process = candidate.process;
         self.health = Health::new(now);
         self.restart(now);
-        self.slow_start = candidate.cold.unwrap_or(SLOW_START);
+        self.slow_start = candidate.warm_up.unwrap_or(SLOW_START);
     }
 
     /// Starts again as it is back from an ejection.
--- a/crates/policy/src/drain.rs
+++ b/crates/policy/src/throughput.rs
@@ -27,7 +27,7 @@
 /// second among calls of milliseconds, counts come in lumps. A backend server
 /// that hangs ends nothing at all; it shows by the age of the calls that run.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Speed {
+pub(crate) struct SlotSpeed {
     expected: f64,
     took: f64,
     at: Instant,
@@ -37,7 +37,7 @@
     running_starts: f64,
 }
 
-impl Speed {
+impl SlotSpeed {
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             expected: 0.0,
@@ -101,25 +101,25 @@
 /// It is only seen while such calls wait. While none does, it drifts to what
 /// all slots give: a lane that gets by without waiting could get more.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Rate {
+pub(crate) struct LaneRate {
     rate: f64,
     at: Instant,
 }
 
-impl Rate {
+impl LaneRate {
     pub(crate) fn new(now: Instant, rate: f64) -> Self {
         Self { rate, at: now }
     }
 
     /// Takes in that none has waited since it was last asked.
-    pub(crate) fn idle(&mut self, now: Instant, whole: f64) {
+    pub(crate) fn record_idle(&mut self, now: Instant, whole: f64) {
         let fade = fade(now, self.at, IDLE_MEMORY);
         self.rate = whole + (self.rate - whole) * fade;
         self.at = now;
     }
 
     /// Takes in that one which waited has got its turn.
-    pub(crate) fn serve(&mut self, now: Instant, work: f64) {
+    pub(crate) fn record_served(&mut self, now: Instant, work: f64) {
         let memory = LANE_MEMORY.max(LANE_CALLS * work);
         self.rate = self.rate * fade(now, self.at, memory) + work / memory;
         self.at = now;
@@ -137,12 +137,12 @@
 
 /// Work that was refused and sent to come back later.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Promise {
+pub(crate) struct DeferredWork {
     work: f64,
     at: Instant,
 }
 
-impl Promise {
+impl DeferredWork {
     pub(crate) fn new(now: Instant) -> Self {
         Self { work: 0.0, at: now }
     }
--- a/crates/policy/tests/balance.rs
+++ b/crates/policy/tests/balance.rs
@@ -2,7 +2,9 @@
 
 use call::Digest;
 use clock::{Clock, Manual};
-use policy::balance::{Arm, Ask, Balance, Candidate, Distance, Identity, Key, Outcome, Told};
+use policy::balance::{
+    Balancer, Candidate, Distance, Identity, Key, LoadReport, Outcome, PickArgs, Track,
+};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::collections::HashSet;
@@ -31,14 +33,14 @@
         distance: Distance::Zone,
         slots: 6,
         process: 1,
-        cold: None,
-        arm: Arm::Stable,
+        warm_up: None,
+        track: Track::Stable,
     };
     (0..count).map(make).collect()
 }
 
-fn ask(tried: &[Key], repeatable: bool) -> Ask<'_> {
-    Ask {
+fn ask(tried: &[Key], repeatable: bool) -> PickArgs<'_> {
+    PickArgs {
         tried,
         repeatable,
         route: 1,
@@ -54,12 +56,12 @@
 fn restarted_behind_node() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut balance = Balance::new();
+    let mut balance = Balancer::new();
     balance.sync(clock.now(), list_candidates(4));
     clock.advance(Duration::from_secs(20));
     let mut candidates = list_candidates(4);
     candidates[2].process = 2;
-    candidates[2].cold = Some(Duration::from_secs(4));
+    candidates[2].warm_up = Some(Duration::from_secs(4));
     balance.sync(clock.now(), candidates.clone());
     let mut share = |clock: &Manual| {
         let mut to_restarted = 0;
@@ -89,7 +91,7 @@
 fn overtaken_shunned() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut balance = Balance::new();
+    let mut balance = Balancer::new();
     balance.sync(clock.now(), list_candidates(4));
     let mut pending = Vec::<Pending>::new();
     let mut to_slow = 0;
@@ -102,13 +104,13 @@
         let key = balance.pick(now, &ask(&[], true), &mut rng).unwrap();
         let is_slow = balance.identity(key).unwrap().incarnation == 0;
         let (took, outcome) = if is_slow {
-            (3 * USUAL, Outcome::Overtaken)
+            (3 * USUAL, Outcome::HedgeWon)
         } else {
             (
                 USUAL,
-                Outcome::Answered(Some(Told {
+                Outcome::Answered(Some(LoadReport {
                     load: 0.5,
-                    waited: Duration::ZERO,
+                    queue_wait: Duration::ZERO,
                 })),
             )
         };
@@ -131,7 +133,7 @@
 fn last_one_left() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut balance = Balance::new();
+    let mut balance = Balancer::new();
     let both = list_candidates(2);
     balance.sync(clock.now(), both.clone());
     let mut well = Vec::new();
@@ -160,9 +162,9 @@
 fn first_second(cold: Option<Duration>) -> f64 {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut balance = Balance::new();
+    let mut balance = Balancer::new();
     let mut both = list_candidates(2);
-    both[1].cold = cold;
+    both[1].warm_up = cold;
     balance.sync(clock.now(), both[..1].to_vec());
     balance.sync(clock.now(), both);
     let mut to_new = 0;
@@ -193,9 +195,9 @@
 fn one_owner() {
     let now = Manual::new().now();
     let request = |number: usize| Digest::of("GET", "", &format!("/records/{number}"), b"");
-    let mut proxies: Vec<Balance> = Vec::new();
+    let mut proxies: Vec<Balancer> = Vec::new();
     for turn in 0..5 {
-        let mut balance = Balance::new();
+        let mut balance = Balancer::new();
         let mut candidates = list_candidates(5);
         candidates.rotate_left(turn);
         balance.sync(now, candidates);
@@ -219,10 +221,10 @@
 fn arms_apart() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut balance = Balance::new();
+    let mut balance = Balancer::new();
     let mut candidates = list_candidates(6);
-    candidates[4].arm = Arm::Trial;
-    candidates[5].arm = Arm::Out;
+    candidates[4].track = Track::Trial;
+    candidates[5].track = Track::Excluded;
     balance.sync(clock.now(), candidates.clone());
     let stable: Vec<_> = candidates[..4].iter().map(|one| &one.identity).collect();
     for _ in 0..500 {
--- a/crates/policy/tests/load/sim.rs
+++ b/crates/policy/tests/load/sim.rs
@@ -5,12 +5,12 @@
 use crate::scenario::{Comeback, Scenario, Server, System};
 use config::Class;
 use policy::admission::{self, Admission};
-use policy::balance::{self, Balance, Candidate, Distance, Identity};
-use policy::hedge::Hedge;
+use policy::balance::{self, Balancer, Candidate, Distance, Identity};
+use policy::hedge::HedgePolicy;
 use policy::limit;
-use policy::outlook::Seen;
+use policy::load_probe::ProbeResult;
 use policy::queue;
-use policy::retry::{Budget, Cause, Decision, Try};
+use policy::retry::{Cause, Decision, FailedAttempt, RetryBudget};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -59,7 +59,7 @@
     returns: u32,
     tried: Vec<balance::Key>,
     /// Those that are asked about it, and what they have told.
-    seen: Vec<Seen>,
+    seen: Vec<ProbeResult>,
     hedged: Option<usize>,
 }
 
@@ -82,8 +82,8 @@
 }
 
 impl Asked {
-    fn lend(self, tried: &[balance::Key]) -> balance::Ask<'_> {
-        balance::Ask {
+    fn lend(self, tried: &[balance::Key]) -> balance::PickArgs<'_> {
+        balance::PickArgs {
             tried,
             repeatable: self.repeatable,
             route: self.route,
@@ -102,9 +102,9 @@
 }
 
 struct Outbound {
-    balance: Balance,
-    budget: Budget,
-    hedge: Hedge,
+    balance: Balancer,
+    budget: RetryBudget,
+    hedge: HedgePolicy,
     turn: usize,
 }
 
@@ -153,9 +153,9 @@
     }
     for turn in 0..scenario.proxies.len() {
         sim.outbound.push(Outbound {
-            balance: Balance::new(),
-            budget: Budget::new(start, 10),
-            hedge: Hedge::new(start),
+            balance: Balancer::new(),
+            budget: RetryBudget::new(start, 10),
+            hedge: HedgePolicy::new(start),
             turn,
         });
     }
@@ -241,8 +241,8 @@
                     },
                     slots: server.told,
                     process: 0,
-                    cold: None,
-                    arm: policy::balance::Arm::Stable,
+                    warm_up: None,
+                    track: policy::balance::Track::Stable,
                 }),
             );
         }
@@ -286,7 +286,7 @@
             let repeatable = self.scenario.flows[flow].class != Class::Commit;
             let now = self.at(self.now);
             let proxy = self.calls[call].proxy;
-            let wait = self.outbound[proxy].hedge.wait(now, repeatable);
+            let wait = self.outbound[proxy].hedge.delay(now, repeatable);
             if let Some(wait) = wait {
                 self.schedule(self.now + wait.as_secs_f64(), Event::HedgeDue(call));
             }
@@ -304,7 +304,7 @@
         let (ask, proxy) = (self.ask_of(call, now), self.calls[call].proxy);
         let ask = ask.lend(&self.calls[call].tried);
         let balance = &self.outbound[proxy].balance;
-        let keys = balance.survey(now, &ask, &mut self.rng);
+        let keys = balance.probe_targets(now, &ask, &mut self.rng);
         self.ask_all(call, keys);
     }
 
@@ -313,7 +313,7 @@
         let (ask, proxy) = (self.ask_of(call, now), self.calls[call].proxy);
         let ask = ask.lend(&self.calls[call].tried);
         let balance = &self.outbound[proxy].balance;
-        let keys = balance.survey_further(now, &ask, &self.calls[call].seen, &mut self.rng);
+        let keys = balance.further_probe_targets(now, &ask, &self.calls[call].seen, &mut self.rng);
         self.ask_all(call, keys);
     }
 
@@ -322,7 +322,10 @@
             self.send(call);
             return;
         }
-        let unanswered = keys.into_iter().map(|key| Seen { key, outlook: None });
+        let unanswered = keys.into_iter().map(|key| ProbeResult {
+            key,
+            estimate: None,
+        });
         self.calls[call].seen.extend(unanswered);
         self.schedule(self.now + WIRE, Event::Look(call));
     }
@@ -337,11 +340,11 @@
             let identity = self.outbound[proxy].balance.identity(one.key);
             let server = identity.and_then(|known| usize::try_from(known.incarnation).ok());
             let is_lit = |server: &usize| !(self.scenario.servers[*server].dark)(self.now);
-            let Some(server) = server.filter(is_lit).filter(|_| one.outlook.is_none()) else {
+            let Some(server) = server.filter(is_lit).filter(|_| one.estimate.is_none()) else {
                 continue;
             };
             let outlook = self.inbound[server].admission.estimate(now, &request);
-            self.calls[call].seen[index].outlook = Some(outlook);
+            self.calls[call].seen[index].estimate = Some(outlook);
         }
         self.schedule(self.now + WIRE, Event::Seen(call));
     }
@@ -416,7 +419,9 @@
             System::Policy => {
                 let ask = asked.lend(&self.calls[call].tried);
                 let seen = &self.calls[call].seen;
-                let key = outbound.balance.pick_seen(now, &ask, seen, &mut self.rng)?;
+                let key = outbound
+                    .balance
+                    .pick_probed(now, &ask, seen, &mut self.rng)?;
                 let identity = outbound.balance.identity(key)?;
                 let server = usize::try_from(identity.incarnation).ok()?;
                 self.calls[call].tried.push(key);
@@ -577,9 +582,9 @@
         let outbound = &mut self.outbound[self.calls[call].proxy];
         if let Some(key) = key {
             let outcome = match ending {
-                Ending::Answered => balance::Outcome::Answered(Some(balance::Told {
+                Ending::Answered => balance::Outcome::Answered(Some(balance::LoadReport {
                     load: told,
-                    waited: Duration::ZERO,
+                    queue_wait: Duration::ZERO,
                 })),
                 Ending::Broken if !open => balance::Outcome::Cancelled,
                 Ending::Broken => balance::Outcome::Failed,
@@ -590,17 +595,17 @@
                 .finish(now, key, route, took, outcome, &mut self.rng);
         }
         if ending == Ending::Answered && first {
-            outbound.hedge.see(took);
-            outbound.budget.succeed();
+            outbound.hedge.record_latency(took);
+            outbound.budget.record_success();
         }
         if ending == Ending::Full {
-            outbound.hedge.refused(now);
+            outbound.hedge.pause(now);
         }
         if let Some(hedge) = self.calls[call].hedged
             && open
             && ending == Ending::Answered
         {
-            outbound.hedge.settle(hedge == attempt);
+            outbound.hedge.record_result(hedge == attempt);
         }
         if !open {
             return;
@@ -630,7 +635,7 @@
         let took = Duration::from_secs_f64(self.now - first.sent);
         if let Some(key) = first.key.take() {
             let balance = &mut self.outbound[self.calls[call].proxy].balance;
-            let outcome = balance::Outcome::Overtaken;
+            let outcome = balance::Outcome::HedgeWon;
             balance.finish(now, key, route, took, outcome, &mut self.rng);
         }
     }
@@ -683,25 +688,25 @@
             Ending::Full => (call::Verdict::NotRun, Cause::Full),
             Ending::Broken | Ending::Answered => (call::Verdict::MayHaveRun, Cause::Failed),
         };
-        let tried = Try {
+        let tried = FailedAttempt {
             verdict,
             cause,
             repeatable,
-            tries,
-            reached: if cause == Cause::Full { 0 } else { tries },
+            attempts: tries,
+            dispatched: if cause == Cause::Full { 0 } else { tries },
             crashes: 0,
-            attempts: 3,
-            retried_above: false,
-            untried: match cause {
+            max_attempts: 3,
+            retried_by_caller: false,
+            has_alternative: match cause {
                 Cause::Full => outbound.balance.has_room(now, tried),
                 _ => tried.len() < outbound.balance.len(),
             },
             deadline,
-            expected: outbound.balance.expect(route),
+            expected_duration: outbound.balance.expected_duration(route),
         };
         match outbound.budget.decide(now, &tried, &mut self.rng) {
-            Decision::Again(wait) => Some(wait.as_secs_f64()),
-            Decision::Stop(_) => None,
+            Decision::Retry(wait) => Some(wait.as_secs_f64()),
+            Decision::GiveUp(_) => None,
         }
     }
 
--- a/crates/policy/tests/outlook.rs
+++ b/crates/policy/tests/load_probe.rs
@@ -1,8 +1,10 @@
 //! Which backend servers are asked about a call, and which of them gets it.
 
 use clock::{Clock, Manual};
-use policy::balance::{Ask, Balance, Candidate, Distance, Identity, Key, Outcome, Told};
-use policy::outlook::{Outlook, Seen};
+use policy::balance::{
+    Balancer, Candidate, Distance, Identity, Key, LoadReport, Outcome, PickArgs,
+};
+use policy::load_probe::{Estimate, ProbeResult};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::time::Duration;
@@ -12,7 +14,7 @@
 const USUAL: Duration = Duration::from_millis(100);
 
 /// A service of four backend servers in the own zone and two in another one.
-fn spawn_balance(clock: &Manual, rng: &mut SmallRng, load: f64) -> Balance {
+fn spawn_balance(clock: &Manual, rng: &mut SmallRng, load: f64) -> Balancer {
     let make = |index: u64| Candidate {
         identity: Identity {
             node: format!("vm-{index}").into(),
@@ -25,16 +27,16 @@
         },
         slots: 6,
         process: 1,
-        cold: None,
-        arm: policy::balance::Arm::Stable,
+        warm_up: None,
+        track: policy::balance::Track::Stable,
     };
-    let mut balance = Balance::new();
+    let mut balance = Balancer::new();
     balance.sync(clock.now(), (0..6).map(make));
     for _ in 0..40 {
         let key = balance.pick(clock.now(), &ask(&[], None), rng).unwrap();
-        let told = Told {
+        let told = LoadReport {
             load,
-            waited: Duration::ZERO,
+            queue_wait: Duration::ZERO,
         };
         let done = Outcome::Answered(Some(told));
         balance.finish(clock.now(), key, 1, USUAL, done, rng);
@@ -42,8 +44,8 @@
     balance
 }
 
-fn ask(tried: &[Key], target: Option<std::time::Instant>) -> Ask<'_> {
-    Ask {
+fn ask(tried: &[Key], target: Option<std::time::Instant>) -> PickArgs<'_> {
+    PickArgs {
         tried,
         repeatable: false,
         route: 1,
@@ -51,9 +53,9 @@
     }
 }
 
-fn told(wait_ms: u64, run_ms: u64) -> Outlook {
-    Outlook {
-        takes: true,
+fn told(wait_ms: u64, run_ms: u64) -> Estimate {
+    Estimate {
+        accepts: true,
         wait: Duration::from_millis(wait_ms),
         run: Some(Duration::from_millis(run_ms)),
         load: 0.9,
@@ -68,7 +70,7 @@
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(1);
     let balance = spawn_balance(&clock, &mut rng, load);
-    let keys = balance.survey(clock.now(), &ask(&[], None), &mut rng);
+    let keys = balance.probe_targets(clock.now(), &ask(&[], None), &mut rng);
     assert_eq!(keys.len(), asked);
     let near = |key: &Key| balance.identity(*key).unwrap().incarnation < 4;
     assert!(keys.iter().all(near));
@@ -86,7 +88,7 @@
     let key = key.unwrap();
     balance.finish(clock.now(), key, 1, USUAL, Outcome::Failed, &mut rng);
     let asked = |clock: &Manual, rng: &mut SmallRng| {
-        let keys = balance.survey(clock.now(), &ask(&[], None), rng);
+        let keys = balance.probe_targets(clock.now(), &ask(&[], None), rng);
         keys.len()
     };
     assert_eq!(asked(&clock, &mut rng), 3);
@@ -98,18 +100,21 @@
     shorter_wait = { Some(told(80, 100)), told(20, 100), 1 },
     faster = { Some(told(0, 300)), told(60, 100), 1 },
     silent = { None, told(500, 100), 1 },
-    turns_away = { Some(Outlook { takes: false, ..told(0, 100) }), told(500, 100), 1 },
-    unknown_there = { Some(Outlook { run: None, ..told(0, 100) }), told(20, 100), 1 },
-    emptier = { Some(told(0, 100)), Outlook { load: 0.2, ..told(0, 110) }, 1 },
+    turns_away = { Some(Estimate { accepts: false, ..told(0, 100) }), told(500, 100), 1 },
+    unknown_there = { Some(Estimate { run: None, ..told(0, 100) }), told(20, 100), 1 },
+    emptier = { Some(told(0, 100)), Estimate { load: 0.2, ..told(0, 110) }, 1 },
     sooner_there = { Some(told(0, 100)), told(1, 100), 0 },
 )]
-fn soonest_gets_it(one: Option<Outlook>, two: Outlook, chosen: usize) {
+fn soonest_gets_it(one: Option<Estimate>, two: Estimate, chosen: usize) {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(3);
     let mut balance = spawn_balance(&clock, &mut rng, 0.9);
-    let keys = balance.survey(clock.now(), &ask(&[], None), &mut rng);
-    let seen = [(keys[0], one), (keys[1], Some(two))].map(|(key, outlook)| Seen { key, outlook });
-    let picked = balance.pick_seen(clock.now(), &ask(&[], None), &seen, &mut rng);
+    let keys = balance.probe_targets(clock.now(), &ask(&[], None), &mut rng);
+    let seen = [(keys[0], one), (keys[1], Some(two))].map(|(key, outlook)| ProbeResult {
+        key,
+        estimate: outlook,
+    });
+    let picked = balance.pick_probed(clock.now(), &ask(&[], None), &seen, &mut rng);
     assert_eq!(picked, Some(keys[chosen]));
 }
 
@@ -126,21 +131,21 @@
     let mut balance = spawn_balance(&clock, &mut rng, 0.9);
     let target = Some(clock.now() + Duration::from_millis(500));
     let ask = ask(&[], target);
-    let near = balance.survey(clock.now(), &ask, &mut rng);
+    let near = balance.probe_targets(clock.now(), &ask, &mut rng);
     let mut seen: Vec<_> = near
         .into_iter()
-        .map(|key| Seen {
+        .map(|key| ProbeResult {
             key,
-            outlook: Some(told(near_wait, 100)),
+            estimate: Some(told(near_wait, 100)),
         })
         .collect();
-    let further = balance.survey_further(clock.now(), &ask, &seen, &mut rng);
+    let further = balance.further_probe_targets(clock.now(), &ask, &seen, &mut rng);
     assert_eq!(further.len(), asked);
-    seen.extend(further.into_iter().map(|key| Seen {
+    seen.extend(further.into_iter().map(|key| ProbeResult {
         key,
-        outlook: Some(told(far_wait, 100)),
+        estimate: Some(told(far_wait, 100)),
     }));
-    let picked = balance.pick_seen(clock.now(), &ask, &seen, &mut rng);
+    let picked = balance.pick_probed(clock.now(), &ask, &seen, &mut rng);
     let picked = balance.identity(picked.unwrap()).unwrap();
     assert_eq!(picked.incarnation >= 4, goes_far);
 }
@@ -152,13 +157,16 @@
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(6);
     let mut balance = spawn_balance(&clock, &mut rng, 0.9);
-    let keys = balance.survey(clock.now(), &ask(&[], None), &mut rng);
+    let keys = balance.probe_targets(clock.now(), &ask(&[], None), &mut rng);
     let seen = [(keys[0], None), (keys[1], Some(told(0, 100)))];
-    let seen = seen.map(|(key, outlook)| Seen { key, outlook });
-    balance.pick_seen(clock.now(), &ask(&[], None), &seen, &mut rng);
+    let seen = seen.map(|(key, outlook)| ProbeResult {
+        key,
+        estimate: outlook,
+    });
+    balance.pick_probed(clock.now(), &ask(&[], None), &seen, &mut rng);
     let mut is_asked = |clock: &Manual| {
         (0..50).any(|_| {
-            let keys = balance.survey(clock.now(), &ask(&[], None), &mut rng);
+            let keys = balance.probe_targets(clock.now(), &ask(&[], None), &mut rng);
             keys.contains(&seen[0].key)
         })
     };
@@ -174,11 +182,14 @@
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
     let mut balance = spawn_balance(&clock, &mut rng, 0.9);
-    let keys = balance.survey(clock.now(), &ask(&[], None), &mut rng);
+    let keys = balance.probe_targets(clock.now(), &ask(&[], None), &mut rng);
     let seen: Vec<_> = keys
         .into_iter()
-        .map(|key| Seen { key, outlook: None })
+        .map(|key| ProbeResult {
+            key,
+            estimate: None,
+        })
         .collect();
-    let picked = balance.pick_seen(clock.now(), &ask(&[], None), &seen, &mut rng);
+    let picked = balance.pick_probed(clock.now(), &ask(&[], None), &seen, &mut rng);
     assert!(picked.is_some());
 }
--- a/crates/policy/tests/retry_quota.rs
+++ b/crates/policy/tests/retry_quota.rs
@@ -1,7 +1,7 @@
 //! What all nodes together may repeat.
 
 use clock::{Clock, Manual};
-use policy::retry::Budget;
+use policy::retry::RetryBudget;
 use policy::retry_quota::{FleetLimits, RetryQuota};
 use std::time::Duration;
 
@@ -42,9 +42,9 @@
 #[test]
 fn fleet_bounds() {
     let start = Manual::new().now();
-    let mut apart: Vec<_> = (0..NODES).map(|_| Budget::new(start, 20)).collect();
+    let mut apart: Vec<_> = (0..NODES).map(|_| RetryBudget::new(start, 20)).collect();
     let (worst, allowed) = worst_span(|clock, node| {
-        apart[node].succeed();
+        apart[node].record_success();
         apart[node].spend(clock.now())
     });
     println!("apart: {worst} of {allowed}");
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -2,7 +2,7 @@
 
 use config::Rollout;
 use config::rollout::{Place, Stage, Tally};
-use policy::balance::Arm;
+use policy::balance::Track;
 use policy::rollout::{Endpoint, Fault, Judge, Sampler, Verdict, arm_of, count_tried, trial_share};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -229,19 +229,19 @@
 
 /// A roll-out must never leave a service with fewer endpoints than one of its versions has.
 #[yare::parameterized(
-    canary_old = { Stage::Canary, false, false, true, Arm::Stable },
-    canary_tried = { Stage::Canary, true, true, true, Arm::Trial },
-    canary_untried = { Stage::Canary, true, false, true, Arm::Out },
-    both_new = { Stage::Both, true, false, true, Arm::Stable },
-    whole_old = { Stage::Whole, false, false, true, Arm::Out },
-    whole_new = { Stage::Whole, true, false, true, Arm::Stable },
-    stopped_old = { Stage::Stopped, false, false, true, Arm::Stable },
-    stopped_new = { Stage::Stopped, true, true, true, Arm::Out },
-    rolled_back_new = { Stage::RolledBack, true, true, true, Arm::Out },
-    ordered_again = { Stage::Canary, true, false, false, Arm::Stable },
-    nothing_else = { Stage::RolledBack, true, false, false, Arm::Stable },
+    canary_old = { Stage::Canary, false, false, true, Track::Stable },
+    canary_tried = { Stage::Canary, true, true, true, Track::Trial },
+    canary_untried = { Stage::Canary, true, false, true, Track::Excluded },
+    both_new = { Stage::Both, true, false, true, Track::Stable },
+    whole_old = { Stage::Whole, false, false, true, Track::Excluded },
+    whole_new = { Stage::Whole, true, false, true, Track::Stable },
+    stopped_old = { Stage::Stopped, false, false, true, Track::Stable },
+    stopped_new = { Stage::Stopped, true, true, true, Track::Excluded },
+    rolled_back_new = { Stage::RolledBack, true, true, true, Track::Excluded },
+    ordered_again = { Stage::Canary, true, false, false, Track::Stable },
+    nothing_else = { Stage::RolledBack, true, false, false, Track::Stable },
 )]
-fn endpoints_left(stage: Stage, is_new: bool, is_tried: bool, has_old: bool, arm: Arm) {
+fn endpoints_left(stage: Stage, is_new: bool, is_tried: bool, has_old: bool, arm: Track) {
     let endpoint = Endpoint { is_new, is_tried };
     assert_eq!(arm_of(stage, endpoint, has_old), arm);
 }
--- a/crates/store/src/latest.rs
+++ b/crates/store/src/latest.rs
@@ -124,7 +124,7 @@
         }
         self.is_connected = false;
         self.watch = None;
-        let wait = self.backoff.next(&mut rand::rng());
+        let wait = self.backoff.next_delay(&mut rand::rng());
         tokio::time::sleep(wait).await;
     }
 }
