--- a/crates/fleet/src/bootstrap.rs
+++ b/crates/fleet/src/bootstrap.rs
@@ -33,7 +33,7 @@
 
 /// Holds a new process back until it has the highest version heard.
 #[derive(Debug)]
-pub struct Gate {
+pub struct ReadinessGate {
     /// Some of the sources, to count them.
     sources: BTreeSet<SmolStr>,
     /// Highest version that any source told.
@@ -55,13 +55,13 @@
     Answered,
 }
 
-impl Default for Gate {
+impl Default for ReadinessGate {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Gate {
+impl ReadinessGate {
     /// Makes a closed gate.
     #[must_use]
     pub fn new() -> Self {
@@ -80,7 +80,7 @@
     ///
     /// One that doesn't serve is no witness: two new processes would take each
     /// other's empty hands for the newest configuration.
-    pub fn hear(&mut self, source: &SmolStr, version: Version, is_near: bool) {
+    pub fn record_peer_version(&mut self, source: &SmolStr, version: Version, is_near: bool) {
         if self.is_open {
             return;
         }
@@ -92,13 +92,13 @@
     }
 
     /// Notes the highest version that the platform told; it needs no second source.
-    pub fn hear_platform(&mut self, version: Version) {
-        self.hear(&PLATFORM, version, true);
+    pub fn record_platform_version(&mut self, version: Version) {
+        self.record_peer_version(&PLATFORM, version, true);
         self.platform = Platform::Answered;
     }
 
     /// Notes that the platform did not answer.
-    pub fn miss_platform(&mut self, now: Instant) {
+    pub fn record_platform_failure(&mut self, now: Instant) {
         if self.platform != Platform::Answered {
             self.platform = Platform::Unanswered;
             self.ask_at.get_or_insert(now);
@@ -107,7 +107,7 @@
     }
 
     /// Tells whether the platform is to be asked now: when all that was heard of is held.
-    pub fn take_question(&mut self, held: Version, now: Instant) -> bool {
+    pub fn begin_platform_query(&mut self, held: Version, now: Instant) -> bool {
         if self.ask_platform_at.take_if(|at| now >= *at).is_some() {
             self.platform = Platform::Unasked;
         }
@@ -123,7 +123,7 @@
     }
 
     /// Tells whether another node is to be asked now what it holds.
-    pub fn wants_source(&mut self, now: Instant) -> bool {
+    pub fn begin_peer_query(&mut self, now: Instant) -> bool {
         let is_due = !self.is_open && self.ask_at.is_some_and(|at| now >= at);
         if is_due {
             self.ask_at = Some(now + ASK);
@@ -136,7 +136,7 @@
     }
 
     /// Opens for good once `held` is enough; tells whether it is open.
-    pub fn pass(&mut self, held: Version) -> bool {
+    pub fn try_open(&mut self, held: Version) -> bool {
         let is_heard = match self.platform {
             Platform::Answered => true,
             Platform::Asked if self.ask_at.is_none() => false,
--- a/crates/fleet/src/children.rs
+++ b/crates/fleet/src/children.rs
@@ -69,7 +69,7 @@
                     let peer = self.links.get(&key).and_then(|link| link.peer.clone());
                     self.refuse(key, RETRY_AFTER_FULL);
                     if let Some(peer) = peer {
-                        self.learn_caller(&peer, now);
+                        self.add_caller_as_candidate(&peer, now);
                     }
                 }
             }
--- a/crates/fleet/src/crashes.rs
+++ b/crates/fleet/src/crashes.rs
@@ -7,7 +7,7 @@
 //! learn it by way of the platform: roots write what comes from their own part of the
 //! fleet there, and read what others wrote.
 
-use crate::event::{Action, Request};
+use crate::event::{Action, PlatformRequest};
 use crate::link::{Link, LinkKey, Role};
 use crate::node::Node;
 use call::Crash;
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Origin {
     /// The inbound proxy of this node.
-    Own,
+    Local,
     /// A neighbour.
     Link(LinkKey),
     /// The platform.
@@ -31,13 +31,13 @@
 
 /// What a node knows of crashes.
 #[derive(Debug, Default)]
-pub(crate) struct Crashes {
+pub(crate) struct CrashState {
     ledger: Ledger,
     /// When a root writes what it knows to the platform.
     post_at: Option<Instant>,
 }
 
-impl Crashes {
+impl CrashState {
     pub(crate) fn deadline(&self) -> Option<Instant> {
         self.post_at
     }
@@ -63,15 +63,15 @@
         if self.lease.slot().is_some() && self.is_from_below(origin) {
             self.crashes.post_at.get_or_insert(now + GATHER);
         }
-        if origin != Origin::Own {
-            self.actions.push(Action::Quarantine(news));
+        if origin != Origin::Local {
+            self.actions.push(Action::UpdateQuarantine(news));
         }
     }
 
     /// Tells whether nobody but this root brings it to the platform.
     fn is_from_below(&self, origin: Origin) -> bool {
         match origin {
-            Origin::Own => true,
+            Origin::Local => true,
             Origin::Link(key) => {
                 let link = self.links.get(&key);
                 link.is_some_and(|link| link.role == Role::Child)
@@ -81,7 +81,7 @@
     }
 
     /// Has a root write what it knows to the platform again, which may have lost it.
-    pub(crate) fn post_crashes(&mut self, now: Instant) {
+    pub(crate) fn schedule_crash_write(&mut self, now: Instant) {
         if self.lease.slot().is_some() && !self.crashes.ledger.is_empty() {
             self.crashes.post_at.get_or_insert(now + GATHER);
         }
@@ -102,12 +102,13 @@
         let mut list = self.crashes.ledger.list(now);
         list.truncate(MAX_CRASHES);
         if let Some(slot) = self.lease.slot() {
-            self.actions.push(Action::Post { slot, list });
+            self.actions.push(Action::WriteCrashes { slot, list });
         }
     }
 
     /// Asks the platform, for a node that hears from no root.
-    pub(crate) fn ask_crashes(&mut self) {
-        self.actions.push(Action::Ask(Request::Crashes));
+    pub(crate) fn query_crashes(&mut self) {
+        self.actions
+            .push(Action::QueryPlatform(PlatformRequest::Crashes));
     }
 }
--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -27,18 +27,18 @@
 
 /// Nodes that were lost and are not known to be elsewhere.
 #[derive(Debug, Default)]
-pub struct Guard {
+pub struct DepartureGuard {
     lost: BTreeMap<SmolStr, Instant>,
 }
 
-impl Guard {
+impl DepartureGuard {
     /// Notes that the link to a node broke without a farewell.
-    pub fn lose(&mut self, node: &SmolStr, now: Instant) {
+    pub fn record_lost(&mut self, node: &SmolStr, now: Instant) {
         self.lost.insert(node.clone(), now);
     }
 
     /// Notes that a node was heard of again, here or through others.
-    pub fn find(&mut self, node: &str) {
+    pub fn record_found(&mut self, node: &str) {
         self.lost.remove(node);
     }
 
@@ -47,7 +47,12 @@
     /// `neighbours` are the nodes still linked. Nothing is taken while more
     /// than a few, and more than a share of all neighbours, are lost at once,
     /// nor while this node itself has no way to a root.
-    pub fn take_gone(&mut self, neighbours: usize, is_rooted: bool, now: Instant) -> Vec<SmolStr> {
+    pub fn take_departed(
+        &mut self,
+        neighbours: usize,
+        is_rooted: bool,
+        now: Instant,
+    ) -> Vec<SmolStr> {
         self.lost.retain(|_, at| now < *at + HOLD);
         let limit = FEW.max((neighbours + self.lost.len()) / SHARE);
         if !is_rooted || self.lost.len() > limit {
--- a/crates/fleet/src/endpoints.rs
+++ b/crates/fleet/src/endpoints.rs
@@ -13,20 +13,20 @@
 
 /// Time after which a node announces its endpoint again, unchanged: 14,000
 /// nodes then cost each link 0.65 announcements, some 50 bytes, a second.
-pub const REFRESH: Duration = Duration::from_hours(6);
+pub const REFRESH_INTERVAL: Duration = Duration::from_hours(6);
 
 /// Time without news after which an endpoint counts as gone: three refreshes,
 /// longer than regions lose each other for.
 pub const EXPIRE: Duration = Duration::from_hours(18);
 
 /// Most endpoints held: four times the 14,000 that are planned for.
-pub const MAX_TABLE: usize = 56_000;
+pub const MAX_TABLE_SIZE: usize = 56_000;
 
 /// What an announcement was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// No news.
-    Known,
+    Ignored,
     /// A sign that all is as before.
     Refreshed,
     /// News that matter to calls.
@@ -41,12 +41,12 @@
 
 /// All endpoints that a node knows of.
 #[derive(Debug)]
-pub struct Table {
+pub struct EndpointTable {
     entries: BTreeMap<SmolStr, Entry>,
     sums: Vec<u64>,
 }
 
-impl Default for Table {
+impl Default for EndpointTable {
     fn default() -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -55,19 +55,19 @@
     }
 }
 
-impl Table {
+impl EndpointTable {
     /// Takes an announcement; tells what it was.
     ///
     /// A departure of a node that was never heard of is none: kept, it would
     /// go round for ever between nodes that dropped it at different times.
-    pub fn merge(&mut self, endpoint: &Arc<Endpoint>, now: Instant) -> Merged {
+    pub fn merge(&mut self, endpoint: &Arc<Endpoint>, now: Instant) -> MergeOutcome {
         let known = self.get(&endpoint.node);
         let is_news = match known {
             Some(known) => endpoint.rank() > known.rank(),
-            None => endpoint.state != State::Gone && self.entries.len() < MAX_TABLE,
+            None => endpoint.state != State::Gone && self.entries.len() < MAX_TABLE_SIZE,
         };
         if !is_news {
-            return Merged::Known;
+            return MergeOutcome::Ignored;
         }
         let is_refresh = known.is_some_and(|known| is_same(known, endpoint));
         let old = known.map_or(0, |known| weigh(known));
@@ -78,9 +78,9 @@
         };
         self.entries.insert(endpoint.node.clone(), entry);
         if is_refresh {
-            Merged::Refreshed
+            MergeOutcome::Refreshed
         } else {
-            Merged::Changed
+            MergeOutcome::Changed
         }
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Declares a node gone, if it has an endpoint; gives the tombstone.
-    pub fn bury(&mut self, node: &str, now: Instant) -> Option<Arc<Endpoint>> {
+    pub fn mark_gone(&mut self, node: &str, now: Instant) -> Option<Arc<Endpoint>> {
         let known = self.get(node)?;
         if known.state == State::Gone {
             return None;
@@ -115,7 +115,7 @@
             .map(|(node, _)| node.clone())
             .collect();
         for node in old {
-            self.bury(&node, now);
+            self.mark_gone(&node, now);
         }
     }
 
@@ -126,7 +126,7 @@
 
     /// Gives the sum of the whole table.
     #[must_use]
-    pub fn sum(&self) -> u64 {
+    pub fn checksum(&self) -> u64 {
         self.sums
             .iter()
             .fold(0, |sum: u64, part| sum.rotate_left(1) ^ part)
@@ -134,13 +134,13 @@
 
     /// Gives the sum of each bucket.
     #[must_use]
-    pub fn sums(&self) -> &[u64] {
+    pub fn bucket_checksums(&self) -> &[u64] {
         &self.sums
     }
 
     /// Gives the endpoints of all buckets whose sums are others, in lists that fit a frame.
     #[must_use]
-    pub fn differing(&self, sums: &[u64]) -> Vec<Vec<Arc<Endpoint>>> {
+    pub fn differing_endpoints(&self, sums: &[u64]) -> Vec<Vec<Arc<Endpoint>>> {
         let is_other = |node: &str| {
             let bucket = bucket(node);
             sums.get(bucket) != Some(&self.sums[bucket])
@@ -168,7 +168,7 @@
 
 /// Gives the bucket that a node's endpoint is summed up in.
 fn bucket(node: &str) -> usize {
-    pick(hash(node.as_bytes()), BUCKETS)
+    index_for_hash(stable_hash(node.as_bytes()), BUCKETS)
 }
 
 /// Gives what an endpoint adds to its bucket's sum; tombstones add nothing,
@@ -180,19 +180,19 @@
     let (started, incarnation, sequence, state) = endpoint.rank();
     [started, incarnation, sequence, state as u64]
         .iter()
-        .fold(hash(endpoint.node.as_bytes()), |sum, part| {
+        .fold(stable_hash(endpoint.node.as_bytes()), |sum, part| {
             mix(sum ^ mix(*part))
         })
 }
 
 /// Gives an index below `count` for a hash.
-pub(crate) fn pick(hash: u64, count: usize) -> usize {
+pub(crate) fn index_for_hash(hash: u64, count: usize) -> usize {
     let index = hash % u64::try_from(count).unwrap_or(u64::MAX);
     usize::try_from(index).unwrap_or_default()
 }
 
 /// Hashes bytes by FNV-1a, the same in every build, unlike the standard library's hasher.
-pub(crate) fn hash(bytes: &[u8]) -> u64 {
+pub(crate) fn stable_hash(bytes: &[u8]) -> u64 {
     let sum = bytes.iter().fold(0xcbf2_9ce4_8422_2325_u64, |sum, byte| {
         (sum ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
     });
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -12,49 +12,49 @@
 
 /// What is asked of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Request {
+pub enum PlatformRequest {
     /// Read the leases of all roots.
     Leases {
         /// Whether they are wanted as they are now; else as they were some seconds ago.
         is_exact: bool,
     },
     /// Take a lease of the own zone that has no time left.
-    Take {
+    AcquireLease {
         /// Which of the zone's leases.
         slot: u8,
-        /// Whether to take it from a holder as well that [`Request::Leases`]
+        /// Whether to take it from a holder as well that [`PlatformRequest::Leases`]
         /// last showed, if the lease was not renewed since.
         is_forced: bool,
     },
     /// Extend a lease that is held.
-    Renew {
+    RenewLease {
         /// Which of the zone's leases.
         slot: u8,
     },
     /// Give a lease back.
-    Release {
+    ReleaseLease {
         /// Which of the zone's leases.
         slot: u8,
     },
     /// Tell the highest version there is.
-    Head {
+    LatestVersion {
         /// The highest one that is known.
         after: Version,
     },
     /// Tell the newest version, and send what leads to it.
-    Newest {
+    FetchLatest {
         /// The version held.
         after: Version,
     },
     /// Send all versions after this one, now and as they come.
-    Follow {
+    Watch {
         /// The version held.
         after: Version,
         /// Whether nobody in the zone reads them sooner.
         is_first: bool,
     },
     /// Send no more versions.
-    Unfollow,
+    Unwatch,
     /// Tell the crashes that roots have written.
     Crashes,
     /// Tell the roll-outs that operators have ordered.
@@ -63,7 +63,7 @@
 
 /// The lease of a root as it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seat {
+pub struct RootLease {
     /// Which of its zone's leases.
     pub slot: u8,
     /// Who holds it; the zone is its own.
@@ -74,23 +74,23 @@
 
 /// What the platform answers.
 #[derive(Debug, Clone)]
-pub enum Answer {
+pub enum PlatformResponse {
     /// The leases of all roots.
-    Leases(Vec<Seat>),
+    Leases(Vec<RootLease>),
     /// The lease was taken or extended.
-    Granted {
+    LeaseGranted {
         /// Which of the zone's leases.
         slot: u8,
     },
     /// Somebody else has the lease.
-    Lost {
+    LeaseLost {
         /// Which of the zone's leases.
         slot: u8,
     },
     /// The platform did not answer.
-    Failed(Request),
+    Failed(PlatformRequest),
     /// The highest version there is, told when following begins and now and then.
-    Head(Version),
+    LatestVersion(Version),
     /// A version.
     Step {
         /// Its number.
@@ -101,14 +101,14 @@
         digest: Digest,
     },
     /// A version, whole.
-    Whole {
+    Snapshot {
         /// Its number.
         version: Version,
         /// The configuration.
         mesh: Mesh,
     },
     /// A version that can't be taken; what is held stays in force.
-    Unreadable {
+    InvalidVersion {
         /// Its number.
         version: Version,
         /// What is wrong with it, and where.
@@ -162,13 +162,13 @@
         frame: Frame,
     },
     /// The platform answered.
-    Platform(Answer),
+    Platform(PlatformResponse),
     /// The own backend server announced itself.
-    Own(Backend),
+    BackendAnnounced(Backend),
     /// Requests crashed the own backend server, or were answered since.
-    Crashes(Vec<Crash>),
+    LocalCrashes(Vec<Crash>),
     /// What the own outbound proxy has counted of roll-outs, by service.
-    Tallies(Vec<(SmolStr, Tally)>),
+    LocalTallies(Vec<(SmolStr, Tally)>),
     /// The time that [`crate::Node::next_wake`] gave has come.
     Wake,
     /// The node is to leave: the links are closed in order.
@@ -198,28 +198,28 @@
         link: LinkKey,
     },
     /// Ask the platform.
-    Ask(Request),
+    QueryPlatform(PlatformRequest),
     /// Serve by this view from now on.
-    Install(Arc<View>),
+    InstallView(Arc<View>),
     /// Take in what other nodes know of crashes.
-    Quarantine(Vec<Crash>),
+    UpdateQuarantine(Vec<Crash>),
     /// Write crashes to the platform.
-    Post {
+    WriteCrashes {
         /// The lease of the root that writes.
         slot: u8,
         /// All that it remembers, or the worst of it.
         list: Vec<Crash>,
     },
     /// Have calls follow these roll-outs from now on.
-    Rollouts(Vec<Rollout>),
+    ApplyRollouts(Vec<Rollout>),
     /// Write to the platform how far a roll-out has come.
-    Report(Rollout),
+    WriteRollout(Rollout),
     /// Tell operators why a version gets nothing more.
-    Stopped {
+    RolloutStopped {
         /// The roll-out as it stood.
         rollout: Rollout,
         /// What speaks against the version.
-        fault: Fault,
+        reason: Fault,
         /// What the fleet had counted.
         tally: Tally,
     },
--- a/crates/fleet/src/lookout.rs
+++ b/crates/fleet/src/fallback_poll.rs
@@ -6,7 +6,7 @@
 //! may take. Without the lookout such a node serves by the old one meanwhile,
 //! though the platform would answer it in milliseconds.
 
-use crate::event::{Action, Request};
+use crate::event::{Action, PlatformRequest};
 use crate::link::{Link, Role};
 use crate::node::Node;
 use std::time::{Duration, Instant};
@@ -25,13 +25,13 @@
 
 /// When a node last heard from a root, and last asked the platform.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Lookout {
+pub(crate) struct FallbackPoll {
     heard: Instant,
     asked: Option<Instant>,
     again: Duration,
 }
 
-impl Lookout {
+impl FallbackPoll {
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             heard: now,
@@ -54,38 +54,41 @@
 }
 
 /// Gives the time between a node's questions when all `nodes` of its zone ask.
-pub(crate) fn share_rate(nodes: usize) -> Duration {
+pub(crate) fn poll_interval(nodes: usize) -> Duration {
     let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
     AGAIN.max(Duration::from_secs(1) * nodes / ZONE_RATE)
 }
 
 impl Node {
     /// Gives when the platform is to be asked, if this node does so at all.
-    pub(crate) fn next_look(&self) -> Option<Instant> {
+    pub(crate) fn next_fallback_poll(&self) -> Option<Instant> {
         let looks = self.gate.is_open() && !self.is_leaving && !self.lease.is_root();
-        looks.then(|| self.lookout.due_at())
+        looks.then(|| self.fallback_poll.due_at())
     }
 
     /// Asks the platform for versions when no root has been heard of for too long.
-    pub(crate) fn look_out(&mut self, now: Instant) {
+    pub(crate) fn step_fallback_poll(&mut self, now: Instant) {
         if self.lease.is_root() {
-            self.lookout.hear(now);
+            self.fallback_poll.hear(now);
         } else if self.has_root() {
             let parents = self.links.values().filter(|link| link.role == Role::Parent);
             if let Some(heard) = parents.map(Link::last_heard).max() {
-                self.lookout.hear(heard);
+                self.fallback_poll.hear(heard);
             }
         }
-        if self.next_look().is_none_or(|due| now < due) {
+        if self.next_fallback_poll().is_none_or(|due| now < due) {
             return;
         }
         let zone = &self.settings.local.zone;
         let nodes = self.table.iter().filter(|one| one.zone == *zone).count();
-        self.lookout.asked = Some(now);
-        self.lookout.again = share_rate(nodes);
+        self.fallback_poll.asked = Some(now);
+        self.fallback_poll.again = poll_interval(nodes);
         let after = self.version();
-        self.actions.push(Action::Ask(Request::Newest { after }));
-        self.ask_crashes();
-        self.ask_rollouts();
+        self.actions
+            .push(Action::QueryPlatform(PlatformRequest::FetchLatest {
+                after,
+            }));
+        self.query_crashes();
+        self.query_rollouts();
     }
 }
--- a/crates/fleet/src/heartbeat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -23,7 +23,8 @@
         let Some(status) = self.status_for(key) else {
             return;
         };
-        let (version, endpoints, room) = (self.version(), self.table.sum(), self.child_capacity());
+        let (version, endpoints, room) =
+            (self.version(), self.table.checksum(), self.child_capacity());
         let is_ready = self.is_ready();
         let Some(link) = self.links.get_mut(&key) else {
             return;
@@ -46,7 +47,7 @@
     }
 
     pub(crate) fn on_heartbeat(&mut self, now: Instant, key: LinkKey, beat: &Beat) {
-        let is_other = beat.endpoints != self.table.sum();
+        let is_other = beat.endpoints != self.table.checksum();
         let own = self.settings.local.node.clone();
         let Some(link) = self.links.get_mut(&key) else {
             return;
@@ -91,7 +92,7 @@
         let refused = self.replica.refused();
         let refusal = refused
             .map(|(version, reason)| status::refusal(&self.settings.local.node, *version, reason));
-        status::single(self.version(), refusal)
+        status::single_node(self.version(), refusal)
     }
 
     fn statuses_from<F>(&self, is_wanted: F) -> Vec<(&SmolStr, &Status)>
@@ -106,7 +107,7 @@
 
     fn sum_with(&self, own: &Status, told: Vec<(&SmolStr, &Status)>) -> Status {
         let own = (&self.settings.local.node, own);
-        status::sum(std::iter::once(own).chain(told).collect::<Vec<_>>())
+        status::aggregate(std::iter::once(own).chain(told).collect::<Vec<_>>())
     }
 
     /// Sums up this node and all below it.
@@ -146,8 +147,8 @@
             };
             let known = zones
                 .get(&peer.zone)
-                .map_or(0, |(_, old)| status::nodes(old));
-            if peer.zone != *own_zone && status::nodes(told) > known {
+                .map_or(0, |(_, old)| status::node_count(old));
+            if peer.zone != *own_zone && status::node_count(told) > known {
                 zones.insert(&peer.zone, (&peer.node, told));
             }
         }
--- a/crates/fleet/src/reading.rs
+++ b/crates/fleet/src/initial_reads.rs
@@ -4,7 +4,7 @@
 //! trial. When all restart at once there is nobody to learn it from: without this, a request that
 //! was held would run again at all of them, and a bad version would get its full share.
 
-use crate::event::{Action, Request};
+use crate::event::{Action, PlatformRequest};
 use crate::node::Node;
 use std::time::{Duration, Instant};
 
@@ -16,13 +16,13 @@
 
 /// What is still to be read.
 #[derive(Debug, Default)]
-pub(crate) struct Reading {
-    missing: Vec<Request>,
+pub(crate) struct InitialReads {
+    missing: Vec<PlatformRequest>,
     ask_at: Option<Instant>,
     until: Option<Instant>,
 }
 
-impl Reading {
+impl InitialReads {
     pub(crate) fn is_done(&self) -> bool {
         self.missing.is_empty()
     }
@@ -36,32 +36,38 @@
 
 impl Node {
     /// Asks the platform for what a root that doesn't serve yet has to know.
-    pub(crate) fn start_reading(&mut self, now: Instant) {
-        let rollouts = self.settings.follows_rollouts.then_some(Request::Rollouts);
-        let wanted = [Some(Request::Crashes), rollouts];
-        self.reading = Reading {
+    pub(crate) fn start_initial_reads(&mut self, now: Instant) {
+        let rollouts = self
+            .settings
+            .follows_rollouts
+            .then_some(PlatformRequest::Rollouts);
+        let wanted = [Some(PlatformRequest::Crashes), rollouts];
+        self.initial_reads = InitialReads {
             missing: wanted.into_iter().flatten().collect(),
             ask_at: Some(now),
             until: Some(now + PATIENCE),
         };
-        self.step_reading(now);
+        self.step_initial_reads(now);
     }
 
-    pub(crate) fn end_reading(&mut self, request: Request) {
-        self.reading.missing.retain(|missing| *missing != request);
+    pub(crate) fn finish_initial_read(&mut self, request: PlatformRequest) {
+        self.initial_reads
+            .missing
+            .retain(|missing| *missing != request);
     }
 
-    pub(crate) fn miss_reading(&mut self, now: Instant) {
-        self.reading.ask_at.get_or_insert(now + ASK_AGAIN);
+    pub(crate) fn retry_initial_reads(&mut self, now: Instant) {
+        self.initial_reads.ask_at.get_or_insert(now + ASK_AGAIN);
     }
 
-    pub(crate) fn step_reading(&mut self, now: Instant) {
-        if self.reading.until.is_some_and(|until| now >= until) {
-            self.reading = Reading::default();
+    pub(crate) fn step_initial_reads(&mut self, now: Instant) {
+        if self.initial_reads.until.is_some_and(|until| now >= until) {
+            self.initial_reads = InitialReads::default();
         }
-        if self.reading.ask_at.take_if(|at| now >= *at).is_some() {
-            let missing = self.reading.missing.iter();
-            self.actions.extend(missing.copied().map(Action::Ask));
+        if self.initial_reads.ask_at.take_if(|at| now >= *at).is_some() {
+            let missing = self.initial_reads.missing.iter();
+            self.actions
+                .extend(missing.copied().map(Action::QueryPlatform));
         }
     }
 }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -5,7 +5,7 @@
 //! holders of one lease both hand on the same numbered versions. It may thus
 //! be taken from a holder that can't be reached, without waiting for its end.
 
-use crate::event::{Request, Seat};
+use crate::event::{PlatformRequest, RootLease};
 use smol_str::SmolStr;
 use std::time::{Duration, Instant};
 use wire::control::Peer;
@@ -55,7 +55,7 @@
     root_since: Instant,
     renew_at: Instant,
     read_at: Instant,
-    leases: Vec<Seat>,
+    leases: Vec<RootLease>,
     was_vacant: bool,
     /// Whether the next reading is to be of what stands now: one for
     /// safety's sake may be seconds old, which the platform gives for a tenth
@@ -113,19 +113,19 @@
 
     /// Gives all leases as last read.
     #[must_use]
-    pub fn leases(&self) -> &[Seat] {
+    pub fn leases(&self) -> &[RootLease] {
         &self.leases
     }
 
     /// Asks for a lease, unless one is held or asked for.
     ///
     /// `is_forced` when the holder can't be reached.
-    pub fn request(&mut self, slot: u8, is_forced: bool) -> Option<Request> {
+    pub fn request(&mut self, slot: u8, is_forced: bool) -> Option<PlatformRequest> {
         if self.state != State::None || slot >= ROOTS_PER_ZONE {
             return None;
         }
         self.state = State::Asked { slot };
-        Some(Request::Take { slot, is_forced })
+        Some(PlatformRequest::AcquireLease { slot, is_forced })
     }
 
     /// Notes that a lease was granted; tells whether this node thereby became a root.
@@ -161,24 +161,24 @@
     }
 
     /// Notes the leases of all roots.
-    pub fn set_leases(&mut self, seats: Vec<Seat>) {
+    pub fn set_leases(&mut self, seats: Vec<RootLease>) {
         self.leases = seats;
     }
 
     /// Gives what a root asks of the platform by now.
-    pub fn due_requests(&mut self, now: Instant) -> Vec<Request> {
+    pub fn due_requests(&mut self, now: Instant) -> Vec<PlatformRequest> {
         let mut requests = Vec::new();
         let State::Held { slot } = self.state else {
             return requests;
         };
         if now >= self.renew_at {
             self.renew_at = now + RENEW_INTERVAL;
-            requests.push(Request::Renew { slot });
+            requests.push(PlatformRequest::RenewLease { slot });
         }
         if now >= self.read_at {
             self.read_at = now + READ_INTERVAL;
             let is_exact = std::mem::take(&mut self.wants_exact_read);
-            requests.push(Request::Leases { is_exact });
+            requests.push(PlatformRequest::Leases { is_exact });
         }
         requests
     }
@@ -243,11 +243,11 @@
         if let Some(former) = former {
             return Some(former.slot);
         }
-        let is_usable = |seat: &&Seat| seat.is_live && !is_unreached(&seat.holder);
+        let is_usable = |seat: &&RootLease| seat.is_live && !is_unreached(&seat.holder);
         mine.clone().find(is_usable).is_none().then(|| {
             // Any lease will do; different nodes try different ones.
-            let hash = crate::endpoints::hash(own.node.as_bytes());
-            let slot = crate::endpoints::pick(hash, ROOTS_PER_ZONE.into());
+            let hash = crate::endpoints::stable_hash(own.node.as_bytes());
+            let slot = crate::endpoints::index_for_hash(hash, ROOTS_PER_ZONE.into());
             u8::try_from(slot).unwrap_or_default()
         })
     }
@@ -279,7 +279,7 @@
             let pair = format!("{} {}", own.node, seat.holder.node);
             (
                 seat.holder.zone.clone(),
-                crate::endpoints::hash(pair.as_bytes()),
+                crate::endpoints::stable_hash(pair.as_bytes()),
             )
         });
         let mut wanted: Vec<Peer> = Vec::new();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -15,7 +15,7 @@
 //! backend servers, and how far roll-outs of versions have come.
 //!
 //! ```
-//! use fleet::{Action, Event, Node, Request, Settings};
+//! use fleet::{Action, Event, Node, PlatformRequest, Settings};
 //! use std::time::{Duration, Instant};
 //! use wire::control::Peer;
 //!
@@ -32,7 +32,7 @@
 //! let start = Instant::now();
 //! let mut node = Node::new(settings, 42, start);
 //! let actions = node.handle(start + Duration::from_secs(1), Event::Wake);
-//! assert!(matches!(actions[..], [Action::Ask(Request::Leases { .. })]));
+//! assert!(matches!(actions[..], [Action::QueryPlatform(PlatformRequest::Leases { .. })]));
 //! ```
 
 pub mod bootstrap;
@@ -47,19 +47,19 @@
 pub mod status;
 
 mod crashes;
-mod duty;
 mod event;
+mod fallback_poll;
 mod heartbeat;
-mod lookout;
+mod initial_reads;
 mod node;
 mod outage;
-mod reading;
 mod rollouts;
+mod root_duties;
 mod search;
 mod sync;
 mod tree;
 
-pub use event::{Action, Answer, Backend, Event, Request, Seat};
+pub use event::{Action, Backend, Event, PlatformRequest, PlatformResponse, RootLease};
 pub use link::{LinkKey, Role};
 pub use node::{Counters, Node, Settings};
 pub use wire::control::Peer;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,19 +1,19 @@
 //! The state machine of one node: events in, actions out.
 
-use crate::bootstrap::Gate;
-use crate::crashes::{Crashes, Origin};
-use crate::departure::Guard;
-use crate::endpoints::Table;
-use crate::event::{Action, Answer, Event, Request};
+use crate::bootstrap::ReadinessGate;
+use crate::crashes::{CrashState, Origin};
+use crate::departure::DepartureGuard;
+use crate::endpoints::EndpointTable;
+use crate::event::{Action, Event, PlatformRequest, PlatformResponse};
+use crate::fallback_poll::FallbackPoll;
+use crate::initial_reads::InitialReads;
 use crate::leaky_bucket::LeakyBucket;
 use crate::lease::LeaseClient;
 use crate::link::{HEARTBEAT_INTERVAL, Link, LinkKey, Purpose, Role};
-use crate::lookout::Lookout;
-use crate::outage::Outage;
+use crate::outage::OutageState;
 use crate::parent::{Candidates, Source};
-use crate::reading::Reading;
 use crate::replica::{Replica, Step};
-use crate::rollouts::{self, Rollouts};
+use crate::rollouts::{self, RolloutState};
 use crate::{children, search, sync};
 use config::{Endpoint, Version};
 use rand::rngs::SmallRng;
@@ -68,21 +68,21 @@
     pub(crate) rng: SmallRng,
     pub(crate) links: BTreeMap<LinkKey, Link>,
     pub(crate) replica: Replica,
-    pub(crate) table: Table,
-    pub(crate) gate: Gate,
-    pub(crate) guard: Guard,
+    pub(crate) table: EndpointTable,
+    pub(crate) gate: ReadinessGate,
+    pub(crate) guard: DepartureGuard,
     pub(crate) lease: LeaseClient,
     pub(crate) candidates: Candidates,
     /// Names from the root down to this node; empty without a root.
     pub(crate) path: Vec<SmolStr>,
     pub(crate) join_limiter: LeakyBucket,
-    pub(crate) search: search::Search,
-    pub(crate) lookout: Lookout,
-    pub(crate) outage: Outage,
+    pub(crate) search: search::ParentSearch,
+    pub(crate) fallback_poll: FallbackPoll,
+    pub(crate) outage: OutageState,
     pub(crate) sync: sync::SyncState,
-    pub(crate) crashes: Crashes,
-    pub(crate) rollouts: Rollouts,
-    pub(crate) reading: Reading,
+    pub(crate) crashes: CrashState,
+    pub(crate) rollouts: RolloutState,
+    pub(crate) initial_reads: InitialReads,
     pub(crate) local_endpoint: Option<Endpoint>,
     pub(crate) is_synced: bool,
     pub(crate) is_leaving: bool,
@@ -105,27 +105,27 @@
         }
         // A herd that restarts together must not beat and read in step.
         let heartbeat_at = now + HEARTBEAT_INTERVAL.mul_f64(rng.random::<f64>());
-        let reannounce_at = now + crate::endpoints::REFRESH.mul_f64(rng.random::<f64>());
-        let search = search::Search::new(now, &mut rng);
+        let reannounce_at = now + crate::endpoints::REFRESH_INTERVAL.mul_f64(rng.random::<f64>());
+        let search = search::ParentSearch::new(now, &mut rng);
         Self {
             settings,
             rng,
             links: BTreeMap::new(),
             replica: Replica::default(),
-            table: Table::default(),
-            gate: Gate::new(),
-            guard: Guard::default(),
+            table: EndpointTable::default(),
+            gate: ReadinessGate::new(),
+            guard: DepartureGuard::default(),
             lease: LeaseClient::new(now),
             candidates,
             path: Vec::new(),
             join_limiter: LeakyBucket::new(children::JOIN_BURST),
             search,
-            lookout: Lookout::new(now),
-            outage: Outage::default(),
+            fallback_poll: FallbackPoll::new(now),
+            outage: OutageState::default(),
             sync: sync::SyncState::default(),
-            crashes: Crashes::default(),
-            rollouts: Rollouts::default(),
-            reading: Reading::default(),
+            crashes: CrashState::default(),
+            rollouts: RolloutState::default(),
+            initial_reads: InitialReads::default(),
             local_endpoint: None,
             is_synced: false,
             is_leaving: false,
@@ -155,9 +155,9 @@
             Event::Closed { link } => self.drop_link(now, link, false),
             Event::Frame { link, frame } => self.on_frame(now, link, frame),
             Event::Platform(answer) => self.on_answer(now, answer),
-            Event::Own(backend) => self.announce(now, &backend),
-            Event::Crashes(list) => self.on_crashes(now, Origin::Own, &list),
-            Event::Tallies(tallies) => self.on_own_tallies(tallies),
+            Event::BackendAnnounced(backend) => self.announce(now, &backend),
+            Event::LocalCrashes(list) => self.on_crashes(now, Origin::Local, &list),
+            Event::LocalTallies(tallies) => self.on_local_tallies(tallies),
             Event::Leave => self.leave(now),
             Event::Wake => {}
         }
@@ -175,11 +175,11 @@
             self.lease.deadline(),
             self.guard.deadline(now),
             self.gate.deadline(),
-            self.next_look(),
+            self.next_fallback_poll(),
             self.outage.deadline(),
             self.crashes.deadline(),
             self.rollouts.deadline(),
-            self.reading.deadline(),
+            self.initial_reads.deadline(),
         ];
         let links = self.links.values().map(Link::deadline);
         let first = others.into_iter().flatten().chain(links).min();
@@ -195,7 +195,7 @@
     /// Tells whether the process holds enough to serve.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.gate.is_open() && self.is_synced && self.reading.is_done()
+        self.gate.is_open() && self.is_synced && self.initial_reads.is_done()
     }
 
     /// Tells whether this node is a root.
@@ -218,7 +218,7 @@
 
     /// Gives all endpoints known.
     #[must_use]
-    pub fn endpoints(&self) -> &Table {
+    pub fn endpoints(&self) -> &EndpointTable {
         &self.table
     }
 
@@ -243,11 +243,11 @@
     fn run_due(&mut self, now: Instant) {
         self.drop_silent_links(now);
         self.remove_lost_nodes(now);
-        self.ask_due(now);
+        self.send_due_lease_requests(now);
         self.step_search(now);
-        self.step_reading(now);
+        self.step_initial_reads(now);
         self.step_gate(now);
-        self.look_out(now);
+        self.step_fallback_poll(now);
         self.step_outage(now);
         if now >= self.heartbeat_at {
             self.heartbeat_at = now + HEARTBEAT_INTERVAL;
@@ -258,7 +258,7 @@
             self.table.expire(now);
         }
         if now >= self.reannounce_at {
-            self.reannounce_at = now + crate::endpoints::REFRESH;
+            self.reannounce_at = now + crate::endpoints::REFRESH_INTERVAL;
             self.reannounce(now);
         }
         self.step_sync(now);
@@ -305,7 +305,7 @@
             Frame::Rollouts(list) => {
                 self.on_rollouts(now, rollouts::Origin::Link(key), &list);
             }
-            Frame::Tallies(parts) => self.on_parts(key, parts),
+            Frame::Tallies(parts) => self.on_neighbour_tallies(key, parts),
             Frame::Leave { parents } => {
                 self.add_hints(now, parents);
                 self.drop_link(now, key, true);
@@ -319,32 +319,36 @@
         }
     }
 
-    fn on_answer(&mut self, now: Instant, answer: Answer) {
-        let answers = !matches!(answer, Answer::Failed(_));
-        self.note_platform(now, answers);
+    fn on_answer(&mut self, now: Instant, answer: PlatformResponse) {
+        let answers = !matches!(answer, PlatformResponse::Failed(_));
+        self.record_platform_response(now, answers);
         match answer {
-            Answer::Leases(seats) => self.on_leases(now, seats),
-            Answer::Granted { slot } => self.on_granted(now, slot),
-            Answer::Lost { slot } => self.on_lost(now, slot),
-            Answer::Failed(request) => self.on_failed(now, request),
-            Answer::Head(version) => self.on_head(now, version),
-            Answer::Step {
+            PlatformResponse::Leases(seats) => self.on_leases(now, seats),
+            PlatformResponse::LeaseGranted { slot } => self.on_lease_granted(now, slot),
+            PlatformResponse::LeaseLost { slot } => self.on_lease_lost(now, slot),
+            PlatformResponse::Failed(request) => self.on_request_failed(now, request),
+            PlatformResponse::LatestVersion(version) => self.on_latest_version(now, version),
+            PlatformResponse::Step {
                 version,
                 patch,
                 digest,
             } => self.on_platform_step(now, version, patch, digest),
-            Answer::Whole { version, mesh } => self.on_platform_whole(now, version, mesh),
-            Answer::Unreadable { version, reason } => self.on_unreadable(version, reason),
-            Answer::Crashes(list) => {
-                self.end_reading(Request::Crashes);
+            PlatformResponse::Snapshot { version, mesh } => {
+                self.on_platform_snapshot(now, version, mesh)
+            }
+            PlatformResponse::InvalidVersion { version, reason } => {
+                self.on_invalid_version(version, reason)
+            }
+            PlatformResponse::Crashes(list) => {
+                self.finish_initial_read(PlatformRequest::Crashes);
                 self.on_crashes(now, Origin::Platform, &list);
             }
-            Answer::Restored => {
-                self.post_crashes(now);
-                self.report_all(now);
+            PlatformResponse::Restored => {
+                self.schedule_crash_write(now);
+                self.rewrite_outcomes(now);
             }
-            Answer::Rollouts(list) => {
-                self.end_reading(Request::Rollouts);
+            PlatformResponse::Rollouts(list) => {
+                self.finish_initial_read(PlatformRequest::Rollouts);
                 self.on_rollouts(now, rollouts::Origin::Platform, &list);
             }
         }
--- a/crates/fleet/src/outage.rs
+++ b/crates/fleet/src/outage.rs
@@ -6,14 +6,14 @@
 //! here both refuse nearly all calls until the outage is over: they know of no
 //! endpoint but their own.
 //!
-//! Two things help. Whoever loses a neighbour *recalls* it: it dials the
+//! Two things help. Whoever loses a neighbour *redials* it: it dials the
 //! neighbour's address, and a process that has come up there learns whom to
 //! join. And a node that serves, has no root and gets no answer from the
 //! platform *stands in* as root of its zone until the platform answers. Leases
 //! save work and carry no correctness, so that two stand-ins do no harm; they
 //! meet each other and the other zones' roots through the endpoints they know.
 
-use crate::event::Request;
+use crate::event::PlatformRequest;
 use crate::link::{Link, Purpose, Role};
 use crate::node::Node;
 use crate::parent::Source;
@@ -25,13 +25,13 @@
 use wire::control::Peer;
 
 /// Time between two dials of a lost neighbour; a process starts in about a second.
-const RECALL: Duration = Duration::from_millis(700);
+const REDIAL_INTERVAL: Duration = Duration::from_millis(700);
 
 /// How long a lost neighbour is dialled: the slowest restart of a VM, and a bit.
-const RECALL_FOR: Duration = Duration::from_secs(20);
+const REDIAL_FOR: Duration = Duration::from_secs(20);
 
 /// Lost neighbours that are dialled; a root has 16 children and some equals.
-const MAX_RECALLS: usize = 32;
+const MAX_REDIALS: usize = 32;
 
 /// Least time without a root before a node stands in; as long again at random,
 /// so that the others of the zone mostly find the first one that does.
@@ -43,7 +43,7 @@
 
 /// A neighbour that was lost.
 #[derive(Debug, Clone, Copy)]
-struct Recall {
+struct Redial {
     address: SocketAddr,
     next_at: Instant,
     until: Instant,
@@ -51,27 +51,27 @@
 
 /// What a node does about an outage of the platform.
 #[derive(Debug, Default)]
-pub(crate) struct Outage {
+pub(crate) struct OutageState {
     /// Whether the platform left the last question without an answer.
     is_out: bool,
-    recalls: BTreeMap<SmolStr, Recall>,
+    redials: BTreeMap<SmolStr, Redial>,
     stand_in_at: Option<Instant>,
     round_at: Option<Instant>,
     /// Rounds so far, for dialling other nodes in each.
     rounds: usize,
 }
 
-impl Outage {
+impl OutageState {
     pub(crate) fn deadline(&self) -> Option<Instant> {
-        let recalls = self.recalls.values().map(|recall| recall.next_at);
+        let redials = self.redials.values().map(|redial| redial.next_at);
         let others = [self.stand_in_at, self.round_at].into_iter().flatten();
-        recalls.chain(others).min()
+        redials.chain(others).min()
     }
 }
 
 impl Node {
     /// Notes whether the platform answered.
-    pub(crate) fn note_platform(&mut self, now: Instant, answers: bool) {
+    pub(crate) fn record_platform_response(&mut self, now: Instant, answers: bool) {
         self.outage.is_out = !answers;
         if answers {
             self.outage.stand_in_at = None;
@@ -83,25 +83,25 @@
     }
 
     /// Begins to dial a neighbour that was lost.
-    pub(crate) fn recall(&mut self, peer: &Peer, now: Instant) {
-        if self.outage.recalls.len() < MAX_RECALLS && !self.is_leaving {
-            let recall = Recall {
+    pub(crate) fn start_redial(&mut self, peer: &Peer, now: Instant) {
+        if self.outage.redials.len() < MAX_REDIALS && !self.is_leaving {
+            let redial = Redial {
                 address: peer.address,
-                next_at: now + RECALL,
-                until: now + RECALL_FOR,
+                next_at: now + REDIAL_INTERVAL,
+                until: now + REDIAL_FOR,
             };
-            self.outage.recalls.insert(peer.node.clone(), recall);
+            self.outage.redials.insert(peer.node.clone(), redial);
         }
     }
 
     /// Notes that a neighbour is linked again.
-    pub(crate) fn end_recall(&mut self, node: &str) {
-        self.outage.recalls.remove(node);
+    pub(crate) fn stop_redial(&mut self, node: &str) {
+        self.outage.redials.remove(node);
     }
 
     pub(crate) fn step_outage(&mut self, now: Instant) {
         if self.is_leaving {
-            self.outage = Outage::default();
+            self.outage = OutageState::default();
             return;
         }
         self.dial_lost(now);
@@ -109,23 +109,22 @@
         if self.outage.round_at.is_some_and(|at| now >= at) {
             self.outage.round_at = Some(now + ROUND);
             self.outage.rounds += 1;
-            self.actions
-                .push(crate::event::Action::Ask(Request::Leases {
-                    is_exact: true,
-                }));
+            self.actions.push(crate::event::Action::QueryPlatform(
+                PlatformRequest::Leases { is_exact: true },
+            ));
             self.meet_known(now);
         }
     }
 
     fn dial_lost(&mut self, now: Instant) {
-        self.outage.recalls.retain(|_, recall| now < recall.until);
+        self.outage.redials.retain(|_, redial| now < redial.until);
         let is_rooted = self.has_root();
-        let due = self.outage.recalls.values_mut();
+        let due = self.outage.redials.values_mut();
         let due: Vec<_> = due
-            .filter(|recall| now >= recall.next_at)
-            .map(|recall| {
-                recall.next_at = now + RECALL;
-                recall.address
+            .filter(|redial| now >= redial.next_at)
+            .map(|redial| {
+                redial.next_at = now + REDIAL_INTERVAL;
+                redial.address
             })
             .collect();
         // Without a root there is nothing yet to invite it to.
@@ -156,7 +155,7 @@
             self.close(parent);
         }
         self.search.stop();
-        if let Some(dialled) = self.search.take_dialled() {
+        if let Some(dialled) = self.search.take_pending_dial() {
             self.close(dialled);
         }
         self.propagate_path(vec![self.settings.local.node.clone()]);
@@ -225,7 +224,7 @@
     }
 
     /// Takes the sender of a first frame that this node can't answer as wished for one to join.
-    pub(crate) fn learn_caller(&mut self, peer: &Peer, now: Instant) {
+    pub(crate) fn add_caller_as_candidate(&mut self, peer: &Peer, now: Instant) {
         if self.has_root() {
             return;
         }
@@ -236,7 +235,7 @@
         };
         self.candidates.add(peer.address, source, now);
         if source == Source::Root {
-            self.search.hurry(now);
+            self.search.retry_at(now);
         }
     }
 }
--- a/crates/fleet/src/parent.rs
+++ b/crates/fleet/src/parent.rs
@@ -6,7 +6,7 @@
 //! with theirs (rendezvous hashing, Thaler and Ravishankar 1998), so that the
 //! load spreads evenly and a name more or less moves few.
 
-use crate::endpoints::hash;
+use crate::endpoints::stable_hash;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -144,5 +144,5 @@
 /// Ranks a candidate for a node.
 fn rendezvous(own: &str, address: SocketAddr) -> u64 {
     let pair = format!("{own} {address}");
-    hash(pair.as_bytes())
+    stable_hash(pair.as_bytes())
 }
--- a/crates/fleet/src/rollouts.rs
+++ b/crates/fleet/src/rollouts.rs
@@ -4,7 +4,7 @@
 //! order. Counts are summed up on the way to the roots, so that a link carries one sum however
 //! many nodes stand behind it. A node without a root judges by what it has itself.
 
-use crate::event::{Action, Request};
+use crate::event::{Action, PlatformRequest};
 use crate::link::{Link, LinkKey, Role};
 use crate::node::Node;
 use config::Rollout;
@@ -47,12 +47,12 @@
 
 /// What a node knows of roll-outs.
 #[derive(Debug, Default)]
-pub(crate) struct Rollouts {
+pub(crate) struct RolloutState {
     known: BTreeMap<SmolStr, Known>,
     step_at: Option<Instant>,
 }
 
-impl Rollouts {
+impl RolloutState {
     pub(crate) fn deadline(&self) -> Option<Instant> {
         self.step_at
     }
@@ -168,11 +168,11 @@
             _ => return,
         };
         self.actions
-            .push(Action::Report(Rollout { stage, ..rollout }));
+            .push(Action::WriteRollout(Rollout { stage, ..rollout }));
     }
 
     /// Has a zone's first root write all verdicts again, which the platform may have lost.
-    pub(crate) fn report_all(&mut self, now: Instant) {
+    pub(crate) fn rewrite_outcomes(&mut self, now: Instant) {
         if !self.lease.is_root() || !self.lease.has_lowest_slot(&self.settings.local) {
             return;
         }
@@ -202,7 +202,7 @@
             known.rollout.stage != Stage::Completed || !is_over
         });
         let list = followed.map(|known| known.tell(now)).collect();
-        self.actions.push(Action::Rollouts(list));
+        self.actions.push(Action::ApplyRollouts(list));
     }
 
     /// Tells a new neighbour all that is known.
@@ -214,7 +214,7 @@
     }
 
     /// Takes in what the own outbound proxy has counted.
-    pub(crate) fn on_own_tallies(&mut self, tallies: Vec<(SmolStr, Tally)>) {
+    pub(crate) fn on_local_tallies(&mut self, tallies: Vec<(SmolStr, Tally)>) {
         for (service, tally) in tallies {
             if let Some(known) = self.rollouts.known.get_mut(&service) {
                 known.own = tally;
@@ -223,16 +223,17 @@
     }
 
     /// Takes in what a neighbour's part of the fleet has counted.
-    pub(crate) fn on_parts(&mut self, key: LinkKey, parts: Vec<Part>) {
+    pub(crate) fn on_neighbour_tallies(&mut self, key: LinkKey, parts: Vec<Part>) {
         if let Some(link) = self.links.get_mut(&key) {
             link.tallies = parts;
         }
     }
 
     /// Asks the platform what became of roll-outs that go on, for a node that hears from no root.
-    pub(crate) fn ask_rollouts(&mut self) {
+    pub(crate) fn query_rollouts(&mut self) {
         if self.rollouts.known.values().any(Known::is_active) {
-            self.actions.push(Action::Ask(Request::Rollouts));
+            self.actions
+                .push(Action::QueryPlatform(PlatformRequest::Rollouts));
         }
     }
 
@@ -273,10 +274,10 @@
         known.judge.take(now, &total);
         let stands = known.tell(now);
         let next = match known.judge.decide(now, &stands) {
-            Verdict::Stop(fault) => {
-                self.actions.push(Action::Stopped {
+            Verdict::Stop(reason) => {
+                self.actions.push(Action::RolloutStopped {
                     rollout: stands.clone(),
-                    fault,
+                    reason,
                     tally: total,
                 });
                 Stage::Stopped
@@ -294,7 +295,7 @@
                 stage: next,
                 ..stands
             };
-            self.actions.push(Action::Report(report));
+            self.actions.push(Action::WriteRollout(report));
             return;
         }
         known.rollout.stage = next;
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/root_duties.rs
@@ -1,6 +1,6 @@
 //! What a root does: it reads the platform, keeps its lease and meets other roots.
 
-use crate::event::{Action, Request, Seat};
+use crate::event::{Action, PlatformRequest, RootLease};
 use crate::link::{LinkKey, Purpose, Role};
 use crate::node::Node;
 use crate::parent::Source;
@@ -15,13 +15,13 @@
 const SPREAD: Duration = Duration::from_millis(300);
 
 impl Node {
-    pub(crate) fn ask_due(&mut self, now: Instant) {
+    pub(crate) fn send_due_lease_requests(&mut self, now: Instant) {
         for request in self.lease.due_requests(now) {
-            self.actions.push(Action::Ask(request));
+            self.actions.push(Action::QueryPlatform(request));
         }
     }
 
-    pub(crate) fn on_leases(&mut self, now: Instant, seats: Vec<Seat>) {
+    pub(crate) fn on_leases(&mut self, now: Instant, seats: Vec<RootLease>) {
         self.lease.set_leases(seats);
         self.learn_roots(now);
         if self.lease.is_root() {
@@ -39,15 +39,15 @@
             .slot_to_claim(own, |holder| candidates.is_unreachable(holder.address));
         match opening {
             // A seat that looked free some seconds ago is mostly taken by now.
-            Some(_) if self.search.doubt(now) => {}
-            Some(slot) if self.search.is_on() && !self.is_leaving => {
+            Some(_) if self.search.require_exact_leases(now) => {}
+            Some(slot) if self.search.is_active() && !self.is_leaving => {
                 self.take_seat(slot, true);
                 let wait = self.jitter(SPREAD);
-                self.search.hurry(now + SPREAD + wait);
+                self.search.retry_at(now + SPREAD + wait);
             }
             _ => {
                 let wait = self.jitter(SPREAD / 10);
-                self.search.hurry(now + wait);
+                self.search.retry_at(now + wait);
             }
         }
     }
@@ -63,7 +63,7 @@
 
     fn take_seat(&mut self, slot: u8, is_forced: bool) {
         if let Some(request) = self.lease.request(slot, is_forced) {
-            self.actions.push(Action::Ask(request));
+            self.actions.push(Action::QueryPlatform(request));
         }
     }
 
@@ -108,9 +108,12 @@
         }
     }
 
-    pub(crate) fn on_granted(&mut self, now: Instant, slot: u8) {
+    pub(crate) fn on_lease_granted(&mut self, now: Instant, slot: u8) {
         if self.is_leaving {
-            self.actions.push(Action::Ask(Request::Release { slot }));
+            self.actions
+                .push(Action::QueryPlatform(PlatformRequest::ReleaseLease {
+                    slot,
+                }));
             return;
         }
         if !self.lease.on_granted(slot, now) {
@@ -126,7 +129,7 @@
             self.close(parent);
         }
         self.search.stop();
-        if let Some(dialled) = self.search.take_dialled() {
+        if let Some(dialled) = self.search.take_pending_dial() {
             self.close(dialled);
         }
         self.propagate_path(vec![self.settings.local.node.clone()]);
@@ -134,7 +137,7 @@
         let after = if self.is_ready() {
             self.version()
         } else {
-            self.start_reading(now);
+            self.start_initial_reads(now);
             Version::ZERO
         };
         self.follow(after);
@@ -143,18 +146,22 @@
     fn follow(&mut self, after: Version) {
         let is_first = self.lease.slot().is_none_or(|slot| slot == 0);
         self.actions
-            .push(Action::Ask(Request::Follow { after, is_first }));
+            .push(Action::QueryPlatform(PlatformRequest::Watch {
+                after,
+                is_first,
+            }));
     }
 
     /// Steps down: somebody took the lease while this node was paused or cut off.
-    pub(crate) fn on_lost(&mut self, now: Instant, slot: u8) {
+    pub(crate) fn on_lease_lost(&mut self, now: Instant, slot: u8) {
         if !self.lease.on_lost(slot) {
-            if self.search.is_on() {
-                self.pause_search(now);
+            if self.search.is_active() {
+                self.back_off_search(now);
             }
             return;
         }
-        self.actions.push(Action::Ask(Request::Unfollow));
+        self.actions
+            .push(Action::QueryPlatform(PlatformRequest::Unwatch));
         self.leave_equals();
         self.set_path(Vec::new());
         self.start_search(now);
@@ -168,29 +175,29 @@
         }
     }
 
-    pub(crate) fn on_failed(&mut self, now: Instant, request: Request) {
+    pub(crate) fn on_request_failed(&mut self, now: Instant, request: PlatformRequest) {
         match request {
-            Request::Take { slot, .. } => {
+            PlatformRequest::AcquireLease { slot, .. } => {
                 self.lease.on_failed(slot);
-                self.search.hurry(now);
+                self.search.retry_at(now);
             }
-            Request::Leases { .. } => {
+            PlatformRequest::Leases { .. } => {
                 let wait = self.jitter(SPREAD);
-                self.search.hurry(now + wait);
+                self.search.retry_at(now + wait);
             }
-            Request::Head { .. } => self.gate.miss_platform(now),
+            PlatformRequest::LatestVersion { .. } => self.gate.record_platform_failure(now),
             // Tried again in time, and harmless until then.
-            Request::Renew { .. }
-            | Request::Release { .. }
-            | Request::Newest { .. }
-            | Request::Follow { .. }
-            | Request::Unfollow => {}
-            Request::Crashes | Request::Rollouts => self.miss_reading(now),
+            PlatformRequest::RenewLease { .. }
+            | PlatformRequest::ReleaseLease { .. }
+            | PlatformRequest::FetchLatest { .. }
+            | PlatformRequest::Watch { .. }
+            | PlatformRequest::Unwatch => {}
+            PlatformRequest::Crashes | PlatformRequest::Rollouts => self.retry_initial_reads(now),
         }
     }
 
-    pub(crate) fn on_head(&mut self, now: Instant, version: Version) {
-        self.gate.hear_platform(version);
+    pub(crate) fn on_latest_version(&mut self, now: Instant, version: Version) {
+        self.gate.record_platform_version(version);
         self.sync.platform_head = self.sync.platform_head.max(version);
         if self.lease.is_root() {
             self.sync_without_roots(now);
@@ -220,13 +227,13 @@
     }
 
     /// Notes a version that can't be taken, once; operators see it in the node's status.
-    pub(crate) fn on_unreadable(&mut self, version: Version, reason: SmolStr) {
+    pub(crate) fn on_invalid_version(&mut self, version: Version, reason: SmolStr) {
         if self.replica.refuse(version, reason) {
             self.counters.refusals += 1;
         }
     }
 
-    pub(crate) fn on_platform_whole(&mut self, now: Instant, version: Version, mesh: Mesh) {
+    pub(crate) fn on_platform_snapshot(&mut self, now: Instant, version: Version, mesh: Mesh) {
         match self.replica.apply_newest(version, mesh) {
             (taken, Some(step)) => self.finish_step(now, taken, &step),
             (taken, None) => self.handle_outcome(now, taken),
--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -1,6 +1,6 @@
 //! The search for a parent: whom to ask, when, and when to ask the platform.
 
-use crate::event::{Action, Request};
+use crate::event::{Action, PlatformRequest};
 use crate::link::{LinkKey, Purpose, Role};
 use crate::node::Node;
 use policy::backoff::Backoff;
@@ -43,7 +43,7 @@
 
 /// The search for a parent.
 #[derive(Debug)]
-pub(crate) struct Search {
+pub(crate) struct ParentSearch {
     /// When to try next; none while there is a parent or an answer is awaited.
     try_at: Option<Instant>,
     backoff: Backoff,
@@ -59,10 +59,10 @@
     leave_at: Option<Instant>,
     patience: Duration,
     /// Whether the last parent was lost without a farewell.
-    pub(crate) was_lost: bool,
+    pub(crate) was_parent_lost: bool,
 }
 
-impl Search {
+impl ParentSearch {
     pub(crate) fn new<R>(now: Instant, rng: &mut R) -> Self
     where
         R: Rng,
@@ -78,7 +78,7 @@
             dialled: None,
             leave_at: None,
             patience: PATIENCE.0,
-            was_lost: false,
+            was_parent_lost: false,
         }
     }
 
@@ -88,31 +88,31 @@
     }
 
     /// Tells whether there is no parent yet.
-    pub(crate) fn is_on(&self) -> bool {
+    pub(crate) fn is_active(&self) -> bool {
         self.try_at.is_some()
     }
 
     /// Takes the link out that is being opened.
-    pub(crate) fn take_dialled(&mut self) -> Option<LinkKey> {
+    pub(crate) fn take_pending_dial(&mut self) -> Option<LinkKey> {
         self.dialled.take().map(|(link, _)| link)
     }
 
     /// Ends the opening of a link, if it is the one that is being opened; gives its address.
-    pub(crate) fn end_dial(&mut self, link: LinkKey) -> Option<SocketAddr> {
+    pub(crate) fn finish_dial(&mut self, link: LinkKey) -> Option<SocketAddr> {
         let (_, address) = self.dialled.take_if(|(dialled, _)| *dialled == link)?;
         Some(address)
     }
 
     /// Goes on after a try came to nothing, by an answer or by none.
-    pub(crate) fn resume(&mut self, is_answered: bool, now: Instant) {
+    pub(crate) fn continue_after_attempt(&mut self, is_answered: bool, now: Instant) {
         self.is_answered |= is_answered;
-        if self.is_on() {
+        if self.is_active() {
             self.try_at = Some(now);
         }
     }
 
     /// Notes whether the parent has a way to a root; one that has none for long is left.
-    pub(crate) fn note_root<R>(&mut self, is_rooted: bool, now: Instant, rng: &mut R)
+    pub(crate) fn update_parent_rooted<R>(&mut self, is_rooted: bool, now: Instant, rng: &mut R)
     where
         R: Rng,
     {
@@ -125,7 +125,7 @@
     }
 
     /// Tries again at `at` without asking the platform first.
-    pub(crate) fn hurry(&mut self, at: Instant) {
+    pub(crate) fn retry_at(&mut self, at: Instant) {
         if self.try_at.is_some() {
             self.try_at = Some(at);
             self.wants_leases = false;
@@ -133,8 +133,8 @@
     }
 
     /// Asks the platform again, for what stands now, if its last word may have been old.
-    pub(crate) fn doubt(&mut self, now: Instant) -> bool {
-        if self.freshness == Freshness::Exact || !self.is_on() {
+    pub(crate) fn require_exact_leases(&mut self, now: Instant) -> bool {
+        if self.freshness == Freshness::Exact || !self.is_active() {
             return false;
         }
         self.freshness = Freshness::Exact;
@@ -177,7 +177,8 @@
             self.search.wants_leases = false;
             self.search.try_at = Some(now + LEASES);
             let is_exact = self.search.freshness == Freshness::Exact;
-            self.actions.push(Action::Ask(Request::Leases { is_exact }));
+            self.actions
+                .push(Action::QueryPlatform(PlatformRequest::Leases { is_exact }));
             return;
         }
         let name = self.settings.local.node.clone();
@@ -185,25 +186,25 @@
             .then(|| self.candidates.pick(&name, now))
             .flatten();
         match next {
-            Some(address) if self.is_candidate(address) => {
+            Some(address) if self.is_eligible_parent(address) => {
                 self.search.tries += 1;
                 let link = self.dial(address, Purpose::Join, now);
                 self.search.dialled = Some((link, address));
             }
             Some(address) => self.candidates.postpone(address, now + PATIENCE.0),
-            None => self.pause_search(now),
+            None => self.back_off_search(now),
         }
     }
 
     /// Waits before the next round; one in which no node answered begins with the platform's leases.
-    pub(crate) fn pause_search(&mut self, now: Instant) {
+    pub(crate) fn back_off_search(&mut self, now: Instant) {
         let is_answered = std::mem::take(&mut self.search.is_answered);
         let wait = if is_answered {
             self.search.backoff.next_delay(&mut self.rng)
         } else {
             let zone = &self.settings.local.zone;
             let nodes = self.table.iter().filter(|one| one.zone == *zone).count();
-            let longest = crate::lookout::share_rate(nodes);
+            let longest = crate::fallback_poll::poll_interval(nodes);
             self.search.readings.next_delay(&mut self.rng).min(longest)
         };
         self.search.tries = 0;
@@ -212,7 +213,7 @@
         self.search.freshness = Freshness::Exact;
     }
 
-    pub(crate) fn is_candidate(&self, address: SocketAddr) -> bool {
+    pub(crate) fn is_eligible_parent(&self, address: SocketAddr) -> bool {
         let is_child = self.links.values().any(|link| {
             let peer = link.peer.as_ref();
             link.role == Role::Child && peer.is_some_and(|peer| peer.address == address)
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -9,17 +9,17 @@
 use wire::control::{Count, Refusal, Status};
 
 /// Most versions told apart: a fleet in order holds one or two.
-pub const MAX_COUNTS: usize = 8;
+pub const MAX_VERSION_COUNTS: usize = 8;
 
 /// Most names of laggards and most refusals carried.
-pub const MAX_NAMES: usize = 8;
+pub const MAX_LISTED_NODES: usize = 8;
 
 /// Longest reason of a refusal, in bytes.
-pub const MAX_REASON: usize = 160;
+pub const MAX_REASON_BYTES: usize = 160;
 
 /// Gives the status of one node alone.
 #[must_use]
-pub fn single(version: Version, refusal: Option<Refusal>) -> Status {
+pub fn single_node(version: Version, refusal: Option<Refusal>) -> Status {
     Status {
         counts: vec![Count { version, nodes: 1 }],
         laggards: Vec::new(),
@@ -29,7 +29,7 @@
 
 /// Sums parts up, each with the name of the node that told it.
 #[must_use]
-pub fn sum<'a, I>(parts: I) -> Status
+pub fn aggregate<'a, I>(parts: I) -> Status
 where
     I: IntoIterator<Item = (&'a SmolStr, &'a Status)> + Clone,
 {
@@ -54,18 +54,18 @@
     }
     total.laggards.sort();
     total.laggards.dedup();
-    total.laggards.truncate(MAX_NAMES);
+    total.laggards.truncate(MAX_LISTED_NODES);
     total
         .refusals
         .sort_by(|a, b| (b.version, &a.node).cmp(&(a.version, &b.node)));
     total.refusals.dedup();
-    total.refusals.truncate(MAX_NAMES);
+    total.refusals.truncate(MAX_LISTED_NODES);
     total
 }
 
 /// Counts all nodes of a status.
 #[must_use]
-pub fn nodes(status: &Status) -> u32 {
+pub fn node_count(status: &Status) -> u32 {
     status.counts.iter().map(|count| count.nodes).sum()
 }
 
@@ -75,7 +75,7 @@
         .into_iter()
         .map(|(version, nodes)| Count { version, nodes })
         .collect();
-    while kept.len() > MAX_COUNTS {
+    while kept.len() > MAX_VERSION_COUNTS {
         let folded = kept.remove(1);
         kept[0].nodes += folded.nodes;
     }
@@ -85,7 +85,7 @@
 /// Gives a refusal whose reason is cut to its limit.
 #[must_use]
 pub fn refusal(node: &SmolStr, version: Version, reason: &str) -> Refusal {
-    let mut end = reason.len().min(MAX_REASON);
+    let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/fleet/src/sync.rs
+++ b/crates/fleet/src/sync.rs
@@ -5,8 +5,8 @@
 //! after a moment asks. Endpoints go to all neighbours but the one they came
 //! from, gathered for a moment.
 
-use crate::endpoints::Merged;
-use crate::event::{Action, Backend, Request};
+use crate::endpoints::MergeOutcome;
+use crate::event::{Action, Backend, PlatformRequest};
 use crate::link::{Link, LinkKey, Role};
 use crate::node::Node;
 use crate::replica::{ApplyOutcome, Step};
@@ -96,7 +96,7 @@
         let peer = self.links.get(&key).and_then(|link| link.peer.as_ref());
         if let Some(peer) = peer.filter(|_| is_ready) {
             let is_near = peer.zone == self.settings.local.zone;
-            self.gate.hear(&peer.node, version, is_near);
+            self.gate.record_peer_version(&peer.node, version, is_near);
         }
     }
 
@@ -201,8 +201,8 @@
                 continue;
             }
             let merged = self.table.merge(endpoint, now);
-            if merged != Merged::Known && endpoint.state != State::Gone {
-                self.guard.find(&endpoint.node);
+            if merged != MergeOutcome::Ignored && endpoint.state != State::Gone {
+                self.guard.record_found(&endpoint.node);
             }
             self.propagate_endpoint(now, &endpoint.node, merged, Some(key));
         }
@@ -216,15 +216,15 @@
         &mut self,
         now: Instant,
         node: &SmolStr,
-        merged: Merged,
+        merged: MergeOutcome,
         from: Option<LinkKey>,
     ) {
-        if merged == Merged::Known {
+        if merged == MergeOutcome::Ignored {
             return;
         }
         self.sync.changed_nodes.insert(node.clone(), from);
         self.sync.flush_at.get_or_insert(now + BATCH_DELAY);
-        if merged == Merged::Changed {
+        if merged == MergeOutcome::Changed {
             self.sync.view_at.get_or_insert(now + VIEW_DELAY);
         }
     }
@@ -298,16 +298,16 @@
             _ => false,
         };
         let neighbours = self.links.values().filter(is_neighbour).count();
-        for node in self.guard.take_gone(neighbours, self.has_root(), now) {
-            if self.table.bury(&node, now).is_some() {
+        for node in self.guard.take_departed(neighbours, self.has_root(), now) {
+            if self.table.mark_gone(&node, now).is_some() {
                 self.counters.departures += 1;
-                self.propagate_endpoint(now, &node, Merged::Changed, None);
+                self.propagate_endpoint(now, &node, MergeOutcome::Changed, None);
             }
         }
     }
 
     pub(crate) fn send_sums(&mut self, key: LinkKey, is_reply: bool) {
-        let sums = self.table.sums().to_vec();
+        let sums = self.table.bucket_checksums().to_vec();
         self.send(key, Frame::Sums { sums, is_reply });
     }
 
@@ -315,7 +315,7 @@
         if sums.len() != BUCKETS {
             return;
         }
-        for list in self.table.differing(sums) {
+        for list in self.table.differing_endpoints(sums) {
             self.send(key, Frame::Endpoints(list));
         }
         if is_reply {
@@ -356,14 +356,16 @@
         }
         let was_open = self.gate.is_open();
         let held = self.version();
-        if self.gate.take_question(held, now) {
+        if self.gate.begin_platform_query(held, now) {
             self.actions
-                .push(Action::Ask(Request::Head { after: held }));
+                .push(Action::QueryPlatform(PlatformRequest::LatestVersion {
+                    after: held,
+                }));
         }
-        if self.gate.wants_source(now) {
+        if self.gate.begin_peer_query(now) {
             self.query_version_source(now);
         }
-        if self.gate.pass(held) && !was_open {
+        if self.gate.try_open(held) && !was_open {
             self.sync.view_at = Some(now);
         }
     }
@@ -381,7 +383,7 @@
             self.sync.view_at = None;
             let view = View::join(self.replica.held(), self.table.iter().cloned());
             self.counters.views += 1;
-            self.actions.push(Action::Install(Arc::new(view)));
+            self.actions.push(Action::InstallView(Arc::new(view)));
         } else if is_due(self.sync.view_at) {
             self.sync.view_at = Some(now + VIEW_DELAY);
         }
--- a/crates/fleet/src/tree.rs
+++ b/crates/fleet/src/tree.rs
@@ -4,7 +4,7 @@
 //! refuses a parent whose path names it, and leaves one whose path comes to.
 
 use crate::children;
-use crate::event::{Action, Request};
+use crate::event::{Action, PlatformRequest};
 use crate::link::{LinkKey, Purpose, Role};
 use crate::node::Node;
 use crate::parent::Source;
@@ -45,8 +45,8 @@
         link.version = version;
         let name = link.peer.as_ref().map(|peer| peer.node.clone());
         if let Some(name) = name {
-            self.guard.find(&name);
-            self.end_recall(&name);
+            self.guard.record_found(&name);
+            self.stop_redial(&name);
         }
         self.on_peer_version(now, key, version);
         self.send_crashes(now, key);
@@ -117,11 +117,11 @@
 
     fn on_refused(&mut self, now: Instant, key: LinkKey, wait: Duration) {
         self.close(key);
-        if let Some(address) = self.search.end_dial(key) {
+        if let Some(address) = self.search.finish_dial(key) {
             // Half as much again, so that those refused together don't come back together.
             let wait = wait + self.jitter(wait / 2);
             self.candidates.postpone(address, now + wait);
-            self.search.resume(true, now);
+            self.search.continue_after_attempt(true, now);
         }
     }
 
@@ -138,13 +138,13 @@
             self.drop_link(now, key, false);
             return;
         }
-        self.search.end_dial(key);
+        self.search.finish_dial(key);
         self.search.stop();
         self.counters.parents += 1;
         self.establish_link(now, key, Role::Parent, version);
         self.set_path(path);
         self.send_sums(key, false);
-        if std::mem::take(&mut self.search.was_lost) {
+        if std::mem::take(&mut self.search.was_parent_lost) {
             // The former parent may live and count this node as lost.
             self.reannounce(now);
         }
@@ -156,7 +156,7 @@
         let parent = parents.first().and_then(|key| self.links.get(key));
         let parent = parent.and_then(|link| link.peer.as_ref().map(|peer| peer.address));
         let witness = self.candidates.pick_version_source(parent);
-        if let Some(address) = witness.filter(|address| self.is_candidate(*address)) {
+        if let Some(address) = witness.filter(|address| self.is_eligible_parent(*address)) {
             self.dial(address, Purpose::Ask, now);
         }
     }
@@ -179,7 +179,8 @@
             self.drop_link(now, key, true);
             return;
         }
-        self.search.note_root(!path.is_empty(), now, &mut self.rng);
+        self.search
+            .update_parent_rooted(!path.is_empty(), now, &mut self.rng);
         self.set_path(path);
     }
 
@@ -208,9 +209,9 @@
         let Some(link) = self.close(key) else {
             return;
         };
-        if let Some(address) = self.search.end_dial(key) {
+        if let Some(address) = self.search.finish_dial(key) {
             self.candidates.mark_unreachable(address, now);
-            self.search.resume(false, now);
+            self.search.continue_after_attempt(false, now);
         }
         let is_neighbour = match (link.role, &link.peer) {
             (Role::Child, Some(_)) => true,
@@ -219,10 +220,10 @@
         };
         if let Some(peer) = &link.peer {
             if is_neighbour && !is_clean {
-                self.guard.lose(&peer.node, now);
+                self.guard.record_lost(&peer.node, now);
             }
             if matches!(link.role, Role::Child | Role::RootPeer) {
-                self.recall(peer, now);
+                self.start_redial(peer, now);
             }
             if link.role == Role::Parent {
                 self.candidates.add(peer.address, Source::Hint, now);
@@ -230,7 +231,7 @@
             }
         }
         if link.role == Role::Parent {
-            self.search.was_lost = !is_clean;
+            self.search.was_parent_lost = !is_clean;
             self.set_path(Vec::new());
             self.start_search(now);
         }
@@ -254,8 +255,12 @@
         }
         if let Some(slot) = self.lease.slot() {
             self.lease.on_lost(slot);
-            self.actions.push(Action::Ask(Request::Unfollow));
-            self.actions.push(Action::Ask(Request::Release { slot }));
+            self.actions
+                .push(Action::QueryPlatform(PlatformRequest::Unwatch));
+            self.actions
+                .push(Action::QueryPlatform(PlatformRequest::ReleaseLease {
+                    slot,
+                }));
         }
     }
 
--- a/crates/fleet/tests/endpoints.rs
+++ b/crates/fleet/tests/endpoints.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use config::{Endpoint, State};
-use fleet::departure::{GRACE, Guard};
-use fleet::endpoints::{EXPIRE, Merged, Table};
+use fleet::departure::{DepartureGuard, GRACE};
+use fleet::endpoints::{EXPIRE, EndpointTable, MergeOutcome};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     let verdict = runner.run(&shuffled, |(one, other)| {
         let now = Instant::now();
         let fill = |news: &[(usize, u64, u64, State)]| {
-            let mut table = Table::default();
+            let mut table = EndpointTable::default();
             // Everybody knows the nodes as such; a tombstone of a stranger is dropped.
             for node in 0..4 {
                 table.merge(&endpoint(node, 0, 0, State::Serving), now);
@@ -59,8 +59,8 @@
         };
         let (one, other) = (fill(&one), fill(&other));
         prop_assert!(one.iter().eq(other.iter()));
-        prop_assert_eq!(one.sum(), other.sum());
-        prop_assert!(one.differing(other.sums()).is_empty());
+        prop_assert_eq!(one.checksum(), other.checksum());
+        prop_assert!(one.differing_endpoints(other.bucket_checksums()).is_empty());
         Ok(())
     });
     verdict.expect("order and repetition don't matter");
@@ -69,39 +69,39 @@
 #[test]
 fn late_word() {
     let now = Instant::now();
-    let mut table = Table::default();
+    let mut table = EndpointTable::default();
     assert_eq!(
         table.merge(&endpoint(1, 1, 1, State::Serving), now),
-        Merged::Changed
+        MergeOutcome::Changed
     );
     assert_eq!(
         table.merge(&endpoint(1, 1, 2, State::Serving), now),
-        Merged::Refreshed
+        MergeOutcome::Refreshed
     );
-    assert!(table.bury("vm-1", now).is_some());
+    assert!(table.mark_gone("vm-1", now).is_some());
     assert_eq!(
         table.merge(&endpoint(1, 1, 2, State::Serving), now),
-        Merged::Known
+        MergeOutcome::Ignored
     );
     // Its own further word, or a new process, speaks louder than others' silence.
     assert_eq!(
         table.merge(&endpoint(1, 1, 3, State::Serving), now),
-        Merged::Changed
+        MergeOutcome::Changed
     );
     assert_eq!(
         table.merge(&endpoint(1, 2, 1, State::Leaving), now),
-        Merged::Changed
+        MergeOutcome::Changed
     );
     assert_eq!(
         table.merge(&endpoint(1, 1, 9, State::Serving), now),
-        Merged::Known
+        MergeOutcome::Ignored
     );
 }
 
 #[test]
 fn expires_twice() {
     let now = Instant::now();
-    let mut table = Table::default();
+    let mut table = EndpointTable::default();
     table.merge(&endpoint(1, 1, 1, State::Serving), now);
     table.expire(now + EXPIRE);
     assert_eq!(
@@ -110,7 +110,7 @@
     );
     table.expire(now + EXPIRE + EXPIRE);
     assert!(table.get("vm-1").is_none(), "tombstones go too");
-    assert_eq!(table.sum(), Table::default().sum());
+    assert_eq!(table.checksum(), EndpointTable::default().checksum());
 }
 
 // A switch fails and a relay loses most of its children at once. They still
@@ -121,12 +121,16 @@
     let now = Instant::now();
     let later = now + GRACE;
     let lose = |count: usize, neighbours: usize, is_rooted: bool| {
-        let mut guard = Guard::default();
+        let mut guard = DepartureGuard::default();
         for node in 0..count {
-            guard.lose(&format!("vm-{node}").into(), now);
+            guard.record_lost(&format!("vm-{node}").into(), now);
         }
-        assert!(guard.take_gone(neighbours, is_rooted, now + MS).is_empty());
-        guard.take_gone(neighbours, is_rooted, later).len()
+        assert!(
+            guard
+                .take_departed(neighbours, is_rooted, now + MS)
+                .is_empty()
+        );
+        guard.take_departed(neighbours, is_rooted, later).len()
     };
     assert_eq!(lose(1, 20, true), 1);
     assert_eq!(lose(2, 0, true), 2);
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -1,11 +1,13 @@
 //! Joining: bounded admission, no cycles, and serving only by the newest version heard.
 
 use config::Version;
-use fleet::bootstrap::Gate;
+use fleet::bootstrap::ReadinessGate;
 use fleet::leaky_bucket::LeakyBucket;
 use fleet::lease::LeaseClient;
 use fleet::parent::{Candidates, Source};
-use fleet::{Action, Answer, Event, LinkKey, Node, Peer, Request, Seat, Settings};
+use fleet::{
+    Action, Event, LinkKey, Node, Peer, PlatformRequest, PlatformResponse, RootLease, Settings,
+};
 use policy::backoff::Backoff;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -60,7 +62,7 @@
         address: address(port),
     };
     let mut lease = LeaseClient::new(Instant::now());
-    lease.set_leases(vec![Seat {
+    lease.set_leases(vec![RootLease {
         slot: 1,
         holder: peer("kl-a-2", 2),
         is_live: true,
@@ -138,26 +140,28 @@
 #[test]
 fn older_peer() {
     let now = Instant::now();
-    let mut gate = Gate::new();
-    gate.hear(&"cut-off".into(), Version(39), false);
+    let mut gate = ReadinessGate::new();
+    gate.record_peer_version(&"cut-off".into(), Version(39), false);
     assert!(
-        !gate.take_question(Version(38), now),
+        !gate.begin_platform_query(Version(38), now),
         "first what was heard of"
     );
-    assert!(gate.take_question(Version(39), now) && !gate.take_question(Version(39), now));
-    assert!(!gate.pass(Version(39)), "the platform was asked");
-    gate.miss_platform(now);
-    assert!(!gate.pass(Version(39)));
-    assert!(gate.wants_source(now) && !gate.wants_source(now));
-    gate.hear(&"other-zone".into(), Version(39), false);
-    assert!(!gate.pass(Version(39)), "none of the own zone");
-    gate.hear(&"own-zone".into(), Version(40), true);
-    assert!(!gate.pass(Version(39)));
     assert!(
-        gate.take_question(Version(40), now + Duration::from_secs(5)),
+        gate.begin_platform_query(Version(39), now) && !gate.begin_platform_query(Version(39), now)
+    );
+    assert!(!gate.try_open(Version(39)), "the platform was asked");
+    gate.record_platform_failure(now);
+    assert!(!gate.try_open(Version(39)));
+    assert!(gate.begin_peer_query(now) && !gate.begin_peer_query(now));
+    gate.record_peer_version(&"other-zone".into(), Version(39), false);
+    assert!(!gate.try_open(Version(39)), "none of the own zone");
+    gate.record_peer_version(&"own-zone".into(), Version(40), true);
+    assert!(!gate.try_open(Version(39)));
+    assert!(
+        gate.begin_platform_query(Version(40), now + Duration::from_secs(5)),
         "asked again"
     );
-    assert!(gate.pass(Version(40)));
+    assert!(gate.try_open(Version(40)));
     assert!(gate.deadline().is_none());
 }
 
@@ -166,24 +170,24 @@
 #[test]
 fn many_behind() {
     let now = Instant::now();
-    let mut gate = Gate::new();
-    gate.miss_platform(now);
+    let mut gate = ReadinessGate::new();
+    gate.record_platform_failure(now);
     for node in 0..20 {
-        gate.hear(&format!("vm-{node}").into(), Version(72), false);
+        gate.record_peer_version(&format!("vm-{node}").into(), Version(72), false);
     }
-    gate.hear(&"own-zone".into(), Version(81), true);
-    assert!(!gate.pass(Version(72)));
-    assert!(gate.pass(Version(81)));
+    gate.record_peer_version(&"own-zone".into(), Version(81), true);
+    assert!(!gate.try_open(Version(72)));
+    assert!(gate.try_open(Version(81)));
 }
 
 #[test]
 fn platform_knows() {
-    let mut gate = Gate::new();
-    assert!(!gate.pass(Version(0)), "nothing heard");
-    gate.hear(&"only".into(), Version(7), false);
-    gate.hear_platform(Version(9));
-    assert!(!gate.pass(Version(7)));
-    assert!(gate.pass(Version(9)), "the platform needs no second");
+    let mut gate = ReadinessGate::new();
+    assert!(!gate.try_open(Version(0)), "nothing heard");
+    gate.record_peer_version(&"only".into(), Version(7), false);
+    gate.record_platform_version(Version(9));
+    assert!(!gate.try_open(Version(7)));
+    assert!(gate.try_open(Version(9)), "the platform needs no second");
 }
 
 fn peer(node: &str, port: u16) -> Peer {
@@ -213,7 +217,9 @@
 /// A node that has just connected to its seed.
 fn connected(now: Instant) -> (Node, LinkKey) {
     let mut node = searching(now);
-    let failed = Event::Platform(Answer::Failed(Request::Leases { is_exact: true }));
+    let failed = Event::Platform(PlatformResponse::Failed(PlatformRequest::Leases {
+        is_exact: true,
+    }));
     let later = now + Duration::from_secs(2);
     let mut actions = node.handle(now + Duration::from_secs(1), failed);
     actions.extend(node.handle(later, Event::Wake));
@@ -278,7 +284,7 @@
 fn endpoints_first(is_other_known: bool, is_met: bool) {
     let start = Instant::now();
     let mut node = searching(start);
-    let seat = |slot, name: &str, port| Seat {
+    let seat = |slot, name: &str, port| RootLease {
         slot,
         holder: peer(name, port),
         is_live: true,
@@ -287,14 +293,14 @@
     seats.extend(is_other_known.then(|| seat(1, "vm-2", 2)));
     let granted_at = start + Duration::from_secs(1);
     let installs = |actions: &[Action]| {
-        let is_view = |action: &Action| matches!(action, Action::Install(_));
+        let is_view = |action: &Action| matches!(action, Action::InstallView(_));
         actions.iter().any(is_view)
     };
     let mut answer = |answer| node.handle(granted_at, Event::Platform(answer));
-    answer(Answer::Leases(seats));
-    answer(Answer::Granted { slot: 0 });
-    answer(Answer::Crashes(Vec::new()));
-    let actions = answer(Answer::Head(Version(0)));
+    answer(PlatformResponse::Leases(seats));
+    answer(PlatformResponse::LeaseGranted { slot: 0 });
+    answer(PlatformResponse::Crashes(Vec::new()));
+    let actions = answer(PlatformResponse::LatestVersion(Version(0)));
     assert_eq!(installs(&actions), !is_other_known);
     let later = granted_at + 1_900 * MS;
     assert!(!installs(&node.handle(later, Event::Wake)));
@@ -333,23 +339,29 @@
     let mut node = searching(start);
     let names = ["vm-2", "vm-3", "vm-4"];
     let seats = || {
-        let seats = (0..roots).zip(names).map(|(slot, name)| Seat {
+        let seats = (0..roots).zip(names).map(|(slot, name)| RootLease {
             slot,
             holder: peer(name, 2 + u16::from(slot)),
             is_live: true,
         });
-        Event::Platform(Answer::Leases(seats.collect()))
+        Event::Platform(PlatformResponse::Leases(seats.collect()))
     };
     let now = start + Duration::from_secs(1);
     let later = now + 100 * MS;
     let mut actions = node.handle(now, seats());
     actions.extend(node.handle(later, Event::Wake));
-    let asks = |actions: &[Action], wanted: Request| {
-        let is_wanted = |action: &Action| matches!(action, Action::Ask(asked) if *asked == wanted);
+    let asks = |actions: &[Action], wanted: PlatformRequest| {
+        let is_wanted =
+            |action: &Action| matches!(action, Action::QueryPlatform(asked) if *asked == wanted);
         actions.iter().any(is_wanted)
     };
-    let exact = Request::Leases { is_exact: true };
-    let takes = |action: &Action| matches!(action, Action::Ask(Request::Take { .. }));
+    let exact = PlatformRequest::Leases { is_exact: true };
+    let takes = |action: &Action| {
+        matches!(
+            action,
+            Action::QueryPlatform(PlatformRequest::AcquireLease { .. })
+        )
+    };
     let dials = |action: &Action| matches!(action, Action::Connect { .. });
     assert_eq!(actions.iter().any(dials), goes_on, "{actions:?}");
     assert_eq!(asks(&actions, exact), !goes_on, "{actions:?}");
--- a/crates/fleet/tests/refusal.rs
+++ b/crates/fleet/tests/refusal.rs
@@ -185,11 +185,11 @@
             } else {
                 90 + index % 20
             });
-            (name(index), status::single(version, refusal))
+            (name(index), status::single_node(version, refusal))
         })
         .collect();
-    let total = status::sum(parts.iter().map(|(name, part)| (name, part)));
-    assert_eq!(status::nodes(&total), 14_000);
+    let total = status::aggregate(parts.iter().map(|(name, part)| (name, part)));
+    assert_eq!(status::node_count(&total), 14_000);
     assert_eq!(
         total.counts.first().map(|count| count.version),
         Some(Version(89))
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -9,7 +9,9 @@
 use config::Rollout;
 use config::rollout::{Stage, Tally};
 use config::{Change, Patch, Service, State, Version, View};
-use fleet::{Action, Answer, Backend, Event, LinkKey, Node, Peer, Request, Settings};
+use fleet::{
+    Action, Backend, Event, LinkKey, Node, Peer, PlatformRequest, PlatformResponse, Settings,
+};
 use policy::quarantine::{Ledger, Standing};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -32,7 +34,7 @@
     Refused { key: LinkKey },
     Closed { conn: usize },
     Frame { conn: usize, frame: Box<Frame> },
-    Answer(Answer),
+    Answer(PlatformResponse),
     Crashes(Vec<Crash>),
     Report(Rollout),
     Tally(SmolStr, Tally),
@@ -560,13 +562,13 @@
                 None => return,
             },
             Input::Answer(answer) => Event::Platform(answer),
-            Input::Crashes(list) => Event::Crashes(list),
-            Input::Tally(service, tally) => Event::Tallies(vec![(service, tally)]),
+            Input::Crashes(list) => Event::LocalCrashes(list),
+            Input::Tally(service, tally) => Event::LocalTallies(vec![(service, tally)]),
             Input::Report(rollout) => {
                 self.report(vm, rollout);
                 return;
             }
-            Input::Own => Event::Own(Backend {
+            Input::Own => Event::BackendAnnounced(Backend {
                 service: self.vms[vm].service.clone().into(),
                 version: "".into(),
                 slots: 6,
@@ -667,13 +669,13 @@
                         self.close_connection(conn, vm);
                     }
                 }
-                Action::Ask(request) => self.ask_platform(vm, request),
-                Action::Install(view) => self.install(vm, view),
-                Action::Quarantine(list) => self.record_crashes(vm, &list),
-                Action::Post { slot, list } => self.write_crashes(vm, slot, list),
-                Action::Rollouts(list) => self.follow_rollouts(vm, list),
-                Action::Report(rollout) => self.report(vm, rollout),
-                Action::Stopped { .. } => self.stopped_versions += 1,
+                Action::QueryPlatform(request) => self.ask_platform(vm, request),
+                Action::InstallView(view) => self.install(vm, view),
+                Action::UpdateQuarantine(list) => self.record_crashes(vm, &list),
+                Action::WriteCrashes { slot, list } => self.write_crashes(vm, slot, list),
+                Action::ApplyRollouts(list) => self.follow_rollouts(vm, list),
+                Action::WriteRollout(rollout) => self.report(vm, rollout),
+                Action::RolloutStopped { .. } => self.stopped_versions += 1,
             }
         }
     }
@@ -699,7 +701,7 @@
             self.schedule_for(vm, incarnation, 300 * MS, Input::Report(rollout));
             return;
         };
-        let answer = Answer::Rollouts(vec![stands]);
+        let answer = PlatformResponse::Rollouts(vec![stands]);
         for reader in readers.into_iter().chain([vm]) {
             self.schedule(reader, 3 * MS, Input::Answer(answer.clone()));
         }
@@ -709,7 +711,7 @@
     pub fn order_rollout(&mut self, service: &str, target: &str, duration: Duration) {
         let readers = self.platform.order_rollout(service, target, duration);
         for reader in readers {
-            let answer = Answer::Rollouts(self.platform.rollouts());
+            let answer = PlatformResponse::Rollouts(self.platform.rollouts());
             self.schedule(reader, 3 * MS, Input::Answer(answer));
         }
     }
@@ -717,8 +719,8 @@
     /// Has the platform come back from a copy that lacks all verdicts and crashes.
     pub fn restore_from_copy(&mut self) {
         for reader in self.platform.lose_recent_writes() {
-            self.schedule(reader, 3 * MS, Input::Answer(Answer::Restored));
-            let answer = Answer::Rollouts(self.platform.rollouts());
+            self.schedule(reader, 3 * MS, Input::Answer(PlatformResponse::Restored));
+            let answer = PlatformResponse::Rollouts(self.platform.rollouts());
             self.schedule(reader, 4 * MS, Input::Answer(answer));
         }
     }
@@ -786,7 +788,11 @@
         let zone = self.vms[vm].own.zone.to_string();
         for reader in self.platform.write_crashes(&zone, slot, list) {
             let crashes = self.platform.crashes();
-            self.schedule(reader, 3 * MS, Input::Answer(Answer::Crashes(crashes)));
+            self.schedule(
+                reader,
+                3 * MS,
+                Input::Answer(PlatformResponse::Crashes(crashes)),
+            );
         }
     }
 
@@ -867,7 +873,7 @@
         }
     }
 
-    fn ask_platform(&mut self, vm: usize, request: Request) {
+    fn ask_platform(&mut self, vm: usize, request: PlatformRequest) {
         let own = self.vms[vm].own.clone();
         let answers = self.platform.handle(vm, &own, request, self.now);
         for (wait, answer) in answers {
--- a/crates/fleet/tests/world/platform.rs
+++ b/crates/fleet/tests/world/platform.rs
@@ -3,7 +3,7 @@
 use call::Crash;
 use config::rollout::{Place, Stage};
 use config::{Digest, Held, Mesh, Patch, Rollout, Version};
-use fleet::{Answer, Peer, Request, Seat};
+use fleet::{Peer, PlatformRequest, PlatformResponse, RootLease};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -164,7 +164,7 @@
     }
 
     /// Gives each follower what it has not got yet.
-    pub fn take_updates(&mut self) -> Vec<(usize, Vec<Answer>)> {
+    pub fn take_updates(&mut self) -> Vec<(usize, Vec<PlatformResponse>)> {
         if self.is_down {
             return Vec::new();
         }
@@ -181,11 +181,11 @@
         all
     }
 
-    fn steps_after(&self, at: Version) -> Vec<Answer> {
-        let mut answers = vec![Answer::Head(self.head())];
+    fn steps_after(&self, at: Version) -> Vec<PlatformResponse> {
+        let mut answers = vec![PlatformResponse::LatestVersion(self.head())];
         for (number, (patch, _, digest)) in (1..).zip(&self.history) {
             if number > at.0 {
-                answers.push(Answer::Step {
+                answers.push(PlatformResponse::Step {
                     version: Version(number),
                     patch: Arc::clone(patch),
                     digest: *digest,
@@ -199,28 +199,28 @@
         &mut self,
         vm: usize,
         own: &Peer,
-        request: Request,
+        request: PlatformRequest,
         now: Duration,
-    ) -> Vec<(Duration, Answer)> {
+    ) -> Vec<(Duration, PlatformResponse)> {
         self.calls += 1;
         let zone = own.zone.to_string();
         if self.is_down || self.unreachable_zones.contains(&zone) {
             return match request {
-                Request::Follow { after, .. } => {
+                PlatformRequest::Watch { after, .. } => {
                     self.followers.insert(vm, (zone, after));
                     Vec::new()
                 }
-                _ => vec![(TIMEOUT, Answer::Failed(request))],
+                _ => vec![(TIMEOUT, PlatformResponse::Failed(request))],
             };
         }
         let answer = match request {
-            Request::Leases { .. } => {
+            PlatformRequest::Leases { .. } => {
                 let revisions = self.leases.iter();
                 let revisions = revisions.map(|(key, lease)| (key.clone(), lease.revision));
                 self.seen_revisions.insert(vm, revisions.collect());
-                Answer::Leases(self.list_leases(now))
+                PlatformResponse::Leases(self.list_leases(now))
             }
-            Request::Take { slot, is_forced } => {
+            PlatformRequest::AcquireLease { slot, is_forced } => {
                 let key = (own.zone.to_string(), slot);
                 let seen = self
                     .seen_revisions
@@ -229,9 +229,9 @@
                     .copied();
                 self.take_lease(own, slot, seen.filter(|_| is_forced), now)
             }
-            Request::Head { .. } => Answer::Head(self.head()),
-            Request::Renew { slot } => self.renew_lease(own, slot, now),
-            Request::Release { slot } => {
+            PlatformRequest::LatestVersion { .. } => PlatformResponse::LatestVersion(self.head()),
+            PlatformRequest::RenewLease { slot } => self.renew_lease(own, slot, now),
+            PlatformRequest::ReleaseLease { slot } => {
                 let key = (own.zone.to_string(), slot);
                 if self
                     .leases
@@ -242,36 +242,36 @@
                 }
                 return Vec::new();
             }
-            Request::Follow { after, is_first } => {
+            PlatformRequest::Watch { after, is_first } => {
                 self.followers.insert(vm, (zone, self.head()));
                 self.silent_followers.remove(&vm);
                 let mut steps = self.steps_after(after);
                 if is_first {
                     self.crash_readers.insert(vm);
-                    steps.push(Answer::Crashes(self.crashes()));
+                    steps.push(PlatformResponse::Crashes(self.crashes()));
                 }
-                steps.push(Answer::Rollouts(self.rollouts()));
+                steps.push(PlatformResponse::Rollouts(self.rollouts()));
                 return steps.into_iter().map(|step| (3 * MS, step)).collect();
             }
-            Request::Crashes => Answer::Crashes(self.crashes()),
-            Request::Rollouts => Answer::Rollouts(self.rollouts()),
-            Request::Newest { after } => {
+            PlatformRequest::Crashes => PlatformResponse::Crashes(self.crashes()),
+            PlatformRequest::Rollouts => PlatformResponse::Rollouts(self.rollouts()),
+            PlatformRequest::FetchLatest { after } => {
                 let steps = self.steps_after(after);
                 return steps.into_iter().map(|step| (3 * MS, step)).collect();
             }
-            Request::Unfollow => {
+            PlatformRequest::Unwatch => {
                 self.unfollow(vm);
                 return Vec::new();
             }
         };
-        if self.loses_answers && !matches!(request, Request::Leases { .. }) {
-            return vec![(TIMEOUT, Answer::Failed(request))];
+        if self.loses_answers && !matches!(request, PlatformRequest::Leases { .. }) {
+            return vec![(TIMEOUT, PlatformResponse::Failed(request))];
         }
         vec![(3 * MS, answer)]
     }
 
-    fn list_leases(&self, now: Duration) -> Vec<Seat> {
-        let seats = self.leases.iter().map(|((_, slot), lease)| Seat {
+    fn list_leases(&self, now: Duration) -> Vec<RootLease> {
+        let seats = self.leases.iter().map(|((_, slot), lease)| RootLease {
             slot: *slot,
             holder: lease.holder.clone(),
             is_live: lease.until > now,
@@ -280,30 +280,36 @@
     }
 
     /// A lease with time left is taken only as it was `seen`.
-    fn take_lease(&mut self, own: &Peer, slot: u8, seen: Option<u64>, now: Duration) -> Answer {
+    fn take_lease(
+        &mut self,
+        own: &Peer,
+        slot: u8,
+        seen: Option<u64>,
+        now: Duration,
+    ) -> PlatformResponse {
         let key = (own.zone.to_string(), slot);
         let is_held = self.leases.get(&key).is_some_and(|lease| {
             lease.until > now && lease.holder != *own && Some(lease.revision) != seen
         });
         if is_held {
-            return Answer::Lost { slot };
+            return PlatformResponse::LeaseLost { slot };
         }
         self.grant_lease(key, own, now)
     }
 
-    fn renew_lease(&mut self, own: &Peer, slot: u8, now: Duration) -> Answer {
+    fn renew_lease(&mut self, own: &Peer, slot: u8, now: Duration) -> PlatformResponse {
         let key = (own.zone.to_string(), slot);
         if self
             .leases
             .get(&key)
             .is_some_and(|lease| lease.holder != *own)
         {
-            return Answer::Lost { slot };
+            return PlatformResponse::LeaseLost { slot };
         }
         self.grant_lease(key, own, now)
     }
 
-    fn grant_lease(&mut self, key: (String, u8), own: &Peer, now: Duration) -> Answer {
+    fn grant_lease(&mut self, key: (String, u8), own: &Peer, now: Duration) -> PlatformResponse {
         let slot = key.1;
         self.writes += 1;
         let lease = Lease {
@@ -312,6 +318,6 @@
             revision: self.writes,
         };
         self.leases.insert(key, lease);
-        Answer::Granted { slot }
+        PlatformResponse::LeaseGranted { slot }
     }
 }
--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -6,7 +6,7 @@
 use call::Crash;
 use clock::Clock;
 use config::Rollout;
-use fleet::{Answer, Peer, Request, Seat};
+use fleet::{Peer, PlatformRequest, PlatformResponse, RootLease};
 use log::warn;
 use platform::rollout;
 use policy::backoff::Backoff;
@@ -61,7 +61,7 @@
                 let former = std::mem::replace(&mut era, *eras.borrow_and_update());
                 // The first answer tells which era it is; none has begun.
                 if former.is_some() {
-                    desk.tell(Answer::Restored).await;
+                    desk.tell(PlatformResponse::Restored).await;
                 }
                 continue;
             }
@@ -85,7 +85,7 @@
 #[derive(Debug)]
 pub(crate) enum Order {
     /// An answer to this.
-    Ask(Request),
+    Ask(PlatformRequest),
     /// That these crashes stand there, as those that the holder of a lease remembers.
     Post { slot: u8, list: Vec<Crash> },
     /// That how far a roll-out has come stands there.
@@ -133,43 +133,43 @@
     C: Clock,
     S: Store,
 {
-    async fn carry_out(&mut self, request: Request) -> Option<Answer> {
+    async fn carry_out(&mut self, request: PlatformRequest) -> Option<PlatformResponse> {
         let outcome = match request {
-            Request::Leases { is_exact } => self.read_leases(is_exact).await,
-            Request::Take { slot, is_forced } => self.take(slot, is_forced).await,
-            Request::Renew { slot } => self.tend(slot).await,
-            Request::Head { after } => self.read_head(after).await,
-            Request::Newest { after } => self.read_newest(after).await,
-            Request::Release { slot } => {
+            PlatformRequest::Leases { is_exact } => self.read_leases(is_exact).await,
+            PlatformRequest::AcquireLease { slot, is_forced } => self.take(slot, is_forced).await,
+            PlatformRequest::RenewLease { slot } => self.tend(slot).await,
+            PlatformRequest::LatestVersion { after } => self.read_head(after).await,
+            PlatformRequest::FetchLatest { after } => self.read_newest(after).await,
+            PlatformRequest::ReleaseLease { slot } => {
                 if let Some(mut lease) = self.leases.remove(&slot) {
                     // One that can't be given back lapses by itself.
                     drop(lease.release().await);
                 }
                 return None;
             }
-            Request::Follow { after, is_first } => {
+            PlatformRequest::Watch { after, is_first } => {
                 self.follow(after, is_first);
                 return None;
             }
-            Request::Unfollow => {
+            PlatformRequest::Unwatch => {
                 self.follower = None;
                 return None;
             }
-            Request::Rollouts => self.read_rollouts().await,
-            Request::Crashes => self.board.list().await.map(Answer::Crashes),
+            PlatformRequest::Rollouts => self.read_rollouts().await,
+            PlatformRequest::Crashes => self.board.list().await.map(PlatformResponse::Crashes),
         };
-        Some(outcome.unwrap_or(Answer::Failed(request)))
+        Some(outcome.unwrap_or(PlatformResponse::Failed(request)))
     }
 
     /// Reads the highest version, given one that is known; the log is read from there only.
-    async fn read_head(&self, after: config::Version) -> Result<Answer, Error> {
+    async fn read_head(&self, after: config::Version) -> Result<PlatformResponse, Error> {
         if self.shared.is_on_platform() {
             // Nearly always what is held already: reading and taking the whole of
             // it on each VM after a restart of all took 0.6 s on a tenth of a core.
             let text = self.read_text().await?;
             let version = platform::mesh::parse_version(&text).map_err(as_invalid)?;
             if version <= after {
-                return Ok(Answer::Head(version));
+                return Ok(PlatformResponse::LatestVersion(version));
             }
             return Ok(self.take_text(version, &text).await);
         }
@@ -179,11 +179,13 @@
             // So far behind that the log no longer reaches back: not the head, surely.
             None => Some(after.0 + 1),
         };
-        Ok(Answer::Head(config::Version(last.unwrap_or(after.0))))
+        Ok(PlatformResponse::LatestVersion(config::Version(
+            last.unwrap_or(after.0),
+        )))
     }
 
     /// Reads what leads to the newest version there is; gives the last part of it.
-    async fn read_newest(&self, after: config::Version) -> Result<Answer, Error> {
+    async fn read_newest(&self, after: config::Version) -> Result<PlatformResponse, Error> {
         let mut answers = if self.shared.is_on_platform() {
             let text = self.read_text().await?;
             let version = platform::mesh::parse_version(&text).map_err(as_invalid)?;
@@ -200,17 +202,17 @@
     }
 
     /// Reads the whole of a version, and tells of its number first if it can be taken.
-    async fn take_text(&self, version: config::Version, text: &str) -> Answer {
+    async fn take_text(&self, version: config::Version, text: &str) -> PlatformResponse {
         match platform::mesh::parse(text) {
             Ok((version, mesh)) => {
-                self.tell(Answer::Head(version)).await;
-                Answer::Whole { version, mesh }
+                self.tell(PlatformResponse::LatestVersion(version)).await;
+                PlatformResponse::Snapshot { version, mesh }
             }
             Err(error) => tell_unreadable(version, &error),
         }
     }
 
-    async fn tell(&self, answer: Answer) {
+    async fn tell(&self, answer: PlatformResponse) {
         // An error means that the node has left.
         drop(self.inbox.send(Input::Answer(answer)).await);
     }
@@ -221,7 +223,7 @@
         text.ok_or(Error::NotFound)
     }
 
-    async fn read_leases(&mut self, is_exact: bool) -> Result<Answer, Error> {
+    async fn read_leases(&mut self, is_exact: bool) -> Result<PlatformResponse, Error> {
         let standings = lease::list(&self.store, ROOTS, is_exact).await?;
         let now = self.shared.clock.now();
         let mut seats = Vec::new();
@@ -230,7 +232,7 @@
             let is_live = now.duration_since(since) < standing.duration;
             seats.extend(read_seat(standing, is_live));
         }
-        Ok(Answer::Leases(seats))
+        Ok(PlatformResponse::Leases(seats))
     }
 
     /// Gives since when a lease has stood unchanged, as far as this process saw.
@@ -246,7 +248,7 @@
         known.since
     }
 
-    async fn take(&mut self, slot: u8, is_forced: bool) -> Result<Answer, Error> {
+    async fn take(&mut self, slot: u8, is_forced: bool) -> Result<PlatformResponse, Error> {
         let name = self.name_lease(slot);
         let seen = self.seen.get(&name).map(|seen| seen.revision);
         let lease = self.lease(slot);
@@ -257,7 +259,7 @@
         Ok(tell_held(slot, is_held))
     }
 
-    async fn tend(&mut self, slot: u8) -> Result<Answer, Error> {
+    async fn tend(&mut self, slot: u8) -> Result<PlatformResponse, Error> {
         let is_held = self.lease(slot).tend().await?;
         Ok(tell_held(slot, is_held))
     }
@@ -317,7 +319,7 @@
             }
             loop {
                 let crashes = board.read(&objects.next().await);
-                let answer = Input::Answer(Answer::Crashes(crashes));
+                let answer = Input::Answer(PlatformResponse::Crashes(crashes));
                 if inbox.send(answer).await.is_err() {
                     return;
                 }
@@ -348,7 +350,7 @@
                     continue;
                 };
                 let found = book.settle(standing, object.revision).await;
-                let answer = Input::Answer(Answer::Rollouts(vec![found]));
+                let answer = Input::Answer(PlatformResponse::Rollouts(vec![found]));
                 if inbox.send(answer).await.is_err() {
                     return;
                 }
@@ -356,8 +358,11 @@
         }
     }
 
-    async fn read_rollouts(&self) -> Result<Answer, Error> {
-        self.rollout_book().list().await.map(Answer::Rollouts)
+    async fn read_rollouts(&self) -> Result<PlatformResponse, Error> {
+        self.rollout_book()
+            .list()
+            .await
+            .map(PlatformResponse::Rollouts)
     }
 
     fn rollout_book(&self) -> rollout_desk::Book<C, S> {
@@ -370,7 +375,11 @@
         let service = rollout.service.clone();
         let task = tokio::spawn(async move {
             let stands = book.report(rollout).await;
-            drop(inbox.send(Input::Answer(Answer::Rollouts(stands))).await);
+            drop(
+                inbox
+                    .send(Input::Answer(PlatformResponse::Rollouts(stands)))
+                    .await,
+            );
         });
         self.reporters.insert(service, Task(task));
     }
@@ -395,9 +404,12 @@
 /// # Errors
 ///
 /// When it has not even a version.
-fn read_whole(object: &Object) -> Result<Vec<Answer>, Error> {
+fn read_whole(object: &Object) -> Result<Vec<PlatformResponse>, Error> {
     match platform::mesh::decode(&object.value) {
-        Ok((version, mesh)) => Ok(vec![Answer::Head(version), Answer::Whole { version, mesh }]),
+        Ok((version, mesh)) => Ok(vec![
+            PlatformResponse::LatestVersion(version),
+            PlatformResponse::Snapshot { version, mesh },
+        ]),
         Err(error) => {
             let version = platform::mesh::read_version_of(&object.value).map_err(as_invalid)?;
             Ok(vec![tell_unreadable(version, &error)])
@@ -405,9 +417,9 @@
     }
 }
 
-fn tell_unreadable(version: config::Version, error: &platform::Error) -> Answer {
+fn tell_unreadable(version: config::Version, error: &platform::Error) -> PlatformResponse {
     warn!(version = version.0, error:%; "version_unreadable");
-    Answer::Unreadable {
+    PlatformResponse::InvalidVersion {
         version,
         reason: error.to_smolstr(),
     }
@@ -425,7 +437,7 @@
 async fn read_after<C, S>(
     journal: &Journal<S, C>,
     after: config::Version,
-) -> Result<Vec<Answer>, Error>
+) -> Result<Vec<PlatformResponse>, Error>
 where
     C: Clock,
     S: Store,
@@ -433,7 +445,7 @@
     let Some(tail) = journal.read(after.0).await? else {
         return read_news(News::Reset(journal.load().await?));
     };
-    let mut answers = vec![Answer::Head(after)];
+    let mut answers = vec![PlatformResponse::LatestVersion(after)];
     for record in tail.records {
         answers.extend(read_news(News::Record(record))?);
     }
@@ -484,11 +496,11 @@
     }
 }
 
-fn read_news(news: News) -> Result<Vec<Answer>, Error> {
+fn read_news(news: News) -> Result<Vec<PlatformResponse>, Error> {
     match news {
         News::Record(record) => {
             let step = version::Step::parse(&record)?;
-            Ok(vec![Answer::Step {
+            Ok(vec![PlatformResponse::Step {
                 version: step.version,
                 patch: Arc::new(step.entry.patch),
                 digest: step.entry.digest,
@@ -496,25 +508,25 @@
         }
         News::Reset(loaded) => {
             let state = version::State::build(&loaded)?;
-            let whole = Answer::Whole {
+            let whole = PlatformResponse::Snapshot {
                 version: state.version,
                 mesh: state.mesh,
             };
-            Ok(vec![Answer::Head(state.version), whole])
+            Ok(vec![PlatformResponse::LatestVersion(state.version), whole])
         }
     }
 }
 
-fn tell_held(slot: u8, is_held: bool) -> Answer {
+fn tell_held(slot: u8, is_held: bool) -> PlatformResponse {
     if is_held {
-        Answer::Granted { slot }
+        PlatformResponse::LeaseGranted { slot }
     } else {
-        Answer::Lost { slot }
+        PlatformResponse::LeaseLost { slot }
     }
 }
 
 /// Reads the lease of a root; its holder is a name, a zone and an address.
-fn read_seat(standing: &Standing, is_live: bool) -> Option<Seat> {
+fn read_seat(standing: &Standing, is_live: bool) -> Option<RootLease> {
     let slot = standing.name.rsplit_once('.')?.1.parse().ok()?;
     let mut words = standing.holder.split(' ');
     let holder = Peer {
@@ -522,7 +534,7 @@
         zone: words.next()?.into(),
         address: words.next()?.parse().ok()?,
     };
-    Some(Seat {
+    Some(RootLease {
         slot,
         holder,
         is_live,
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -6,7 +6,7 @@
 use clock::Clock;
 use config::rollout::{Counts, Tally};
 use config::{Rollout, State, View};
-use fleet::{Action, Answer, Event, LinkKey, Node, Peer, Role, Settings};
+use fleet::{Action, Event, LinkKey, Node, Peer, PlatformResponse, Role, Settings};
 use log::{error, info, warn};
 use policy::rollout::Fault;
 use settings::node::Distribution;
@@ -40,7 +40,7 @@
         link: LinkKey,
         frame: Frame,
     },
-    Answer(Answer),
+    Answer(PlatformResponse),
     Leave(oneshot::Sender<()>),
 }
 
@@ -76,7 +76,7 @@
                 leaving.mark_unchanged();
                 tree.announce(&mut backend);
             },
-            crashes = shared.quarantine.news() => tree.handle(Event::Crashes(crashes)),
+            crashes = shared.quarantine.news() => tree.handle(Event::LocalCrashes(crashes)),
             () = tokio::time::sleep(wait) => tree.wake(),
         }
         tree.tell();
@@ -210,7 +210,7 @@
     fn wake(&mut self) {
         let tallies = self.shared.rollouts.tallies();
         if !tallies.is_empty() {
-            self.handle(Event::Tallies(tallies));
+            self.handle(Event::LocalTallies(tallies));
         }
         self.handle(Event::Wake);
     }
@@ -228,22 +228,24 @@
                 }
             }
             // The desk ends after this task.
-            Action::Ask(request) => drop(self.orders.send(Order::Ask(request))),
-            Action::Post { slot, list } => drop(self.orders.send(Order::Post { slot, list })),
-            Action::Quarantine(list) => {
+            Action::QueryPlatform(request) => drop(self.orders.send(Order::Ask(request))),
+            Action::WriteCrashes { slot, list } => {
+                drop(self.orders.send(Order::Post { slot, list }))
+            }
+            Action::UpdateQuarantine(list) => {
                 let shared = &self.shared;
                 shared
                     .quarantine
                     .take(&shared.clock, &shared.metrics, &list);
             }
-            Action::Rollouts(list) => self.shared.rollouts.set(list),
-            Action::Report(rollout) => drop(self.orders.send(Order::Report(rollout))),
-            Action::Stopped {
+            Action::ApplyRollouts(list) => self.shared.rollouts.set(list),
+            Action::WriteRollout(rollout) => drop(self.orders.send(Order::Report(rollout))),
+            Action::RolloutStopped {
                 rollout,
-                fault,
+                reason,
                 tally,
-            } => tell_stopped(&rollout, fault, &tally),
-            Action::Install(view) => self.install(view),
+            } => tell_stopped(&rollout, reason, &tally),
+            Action::InstallView(view) => self.install(view),
         }
     }
 
@@ -284,7 +286,7 @@
             return;
         };
         let is_leaving = own.leaving || *self.shared.leaving.borrow();
-        self.handle(Event::Own(fleet::Backend {
+        self.handle(Event::BackendAnnounced(fleet::Backend {
             process: own.process(),
             service: own.service,
             version: own.version,
