--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -334,10 +334,10 @@
                 digest,
             } => self.on_platform_step(now, version, patch, digest),
             PlatformResponse::Snapshot { version, mesh } => {
-                self.on_platform_snapshot(now, version, mesh)
+                self.on_platform_snapshot(now, version, mesh);
             }
             PlatformResponse::InvalidVersion { version, reason } => {
-                self.on_invalid_version(version, reason)
+                self.on_invalid_version(version, reason);
             }
             PlatformResponse::Crashes(list) => {
                 self.finish_initial_read(PlatformRequest::Crashes);
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -230,7 +230,7 @@
             // The desk ends after this task.
             Action::QueryPlatform(request) => drop(self.orders.send(Order::Ask(request))),
             Action::WriteCrashes { slot, list } => {
-                drop(self.orders.send(Order::Post { slot, list }))
+                drop(self.orders.send(Order::Post { slot, list }));
             }
             Action::UpdateQuarantine(list) => {
                 let shared = &self.shared;
