--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -21,13 +21,13 @@
 //!
 //! let own = Peer { node: "vm-1".into(), zone: "a".into(), address: ([127, 0, 0, 1], 7001).into() };
 //! let settings = Settings {
-//!     own,
+//!     local: own,
 //!     region: "north".into(),
 //!     incarnation: 1,
 //!     started_ms: 1,
 //!     seeds: Vec::new(),
 //!     follows_rollouts: false,
-//!     sends_whole: false,
+//!     sends_full: false,
 //! };
 //! let start = Instant::now();
 //! let mut node = Node::new(settings, 42, start);
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -43,7 +43,7 @@
     /// Whether roots read operators' roll-outs.
     pub follows_rollouts: bool,
     /// Whether every version is sent whole, which is a baseline to measure patches against.
-    pub sends_snapshots: bool,
+    pub sends_full: bool,
 }
 
 /// Events counted since the process started.
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -151,7 +151,7 @@
     }
 
     /// Takes a whole configuration, if it is a higher version.
-    pub fn apply_snapshot(&mut self, version: Version, mesh: Mesh, digest: Digest) -> ApplyOutcome {
+    pub fn apply_full(&mut self, version: Version, mesh: Mesh, digest: Digest) -> ApplyOutcome {
         let result = self.held.replace(version, mesh, digest);
         let taken = self.record_outcome(version, result);
         if taken == ApplyOutcome::Applied {
@@ -196,7 +196,7 @@
             return ApplyOutcome::Gap;
         };
         match wire::control::join(&whole.bytes) {
-            Ok(mesh) => self.apply_snapshot(whole.version, mesh, whole.digest),
+            Ok(mesh) => self.apply_full(whole.version, mesh, whole.digest),
             Err(error) => {
                 self.refused = Some((whole.version, error.to_smolstr()));
                 ApplyOutcome::Refused
--- a/crates/fleet/src/sync.rs
+++ b/crates/fleet/src/sync.rs
@@ -105,7 +105,7 @@
     }
 
     fn send_updates_after(&mut self, key: LinkKey, after: Version, whole: bool) {
-        let whole = whole || self.settings.sends_snapshots;
+        let whole = whole || self.settings.sends_full;
         let frames = self.replica.frames_after(after, whole);
         if frames.len() > 1 {
             // The peer then knows how far it goes, and makes one view at the end.
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -207,7 +207,7 @@
         started_ms: 1,
         seeds: vec![address(2)],
         follows_rollouts: false,
-        sends_snapshots: false,
+        sends_full: false,
     };
     let mut node = Node::new(settings, 1, now);
     node.handle(now + Duration::from_secs(1), Event::Wake);
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -260,7 +260,7 @@
                 .unwrap(),
             seeds,
             follows_rollouts: true,
-            sends_snapshots: false,
+            sends_full: false,
         };
         slot.node = Some(Node::new(settings, seed, now));
         slot.view = None;
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -148,7 +148,7 @@
             started_ms: u64::try_from(started).unwrap_or_default(),
             seeds: own.seeds.clone(),
             follows_rollouts: own.canary_share.is_some(),
-            sends_snapshots: own.distribution == Distribution::Whole,
+            sends_full: own.distribution == Distribution::Whole,
         };
         let node = Node::new(settings, rand::random(), now);
         Self {
