--- a/crates/fleet/src/crashes.rs
+++ b/crates/fleet/src/crashes.rs
@@ -11,7 +11,7 @@
 use crate::link::{Link, LinkKey, Role};
 use crate::node::Node;
 use call::Crash;
-use policy::quarantine::Ledger;
+use policy::quarantine::CrashHistory;
 use std::time::{Duration, Instant};
 use wire::control::{Frame, MAX_CRASHES};
 
@@ -32,7 +32,7 @@
 /// What a node knows of crashes.
 #[derive(Debug, Default)]
 pub(crate) struct CrashState {
-    ledger: Ledger,
+    ledger: CrashHistory,
     /// When a root writes what it knows to the platform.
     post_at: Option<Instant>,
 }
@@ -49,7 +49,7 @@
         let ledger = &mut self.crashes.ledger;
         let list = list.iter().take(MAX_CRASHES);
         let news: Vec<_> = list
-            .filter(|crash| ledger.take(now, crash))
+            .filter(|crash| ledger.merge(now, crash))
             .cloned()
             .collect();
         if news.is_empty() {
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -4,7 +4,7 @@
 use call::Crash;
 use config::rollout::Tally;
 use config::{Digest, Mesh, Patch, Rollout, Version, View};
-use policy::rollout::Fault;
+use policy::rollout::StopReason;
 use smol_str::SmolStr;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -219,7 +219,7 @@
         /// The roll-out as it stood.
         rollout: Rollout,
         /// What speaks against the version.
-        reason: Fault,
+        reason: StopReason,
         /// What the fleet had counted.
         tally: Tally,
     },
--- a/crates/fleet/src/rollouts.rs
+++ b/crates/fleet/src/rollouts.rs
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use config::Rollout;
 use config::rollout::{Stage, Tally};
-use policy::rollout::{Judge, Verdict};
+use policy::rollout::{Decision, Evaluator};
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
     ordered: Instant,
     /// When it was last known to change.
     changed: Instant,
-    judge: Judge,
+    judge: Evaluator,
     /// Whether its completion is being written; that goes on until it stands.
     is_completing: bool,
     /// What this node's own calls came to.
@@ -73,7 +73,7 @@
             rollout: rollout.clone(),
             ordered: now.checked_sub(age).unwrap_or(now),
             changed: now,
-            judge: Judge::new(now),
+            judge: Evaluator::new(now),
             is_completing: false,
             own: Tally::default(),
         }
@@ -271,10 +271,10 @@
         let Some(known) = self.rollouts.known.get_mut(service) else {
             return;
         };
-        known.judge.take(now, &total);
+        known.judge.observe(now, &total);
         let stands = known.tell(now);
         let next = match known.judge.decide(now, &stands) {
-            Verdict::Stop(reason) => {
+            Decision::Stop(reason) => {
                 self.actions.push(Action::RolloutStopped {
                     rollout: stands.clone(),
                     reason,
@@ -282,8 +282,8 @@
                 });
                 Stage::Stopped
             }
-            Verdict::Advance(stage) if leads => stage,
-            Verdict::Advance(_) | Verdict::Stay => return,
+            Decision::Advance(stage) if leads => stage,
+            Decision::Advance(_) | Decision::Remain => return,
         };
         if next == Stage::Completed {
             // It takes effect once it is written. Asked again at each step, a slow platform
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use call::Digest;
-use policy::quarantine::Standing;
+use policy::quarantine::RequestStatus;
 use std::time::Duration;
 use world::{MS, S, World};
 
@@ -14,8 +14,8 @@
     Digest::of("GET", "", "/s0/deadly", b"")
 }
 
-fn is_held(standing: Standing) -> bool {
-    matches!(standing, Standing::Held { .. })
+fn is_held(standing: RequestStatus) -> bool {
+    matches!(standing, RequestStatus::Held { .. })
 }
 
 fn all_hold(world: &World) -> bool {
@@ -50,7 +50,7 @@
     world.run_until(KNOWN, "to hold", all_hold);
     world.answer(17, deadly());
     world.run_until(KNOWN, "to clear", |world| {
-        world.all_request_status(deadly(), |standing| standing == Standing::Clear)
+        world.all_request_status(deadly(), |standing| standing == RequestStatus::Clear)
     });
 }
 
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -12,7 +12,7 @@
 use fleet::{
     Action, Backend, Event, LinkKey, Node, Peer, PlatformRequest, PlatformResponse, Settings,
 };
-use policy::quarantine::{Ledger, Standing};
+use policy::quarantine::{CrashHistory, RequestStatus};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use smol_str::SmolStr;
@@ -82,7 +82,7 @@
     pub installed: BTreeMap<Version, Duration>,
     frozen_inputs: Option<VecDeque<(u64, Input)>>,
     /// What the process knows of crashes.
-    crash_history: Ledger,
+    crash_history: CrashHistory,
     /// What its calls follow.
     pub rollouts: Vec<Rollout>,
     pub backend: State,
@@ -221,7 +221,7 @@
                 served: Version::ZERO,
                 installed: BTreeMap::new(),
                 frozen_inputs: None,
-                crash_history: Ledger::default(),
+                crash_history: CrashHistory::default(),
                 rollouts: Vec::new(),
                 backend: State::Serving,
                 clock_offset: Duration::ZERO,
@@ -265,7 +265,7 @@
         slot.node = Some(Node::new(settings, seed, now));
         slot.view = None;
         slot.frozen_inputs = None;
-        slot.crash_history = Ledger::default();
+        slot.crash_history = CrashHistory::default();
         slot.rollouts.clear();
         slot.backend = State::Serving;
         slot.wake_at = Duration::MAX;
@@ -762,14 +762,14 @@
     }
 
     /// Tells how a request stands at a VM.
-    pub fn request_status(&self, vm: usize, request: Digest) -> Standing {
-        self.vms[vm].crash_history.judge(self.instant(), request)
+    pub fn request_status(&self, vm: usize, request: Digest) -> RequestStatus {
+        self.vms[vm].crash_history.status(self.instant(), request)
     }
 
     /// Tells whether all running processes stand so to a request.
     pub fn all_request_status<F>(&self, request: Digest, is_it: F) -> bool
     where
-        F: Fn(Standing) -> bool,
+        F: Fn(RequestStatus) -> bool,
     {
         let running =
             |vm: &usize| self.vms[*vm].node.is_some() && self.vms[*vm].frozen_inputs.is_none();
@@ -780,7 +780,7 @@
     fn record_crashes(&mut self, vm: usize, list: &[Crash]) {
         let now = self.instant();
         for crash in list {
-            self.vms[vm].crash_history.take(now, crash);
+            self.vms[vm].crash_history.merge(now, crash);
         }
     }
 
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -8,7 +8,7 @@
 use config::{Rollout, State, View};
 use fleet::{Action, Event, LinkKey, Node, Peer, PlatformResponse, Role, Settings};
 use log::{error, info, warn};
-use policy::rollout::Fault;
+use policy::rollout::StopReason;
 use settings::node::Distribution;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -92,7 +92,7 @@
 }
 
 /// Tells why a version gets nothing more, with what was counted of both versions.
-fn tell_stopped(rollout: &Rollout, fault: Fault, tally: &Tally) {
+fn tell_stopped(rollout: &Rollout, fault: StopReason, tally: &Tally) {
     let sum = |counts: &[Counts]| {
         let ended: u32 = counts.iter().map(|one| one.ended).sum();
         let failed: u32 = counts.iter().map(|one| one.failed).sum();
--- a/crates/node/src/inbound/crash.rs
+++ b/crates/node/src/inbound/crash.rs
@@ -9,7 +9,7 @@
 use clock::Clock;
 use log::warn;
 use policy::in_flight::{self, Key, Outcome, Suspect};
-use policy::quarantine::Standing;
+use policy::quarantine::RequestStatus;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::OwnedSemaphorePermit;
@@ -110,9 +110,9 @@
 {
     let shared = &inner.shared;
     match shared.quarantine.judge(shared.clock.now(), request.digest) {
-        Standing::Clear => Ok(false),
-        Standing::Suspect => Ok(true),
-        Standing::Held { wait } => Err(Refused::held(wait)),
+        RequestStatus::Clear => Ok(false),
+        RequestStatus::Suspect => Ok(true),
+        RequestStatus::Held { wait } => Err(Refused::held(wait)),
     }
 }
 
@@ -232,7 +232,7 @@
     let found = inner
         .in_flight
         .lock()
-        .take_ended(shared.clock.now(), backend.process());
+        .take_suspects(shared.clock.now(), backend.process());
     // One that has said farewell may end as it likes once its time is over.
     let process = backend.process();
     let has_left = |own: &Backend| own.leaving && own.process() == process;
--- a/crates/node/src/outbound/serve.rs
+++ b/crates/node/src/outbound/serve.rs
@@ -19,7 +19,7 @@
 use http::{Request, Response, StatusCode, request};
 use hyper::body::Incoming;
 use policy::balance::{LoadReport, Outcome};
-use policy::quarantine::Standing;
+use policy::quarantine::RequestStatus;
 use policy::retry::{self, Cause, Decision};
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -121,7 +121,7 @@
         plan.weight = Weight::Heavy;
     }
     plan.digest = digest_of(&plan, &head, &body);
-    if let Standing::Held { wait } = judge(inner, &plan) {
+    if let RequestStatus::Held { wait } = judge(inner, &plan) {
         let refused = Refused::held(wait);
         inner.shared.metrics.quarantine.count_refused();
         tell_end(inner, &plan, refused, started, 0);
@@ -301,7 +301,7 @@
 }
 
 /// Tells how the request of a call stands.
-fn judge<C>(inner: &Inner<C>, plan: &Plan) -> Standing
+fn judge<C>(inner: &Inner<C>, plan: &Plan) -> RequestStatus
 where
     C: Clock,
 {
@@ -331,9 +331,9 @@
     C: Clock,
 {
     match judge(inner, plan) {
-        Standing::Clear => {}
-        Standing::Suspect => history.is_suspect = true,
-        Standing::Held { wait } => return Err(Refused::held(wait)),
+        RequestStatus::Clear => {}
+        RequestStatus::Suspect => history.is_suspect = true,
+        RequestStatus::Held { wait } => return Err(Refused::held(wait)),
     }
     if history.is_suspect {
         return Ok(pick_owner(inner, plan, visited.all()));
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -12,7 +12,7 @@
 use policy::load_probe::ProbeResult;
 use policy::retry::{Decision, FailedAttempt, RetryBudget};
 use policy::retry_quota::FleetLimits;
-use policy::rollout::SLOW;
+use policy::rollout::SLOW_FACTOR;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use settings::node::Settings;
@@ -403,7 +403,7 @@
         let state = self.service.state.lock();
         let balance = &state.balances[self.weight as usize];
         let usual = balance.expected_duration(self.route);
-        let is_slow = ran.is_none_or(|ran| ran > usual.mul_f64(SLOW));
+        let is_slow = ran.is_none_or(|ran| ran > usual.mul_f64(SLOW_FACTOR));
         let is_cold = balance.is_cold(now, self.key);
         drop(state);
         let ending = match (failed, is_slow && !is_cold) {
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -5,7 +5,7 @@
 use clock::Clock;
 use log::{info, warn};
 use parking_lot::{Mutex, RwLock};
-use policy::quarantine::{Ledger, Standing};
+use policy::quarantine::{CrashHistory, RequestStatus};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Instant;
 use tokio::sync::Notify;
@@ -16,7 +16,7 @@
 /// What this node knows of requests that crash backend servers.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    ledger: RwLock<Ledger>,
+    ledger: RwLock<CrashHistory>,
     /// Whether anything is known; spares most calls the lock.
     is_known: AtomicBool,
     /// What other nodes are to be told.
@@ -27,11 +27,11 @@
 
 impl Quarantine {
     /// Tells how a request stands.
-    pub(crate) fn judge(&self, now: Instant, request: Digest) -> Standing {
+    pub(crate) fn judge(&self, now: Instant, request: Digest) -> RequestStatus {
         if !self.is_known.load(Ordering::Relaxed) {
-            return Standing::Clear;
+            return RequestStatus::Clear;
         }
-        self.ledger.read().judge(now, request)
+        self.ledger.read().status(now, request)
     }
 
     /// Takes in crashes, or that their requests were answered since.
@@ -42,11 +42,11 @@
         let now = clock.now();
         let mut ledger = self.ledger.write();
         for crash in crashes {
-            let before = ledger.judge(now, crash.request);
-            if ledger.take(now, crash) {
+            let before = ledger.status(now, crash.request);
+            if ledger.merge(now, crash) {
                 metrics.quarantine.count(crash);
-                let is_held = |standing| matches!(standing, Standing::Held { .. });
-                if is_held(ledger.judge(now, crash.request)) && !is_held(before) {
+                let is_held = |standing| matches!(standing, RequestStatus::Held { .. });
+                if is_held(ledger.status(now, crash.request)) && !is_held(before) {
                     tell_hold(crash);
                 }
             }
@@ -71,7 +71,7 @@
         C: Clock,
     {
         let now = clock.now();
-        if self.judge(now, request) == Standing::Clear {
+        if self.judge(now, request) == RequestStatus::Clear {
             return;
         }
         let cleared = self.ledger.write().clear(now, request);
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -4,7 +4,7 @@
 use config::{Endpoint, Rollout, ServiceKey, View};
 use parking_lot::{Mutex, RwLock};
 use policy::balance::Track;
-use policy::rollout::{self, Sampler, arm_of, count_tried, trial_share};
+use policy::rollout::{self, Sampler, track_of, trial_endpoint_count, trial_share};
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -111,7 +111,7 @@
         let mut new: Vec<_> = new.into_iter().map(|one| one.node.clone()).collect();
         // All proxies choose the same ones, spread over zones as the names are.
         new.sort_by_cached_key(|node| (policy::hash(node), node.clone()));
-        new.truncate(count_tried(self.share, old.len(), new.len()));
+        new.truncate(trial_endpoint_count(self.share, old.len(), new.len()));
         Some(Split {
             target: rollout.target,
             stage: rollout.stage,
@@ -126,7 +126,7 @@
             return false;
         };
         rollout.stage == Stage::Canary
-            && self.with_trial(&rollout, |trial| trial.sampler.draw(self.share))
+            && self.with_trial(&rollout, |trial| trial.sampler.sample(self.share))
     }
 
     /// Counts a call that begins at an endpoint; gives what is to be told of its end.
@@ -207,9 +207,9 @@
     pub(crate) fn arm(&self, endpoint: &Endpoint) -> Track {
         let endpoint = rollout::Endpoint {
             is_new: endpoint.version == self.target,
-            is_tried: self.tried.contains(&endpoint.node),
+            is_in_trial: self.tried.contains(&endpoint.node),
         };
-        arm_of(self.stage, endpoint, self.has_old)
+        track_of(self.stage, endpoint, self.has_old)
     }
 }
 
--- a/crates/policy/src/in_flight.rs
+++ b/crates/policy/src/in_flight.rs
@@ -122,7 +122,7 @@
 
     /// Takes out the calls of a process that has ended; gives the requests, each once, and
     /// those first that are the likeliest to blame.
-    pub fn take_ended(&mut self, now: Instant, process: u64) -> Vec<Suspect> {
+    pub fn take_suspects(&mut self, now: Instant, process: u64) -> Vec<Suspect> {
         let ended = self.runs.extract_if(.., |_, run| run.process == process);
         let mut ended: Vec<_> = ended.map(|(_, run)| run).collect();
         ended.retain(|run| run.counts(now) && !self.is_answered(now, run.request.digest));
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -10,7 +10,7 @@
 //! [`admission::Admission`] and one [`body_scheduler::BodyScheduler`]. Towards each service, an outbound proxy holds one
 //! [`balance::Balancer`], one [`retry::RetryBudget`] and one [`hedge::HedgePolicy`]. What crashes backend
 //! servers is found by [`in_flight::Table`] beside each, and remembered by all in a
-//! [`quarantine::Ledger`].
+//! [`quarantine::CrashHistory`].
 //!
 //! ```
 //! use config::Class;
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -17,26 +17,26 @@
 use std::time::{Duration, Instant};
 
 /// Crashes that hold a request.
-pub const HELD_AFTER: usize = 3;
+pub const HOLD_THRESHOLD: usize = 3;
 
 /// How long a request is held after its last crash.
-pub const HOLD: Duration = Duration::from_mins(10);
+pub const HOLD_TIME: Duration = Duration::from_mins(10);
 
 /// How long after that one more crash holds it again.
 const RELAPSE: Duration = Duration::from_mins(50);
 
 /// How long a crash is remembered.
-pub const KEEP: Duration = HOLD.saturating_add(RELAPSE);
+pub const RETENTION: Duration = HOLD_TIME.saturating_add(RELAPSE);
 
 /// Requests that are remembered; those with the fewest crashes make room.
 pub const MAX_REQUESTS: usize = 512;
 
 /// Crashes of one request that are remembered; the newest ones.
-pub const MAX_CRASHES: usize = 8;
+pub const MAX_CRASHES_PER_REQUEST: usize = 8;
 
 /// How a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum RequestStatus {
     /// Nothing speaks against it.
     Clear,
     /// A backend server ended while it ran.
@@ -50,7 +50,7 @@
 
 /// What is known of requests that crashed backend servers.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct CrashHistory {
     requests: HashMap<Digest, Vec<Record>>,
 }
 
@@ -64,11 +64,11 @@
 /// What makes one request more worth remembering than another.
 type Rank = (usize, Option<Instant>);
 
-impl Ledger {
+impl CrashHistory {
     /// Takes a crash in; tells whether it is news.
-    pub fn take(&mut self, now: Instant, crash: &Crash) -> bool {
+    pub fn merge(&mut self, now: Instant, crash: &Crash) -> bool {
         let age = Duration::from_millis(crash.age_ms.into());
-        let Some(left) = KEEP.checked_sub(age).filter(|left| !left.is_zero()) else {
+        let Some(left) = RETENTION.checked_sub(age).filter(|left| !left.is_zero()) else {
             return false;
         };
         self.expire(now);
@@ -86,7 +86,7 @@
         }
         let records = self.requests.entry(crash.request).or_default();
         records.push(record);
-        if records.len() > MAX_CRASHES {
+        if records.len() > MAX_CRASHES_PER_REQUEST {
             // All nodes drop the same one.
             let order = |index: &usize| (records[*index].until, records[*index].crash.id);
             let oldest = (0..records.len()).min_by_key(order);
@@ -109,18 +109,18 @@
 
     /// Tells how a request stands.
     #[must_use]
-    pub fn judge(&self, now: Instant, request: Digest) -> Standing {
+    pub fn status(&self, now: Instant, request: Digest) -> RequestStatus {
         let records = self.requests.get(&request).map_or(&[][..], Vec::as_slice);
         let open = || records.iter().filter(|record| record.is_open(now));
         let Some(last) = open().map(|record| record.until).max() else {
-            return Standing::Clear;
+            return RequestStatus::Clear;
         };
         let is_to_blame = open().any(|record| record.crash.is_alone);
         let wait = last.saturating_duration_since(now).saturating_sub(RELAPSE);
-        if open().count() >= HELD_AFTER && is_to_blame && !wait.is_zero() {
-            Standing::Held { wait }
+        if open().count() >= HOLD_THRESHOLD && is_to_blame && !wait.is_zero() {
+            RequestStatus::Held { wait }
         } else {
-            Standing::Suspect
+            RequestStatus::Suspect
         }
     }
 
@@ -138,7 +138,8 @@
     #[must_use]
     pub fn count_held(&self, now: Instant) -> usize {
         let requests = self.requests.keys();
-        let held = requests.filter(|one| matches!(self.judge(now, **one), Standing::Held { .. }));
+        let held =
+            requests.filter(|one| matches!(self.status(now, **one), RequestStatus::Held { .. }));
         held.count()
     }
 
@@ -197,7 +198,7 @@
     /// Gives the crash with its age now.
     fn tell(&self, now: Instant) -> Crash {
         let left = self.until.saturating_duration_since(now);
-        let age = KEEP.saturating_sub(left).as_millis();
+        let age = RETENTION.saturating_sub(left).as_millis();
         Crash {
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
             ..self.crash.clone()
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -66,7 +66,7 @@
 const LOOKS: usize = 8;
 
 /// Times its usual duration from which a call counts as slow.
-pub const SLOW: f64 = 3.0;
+pub const SLOW_FACTOR: f64 = 3.0;
 
 /// Part of the allowed share that is used: retries and calls of nodes that hear late add to it.
 const SAFE_PART: f64 = 0.7;
@@ -91,7 +91,7 @@
     }
 
     /// Tells whether the next call is one of them.
-    pub fn draw(&mut self, share: f64) -> bool {
+    pub fn sample(&mut self, share: f64) -> bool {
         self.credit += share;
         let is_drawn = self.credit >= 1.0;
         if is_drawn {
@@ -103,7 +103,7 @@
 
 /// Gives the number of endpoints that a trial goes to, of so many of the old and the new version.
 #[must_use]
-pub fn count_tried(share: f64, old: usize, new: usize) -> usize {
+pub fn trial_endpoint_count(share: f64, old: usize, new: usize) -> usize {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -120,7 +120,7 @@
     /// Whether it is of that version.
     pub is_new: bool,
     /// Whether the trial goes to it.
-    pub is_tried: bool,
+    pub is_in_trial: bool,
 }
 
 /// Tells which calls an endpoint takes; `has_old` when there are endpoints of other versions.
@@ -128,12 +128,12 @@
 /// Without any of these the service has nothing else to run on, be it that the version which
 /// runs was ordered once more, or that all others have gone.
 #[must_use]
-pub fn arm_of(stage: Stage, endpoint: Endpoint, has_old: bool) -> Track {
+pub fn track_of(stage: Stage, endpoint: Endpoint, has_old: bool) -> Track {
     if !has_old {
         return Track::Stable;
     }
     match stage {
-        Stage::Canary if endpoint.is_new && endpoint.is_tried => Track::Trial,
+        Stage::Canary if endpoint.is_new && endpoint.is_in_trial => Track::Trial,
         Stage::Canary | Stage::Stopped | Stage::RolledBack if endpoint.is_new => Track::Excluded,
         Stage::Whole | Stage::Completed if !endpoint.is_new => Track::Excluded,
         _ => Track::Stable,
@@ -142,7 +142,7 @@
 
 /// Why a version counts as bad.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
+pub enum StopReason {
     /// It fails calls that the old one doesn't.
     Failures,
     /// It takes several times as long.
@@ -151,7 +151,7 @@
     Overdue,
 }
 
-impl Fault {
+impl StopReason {
     /// Names it in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -165,18 +165,18 @@
 
 /// What is to become of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// It stays as it is.
-    Stay,
+    Remain,
     /// It goes on to this stage.
     Advance(Stage),
     /// The new version is to get nothing more.
-    Stop(Fault),
+    Stop(StopReason),
 }
 
 /// Follows one roll-out by what the whole fleet has counted.
 #[derive(Debug, Clone)]
-pub struct Judge {
+pub struct Evaluator {
     /// Counts some seconds back, the oldest first.
     looks: VecDeque<(Instant, Tally)>,
     now: Tally,
@@ -186,7 +186,7 @@
     quiet_since: Option<Instant>,
 }
 
-impl Judge {
+impl Evaluator {
     /// Begins to follow one.
     #[must_use]
     pub fn new(now: Instant) -> Self {
@@ -200,7 +200,7 @@
     }
 
     /// Takes in what the fleet has counted.
-    pub fn take(&mut self, now: Instant, tally: &Tally) {
+    pub fn observe(&mut self, now: Instant, tally: &Tally) {
         let last = self.looks.back().map(|(at, _)| *at);
         if last.is_none_or(|at| now >= at + STEP) {
             if self.looks.len() >= LOOKS {
@@ -217,30 +217,30 @@
     }
 
     /// Tells what is to become of a roll-out that stands so.
-    pub fn decide(&mut self, now: Instant, rollout: &Rollout) -> Verdict {
+    pub fn decide(&mut self, now: Instant, rollout: &Rollout) -> Decision {
         if rollout.stage != self.stage {
             self.stage = rollout.stage;
             self.since = now;
         }
         if self.stage >= Stage::Stopped {
-            return Verdict::Stay;
+            return Decision::Remain;
         }
         if let Some(fault) = self.find_fault() {
-            return Verdict::Stop(fault);
+            return Decision::Stop(fault);
         }
         let age = Duration::from_millis(rollout.age_ms.into());
         let duration = Duration::from_millis(rollout.duration_ms.into());
         let stood = now.saturating_duration_since(self.since);
         match self.stage {
-            Stage::Canary if age >= duration => Verdict::Stop(Fault::Overdue),
+            Stage::Canary if age >= duration => Decision::Stop(StopReason::Overdue),
             Stage::Canary if age >= duration.mul_f64(TRIAL_PART) && self.is_tried() => {
-                Verdict::Advance(Stage::Both)
+                Decision::Advance(Stage::Both)
             }
             Stage::Both if stood >= MIN_BOTH.max(duration.mul_f64(BOTH_PART)) => {
-                Verdict::Advance(Stage::Whole)
+                Decision::Advance(Stage::Whole)
             }
-            Stage::Whole if self.is_handed_over(now, stood) => Verdict::Advance(Stage::Completed),
-            _ => Verdict::Stay,
+            Stage::Whole if self.is_handed_over(now, stood) => Decision::Advance(Stage::Completed),
+            _ => Decision::Remain,
         }
     }
 
@@ -255,7 +255,7 @@
     }
 
     /// Compares both versions kind by kind, over all the time and over its last seconds.
-    fn find_fault(&self) -> Option<Fault> {
+    fn find_fault(&self) -> Option<StopReason> {
         let from = self
             .looks
             .front()
@@ -270,19 +270,19 @@
     }
 }
 
-fn compare(trial: &Counts, stable: &Counts) -> Option<Fault> {
+fn compare(trial: &Counts, stable: &Counts) -> Option<StopReason> {
     let failed = Test {
         usual: share(stable.failed, stable.ended).max(USUAL_FAILED),
         extra: EXTRA_FAILED,
     };
     if failed.weigh(trial.failed, trial.ended) >= BAD {
-        return Some(Fault::Failures);
+        return Some(StopReason::Failures);
     }
     let slow = Test {
         usual: share(stable.slow, stable.ended).max(USUAL_SLOW),
         extra: EXTRA_SLOW,
     };
-    (slow.weigh(trial.slow, trial.ended) >= BAD).then_some(Fault::Slowness)
+    (slow.weigh(trial.slow, trial.ended) >= BAD).then_some(StopReason::Slowness)
 }
 
 fn share(part: u32, whole: u32) -> f64 {
--- a/crates/policy/tests/in_flight.rs
+++ b/crates/policy/tests/in_flight.rs
@@ -38,7 +38,7 @@
 
     /// Ends the process; gives the paths with whether they are alone to blame.
     fn end(&mut self) -> Vec<(String, bool)> {
-        let found = self.table.take_ended(self.clock.now(), 1).into_iter();
+        let found = self.table.take_suspects(self.clock.now(), 1).into_iter();
         let tell = |found: Suspect| (found.request.path.to_string(), found.is_alone);
         found.map(tell).collect()
     }
@@ -143,6 +143,6 @@
     let now = server.clock.now();
     server.table.start(now, 2, request("/next", false));
     assert_eq!(server.end(), paths(&[("/deadly", true)]));
-    let next = server.table.take_ended(now, 2);
+    let next = server.table.take_suspects(now, 2);
     assert_eq!(next.len(), 1);
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -2,7 +2,10 @@
 
 use call::{Crash, Digest};
 use clock::{Clock, Manual};
-use policy::quarantine::{HELD_AFTER, HOLD, KEEP, Ledger, MAX_CRASHES, MAX_REQUESTS, Standing};
+use policy::quarantine::{
+    CrashHistory, HOLD_THRESHOLD, HOLD_TIME, MAX_CRASHES_PER_REQUEST, MAX_REQUESTS, RETENTION,
+    RequestStatus,
+};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
@@ -24,24 +27,27 @@
     }
 }
 
-fn is_held(ledger: &Ledger, now: Instant, number: usize) -> bool {
-    matches!(ledger.judge(now, request(number)), Standing::Held { .. })
+fn is_held(ledger: &CrashHistory, now: Instant, number: usize) -> bool {
+    matches!(
+        ledger.status(now, request(number)),
+        RequestStatus::Held { .. }
+    )
 }
 
 /// A request must be refused once it has crashed three servers, and not before.
 #[test]
 fn third_crash() {
     let now = Manual::new().now();
-    let mut ledger = Ledger::default();
-    assert_eq!(ledger.judge(now, request(1)), Standing::Clear);
+    let mut ledger = CrashHistory::default();
+    assert_eq!(ledger.status(now, request(1)), RequestStatus::Clear);
     for id in 0..3 {
         assert!(!is_held(&ledger, now, 1));
-        assert!(ledger.take(now, &crash(id, 1, true)));
-        assert_ne!(ledger.judge(now, request(1)), Standing::Clear);
+        assert!(ledger.merge(now, &crash(id, 1, true)));
+        assert_ne!(ledger.status(now, request(1)), RequestStatus::Clear);
     }
-    let standing = ledger.judge(now, request(1));
-    assert_eq!(standing, Standing::Held { wait: HOLD });
-    assert_eq!(ledger.judge(now, request(2)), Standing::Clear);
+    let standing = ledger.status(now, request(1));
+    assert_eq!(standing, RequestStatus::Held { wait: HOLD_TIME });
+    assert_eq!(ledger.status(now, request(2)), RequestStatus::Clear);
     assert_eq!(ledger.count_held(now), 1);
 }
 
@@ -49,10 +55,10 @@
 #[test]
 fn told_again() {
     let now = Manual::new().now();
-    let mut ledger = Ledger::default();
-    assert!(ledger.take(now, &crash(7, 1, true)));
+    let mut ledger = CrashHistory::default();
+    assert!(ledger.merge(now, &crash(7, 1, true)));
     for _ in 0..5 {
-        assert!(!ledger.take(now, &crash(7, 1, true)));
+        assert!(!ledger.merge(now, &crash(7, 1, true)));
     }
     assert!(!is_held(&ledger, now, 1));
 }
@@ -61,11 +67,11 @@
 #[test]
 fn beside_it() {
     let now = Manual::new().now();
-    let mut ledger = Ledger::default();
+    let mut ledger = CrashHistory::default();
     for id in 0..8 {
-        ledger.take(now, &crash(id, 1, false));
+        ledger.merge(now, &crash(id, 1, false));
     }
-    assert_eq!(ledger.judge(now, request(1)), Standing::Suspect);
+    assert_eq!(ledger.status(now, request(1)), RequestStatus::Suspect);
 }
 
 /// A request that is answered anywhere must be run again as before, also where the answer is
@@ -73,22 +79,22 @@
 #[test]
 fn answered() {
     let now = Manual::new().now();
-    let mut here = Ledger::default();
-    let mut there = Ledger::default();
+    let mut here = CrashHistory::default();
+    let mut there = CrashHistory::default();
     for id in 0..3 {
-        here.take(now, &crash(id, 1, true));
+        here.merge(now, &crash(id, 1, true));
     }
     assert!(is_held(&here, now, 1));
     let cleared = here.clear(now, request(1));
     assert_eq!(cleared.len(), 3);
-    assert_eq!(here.judge(now, request(1)), Standing::Clear);
+    assert_eq!(here.status(now, request(1)), RequestStatus::Clear);
     for one in &cleared {
-        assert!(there.take(now, one));
+        assert!(there.merge(now, one));
     }
     for id in 0..3 {
-        assert!(!there.take(now, &crash(id, 1, true)));
+        assert!(!there.merge(now, &crash(id, 1, true)));
     }
-    assert_eq!(there.judge(now, request(1)), Standing::Clear);
+    assert_eq!(there.status(now, request(1)), RequestStatus::Clear);
     assert!(here.clear(now, request(1)).is_empty());
 }
 
@@ -96,16 +102,19 @@
 #[test]
 fn hold_ends() {
     let clock = Manual::new();
-    let mut ledger = Ledger::default();
+    let mut ledger = CrashHistory::default();
     for id in 0..3 {
-        ledger.take(clock.now(), &crash(id, 1, true));
+        ledger.merge(clock.now(), &crash(id, 1, true));
     }
-    clock.advance(HOLD);
-    assert_eq!(ledger.judge(clock.now(), request(1)), Standing::Suspect);
-    ledger.take(clock.now(), &crash(3, 1, true));
+    clock.advance(HOLD_TIME);
+    assert_eq!(
+        ledger.status(clock.now(), request(1)),
+        RequestStatus::Suspect
+    );
+    ledger.merge(clock.now(), &crash(3, 1, true));
     assert!(is_held(&ledger, clock.now(), 1));
-    clock.advance(KEEP);
-    assert_eq!(ledger.judge(clock.now(), request(1)), Standing::Clear);
+    clock.advance(RETENTION);
+    assert_eq!(ledger.status(clock.now(), request(1)), RequestStatus::Clear);
     ledger.expire(clock.now());
     assert!(ledger.is_empty());
 }
@@ -114,17 +123,22 @@
 #[test]
 fn old_news() {
     let now = Manual::new().now();
-    let mut ledger = Ledger::default();
+    let mut ledger = CrashHistory::default();
     let aged = |id: u64, age: Duration| Crash {
         age_ms: u32::try_from(age.as_millis()).unwrap(),
         ..crash(id, 1, true)
     };
-    assert!(!ledger.take(now, &aged(0, KEEP)));
+    assert!(!ledger.merge(now, &aged(0, RETENTION)));
     for id in 1..4 {
-        assert!(ledger.take(now, &aged(id, HOLD / 2)));
+        assert!(ledger.merge(now, &aged(id, HOLD_TIME / 2)));
     }
-    let standing = ledger.judge(now, request(1));
-    assert_eq!(standing, Standing::Held { wait: HOLD / 2 });
+    let standing = ledger.status(now, request(1));
+    assert_eq!(
+        standing,
+        RequestStatus::Held {
+            wait: HOLD_TIME / 2
+        }
+    );
     assert!(ledger.list(now).iter().all(|one| one.age_ms == 300_000));
 }
 
@@ -132,27 +146,27 @@
 #[test]
 fn flood() {
     let clock = Manual::new();
-    let mut ledger = Ledger::default();
+    let mut ledger = CrashHistory::default();
     for id in 0..3 {
-        ledger.take(clock.now(), &crash(id, 0, true));
+        ledger.merge(clock.now(), &crash(id, 0, true));
     }
     for number in 1..5 * MAX_REQUESTS {
         clock.advance(Duration::from_millis(1));
-        ledger.take(clock.now(), &crash(100 + number as u64, number, true));
+        ledger.merge(clock.now(), &crash(100 + number as u64, number, true));
     }
     assert_eq!(ledger.len(), MAX_REQUESTS);
     assert!(is_held(&ledger, clock.now(), 0));
     let newest = 5 * MAX_REQUESTS - 1;
     assert_eq!(
-        ledger.judge(clock.now(), request(newest)),
-        Standing::Suspect
+        ledger.status(clock.now(), request(newest)),
+        RequestStatus::Suspect
     );
     for id in 0..1_000 {
-        ledger.take(clock.now(), &crash(10_000 + id, 0, true));
+        ledger.merge(clock.now(), &crash(10_000 + id, 0, true));
     }
     let kept = ledger.list(clock.now());
     let kept = kept.iter().filter(|one| one.request == request(0)).count();
-    assert_eq!(kept, MAX_CRASHES);
+    assert_eq!(kept, MAX_CRASHES_PER_REQUEST);
 }
 
 #[derive(Debug, Clone)]
@@ -190,7 +204,7 @@
     ]
 }
 
-fn sorted(ledger: &Ledger, now: Instant) -> Vec<Crash> {
+fn sorted(ledger: &CrashHistory, now: Instant) -> Vec<Crash> {
     let mut list = ledger.list(now);
     list.sort_by_key(|one| (one.id, one.request));
     list
@@ -202,21 +216,21 @@
     #[test]
     fn same_everywhere(steps in proptest::collection::vec(draw_step(), 0..60)) {
         let now = Manual::new().now();
-        let mut nodes: Vec<Ledger> = (0..NODES).map(|_| Ledger::default()).collect();
+        let mut nodes: Vec<CrashHistory> = (0..NODES).map(|_| CrashHistory::default()).collect();
         let mut crashes = [0; 3];
         for (id, step) in (0..).zip(steps) {
             match step {
                 Step::Crash { node, number, is_alone } => {
                     crashes[number] += 1;
-                    nodes[node].take(now, &crash(id, number, is_alone));
+                    nodes[node].merge(now, &crash(id, number, is_alone));
                 }
                 Step::Answer { node, number } => drop(nodes[node].clear(now, request(number))),
                 Step::Tell { from, to } => {
                     for one in nodes[from].list(now) {
-                        nodes[to].take(now, &one);
+                        nodes[to].merge(now, &one);
                     }
                 }
-                Step::Restart { node } => nodes[node] = Ledger::default(),
+                Step::Restart { node } => nodes[node] = CrashHistory::default(),
             }
         }
         // Two rounds bring all that is left to all nodes, the last one backwards.
@@ -228,7 +242,7 @@
                 }
                 for to in (0..NODES).rev() {
                     for one in &told {
-                        nodes[to].take(now, one);
+                        nodes[to].merge(now, one);
                     }
                 }
             }
@@ -236,7 +250,7 @@
         for node in &nodes {
             prop_assert_eq!(sorted(node, now), sorted(&nodes[0], now));
             for (number, crashes) in crashes.iter().enumerate() {
-                prop_assert!(!is_held(node, now, number) || *crashes >= HELD_AFTER);
+                prop_assert!(!is_held(node, now, number) || *crashes >= HOLD_THRESHOLD);
             }
         }
     }
@@ -274,17 +288,17 @@
     steps
 }
 
-fn ledger_of(known: &[Crash], now: Instant) -> Ledger {
-    let mut ledger = Ledger::default();
+fn ledger_of(known: &[Crash], now: Instant) -> CrashHistory {
+    let mut ledger = CrashHistory::default();
     for one in known {
-        ledger.take(now, one);
+        ledger.merge(now, one);
     }
     ledger
 }
 
 fn step(fleet: &Fleet, step: &Step, id: u64, now: Instant) -> Fleet {
     let mut next = fleet.clone();
-    let change = |known: &mut Vec<Crash>, change: &dyn Fn(&mut Ledger)| {
+    let change = |known: &mut Vec<Crash>, change: &dyn Fn(&mut CrashHistory)| {
         let mut ledger = ledger_of(known, now);
         change(&mut ledger);
         *known = ledger.list(now);
@@ -293,7 +307,7 @@
         Step::Crash { node, is_alone, .. } => {
             next.crashes += 1;
             change(&mut next.nodes[node], &|ledger| {
-                ledger.take(now, &crash(id, 0, is_alone));
+                ledger.merge(now, &crash(id, 0, is_alone));
             });
         }
         Step::Answer { node, .. } => change(&mut next.nodes[node], &|ledger| {
@@ -303,7 +317,7 @@
             let told = fleet.nodes[from].clone();
             change(&mut next.nodes[to], &|ledger| {
                 for one in &told {
-                    ledger.take(now, one);
+                    ledger.merge(now, one);
                 }
             });
         }
@@ -331,11 +345,11 @@
                 for known in &after.nodes {
                     let is_held = is_held(&ledger_of(known, now), now, 0);
                     held += usize::from(is_held);
-                    assert!(!is_held || after.crashes >= HELD_AFTER, "{one:?}");
+                    assert!(!is_held || after.crashes >= HOLD_THRESHOLD, "{one:?}");
                 }
                 if let Step::Answer { node, .. } = *one {
                     let ledger = ledger_of(&after.nodes[node], now);
-                    assert_eq!(ledger.judge(now, request(0)), Standing::Clear);
+                    assert_eq!(ledger.status(now, request(0)), RequestStatus::Clear);
                 }
                 next.push(after);
             }
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -3,7 +3,9 @@
 use config::Rollout;
 use config::rollout::{Place, Stage, Tally};
 use policy::balance::Track;
-use policy::rollout::{Endpoint, Fault, Judge, Sampler, Verdict, arm_of, count_tried, trial_share};
+use policy::rollout::{
+    Decision, Endpoint, Evaluator, Sampler, StopReason, track_of, trial_endpoint_count, trial_share,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::{Duration, Instant};
@@ -60,7 +62,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Outcome {
     stage: Stage,
-    fault: Option<Fault>,
+    fault: Option<StopReason>,
     /// When it ended.
     after: Duration,
     /// Calls that reached the new version, of all until its time was up.
@@ -86,7 +88,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let start = Instant::now();
     let mut rollout = make_rollout(model.duration);
-    let mut judge = Judge::new(start);
+    let mut judge = Evaluator::new(start);
     let mut sampler = Sampler::new(rng.random());
     let mut tally = Tally::default();
     let (mut exposed, mut fault, mut after) = (0.0, None, Duration::MAX);
@@ -95,7 +97,7 @@
         let age = STEP * step;
         for call in 0..CALLS / 4 {
             let is_new = match rollout.stage {
-                Stage::Canary => sampler.draw(trial_share(ALLOWED)),
+                Stage::Canary => sampler.sample(trial_share(ALLOWED)),
                 Stage::Both => call % 2 == 0,
                 Stage::Whole | Stage::Completed => true,
                 Stage::Stopped | Stage::RolledBack => false,
@@ -117,11 +119,11 @@
             counts.slow += u32::from(rng.random_bool(quality.slow));
         }
         rollout.age_ms = u32::try_from(age.as_millis()).unwrap();
-        judge.take(start + age, &tally);
+        judge.observe(start + age, &tally);
         rollout.stage = match judge.decide(start + age, &rollout) {
-            Verdict::Stay => rollout.stage,
-            Verdict::Advance(stage) => stage,
-            Verdict::Stop(why) => {
+            Decision::Remain => rollout.stage,
+            Decision::Advance(stage) => stage,
+            Decision::Stop(why) => {
                 fault = Some(why);
                 Stage::RolledBack
             }
@@ -187,7 +189,11 @@
         println!("from {from:?}: stopped {stopped:.3}, median {median:?}");
         assert!(stopped >= 0.999);
         assert!(median <= Duration::from_millis(limit_ms), "{median:?}");
-        assert!(outcomes.iter().all(|one| one.fault != Some(Fault::Overdue)));
+        assert!(
+            outcomes
+                .iter()
+                .all(|one| one.fault != Some(StopReason::Overdue))
+        );
         let is_within = |one: &Outcome| one.exposed <= ALLOWED * one.calls + 50.0;
         assert!(outcomes.iter().all(is_within));
     }
@@ -218,13 +224,16 @@
 #[test]
 fn untried() {
     let start = Instant::now();
-    let mut judge = Judge::new(start);
+    let mut judge = Evaluator::new(start);
     let mut rollout = make_rollout(Duration::from_secs(10));
     rollout.age_ms = 9_900;
-    judge.take(start, &Tally::default());
-    assert_eq!(judge.decide(start, &rollout), Verdict::Stay);
+    judge.observe(start, &Tally::default());
+    assert_eq!(judge.decide(start, &rollout), Decision::Remain);
     rollout.age_ms = 10_000;
-    assert_eq!(judge.decide(start, &rollout), Verdict::Stop(Fault::Overdue));
+    assert_eq!(
+        judge.decide(start, &rollout),
+        Decision::Stop(StopReason::Overdue)
+    );
 }
 
 /// A roll-out must never leave a service with fewer endpoints than one of its versions has.
@@ -241,9 +250,12 @@
     ordered_again = { Stage::Canary, true, false, false, Track::Stable },
     nothing_else = { Stage::RolledBack, true, false, false, Track::Stable },
 )]
-fn endpoints_left(stage: Stage, is_new: bool, is_tried: bool, has_old: bool, arm: Track) {
-    let endpoint = Endpoint { is_new, is_tried };
-    assert_eq!(arm_of(stage, endpoint, has_old), arm);
+fn endpoints_left(stage: Stage, is_new: bool, is_in_trial: bool, has_old: bool, arm: Track) {
+    let endpoint = Endpoint {
+        is_new,
+        is_in_trial,
+    };
+    assert_eq!(track_of(stage, endpoint, has_old), arm);
 }
 
 /// Many proxies with few calls each must keep to the share together.
@@ -258,7 +270,7 @@
         .map(|_| {
             let mut sampler = Sampler::new(rng.random());
             (0..calls)
-                .map(|_| u32::from(sampler.draw(share)))
+                .map(|_| u32::from(sampler.sample(share)))
                 .sum::<u32>()
         })
         .sum();
@@ -275,5 +287,8 @@
     few_new = { 300, 3, 3 },
 )]
 fn few_tried(old: usize, new: usize, expected: usize) {
-    assert_eq!(count_tried(trial_share(ALLOWED), old, new), expected);
+    assert_eq!(
+        trial_endpoint_count(trial_share(ALLOWED), old, new),
+        expected
+    );
 }
