--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -101,7 +101,7 @@
         digest: Digest,
     },
     /// A version, whole.
-    Snapshot {
+    Full {
         /// Its number.
         version: Version,
         /// The configuration.
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -333,8 +333,8 @@
                 patch,
                 digest,
             } => self.on_platform_step(now, version, patch, digest),
-            PlatformResponse::Snapshot { version, mesh } => {
-                self.on_platform_snapshot(now, version, mesh);
+            PlatformResponse::Full { version, mesh } => {
+                self.on_platform_full(now, version, mesh);
             }
             PlatformResponse::InvalidVersion { version, reason } => {
                 self.on_invalid_version(version, reason);
--- a/crates/fleet/src/root_duties.rs
+++ b/crates/fleet/src/root_duties.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    pub(crate) fn on_platform_snapshot(&mut self, now: Instant, version: Version, mesh: Mesh) {
+    pub(crate) fn on_platform_full(&mut self, now: Instant, version: Version, mesh: Mesh) {
         match self.replica.apply_newest(version, mesh) {
             (taken, Some(step)) => self.finish_step(now, taken, &step),
             (taken, None) => self.handle_outcome(now, taken),
--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -206,7 +206,7 @@
         match platform::mesh::parse(text) {
             Ok((version, mesh)) => {
                 self.tell(PlatformResponse::LatestVersion(version)).await;
-                PlatformResponse::Snapshot { version, mesh }
+                PlatformResponse::Full { version, mesh }
             }
             Err(error) => tell_unreadable(version, &error),
         }
@@ -408,7 +408,7 @@
     match platform::mesh::decode(&object.value) {
         Ok((version, mesh)) => Ok(vec![
             PlatformResponse::LatestVersion(version),
-            PlatformResponse::Snapshot { version, mesh },
+            PlatformResponse::Full { version, mesh },
         ]),
         Err(error) => {
             let version = platform::mesh::read_version_of(&object.value).map_err(as_invalid)?;
@@ -508,7 +508,7 @@
         }
         News::Reset(loaded) => {
             let state = version::State::build(&loaded)?;
-            let whole = PlatformResponse::Snapshot {
+            let whole = PlatformResponse::Full {
                 version: state.version,
                 mesh: state.mesh,
             };
