--- a/crates/fleet/src/bootstrap.rs
+++ b/crates/fleet/src/bootstrap.rs
@@ -1,57 +1,60 @@
-//! When a new process may serve.
+//! Readiness of a new process.
 //!
-//! A process that was restarted knows nothing, while its VM served by some
-//! version until a moment ago. If the first peer that answers is behind, the
-//! VM would go back: a caller sees yesterday's routes after today's. So a
-//! process serves only once it holds the highest version that it heard of.
-//! It asks the platform whether there is a higher one; while the platform
-//! doesn't answer, it wants to have heard from two nodes that serve, one of
-//! them of its own zone: what the VM served by came through the zone's roots,
-//! so that the zone's nodes hold it, while other zones may be behind. There is
-//! no time limit on either: what is missing is in the platform for good, so
-//! the wait ends with the outage or cut that keeps it away.
+//! A restarted process holds no configuration, although its VM served some
+//! version until just before. If the process started from a peer that lags
+//! behind, the VM would revert to an older version, and its callers would see
+//! outdated routes. A process therefore serves only once it holds the highest
+//! version it has heard of.
+//!
+//! It asks the platform for the latest version. While the platform does not
+//! answer, it requires reports from two serving nodes instead, one of them in
+//! its own zone: the version that the VM served came through the roots of its
+//! zone, so nodes of that zone hold it, while other zones may lag. Neither wait
+//! has a time limit: every version is stored durably on the platform, so the
+//! wait ends with the outage or network partition that caused it.
 
 use config::Version;
 use smol_str::SmolStr;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Sources that must have been heard; two peers rarely lag together.
-const SOURCES: usize = 2;
+/// Sources required without an answer of the platform; two peers rarely lag at the same time.
+const MIN_SOURCES: usize = 2;
 
-/// Time between questions to further nodes.
-const ASK: Duration = Duration::from_millis(500);
+/// Interval between queries to further peers.
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between questions to a platform that doesn't answer: 1,000 new nodes ask 200 times a second.
-const ASK_PLATFORM: Duration = Duration::from_secs(5);
+/// Interval between queries to a platform that does not answer. 1,000 new nodes then send 200
+/// queries per second.
+const PLATFORM_QUERY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Most sources remembered.
+/// Maximum number of sources remembered.
 const MAX_SOURCES: usize = 8;
 
-/// The platform among the sources; no node may have such a name.
+/// Stands for the platform in the set of sources; no node may have this name.
 const PLATFORM: SmolStr = SmolStr::new_static("(platform)");
 
-/// Holds a new process back until it has the highest version heard.
+/// Keeps a new process from serving until it holds the highest version reported to it.
 #[derive(Debug)]
 pub struct ReadinessGate {
-    /// Some of the sources, to count them.
+    /// Names of the sources heard from, up to [`MAX_SOURCES`].
     sources: BTreeSet<SmolStr>,
-    /// Highest version that any source told.
+    /// Highest version reported by any source.
     highest: Version,
-    platform: Platform,
-    /// Whether one of the sources is of the own zone.
-    is_near: bool,
-    ask_at: Option<Instant>,
-    ask_platform_at: Option<Instant>,
+    platform_query: PlatformQuery,
+    /// Whether any source is in this node's zone.
+    has_own_zone_source: bool,
+    query_peer_at: Option<Instant>,
+    query_platform_at: Option<Instant>,
     is_open: bool,
 }
 
-/// What became of the question to the platform.
+/// State of the query for the platform's latest version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Platform {
-    Unasked,
-    Asked,
-    Unanswered,
+enum PlatformQuery {
+    NotSent,
+    Pending,
+    Failed,
     Answered,
 }
 
@@ -62,101 +65,105 @@
 }
 
 impl ReadinessGate {
-    /// Makes a closed gate.
+    /// Creates a closed gate.
     #[must_use]
     pub fn new() -> Self {
         Self {
             sources: BTreeSet::new(),
             highest: Version::ZERO,
-            platform: Platform::Unasked,
-            is_near: false,
-            ask_at: None,
-            ask_platform_at: None,
+            platform_query: PlatformQuery::NotSent,
+            has_own_zone_source: false,
+            query_peer_at: None,
+            query_platform_at: None,
             is_open: false,
         }
     }
 
-    /// Notes a version heard from a node that serves, `is_near` when it is of the own zone.
+    /// Records the version reported by a serving node; `is_same_zone` if it is in this node's zone.
     ///
-    /// One that doesn't serve is no witness: two new processes would take each
-    /// other's empty hands for the newest configuration.
-    pub fn record_peer_version(&mut self, source: &SmolStr, version: Version, is_near: bool) {
+    /// Nodes that do not serve must not be recorded: two new processes would
+    /// take each other's empty configuration for the latest one.
+    pub fn record_peer_version(&mut self, source: &SmolStr, version: Version, is_same_zone: bool) {
         if self.is_open {
             return;
         }
-        self.is_near |= is_near;
+        self.has_own_zone_source |= is_same_zone;
         self.highest = self.highest.max(version);
         if self.sources.len() < MAX_SOURCES {
             self.sources.insert(source.clone());
         }
     }
 
-    /// Notes the highest version that the platform told; it needs no second source.
+    /// Records the latest version reported by the platform, which needs no second source.
     pub fn record_platform_version(&mut self, version: Version) {
         self.record_peer_version(&PLATFORM, version, true);
-        self.platform = Platform::Answered;
+        self.platform_query = PlatformQuery::Answered;
     }
 
-    /// Notes that the platform did not answer.
+    /// Records that the platform did not answer.
     pub fn record_platform_failure(&mut self, now: Instant) {
-        if self.platform != Platform::Answered {
-            self.platform = Platform::Unanswered;
-            self.ask_at.get_or_insert(now);
-            self.ask_platform_at = Some(now + ASK_PLATFORM);
+        if self.platform_query != PlatformQuery::Answered {
+            self.platform_query = PlatformQuery::Failed;
+            self.query_peer_at.get_or_insert(now);
+            self.query_platform_at = Some(now + PLATFORM_QUERY_INTERVAL);
         }
     }
 
-    /// Tells whether the platform is to be asked now: when all that was heard of is held.
+    /// Returns whether to query the platform now, and if so marks the query as sent.
+    ///
+    /// The platform is queried once the highest version heard of is held.
     pub fn begin_platform_query(&mut self, held: Version, now: Instant) -> bool {
-        if self.ask_platform_at.take_if(|at| now >= *at).is_some() {
-            self.platform = Platform::Unasked;
+        if self.query_platform_at.take_if(|at| now >= *at).is_some() {
+            self.platform_query = PlatformQuery::NotSent;
         }
-        let is_time = !self.is_open && self.platform == Platform::Unasked && self.holds_all(held);
-        if is_time {
-            self.platform = Platform::Asked;
+        let is_due = !self.is_open
+            && self.platform_query == PlatformQuery::NotSent
+            && self.holds_highest(held);
+        if is_due {
+            self.platform_query = PlatformQuery::Pending;
         }
-        is_time
+        is_due
     }
 
-    fn holds_all(&self, held: Version) -> bool {
+    fn holds_highest(&self, held: Version) -> bool {
         !self.sources.is_empty() && held >= self.highest
     }
 
-    /// Tells whether another node is to be asked now what it holds.
+    /// Returns whether to query another peer for its version now, and schedules the next query.
     pub fn begin_peer_query(&mut self, now: Instant) -> bool {
-        let is_due = !self.is_open && self.ask_at.is_some_and(|at| now >= at);
+        let is_due = !self.is_open && self.query_peer_at.is_some_and(|at| now >= at);
         if is_due {
-            self.ask_at = Some(now + ASK);
+            self.query_peer_at = Some(now + PEER_QUERY_INTERVAL);
         }
-        is_due && !self.has_sources()
+        is_due && !self.has_enough_sources()
     }
 
-    fn has_sources(&self) -> bool {
-        self.is_near && self.sources.len() >= SOURCES
+    fn has_enough_sources(&self) -> bool {
+        self.has_own_zone_source && self.sources.len() >= MIN_SOURCES
     }
 
-    /// Opens for good once `held` is enough; tells whether it is open.
+    /// Opens the gate permanently if `held` suffices; returns whether the gate is open.
     pub fn try_open(&mut self, held: Version) -> bool {
-        let is_heard = match self.platform {
-            Platform::Answered => true,
-            Platform::Asked if self.ask_at.is_none() => false,
-            Platform::Unanswered | Platform::Asked => self.has_sources(),
-            Platform::Unasked => false,
+        let is_confirmed = match self.platform_query {
+            PlatformQuery::Answered => true,
+            PlatformQuery::Pending if self.query_peer_at.is_none() => false,
+            PlatformQuery::Failed | PlatformQuery::Pending => self.has_enough_sources(),
+            PlatformQuery::NotSent => false,
         };
-        self.is_open |= is_heard && self.holds_all(held);
+        self.is_open |= is_confirmed && self.holds_highest(held);
         self.is_open
     }
 
-    /// Tells whether the process serves.
+    /// Returns whether the process may serve.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.is_open
     }
 
-    /// Gives when another node is to be asked.
+    /// Returns when the next query to a peer or to the platform is due.
     #[must_use]
     pub fn deadline(&self) -> Option<Instant> {
-        let all = [self.ask_at, self.ask_platform_at];
+        let all = [self.query_peer_at, self.query_platform_at];
         let next = all.into_iter().flatten().min();
         next.filter(|_| !self.is_open)
     }
--- a/crates/fleet/src/crashes.rs
+++ b/crates/fleet/src/crashes.rs
@@ -1,11 +1,11 @@
-//! News of requests that crashed backend servers.
+//! Propagation of requests that crashed backend servers.
 //!
-//! Each node floods what is news to it over all its links but the one that it came by,
-//! at once: a request that crashes what runs it comes again within milliseconds. A new
-//! link begins with all that is remembered, so that a process that starts knows it
-//! before it serves. Zones that are cut from each other, and a fleet that restarts whole,
-//! learn it by way of the platform: roots write what comes from their own part of the
-//! fleet there, and read what others wrote.
+//! Each node floods new crashes immediately over all its links but the one they came from,
+//! as a request that crashes a backend server is repeated within milliseconds. All known
+//! crashes are sent over each new link, so that a new process knows them before it serves.
+//! Zones that are partitioned from each other, and a fleet that restarts as a whole, learn
+//! them through the platform: roots write the crashes of their own part of the fleet there,
+//! and read those of other roots.
 
 use crate::event::{Action, PlatformRequest};
 use crate::link::{Link, LinkKey, Role};
@@ -15,13 +15,13 @@
 use std::time::{Duration, Instant};
 use wire::control::{Frame, MAX_CRASHES};
 
-/// Time that a root gathers crashes for before it writes them to the platform.
-const GATHER: Duration = Duration::from_millis(200);
+/// Time for which a root batches crashes before it writes them to the platform.
+const BATCH_DELAY: Duration = Duration::from_millis(200);
 
-/// Where news of crashes comes from.
+/// Where crash reports come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// The inbound proxy of this node.
+    /// This node's inbound proxy.
     Local,
     /// A neighbour.
     Link(LinkKey),
@@ -29,27 +29,27 @@
     Platform,
 }
 
-/// What a node knows of crashes.
+/// The crashes that a node knows of.
 #[derive(Debug, Default)]
 pub(crate) struct CrashState {
-    ledger: CrashHistory,
-    /// When a root writes what it knows to the platform.
-    post_at: Option<Instant>,
+    history: CrashHistory,
+    /// When this root writes its crashes to the platform.
+    write_at: Option<Instant>,
 }
 
 impl CrashState {
     pub(crate) fn deadline(&self) -> Option<Instant> {
-        self.post_at
+        self.write_at
     }
 }
 
 impl Node {
-    /// Takes crashes in, and hands on what is news.
+    /// Merges crashes and forwards those that are new.
     pub(crate) fn on_crashes(&mut self, now: Instant, origin: Origin, list: &[Crash]) {
-        let ledger = &mut self.crashes.ledger;
+        let history = &mut self.crashes.history;
         let list = list.iter().take(MAX_CRASHES);
         let news: Vec<_> = list
-            .filter(|crash| ledger.merge(now, crash))
+            .filter(|crash| history.merge(now, crash))
             .cloned()
             .collect();
         if news.is_empty() {
@@ -60,16 +60,16 @@
                 self.send(link, Frame::Crashes(news.clone()));
             }
         }
-        if self.lease.slot().is_some() && self.is_from_below(origin) {
-            self.crashes.post_at.get_or_insert(now + GATHER);
+        if self.lease.slot().is_some() && self.is_from_subtree(origin) {
+            self.crashes.write_at.get_or_insert(now + BATCH_DELAY);
         }
         if origin != Origin::Local {
             self.actions.push(Action::UpdateQuarantine(news));
         }
     }
 
-    /// Tells whether nobody but this root brings it to the platform.
-    fn is_from_below(&self, origin: Origin) -> bool {
+    /// Returns whether this root is the one to write crashes of that origin to the platform.
+    fn is_from_subtree(&self, origin: Origin) -> bool {
         match origin {
             Origin::Local => true,
             Origin::Link(key) => {
@@ -80,33 +80,33 @@
         }
     }
 
-    /// Has a root write what it knows to the platform again, which may have lost it.
+    /// Schedules writing all known crashes again, in case the platform has lost them.
     pub(crate) fn schedule_crash_write(&mut self, now: Instant) {
-        if self.lease.slot().is_some() && !self.crashes.ledger.is_empty() {
-            self.crashes.post_at.get_or_insert(now + GATHER);
+        if self.lease.slot().is_some() && !self.crashes.history.is_empty() {
+            self.crashes.write_at.get_or_insert(now + BATCH_DELAY);
         }
     }
 
-    /// Tells a new neighbour all that is remembered.
+    /// Sends all known crashes to a new neighbour.
     pub(crate) fn send_crashes(&mut self, now: Instant, key: LinkKey) {
-        for part in self.crashes.ledger.list(now).chunks(MAX_CRASHES) {
+        for part in self.crashes.history.list(now).chunks(MAX_CRASHES) {
             self.send(key, Frame::Crashes(part.to_vec()));
         }
     }
 
     pub(crate) fn step_crashes(&mut self, now: Instant) {
-        if self.crashes.post_at.is_none_or(|at| now < at) {
+        if self.crashes.write_at.is_none_or(|at| now < at) {
             return;
         }
-        self.crashes.post_at = None;
-        let mut list = self.crashes.ledger.list(now);
+        self.crashes.write_at = None;
+        let mut list = self.crashes.history.list(now);
         list.truncate(MAX_CRASHES);
         if let Some(slot) = self.lease.slot() {
             self.actions.push(Action::WriteCrashes { slot, list });
         }
     }
 
-    /// Asks the platform, for a node that hears from no root.
+    /// Queries the platform for crashes, for a node that hears from no root.
     pub(crate) fn query_crashes(&mut self) {
         self.actions
             .push(Action::QueryPlatform(PlatformRequest::Crashes));
--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -1,61 +1,66 @@
-//! When a node that fell silent counts as gone.
+//! Failure detection: when a silent node counts as departed.
 //!
-//! Load pattern: on an ordinary day 63 VMs fail one by one; on a bad one a
-//! switch or a zone goes, or a cut makes many look dead that still serve.
-//! Without the guard a cut would empty the lists of endpoints, and the callers
-//! of a whole zone would be refused although their backend servers live.
-//! Silence of a few is a departure; silence of many at once, or of one's own
-//! way to the root, holds the last list. The callers' own failures steer
-//! traffic meanwhile.
+//! Load pattern: on an ordinary day 63 VMs fail one by one. Now and then a
+//! switch or a zone fails, or a network partition makes many nodes look dead
+//! that still serve. If all of them were removed, a partition would empty the
+//! endpoint tables, and the calls of a whole zone would be refused although
+//! their backend servers are up. The loss of a few nodes therefore counts as
+//! their departure. While many nodes are lost at once, or this node itself has
+//! no path to a root, the endpoint table stays as it is; meanwhile the outcomes
+//! of calls steer traffic away from endpoints that fail.
 
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Time for a lost node to show up at another parent: it finds one within the
-/// 3.5 s that silence takes to be seen, less often with a second try.
+/// Time that a lost node has to appear at another parent.
+///
+/// It usually finds one within the 3.5 s after which silence is detected, and
+/// sometimes needs a second attempt.
 pub const GRACE: Duration = Duration::from_secs(4);
 
-/// Losses at once that still count as ordinary.
-const FEW: usize = 2;
+/// Number of nodes lost at once that always counts as ordinary.
+const ORDINARY_LOSSES: usize = 2;
 
-/// Share of the neighbours, as a divisor, whose loss at once is not ordinary.
-const SHARE: usize = 4;
+/// Divisor of the number of neighbours: losing more than this fraction at once is not ordinary.
+const LOSS_DIVISOR: usize = 4;
 
-/// Longest that a loss is held for; the node has long come back or the entry expires by itself.
-const HOLD: Duration = Duration::from_mins(10);
+/// Maximum time that a lost node is tracked.
+///
+/// By then it has usually come back; otherwise its endpoint expires by itself.
+const MAX_TRACKING_TIME: Duration = Duration::from_mins(10);
 
-/// Nodes that were lost and are not known to be elsewhere.
+/// Nodes that were lost and have not appeared elsewhere since.
 #[derive(Debug, Default)]
 pub struct DepartureGuard {
     lost: BTreeMap<SmolStr, Instant>,
 }
 
 impl DepartureGuard {
-    /// Notes that the link to a node broke without a farewell.
+    /// Records that the link to a node was lost without a `Leave` frame.
     pub fn record_lost(&mut self, node: &SmolStr, now: Instant) {
         self.lost.insert(node.clone(), now);
     }
 
-    /// Notes that a node was heard of again, here or through others.
+    /// Records that a node was heard of again, directly or through other nodes.
     pub fn record_found(&mut self, node: &str) {
         self.lost.remove(node);
     }
 
-    /// Takes out the nodes that count as gone by now.
+    /// Removes and returns the nodes that count as departed.
     ///
-    /// `neighbours` are the nodes still linked. Nothing is taken while more
-    /// than a few, and more than a share of all neighbours, are lost at once,
-    /// nor while this node itself has no way to a root.
+    /// `neighbours` is the number of nodes that are still linked. The result is
+    /// empty while more than a few nodes, and more than a quarter of all
+    /// neighbours, are lost at once, and while this node has no path to a root.
     pub fn take_departed(
         &mut self,
         neighbours: usize,
-        is_rooted: bool,
+        has_root: bool,
         now: Instant,
     ) -> Vec<SmolStr> {
-        self.lost.retain(|_, at| now < *at + HOLD);
-        let limit = FEW.max((neighbours + self.lost.len()) / SHARE);
-        if !is_rooted || self.lost.len() > limit {
+        self.lost.retain(|_, at| now < *at + MAX_TRACKING_TIME);
+        let limit = ORDINARY_LOSSES.max((neighbours + self.lost.len()) / LOSS_DIVISOR);
+        if !has_root || self.lost.len() > limit {
             return Vec::new();
         }
         let due = self.lost.iter().filter(|(_, at)| now >= **at + GRACE);
@@ -66,11 +71,11 @@
         gone
     }
 
-    /// Gives when the next lost node may count as gone.
+    /// Returns when the next lost node may count as departed.
     #[must_use]
     pub fn deadline(&self, now: Instant) -> Option<Instant> {
         let first = self.lost.values().min()?;
-        // A held loss is looked at again with every beat.
+        // Overdue nodes that are held back are checked again four times per heartbeat interval.
         Some((*first + GRACE).max(now + crate::link::HEARTBEAT_INTERVAL / 4))
     }
 }
--- a/crates/fleet/src/endpoints.rs
+++ b/crates/fleet/src/endpoints.rs
@@ -1,8 +1,9 @@
-//! All endpoints that a node knows of, merged from announcements.
+//! The table of all endpoints that a node knows of, merged from announcements.
 //!
-//! Announcements are ordered by [`Endpoint::rank`], so that it doesn't matter
-//! in which order, how often or by which way they come. Departures stay as
-//! tombstones. Sums by bucket show two nodes what they hold differently.
+//! Announcements are ordered by [`Endpoint::rank`], so the result of merging them
+//! does not depend on their order, repetition or path. Departed endpoints are kept
+//! as tombstones. Two nodes find out in which entries they differ by comparing one
+//! checksum per bucket of entries (anti-entropy).
 
 use config::{Endpoint, State};
 use smol_str::SmolStr;
@@ -11,70 +12,72 @@
 use std::time::{Duration, Instant};
 use wire::control::{BUCKETS, MAX_ENDPOINTS};
 
-/// Time after which a node announces its endpoint again, unchanged: 14,000
-/// nodes then cost each link 0.65 announcements, some 50 bytes, a second.
+/// Interval at which a node announces its endpoint again without a change.
+///
+/// With 14,000 nodes, each link then carries 0.65 such announcements, about 50 bytes, per second.
 pub const REFRESH_INTERVAL: Duration = Duration::from_hours(6);
 
-/// Time without news after which an endpoint counts as gone: three refreshes,
-/// longer than regions lose each other for.
-pub const EXPIRE: Duration = Duration::from_hours(18);
+/// Time without an announcement after which an endpoint counts as gone.
+///
+/// Three refresh intervals, which is longer than partitions between regions last.
+pub const ENDPOINT_TTL: Duration = Duration::from_hours(18);
 
-/// Most endpoints held: four times the 14,000 that are planned for.
+/// Maximum number of entries: four times the planned maximum of 14,000.
 pub const MAX_TABLE_SIZE: usize = 56_000;
 
-/// What an announcement was.
+/// Effect of merging an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// No news.
+    /// It was not newer than the entry, or there is no place for it.
     Ignored,
-    /// A sign that all is as before.
+    /// It was newer but changes nothing else.
     Refreshed,
-    /// News that matter to calls.
+    /// It changes something that matters to calls.
     Changed,
 }
 
 #[derive(Debug)]
 struct Entry {
     endpoint: Arc<Endpoint>,
-    heard: Instant,
+    updated_at: Instant,
 }
 
-/// All endpoints that a node knows of.
+/// The endpoints that a node knows of, by node.
 #[derive(Debug)]
 pub struct EndpointTable {
     entries: BTreeMap<SmolStr, Entry>,
-    sums: Vec<u64>,
+    bucket_checksums: Vec<u64>,
 }
 
 impl Default for EndpointTable {
     fn default() -> Self {
         Self {
             entries: BTreeMap::new(),
-            sums: vec![0; BUCKETS],
+            bucket_checksums: vec![0; BUCKETS],
         }
     }
 }
 
 impl EndpointTable {
-    /// Takes an announcement; tells what it was.
+    /// Merges an announcement; returns its effect.
     ///
-    /// A departure of a node that was never heard of is none: kept, it would
-    /// go round for ever between nodes that dropped it at different times.
+    /// A tombstone of an unknown node is ignored. Otherwise it would circulate
+    /// forever between nodes that drop tombstones at different times.
     pub fn merge(&mut self, endpoint: &Arc<Endpoint>, now: Instant) -> MergeOutcome {
         let known = self.get(&endpoint.node);
-        let is_news = match known {
+        let is_newer = match known {
             Some(known) => endpoint.rank() > known.rank(),
             None => endpoint.state != State::Gone && self.entries.len() < MAX_TABLE_SIZE,
         };
-        if !is_news {
+        if !is_newer {
             return MergeOutcome::Ignored;
         }
-        let is_refresh = known.is_some_and(|known| is_same(known, endpoint));
-        let old = known.map_or(0, |known| weigh(known));
-        self.sums[bucket(&endpoint.node)] ^= old ^ weigh(endpoint);
+        let is_refresh = known.is_some_and(|known| is_refresh_of(known, endpoint));
+        let old = known.map_or(0, |known| contribution(known));
+        self.bucket_checksums[bucket_index(&endpoint.node)] ^= old ^ contribution(endpoint);
         let entry = Entry {
             endpoint: Arc::clone(endpoint),
-            heard: now,
+            updated_at: now,
         };
         self.entries.insert(endpoint.node.clone(), entry);
         if is_refresh {
@@ -84,13 +87,15 @@
         }
     }
 
-    /// Gives what is known of a node.
+    /// Returns the endpoint of a node, or its tombstone.
     #[must_use]
     pub fn get(&self, node: &str) -> Option<&Arc<Endpoint>> {
         self.entries.get(node).map(|entry| &entry.endpoint)
     }
 
-    /// Declares a node gone, if it has an endpoint; gives the tombstone.
+    /// Replaces the endpoint of a node by a tombstone; returns the tombstone.
+    ///
+    /// Returns `None` if the node has no endpoint or is gone already.
     pub fn mark_gone(&mut self, node: &str, now: Instant) -> Option<Arc<Endpoint>> {
         let known = self.get(node)?;
         if known.state == State::Gone {
@@ -103,51 +108,53 @@
         Some(endpoint)
     }
 
-    /// Turns endpoints without news into tombstones and drops old tombstones.
+    /// Replaces expired endpoints by tombstones and drops expired tombstones.
     pub fn expire(&mut self, now: Instant) {
-        let is_old = |entry: &Entry| now.saturating_duration_since(entry.heard) >= EXPIRE;
+        let is_expired =
+            |entry: &Entry| now.saturating_duration_since(entry.updated_at) >= ENDPOINT_TTL;
         self.entries
-            .retain(|_, entry| entry.endpoint.state != State::Gone || !is_old(entry));
-        let old: Vec<_> = self
+            .retain(|_, entry| entry.endpoint.state != State::Gone || !is_expired(entry));
+        let expired: Vec<_> = self
             .entries
             .iter()
-            .filter(|(_, entry)| is_old(entry))
+            .filter(|(_, entry)| is_expired(entry))
             .map(|(node, _)| node.clone())
             .collect();
-        for node in old {
+        for node in expired {
             self.mark_gone(&node, now);
         }
     }
 
-    /// Gives all endpoints, tombstones included, in the order of their nodes.
+    /// Iterates over all endpoints and tombstones, ordered by node name.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
         self.entries.values().map(|entry| &entry.endpoint)
     }
 
-    /// Gives the sum of the whole table.
+    /// Returns the checksum of the whole table.
     #[must_use]
     pub fn checksum(&self) -> u64 {
-        self.sums
+        self.bucket_checksums
             .iter()
             .fold(0, |sum: u64, part| sum.rotate_left(1) ^ part)
     }
 
-    /// Gives the sum of each bucket.
+    /// Returns the checksum of each bucket.
     #[must_use]
     pub fn bucket_checksums(&self) -> &[u64] {
-        &self.sums
+        &self.bucket_checksums
     }
 
-    /// Gives the endpoints of all buckets whose sums are others, in lists that fit a frame.
+    /// Returns the endpoints of all buckets whose checksum differs from `checksums`, in lists that
+    /// fit a frame.
     #[must_use]
-    pub fn differing_endpoints(&self, sums: &[u64]) -> Vec<Vec<Arc<Endpoint>>> {
-        let is_other = |node: &str| {
-            let bucket = bucket(node);
-            sums.get(bucket) != Some(&self.sums[bucket])
+    pub fn differing_endpoints(&self, checksums: &[u64]) -> Vec<Vec<Arc<Endpoint>>> {
+        let is_differing = |node: &str| {
+            let index = bucket_index(node);
+            checksums.get(index) != Some(&self.bucket_checksums[index])
         };
         let differing: Vec<_> = self
             .iter()
-            .filter(|endpoint| is_other(&endpoint.node))
+            .filter(|endpoint| is_differing(&endpoint.node))
             .cloned()
             .collect();
         differing
@@ -157,23 +164,24 @@
     }
 }
 
-/// Tells whether calls would see no difference.
-fn is_same(known: &Endpoint, news: &Endpoint) -> bool {
+/// Returns whether the two differ in nothing but their sequence number.
+fn is_refresh_of(known: &Endpoint, newer: &Endpoint) -> bool {
     let known = Endpoint {
-        sequence: news.sequence,
+        sequence: newer.sequence,
         ..known.clone()
     };
-    known == *news
+    known == *newer
 }
 
-/// Gives the bucket that a node's endpoint is summed up in.
-fn bucket(node: &str) -> usize {
+/// Returns the index of a node's bucket.
+fn bucket_index(node: &str) -> usize {
     index_for_hash(stable_hash(node.as_bytes()), BUCKETS)
 }
 
-/// Gives what an endpoint adds to its bucket's sum; tombstones add nothing,
-/// as nodes may drop them at different times.
-fn weigh(endpoint: &Endpoint) -> u64 {
+/// Returns the contribution of an endpoint to the checksum of its bucket.
+///
+/// Tombstones contribute nothing, as nodes drop them at different times.
+fn contribution(endpoint: &Endpoint) -> u64 {
     if endpoint.state == State::Gone {
         return 0;
     }
@@ -185,13 +193,13 @@
         })
 }
 
-/// Gives an index below `count` for a hash.
+/// Maps a hash to an index below `count`.
 pub(crate) fn index_for_hash(hash: u64, count: usize) -> usize {
     let index = hash % u64::try_from(count).unwrap_or(u64::MAX);
     usize::try_from(index).unwrap_or_default()
 }
 
-/// Hashes bytes by FNV-1a, the same in every build, unlike the standard library's hasher.
+/// Hashes bytes with FNV-1a, which unlike the standard library's hasher is the same in every build.
 pub(crate) fn stable_hash(bytes: &[u8]) -> u64 {
     let sum = bytes.iter().fold(0xcbf2_9ce4_8422_2325_u64, |sum, byte| {
         (sum ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
@@ -199,7 +207,7 @@
     mix(sum)
 }
 
-/// Spreads a sum's bits (the finalizer of `SplitMix64`).
+/// Mixes the bits of a hash (the finalizer of `SplitMix64`).
 fn mix(sum: u64) -> u64 {
     let sum = (sum ^ (sum >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let sum = (sum ^ (sum >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the state machine and what comes out.
+//! Inputs and outputs of the state machine.
 
 use crate::{LinkKey, Peer};
 use call::Crash;
@@ -10,151 +10,151 @@
 use std::sync::Arc;
 use wire::control::Frame;
 
-/// What is asked of the platform.
+/// A request to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlatformRequest {
     /// Read the leases of all roots.
     Leases {
-        /// Whether they are wanted as they are now; else as they were some seconds ago.
+        /// Whether they must be current; otherwise they may be some seconds stale.
         is_exact: bool,
     },
-    /// Take a lease of the own zone that has no time left.
+    /// Acquire an expired lease of this node's zone.
     AcquireLease {
         /// Which of the zone's leases.
         slot: u8,
-        /// Whether to take it from a holder as well that [`PlatformRequest::Leases`]
-        /// last showed, if the lease was not renewed since.
+        /// Whether to also seize an unexpired lease, provided that it has not been
+        /// renewed since the last response to [`PlatformRequest::Leases`].
         is_forced: bool,
     },
-    /// Extend a lease that is held.
+    /// Renew a lease that this node holds.
     RenewLease {
         /// Which of the zone's leases.
         slot: u8,
     },
-    /// Give a lease back.
+    /// Release a lease.
     ReleaseLease {
         /// Which of the zone's leases.
         slot: u8,
     },
-    /// Tell the highest version there is.
+    /// Get the number of the latest version.
     LatestVersion {
-        /// The highest one that is known.
+        /// The highest version known to this node.
         after: Version,
     },
-    /// Tell the newest version, and send what leads to it.
+    /// Get the latest version, with the steps or the full configuration that lead to it.
     FetchLatest {
-        /// The version held.
+        /// The version held by this node.
         after: Version,
     },
-    /// Send all versions after this one, now and as they come.
+    /// Send all versions after this one, now and as they are written.
     Watch {
-        /// The version held.
+        /// The version held by this node.
         after: Version,
-        /// Whether nobody in the zone reads them sooner.
+        /// Whether no other root of the zone gets them earlier.
         is_first: bool,
     },
-    /// Send no more versions.
+    /// Stop sending versions.
     Unwatch,
-    /// Tell the crashes that roots have written.
+    /// List the crashes that roots have written.
     Crashes,
-    /// Tell the roll-outs that operators have ordered.
+    /// List the roll-outs that operators have ordered.
     Rollouts,
 }
 
-/// The lease of a root as it was read.
+/// The lease of a root, as last read from the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RootLease {
     /// Which of its zone's leases.
     pub slot: u8,
-    /// Who holds it; the zone is its own.
+    /// The holder, which is in the zone of the lease.
     pub holder: Peer,
-    /// Whether it had time left.
+    /// Whether it had not expired.
     pub is_live: bool,
 }
 
-/// What the platform answers.
+/// A response or notification of the platform.
 #[derive(Debug, Clone)]
 pub enum PlatformResponse {
     /// The leases of all roots.
     Leases(Vec<RootLease>),
-    /// The lease was taken or extended.
+    /// The lease was acquired or renewed.
     LeaseGranted {
         /// Which of the zone's leases.
         slot: u8,
     },
-    /// Somebody else has the lease.
+    /// Another node holds the lease.
     LeaseLost {
         /// Which of the zone's leases.
         slot: u8,
     },
-    /// The platform did not answer.
+    /// The platform did not answer this request.
     Failed(PlatformRequest),
-    /// The highest version there is, told when following begins and now and then.
+    /// The number of the latest version, sent when a watch starts and repeatedly after that.
     LatestVersion(Version),
-    /// A version.
+    /// A version, as the change from the previous one.
     Step {
         /// Its number.
         version: Version,
-        /// What changes.
+        /// The changes.
         patch: Arc<Patch>,
-        /// Digest of the whole.
+        /// Digest of the whole configuration after it.
         digest: Digest,
     },
-    /// A version, whole.
+    /// A version, as a full configuration.
     Full {
         /// Its number.
         version: Version,
         /// The configuration.
         mesh: Mesh,
     },
-    /// A version that can't be taken; what is held stays in force.
+    /// A version that cannot be read; the current one stays in force.
     InvalidVersion {
         /// Its number.
         version: Version,
         /// What is wrong with it, and where.
         reason: SmolStr,
     },
-    /// Crashes that roots have written, told when following begins and as they come.
+    /// Crashes that roots have written, sent when a watch starts and as they are written.
     Crashes(Vec<Crash>),
-    /// The platform has come back from a copy: what was written there last is gone.
+    /// The platform was restored from a backup; its most recent writes are lost.
     Restored,
-    /// Roll-outs as they stand there, told when following begins and as they change.
+    /// The state of roll-outs, sent when a watch starts and as they change.
     Rollouts(Vec<Rollout>),
 }
 
-/// The own backend server, as it announced itself.
+/// This VM's backend server, as it announced itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
     /// Service that it belongs to.
     pub service: SmolStr,
-    /// Version of its software; empty if it doesn't say.
+    /// Version of its software; empty if not announced.
     pub version: SmolStr,
-    /// Calls that it says it runs at once.
+    /// Number of calls that it runs concurrently.
     pub slots: u16,
-    /// Names its process.
+    /// Identifies its process.
     pub process: u64,
-    /// How long it is slow from now on, in milliseconds, if it says so.
+    /// How long it will be slow while it warms up, in milliseconds, if announced.
     pub cold_ms: Option<u32>,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: config::State,
 }
 
-/// What happened.
+/// An input to the state machine.
 #[derive(Debug)]
 pub enum Event {
-    /// A link that was asked for stands.
+    /// A requested link is open.
     Connected {
         /// The link.
         link: LinkKey,
-        /// Who is at the other end.
+        /// The node at the other end.
         peer: Peer,
     },
-    /// A link could not be opened, or ended.
+    /// A link could not be opened, or was closed.
     Closed {
         /// The link.
         link: LinkKey,
     },
-    /// A frame came.
+    /// A frame was received.
     Frame {
         /// The link.
         link: LinkKey,
@@ -163,26 +163,26 @@
     },
     /// The platform answered.
     Platform(PlatformResponse),
-    /// The own backend server announced itself.
+    /// This VM's backend server announced itself.
     BackendAnnounced(Backend),
-    /// Requests crashed the own backend server, or were answered since.
+    /// Requests that crashed this VM's backend server, or were answered since.
     LocalCrashes(Vec<Crash>),
-    /// What the own outbound proxy has counted of roll-outs, by service.
+    /// Counts of this VM's outbound proxy for roll-outs, by service.
     LocalTallies(Vec<(SmolStr, Tally)>),
-    /// The time that [`crate::Node::next_wake`] gave has come.
+    /// The time returned by [`crate::Node::next_wake`] has been reached.
     Wake,
-    /// The node is to leave: the links are closed in order.
+    /// The node shuts down: links are closed gracefully.
     Leave,
 }
 
-/// What is to be done.
+/// An output of the state machine, to be carried out by its owner.
 #[derive(Debug)]
 pub enum Action {
     /// Open a link.
     Connect {
-        /// Its name.
+        /// The key of the new link.
         link: LinkKey,
-        /// Where to.
+        /// The address to connect to.
         address: SocketAddr,
     },
     /// Send a frame.
@@ -192,35 +192,35 @@
         /// The frame.
         frame: Frame,
     },
-    /// Close a link once what was sent is out.
+    /// Close a link once all frames sent over it are written.
     Close {
         /// The link.
         link: LinkKey,
     },
-    /// Ask the platform.
+    /// Send a request to the platform.
     QueryPlatform(PlatformRequest),
-    /// Serve by this view from now on.
+    /// Use this view for calls from now on.
     InstallView(Arc<View>),
-    /// Take in what other nodes know of crashes.
+    /// Merge crashes reported by other nodes into the quarantine.
     UpdateQuarantine(Vec<Crash>),
     /// Write crashes to the platform.
     WriteCrashes {
         /// The lease of the root that writes.
         slot: u8,
-        /// All that it remembers, or the worst of it.
+        /// All crashes that it remembers, or the worst ones if there are too many.
         list: Vec<Crash>,
     },
-    /// Have calls follow these roll-outs from now on.
+    /// Apply these roll-outs to calls from now on.
     ApplyRollouts(Vec<Rollout>),
-    /// Write to the platform how far a roll-out has come.
+    /// Write the stage of a roll-out to the platform.
     WriteRollout(Rollout),
-    /// Tell operators why a version gets nothing more.
+    /// Report to operators that a roll-out was stopped and its version gets no more calls.
     RolloutStopped {
-        /// The roll-out as it stood.
+        /// The roll-out before it was stopped.
         rollout: Rollout,
-        /// What speaks against the version.
+        /// Why the roll-out is stopped.
         reason: StopReason,
-        /// What the fleet had counted.
+        /// The counts that the decision is based on.
         tally: Tally,
     },
 }
--- a/crates/fleet/src/fallback_poll.rs
+++ b/crates/fleet/src/fallback_poll.rs
@@ -1,79 +1,83 @@
-//! A node that hears from no root looks for versions itself.
+//! Polling of the platform by a node that hears from no root.
 //!
-//! Load pattern: the parent of a node freezes, loses power or leaves with all
-//! roots of its zone just as the operators write a version. Finding the parent
-//! silent takes 3.5 s and another root some seconds more, longer than a version
-//! may take. Without the lookout such a node serves by the old one meanwhile,
-//! though the platform would answer it in milliseconds.
+//! Load pattern: the parent of a node freezes, loses power or leaves together
+//! with all roots of its zone just when operators write a version. Detecting
+//! that the parent is silent takes 3.5 s and finding another root some seconds
+//! more, which is longer than a version may take to come into force. Without
+//! polling, such a node would serve the old version meanwhile, although the
+//! platform would answer within milliseconds.
 
 use crate::event::{Action, PlatformRequest};
 use crate::link::{Link, Role};
 use crate::node::Node;
 use std::time::{Duration, Instant};
 
-/// Silence of the way to a root after which a node asks the platform itself:
-/// beats come every second, so that one must be missing. With the answer a
-/// version is in force some 1.5 s after it was written, of the 2 s it may take.
-const PATIENCE: Duration = Duration::from_millis(1_400);
+/// Time without contact to a root after which a node polls the platform.
+///
+/// Heartbeats come every second, so at least one is missing by then. A version
+/// is then in force about 1.5 s after it was written, of the 2 s that it may take.
+const MAX_SILENCE: Duration = Duration::from_millis(1_400);
 
-/// Least time between two questions: a version then comes within a second.
-const AGAIN: Duration = Duration::from_secs(1);
+/// Minimum interval between polls; a version then arrives within a second.
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Rounds of questions a second of all nodes of a zone: 15 zones without any root then
-/// take 750 of the platform's 2,000 reads a second.
-const ZONE_RATE: u32 = 50;
+/// Total polls per second of all nodes of a zone. 15 zones without any root then use
+/// 750 of the platform's 2,000 reads per second.
+const ZONE_POLL_RATE: u32 = 50;
 
-/// When a node last heard from a root, and last asked the platform.
+/// When a node last heard from a root, and last polled the platform.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FallbackPoll {
-    heard: Instant,
-    asked: Option<Instant>,
-    again: Duration,
+    root_heard: Instant,
+    polled: Option<Instant>,
+    interval: Duration,
 }
 
 impl FallbackPoll {
     pub(crate) fn new(now: Instant) -> Self {
         Self {
-            heard: now,
-            asked: None,
-            again: AGAIN,
+            root_heard: now,
+            polled: None,
+            interval: MIN_INTERVAL,
         }
     }
 
-    /// Notes that the way to a root is open.
-    fn hear(&mut self, now: Instant) {
-        self.heard = self.heard.max(now);
+    /// Records that the path to a root was up at `at`.
+    fn record_root_contact(&mut self, at: Instant) {
+        self.root_heard = self.root_heard.max(at);
     }
 
-    /// Gives when the platform is to be asked unless a root is heard of before.
+    /// Returns when the next poll is due unless a root is heard from before.
     fn due_at(&self) -> Instant {
-        let patient = self.heard + PATIENCE;
-        self.asked
-            .map_or(patient, |asked| patient.max(asked + self.again))
+        let due_at = self.root_heard + MAX_SILENCE;
+        self.polled
+            .map_or(due_at, |polled| due_at.max(polled + self.interval))
     }
 }
 
-/// Gives the time between a node's questions when all `nodes` of its zone ask.
+/// Returns the interval between a node's polls if all `nodes` nodes of its zone poll.
 pub(crate) fn poll_interval(nodes: usize) -> Duration {
     let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
-    AGAIN.max(Duration::from_secs(1) * nodes / ZONE_RATE)
+    MIN_INTERVAL.max(Duration::from_secs(1) * nodes / ZONE_POLL_RATE)
 }
 
 impl Node {
-    /// Gives when the platform is to be asked, if this node does so at all.
+    /// Returns when this node polls the platform next.
+    ///
+    /// `None` if it does not serve yet, is shutting down, or is a root.
     pub(crate) fn next_fallback_poll(&self) -> Option<Instant> {
-        let looks = self.gate.is_open() && !self.is_leaving && !self.lease.is_root();
-        looks.then(|| self.fallback_poll.due_at())
+        let polls = self.gate.is_open() && !self.is_leaving && !self.lease.is_root();
+        polls.then(|| self.fallback_poll.due_at())
     }
 
-    /// Asks the platform for versions when no root has been heard of for too long.
+    /// Polls the platform if no root has been heard from for too long.
     pub(crate) fn step_fallback_poll(&mut self, now: Instant) {
         if self.lease.is_root() {
-            self.fallback_poll.hear(now);
+            self.fallback_poll.record_root_contact(now);
         } else if self.has_root() {
             let parents = self.links.values().filter(|link| link.role == Role::Parent);
             if let Some(heard) = parents.map(Link::last_heard).max() {
-                self.fallback_poll.hear(heard);
+                self.fallback_poll.record_root_contact(heard);
             }
         }
         if self.next_fallback_poll().is_none_or(|due| now < due) {
@@ -81,8 +85,8 @@
         }
         let zone = &self.settings.local.zone;
         let nodes = self.table.iter().filter(|one| one.zone == *zone).count();
-        self.fallback_poll.asked = Some(now);
-        self.fallback_poll.again = poll_interval(nodes);
+        self.fallback_poll.polled = Some(now);
+        self.fallback_poll.interval = poll_interval(nodes);
         let after = self.version();
         self.actions
             .push(Action::QueryPlatform(PlatformRequest::FetchLatest {
--- a/crates/fleet/src/initial_reads.rs
+++ b/crates/fleet/src/initial_reads.rs
@@ -1,24 +1,24 @@
-//! What a new root reads from the platform before it serves.
+//! Data that a new root reads from the platform before it serves.
 //!
-//! Other nodes learn from whom they join which requests are held and which versions are under
-//! trial. When all restart at once there is nobody to learn it from: without this, a request that
-//! was held would run again at all of them, and a bad version would get its full share.
+//! Other nodes learn from their parent which requests are held and which versions are being rolled
+//! out. If all nodes restart at once, there is no node to learn it from. Without these reads, each
+//! of them would run a held request again, and a bad version would get its full share of calls.
 
 use crate::event::{Action, PlatformRequest};
 use crate::node::Node;
 use std::time::{Duration, Instant};
 
-/// Time between questions, while the platform doesn't answer.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+/// Interval between retries while the platform does not answer.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest wait for the answers before the process serves without.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Maximum wait for the responses, after which the process serves without them.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// What is still to be read.
+/// The reads that are still missing.
 #[derive(Debug, Default)]
 pub(crate) struct InitialReads {
     missing: Vec<PlatformRequest>,
-    ask_at: Option<Instant>,
+    send_at: Option<Instant>,
     until: Option<Instant>,
 }
 
@@ -28,14 +28,14 @@
     }
 
     pub(crate) fn deadline(&self) -> Option<Instant> {
-        let all = [self.ask_at, self.until];
+        let all = [self.send_at, self.until];
         let next = all.into_iter().flatten().min();
         next.filter(|_| !self.is_done())
     }
 }
 
 impl Node {
-    /// Asks the platform for what a root that doesn't serve yet has to know.
+    /// Starts the reads of a root that does not serve yet.
     pub(crate) fn start_initial_reads(&mut self, now: Instant) {
         let rollouts = self
             .settings
@@ -44,8 +44,8 @@
         let wanted = [Some(PlatformRequest::Crashes), rollouts];
         self.initial_reads = InitialReads {
             missing: wanted.into_iter().flatten().collect(),
-            ask_at: Some(now),
-            until: Some(now + PATIENCE),
+            send_at: Some(now),
+            until: Some(now + MAX_WAIT),
         };
         self.step_initial_reads(now);
     }
@@ -57,14 +57,21 @@
     }
 
     pub(crate) fn retry_initial_reads(&mut self, now: Instant) {
-        self.initial_reads.ask_at.get_or_insert(now + ASK_AGAIN);
+        self.initial_reads
+            .send_at
+            .get_or_insert(now + RETRY_INTERVAL);
     }
 
     pub(crate) fn step_initial_reads(&mut self, now: Instant) {
         if self.initial_reads.until.is_some_and(|until| now >= until) {
             self.initial_reads = InitialReads::default();
         }
-        if self.initial_reads.ask_at.take_if(|at| now >= *at).is_some() {
+        if self
+            .initial_reads
+            .send_at
+            .take_if(|at| now >= *at)
+            .is_some()
+        {
             let missing = self.initial_reads.missing.iter();
             self.actions
                 .extend(missing.copied().map(Action::QueryPlatform));
--- a/crates/fleet/src/outage.rs
+++ b/crates/fleet/src/outage.rs
@@ -1,17 +1,18 @@
-//! How nodes find each other while the platform does not answer.
+//! How nodes find each other during an outage of the platform.
 //!
-//! Load pattern: nodes are restarted one after the other during an outage of
-//! the platform. A restarted node knows nobody, and one whose roots are all
-//! gone can't have new ones, as leases can't be taken. Without what stands
-//! here both refuse nearly all calls until the outage is over: they know of no
-//! endpoint but their own.
+//! Load pattern: nodes are restarted one after the other while the platform is
+//! down. A restarted node knows no other node, and a zone that has lost all its
+//! roots cannot get new ones, as no lease can be acquired. Without the measures
+//! below, such nodes refuse nearly all calls until the outage is over, as they
+//! know of no endpoint but their own.
 //!
-//! Two things help. Whoever loses a neighbour *redials* it: it dials the
-//! neighbour's address, and a process that has come up there learns whom to
-//! join. And a node that serves, has no root and gets no answer from the
-//! platform *stands in* as root of its zone until the platform answers. Leases
-//! save work and carry no correctness, so that two stand-ins do no harm; they
-//! meet each other and the other zones' roots through the endpoints they know.
+//! A node that loses a neighbour *redials* it: it keeps dialling the neighbour's
+//! address, and a process that has started there learns which node to join. A
+//! node that serves, has no path to a root and gets no answer from the platform
+//! becomes an *acting root* of its zone until the platform answers. Leases save
+//! work and are not needed for correctness, so two acting roots do no harm. They
+//! link to each other and to the roots of other zones through the endpoints they
+//! know.
 
 use crate::event::PlatformRequest;
 use crate::link::{Link, Purpose, Role};
@@ -24,24 +25,28 @@
 use std::time::{Duration, Instant};
 use wire::control::Peer;
 
-/// Time between two dials of a lost neighbour; a process starts in about a second.
+/// Interval between dials of a lost neighbour; a process starts in about a second.
 const REDIAL_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How long a lost neighbour is dialled: the slowest restart of a VM, and a bit.
+/// How long a lost neighbour is dialled: slightly more than the slowest restart of a VM.
 const REDIAL_FOR: Duration = Duration::from_secs(20);
 
-/// Lost neighbours that are dialled; a root has 16 children and some equals.
+/// Maximum number of lost neighbours to dial; a root has 16 children and links to some other roots.
 const MAX_REDIALS: usize = 32;
 
-/// Least time without a root before a node stands in; as long again at random,
-/// so that the others of the zone mostly find the first one that does.
-const STAND_IN: Duration = Duration::from_millis(500);
+/// Minimum time without a root before a node becomes an acting root.
+///
+/// Up to the same time again is added at random, so that the other nodes of the
+/// zone usually find the first acting root.
+const MIN_ROOTLESS_TIME: Duration = Duration::from_millis(500);
 
-/// Time between a stand-in's rounds: it asks for the leases and dials one more
-/// node of each zone that it has no link to.
-const ROUND: Duration = Duration::from_millis(700);
+/// Interval between the rounds of an acting root.
+///
+/// In each, it reads the leases and dials one more node of each zone that it has
+/// no link to.
+const ROUND_INTERVAL: Duration = Duration::from_millis(700);
 
-/// A neighbour that was lost.
+/// A lost neighbour that is being dialled.
 #[derive(Debug, Clone, Copy)]
 struct Redial {
     address: SocketAddr,
@@ -49,40 +54,40 @@
     until: Instant,
 }
 
-/// What a node does about an outage of the platform.
+/// Progress of the measures against an outage of the platform.
 #[derive(Debug, Default)]
 pub(crate) struct OutageState {
-    /// Whether the platform left the last question without an answer.
+    /// Whether the last request to the platform failed.
     is_out: bool,
     redials: BTreeMap<SmolStr, Redial>,
-    stand_in_at: Option<Instant>,
+    act_at: Option<Instant>,
     round_at: Option<Instant>,
-    /// Rounds so far, for dialling other nodes in each.
+    /// Number of rounds so far, which selects the nodes to dial.
     rounds: usize,
 }
 
 impl OutageState {
     pub(crate) fn deadline(&self) -> Option<Instant> {
         let redials = self.redials.values().map(|redial| redial.next_at);
-        let others = [self.stand_in_at, self.round_at].into_iter().flatten();
+        let others = [self.act_at, self.round_at].into_iter().flatten();
         redials.chain(others).min()
     }
 }
 
 impl Node {
-    /// Notes whether the platform answered.
+    /// Records whether the platform answered.
     pub(crate) fn record_platform_response(&mut self, now: Instant, answers: bool) {
         self.outage.is_out = !answers;
         if answers {
-            self.outage.stand_in_at = None;
+            self.outage.act_at = None;
             self.outage.round_at = None;
             if self.lease.is_acting() {
-                self.step_aside(now);
+                self.resign_acting_root(now);
             }
         }
     }
 
-    /// Begins to dial a neighbour that was lost.
+    /// Starts dialling a lost neighbour.
     pub(crate) fn start_redial(&mut self, peer: &Peer, now: Instant) {
         if self.outage.redials.len() < MAX_REDIALS && !self.is_leaving {
             let redial = Redial {
@@ -94,7 +99,7 @@
         }
     }
 
-    /// Notes that a neighbour is linked again.
+    /// Stops dialling a neighbour that is linked again.
     pub(crate) fn stop_redial(&mut self, node: &str) {
         self.outage.redials.remove(node);
     }
@@ -104,21 +109,21 @@
             self.outage = OutageState::default();
             return;
         }
-        self.dial_lost(now);
-        self.stand_in(now);
+        self.dial_lost_neighbours(now);
+        self.step_acting_root(now);
         if self.outage.round_at.is_some_and(|at| now >= at) {
-            self.outage.round_at = Some(now + ROUND);
+            self.outage.round_at = Some(now + ROUND_INTERVAL);
             self.outage.rounds += 1;
             self.actions.push(crate::event::Action::QueryPlatform(
                 PlatformRequest::Leases { is_exact: true },
             ));
-            self.meet_known(now);
+            self.dial_unlinked_zones(now);
         }
     }
 
-    fn dial_lost(&mut self, now: Instant) {
+    fn dial_lost_neighbours(&mut self, now: Instant) {
         self.outage.redials.retain(|_, redial| now < redial.until);
-        let is_rooted = self.has_root();
+        let has_root = self.has_root();
         let due = self.outage.redials.values_mut();
         let due: Vec<_> = due
             .filter(|redial| now >= redial.next_at)
@@ -127,28 +132,28 @@
                 redial.address
             })
             .collect();
-        // Without a root there is nothing yet to invite it to.
-        for address in due.into_iter().filter(|_| is_rooted) {
+        // Without a path to a root, this node has no tree to offer.
+        for address in due.into_iter().filter(|_| has_root) {
             self.dial(address, Purpose::Meet, now);
         }
     }
 
-    fn stand_in(&mut self, now: Instant) {
-        let wants = self.outage.is_out && self.gate.is_open() && !self.has_root();
-        if !wants {
-            self.outage.stand_in_at = None;
+    fn step_acting_root(&mut self, now: Instant) {
+        let is_needed = self.outage.is_out && self.gate.is_open() && !self.has_root();
+        if !is_needed {
+            self.outage.act_at = None;
             return;
         }
-        let Some(at) = self.outage.stand_in_at else {
-            let wait = STAND_IN + self.jitter(STAND_IN);
-            self.outage.stand_in_at = Some(now + wait);
-            self.learn_neighbours(now);
+        let Some(at) = self.outage.act_at else {
+            let wait = MIN_ROOTLESS_TIME + self.jitter(MIN_ROOTLESS_TIME);
+            self.outage.act_at = Some(now + wait);
+            self.add_zone_candidates(now);
             return;
         };
         if now < at || self.lease.is_root() {
             return;
         }
-        self.outage.stand_in_at = None;
+        self.outage.act_at = None;
         self.outage.round_at = Some(now);
         self.lease.start_acting();
         for parent in self.find_links(|link| link.role == Role::Parent) {
@@ -161,8 +166,8 @@
         self.propagate_path(vec![self.settings.local.node.clone()]);
     }
 
-    /// Takes the nodes of the own zone for possible parents: one of them may stand in.
-    fn learn_neighbours(&mut self, now: Instant) {
+    /// Adds the nodes of this zone as parent candidates: one of them may be an acting root.
+    fn add_zone_candidates(&mut self, now: Instant) {
         for address in self.known_nodes(|zone, own| zone == own) {
             self.candidates.add(address, Source::Hint, now);
         }
@@ -174,25 +179,29 @@
     {
         let own = &self.settings.local;
         let others = self.table.iter().filter(|one| one.node != own.node);
-        let living = others.filter(|one| one.state != State::Gone);
-        living
+        let present = others.filter(|one| one.state != State::Gone);
+        present
             .filter(|one| is_wanted(&one.zone, &own.zone))
             .map(|one| one.address)
             .take(crate::parent::MAX_CANDIDATES / 2)
             .collect()
     }
 
-    /// Dials a node of each zone that no link leads to, and one of the own zone.
-    fn meet_known(&mut self, now: Instant) {
-        let linked = |node: &str| {
+    /// Dials a node of each zone that this root has no link to, and one of its own zone.
+    fn dial_unlinked_zones(&mut self, now: Instant) {
+        let is_linked = |node: &str| {
             let mut links = self.links.values().filter(|link| link.is_established());
             links.any(|link| link.peer.as_ref().is_some_and(|peer| peer.node == node))
         };
         let mut zones: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
         let own = &self.settings.local;
         for one in self.table.iter() {
-            let is_met = one.zone != own.zone && self.meets_zone(&one.zone);
-            if one.node != own.node && one.state != State::Gone && !is_met && !linked(&one.node) {
+            let is_linked_zone = one.zone != own.zone && self.has_root_link_to(&one.zone);
+            if one.node != own.node
+                && one.state != State::Gone
+                && !is_linked_zone
+                && !is_linked(&one.node)
+            {
                 zones.entry(&one.zone).or_default().push(one.address);
             }
         }
@@ -206,24 +215,24 @@
         }
     }
 
-    fn meets_zone(&self, zone: &str) -> bool {
-        let is_there = |link: &Link| link.peer.as_ref().is_some_and(|peer| peer.zone == zone);
-        let mut equals = self
+    fn has_root_link_to(&self, zone: &str) -> bool {
+        let is_in_zone = |link: &Link| link.peer.as_ref().is_some_and(|peer| peer.zone == zone);
+        let mut root_links = self
             .links
             .values()
             .filter(|link| link.role == Role::RootPeer);
-        equals.any(is_there)
+        root_links.any(is_in_zone)
     }
 
-    /// Gives the place of a root up, as the platform can give out leases again.
-    fn step_aside(&mut self, now: Instant) {
+    /// Resigns as acting root, as the platform grants leases again.
+    fn resign_acting_root(&mut self, now: Instant) {
         self.lease.stop_acting();
-        self.leave_equals();
+        self.leave_other_roots();
         self.set_path(Vec::new());
         self.start_search(now);
     }
 
-    /// Takes the sender of a first frame that this node can't answer as wished for one to join.
+    /// Adds a root whose `Meet` frame this node had to refuse as a candidate to join.
     pub(crate) fn add_caller_as_candidate(&mut self, peer: &Peer, now: Instant) {
         if self.has_root() {
             return;
--- a/crates/fleet/src/rollouts.rs
+++ b/crates/fleet/src/rollouts.rs
@@ -1,8 +1,9 @@
-//! Roll-outs of versions: orders, how far they have come, and what the fleet has counted.
+//! Roll-outs of versions: orders, stages, and the calls counted across the fleet.
 //!
-//! Orders and stages are few and flooded over all links, as they only go on and merge in any
-//! order. Counts are summed up on the way to the roots, so that a link carries one sum however
-//! many nodes stand behind it. A node without a root judges by what it has itself.
+//! Orders and stages are few and are flooded over all links; stages only advance, so they can be
+//! merged in any order. Counts are summed up on the way to the roots, so that a link carries one
+//! sum, however many nodes are behind it. A node without a path to a root decides by the counts of
+//! its own subtree.
 
 use crate::event::{Action, PlatformRequest};
 use crate::link::{Link, LinkKey, Role};
@@ -15,13 +16,15 @@
 use std::time::{Duration, Instant};
 use wire::control::{Frame, MAX_ROLLOUTS, Part};
 
-/// Time between two sums of one roll-out: its verdict is some of these old at a root.
-const STEP: Duration = Duration::from_millis(250);
+/// Interval between evaluations of a roll-out and reports of its counts.
+///
+/// The counts that a root decides by are a few intervals old.
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long after its end calls keep away from what a completed roll-out has replaced.
-const AFTERMATH: Duration = Duration::from_secs(10);
+/// How long after a completed roll-out calls still avoid the version that it replaced.
+const COMPLETED_GRACE: Duration = Duration::from_secs(10);
 
-/// Where news of roll-outs come from.
+/// Where news of roll-outs comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Origin {
     /// A neighbour.
@@ -32,23 +35,23 @@
 
 /// A roll-out as this node knows it.
 #[derive(Debug)]
-struct Known {
+struct Entry {
     rollout: Rollout,
     /// When it was ordered.
-    ordered: Instant,
-    /// When it was last known to change.
-    changed: Instant,
-    judge: Evaluator,
-    /// Whether its completion is being written; that goes on until it stands.
+    ordered_at: Instant,
+    /// When its stage last changed, as far as this node knows.
+    changed_at: Instant,
+    evaluator: Evaluator,
+    /// Whether its completion is being written to the platform, which is retried until it succeeds.
     is_completing: bool,
-    /// What this node's own calls came to.
-    own: Tally,
+    /// Counts of this node's own calls.
+    local_tally: Tally,
 }
 
-/// What a node knows of roll-outs.
+/// The roll-outs that a node knows of.
 #[derive(Debug, Default)]
 pub(crate) struct RolloutState {
-    known: BTreeMap<SmolStr, Known>,
+    known: BTreeMap<SmolStr, Entry>,
     step_at: Option<Instant>,
 }
 
@@ -57,30 +60,30 @@
         self.step_at
     }
 
-    /// Gives all that is known, as far as one frame takes it.
+    /// Returns all known roll-outs, up to the limit of one frame.
     fn list(&self, now: Instant) -> Vec<Rollout> {
         let all = self.known.values();
-        all.map(|known| known.tell(now))
+        all.map(|known| known.to_rollout(now))
             .take(MAX_ROLLOUTS)
             .collect()
     }
 }
 
-impl Known {
+impl Entry {
     fn new(now: Instant, rollout: &Rollout) -> Self {
         let age = Duration::from_millis(rollout.age_ms.into());
         Self {
             rollout: rollout.clone(),
-            ordered: now.checked_sub(age).unwrap_or(now),
-            changed: now,
-            judge: Evaluator::new(now),
+            ordered_at: now.checked_sub(age).unwrap_or(now),
+            changed_at: now,
+            evaluator: Evaluator::new(now),
             is_completing: false,
-            own: Tally::default(),
+            local_tally: Tally::default(),
         }
     }
 
-    fn tell(&self, now: Instant) -> Rollout {
-        let age = now.saturating_duration_since(self.ordered).as_millis();
+    fn to_rollout(&self, now: Instant) -> Rollout {
+        let age = now.saturating_duration_since(self.ordered_at).as_millis();
         Rollout {
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
             ..self.rollout.clone()
@@ -91,33 +94,33 @@
         !self.rollout.stage.is_final()
     }
 
-    /// Takes in news of the same service; tells whether anything has changed.
+    /// Merges news of the same service; returns whether anything has changed.
     fn merge(&mut self, now: Instant, news: &Rollout) -> bool {
         let known = &self.rollout;
-        if is_next(known, news) {
+        if is_newer_order(known, news) {
             *self = Self::new(now, news);
             return true;
         }
         if known.target != news.target {
             return false;
         }
-        let told = Self::new(now, news);
-        self.ordered = self.ordered.min(told.ordered);
+        let update = Self::new(now, news);
+        self.ordered_at = self.ordered_at.min(update.ordered_at);
         self.rollout.place = known.place.max(news.place);
         if news.stage <= self.rollout.stage {
             return false;
         }
         self.rollout.stage = news.stage;
-        self.changed = now;
+        self.changed_at = now;
         true
     }
 }
 
-/// Tells whether an order comes after another one of its service.
+/// Returns whether `news` is a newer order for the service than `known`.
 ///
-/// One for the same version does when that one has its verdict and the store has not come back
-/// from a copy since: an order that is written again after a drill is the former one.
-fn is_next(known: &Rollout, news: &Rollout) -> bool {
+/// An order for the same version is newer only if the known one has ended and the store has not
+/// been restored from a backup since: an order written again after a restore is the same order.
+fn is_newer_order(known: &Rollout, news: &Rollout) -> bool {
     let is_later = news.place > known.place;
     if known.target != news.target {
         return is_later;
@@ -127,41 +130,41 @@
 }
 
 impl Node {
-    /// Takes roll-outs in, and hands on what is news.
+    /// Merges roll-outs and forwards those that have changed.
     pub(crate) fn on_rollouts(&mut self, now: Instant, origin: Origin, list: &[Rollout]) {
         let mut news = Vec::new();
-        for told in list.iter().take(MAX_ROLLOUTS) {
-            let known = self.rollouts.known.get_mut(&told.service);
+        for update in list.iter().take(MAX_ROLLOUTS) {
+            let known = self.rollouts.known.get_mut(&update.service);
             let is_news = if let Some(known) = known {
-                known.merge(now, told)
+                known.merge(now, update)
             } else {
-                let known = Known::new(now, told);
-                self.rollouts.known.insert(told.service.clone(), known);
+                let known = Entry::new(now, update);
+                self.rollouts.known.insert(update.service.clone(), known);
                 true
             };
-            let Some(known) = self.rollouts.known.get_mut(&told.service) else {
+            let Some(known) = self.rollouts.known.get_mut(&update.service) else {
                 continue;
             };
-            // An order that was away in a drill has taken no report; this one can.
-            known.is_completing &= origin != Origin::Platform || told.stage.is_final();
-            let stands = known.tell(now);
+            // An order that was missing after a restore could not take a report; it can now.
+            known.is_completing &= origin != Origin::Platform || update.stage.is_final();
+            let current = known.to_rollout(now);
             if is_news {
-                news.push(stands.clone());
+                news.push(current.clone());
             }
-            // A verdict that the platform lacks was not written yet, or has been lost.
-            let is_untold = match origin {
-                Origin::Platform => !told.stage.is_final() && stands.target == told.target,
-                Origin::Link(_) => is_news && stands.stage == Stage::Stopped,
+            // An outcome that the platform lacks was not written yet, or has been lost.
+            let is_missing = match origin {
+                Origin::Platform => !update.stage.is_final() && current.target == update.target,
+                Origin::Link(_) => is_news && current.stage == Stage::Stopped,
             };
-            if is_untold && self.lease.is_root() {
-                self.report_verdict(stands);
+            if is_missing && self.lease.is_root() {
+                self.report_outcome(current);
             }
         }
-        self.spread_rollouts(now, Some(origin), &news);
+        self.flood_rollouts(now, Some(origin), &news);
     }
 
-    /// Has the verdict written, if there is one.
-    fn report_verdict(&mut self, rollout: Rollout) {
+    /// Writes the outcome of a roll-out to the platform, if it has one.
+    fn report_outcome(&mut self, rollout: Rollout) {
         let stage = match rollout.stage {
             Stage::Stopped => Stage::RolledBack,
             stage if stage.is_final() => stage,
@@ -171,17 +174,19 @@
             .push(Action::WriteRollout(Rollout { stage, ..rollout }));
     }
 
-    /// Has a zone's first root write all verdicts again, which the platform may have lost.
+    /// Writes all outcomes again if this is the first root of its zone.
+    ///
+    /// The platform may have lost them.
     pub(crate) fn rewrite_outcomes(&mut self, now: Instant) {
         if !self.lease.is_root() || !self.lease.has_lowest_slot(&self.settings.local) {
             return;
         }
         for rollout in self.rollouts.list(now) {
-            self.report_verdict(rollout);
+            self.report_outcome(rollout);
         }
     }
 
-    fn spread_rollouts(&mut self, now: Instant, origin: Option<Origin>, news: &[Rollout]) {
+    fn flood_rollouts(&mut self, now: Instant, origin: Option<Origin>, news: &[Rollout]) {
         if news.is_empty() {
             return;
         }
@@ -190,22 +195,22 @@
                 self.send(link, Frame::Rollouts(news.to_vec()));
             }
         }
-        self.rollouts.step_at.get_or_insert(now + STEP);
-        self.install_rollouts(now);
+        self.rollouts.step_at.get_or_insert(now + STEP_INTERVAL);
+        self.apply_rollouts(now);
     }
 
-    /// Has calls follow the roll-outs as they stand.
-    fn install_rollouts(&mut self, now: Instant) {
+    /// Applies the roll-outs to calls in their current stages.
+    fn apply_rollouts(&mut self, now: Instant) {
         let known = self.rollouts.known.values();
         let followed = known.filter(|known| {
-            let is_over = now >= known.changed + AFTERMATH;
-            known.rollout.stage != Stage::Completed || !is_over
+            let is_past_grace = now >= known.changed_at + COMPLETED_GRACE;
+            known.rollout.stage != Stage::Completed || !is_past_grace
         });
-        let list = followed.map(|known| known.tell(now)).collect();
+        let list = followed.map(|known| known.to_rollout(now)).collect();
         self.actions.push(Action::ApplyRollouts(list));
     }
 
-    /// Tells a new neighbour all that is known.
+    /// Sends all known roll-outs to a new neighbour.
     pub(crate) fn send_rollouts(&mut self, now: Instant, key: LinkKey) {
         let list = self.rollouts.list(now);
         if !list.is_empty() {
@@ -213,25 +218,25 @@
         }
     }
 
-    /// Takes in what the own outbound proxy has counted.
+    /// Records the counts of this node's outbound proxy.
     pub(crate) fn on_local_tallies(&mut self, tallies: Vec<(SmolStr, Tally)>) {
         for (service, tally) in tallies {
             if let Some(known) = self.rollouts.known.get_mut(&service) {
-                known.own = tally;
+                known.local_tally = tally;
             }
         }
     }
 
-    /// Takes in what a neighbour's part of the fleet has counted.
+    /// Records the counts of a neighbour's part of the fleet.
     pub(crate) fn on_neighbour_tallies(&mut self, key: LinkKey, parts: Vec<Part>) {
         if let Some(link) = self.links.get_mut(&key) {
             link.tallies = parts;
         }
     }
 
-    /// Asks the platform what became of roll-outs that go on, for a node that hears from no root.
+    /// Queries the platform for roll-outs, for a node that hears from no root, if any is active.
     pub(crate) fn query_rollouts(&mut self) {
-        if self.rollouts.known.values().any(Known::is_active) {
+        if self.rollouts.known.values().any(Entry::is_active) {
             self.actions
                 .push(Action::QueryPlatform(PlatformRequest::Rollouts));
         }
@@ -241,23 +246,24 @@
         if self.rollouts.step_at.is_none_or(|at| now < at) {
             return;
         }
-        let is_kept = |known: &Known| known.is_active() || now < known.changed + 2 * AFTERMATH;
-        let is_on = self.rollouts.known.values().any(is_kept);
-        self.rollouts.step_at = is_on.then_some(now + STEP);
+        let is_kept =
+            |known: &Entry| known.is_active() || now < known.changed_at + 2 * COMPLETED_GRACE;
+        let is_needed = self.rollouts.known.values().any(is_kept);
+        self.rollouts.step_at = is_needed.then_some(now + STEP_INTERVAL);
         let known = self.rollouts.known.iter();
         let active = known.filter(|(_, known)| known.is_active());
         let active: Vec<_> = active.map(|(service, _)| service.clone()).collect();
         if active.is_empty() {
-            self.install_rollouts(now);
+            self.apply_rollouts(now);
             return;
         }
         for service in &active {
-            self.judge_rollout(now, service);
+            self.evaluate_rollout(now, service);
         }
-        self.tell_parts(&active);
+        self.send_tallies(&active);
     }
 
-    fn judge_rollout(&mut self, now: Instant, service: &SmolStr) {
+    fn evaluate_rollout(&mut self, now: Instant, service: &SmolStr) {
         let is_root = self.lease.is_root();
         if !is_root && self.has_root() {
             return;
@@ -267,56 +273,58 @@
         } else {
             self.subtree_tally(service)
         };
-        let leads = is_root && self.lease.has_lowest_slot(&self.settings.local);
+        let is_leader = is_root && self.lease.has_lowest_slot(&self.settings.local);
         let Some(known) = self.rollouts.known.get_mut(service) else {
             return;
         };
-        known.judge.observe(now, &total);
-        let stands = known.tell(now);
-        let next = match known.judge.decide(now, &stands) {
+        known.evaluator.observe(now, &total);
+        let current = known.to_rollout(now);
+        let next = match known.evaluator.decide(now, &current) {
             Decision::Stop(reason) => {
                 self.actions.push(Action::RolloutStopped {
-                    rollout: stands.clone(),
+                    rollout: current.clone(),
                     reason,
                     tally: total,
                 });
                 Stage::Stopped
             }
-            Decision::Advance(stage) if leads => stage,
+            Decision::Advance(stage) if is_leader => stage,
             Decision::Advance(_) | Decision::Remain => return,
         };
         if next == Stage::Completed {
-            // It takes effect once it is written. Asked again at each step, a slow platform
-            // would never be waited for.
+            // Completion takes effect once the platform has stored it. It is requested only once:
+            // a request at each step would replace the pending one, and a slow platform would
+            // never finish it.
             if std::mem::replace(&mut known.is_completing, true) {
                 return;
             }
             let report = Rollout {
                 stage: next,
-                ..stands
+                ..current
             };
             self.actions.push(Action::WriteRollout(report));
             return;
         }
         known.rollout.stage = next;
-        known.changed = now;
-        let news = known.tell(now);
+        known.changed_at = now;
+        let news = known.to_rollout(now);
         if is_root {
-            self.report_verdict(news.clone());
+            self.report_outcome(news.clone());
         }
-        self.spread_rollouts(now, None, &[news]);
+        self.flood_rollouts(now, None, &[news]);
     }
 
-    /// Tells parents and other roots what this part of the fleet has counted.
-    fn tell_parts(&mut self, services: &[SmolStr]) {
+    /// Sends the counts of this part of the fleet to parents and other roots.
+    fn send_tallies(&mut self, services: &[SmolStr]) {
         for key in self.find_links(|link| matches!(link.role, Role::Parent | Role::RootPeer)) {
             let Some(link) = self.links.get(&key) else {
                 continue;
             };
             let zone = link.peer.as_ref().map(|peer| &peer.zone);
-            let is_far = link.role == Role::RootPeer && zone != Some(&self.settings.local.zone);
+            let is_other_zone =
+                link.role == Role::RootPeer && zone != Some(&self.settings.local.zone);
             let sum = |service: &SmolStr| {
-                if is_far {
+                if is_other_zone {
                     self.zone_tally(service)
                 } else {
                     self.subtree_tally(service)
@@ -359,16 +367,16 @@
         parts.find(|part| part.service == *service && part.target == *target)
     }
 
-    /// Sums up this node and all below it.
+    /// Sums up the counts of this node and its descendants.
     fn subtree_tally(&self, service: &SmolStr) -> Tally {
         let mut sum = self.sum_parts(service, |link| link.role == Role::Child);
         if let Some(known) = self.rollouts.known.get(service) {
-            sum.add(&known.own);
+            sum.add(&known.local_tally);
         }
         sum
     }
 
-    /// Sums up the own zone, on a root.
+    /// Sums up the counts of this zone, on a root.
     fn zone_tally(&self, service: &SmolStr) -> Tally {
         let zone = &self.settings.local.zone;
         let mut sum = self.sum_parts(service, |link| {
@@ -379,7 +387,9 @@
         sum
     }
 
-    /// Sums up all zones, on a root; of several that tell of one zone the fullest sum counts.
+    /// Sums up the counts of all zones, on a root.
+    ///
+    /// If several roots report on one zone, the largest count is used.
     fn fleet_tally(&self, service: &SmolStr) -> Tally {
         let own_zone = &self.settings.local.zone;
         let mut zones: BTreeMap<&SmolStr, &Tally> = BTreeMap::new();
--- a/crates/fleet/src/root_duties.rs
+++ b/crates/fleet/src/root_duties.rs
@@ -1,4 +1,4 @@
-//! What a root does: it reads the platform, keeps its lease and meets other roots.
+//! Duties of a root: reading the platform, keeping its lease and linking to the other roots.
 
 use crate::event::{Action, PlatformRequest, RootLease};
 use crate::link::{LinkKey, Purpose, Role};
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 use wire::control::Frame;
 
-/// Spread of the tries to take a lease that nobody seems to hold.
-const SPREAD: Duration = Duration::from_millis(300);
+/// Jitter of the attempts to acquire a lease that appears to be free.
+const ACQUIRE_JITTER: Duration = Duration::from_millis(300);
 
 impl Node {
     pub(crate) fn send_due_lease_requests(&mut self, now: Instant) {
@@ -21,12 +21,12 @@
         }
     }
 
-    pub(crate) fn on_leases(&mut self, now: Instant, seats: Vec<RootLease>) {
-        self.lease.set_leases(seats);
-        self.learn_roots(now);
+    pub(crate) fn on_leases(&mut self, now: Instant, leases: Vec<RootLease>) {
+        self.lease.set_leases(leases);
+        self.add_root_candidates(now);
         if self.lease.is_root() {
-            self.meet_roots(now);
-            self.nominate(now);
+            self.link_to_roots(now);
+            self.nominate_child(now);
             if !self.is_synced {
                 self.lease.read_soon(now);
             }
@@ -34,40 +34,40 @@
         }
         let candidates = &self.candidates;
         let own = &self.settings.local;
-        let opening = self
+        let free_slot = self
             .lease
             .slot_to_claim(own, |holder| candidates.is_unreachable(holder.address));
-        match opening {
-            // A seat that looked free some seconds ago is mostly taken by now.
+        match free_slot {
+            // A lease that was free some seconds ago is usually taken by now.
             Some(_) if self.search.require_exact_leases(now) => {}
             Some(slot) if self.search.is_active() && !self.is_leaving => {
-                self.take_seat(slot, true);
-                let wait = self.jitter(SPREAD);
-                self.search.retry_at(now + SPREAD + wait);
+                self.request_lease(slot, true);
+                let wait = self.jitter(ACQUIRE_JITTER);
+                self.search.retry_at(now + ACQUIRE_JITTER + wait);
             }
             _ => {
-                let wait = self.jitter(SPREAD / 10);
+                let wait = self.jitter(ACQUIRE_JITTER / 10);
                 self.search.retry_at(now + wait);
             }
         }
     }
 
-    fn learn_roots(&mut self, now: Instant) {
+    fn add_root_candidates(&mut self, now: Instant) {
         let zone = &self.settings.local.zone;
-        for seat in self.lease.leases() {
-            if seat.is_live && seat.holder.zone == *zone {
-                self.candidates.add(seat.holder.address, Source::Root, now);
+        for lease in self.lease.leases() {
+            if lease.is_live && lease.holder.zone == *zone {
+                self.candidates.add(lease.holder.address, Source::Root, now);
             }
         }
     }
 
-    fn take_seat(&mut self, slot: u8, is_forced: bool) {
+    fn request_lease(&mut self, slot: u8, is_forced: bool) {
         if let Some(request) = self.lease.request(slot, is_forced) {
             self.actions.push(Action::QueryPlatform(request));
         }
     }
 
-    fn meet_roots(&mut self, now: Instant) {
+    fn link_to_roots(&mut self, now: Instant) {
         let links = &self.links;
         let own_zone = &self.settings.local.zone;
         let (own, is_new) = (&self.settings.local, !self.is_synced);
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Hands a free lease of the zone to a child.
-    fn nominate(&mut self, now: Instant) {
+    /// Nominates a child for a free lease of the zone.
+    fn nominate_child(&mut self, now: Instant) {
         let zone = self.settings.local.zone.clone();
         let Some(slot) = self.lease.vacant_slot(&zone) else {
             return;
@@ -99,12 +99,12 @@
     }
 
     pub(crate) fn on_nominate(&mut self, key: LinkKey, slot: u8) {
-        let is_parent = self
+        let is_from_parent = self
             .links
             .get(&key)
             .is_some_and(|link| link.role == Role::Parent);
-        if is_parent && self.is_ready() && !self.is_leaving {
-            self.take_seat(slot, false);
+        if is_from_parent && self.is_ready() && !self.is_leaving {
+            self.request_lease(slot, false);
         }
     }
 
@@ -133,17 +133,17 @@
             self.close(dialled);
         }
         self.propagate_path(vec![self.settings.local.node.clone()]);
-        // One that doesn't serve yet has to be told the highest version as well.
+        // A root that does not serve yet also needs to learn the latest version.
         let after = if self.is_ready() {
             self.version()
         } else {
             self.start_initial_reads(now);
             Version::ZERO
         };
-        self.follow(after);
+        self.watch(after);
     }
 
-    fn follow(&mut self, after: Version) {
+    fn watch(&mut self, after: Version) {
         let is_first = self.lease.slot().is_none_or(|slot| slot == 0);
         self.actions
             .push(Action::QueryPlatform(PlatformRequest::Watch {
@@ -152,7 +152,7 @@
             }));
     }
 
-    /// Steps down: somebody took the lease while this node was paused or cut off.
+    /// Steps down: another node took the lease while this one was paused or partitioned.
     pub(crate) fn on_lease_lost(&mut self, now: Instant, slot: u8) {
         if !self.lease.on_lost(slot) {
             if self.search.is_active() {
@@ -162,16 +162,16 @@
         }
         self.actions
             .push(Action::QueryPlatform(PlatformRequest::Unwatch));
-        self.leave_equals();
+        self.leave_other_roots();
         self.set_path(Vec::new());
         self.start_search(now);
     }
 
-    pub(crate) fn leave_equals(&mut self) {
-        for equal in self.find_links(|link| link.role == Role::RootPeer) {
+    pub(crate) fn leave_other_roots(&mut self) {
+        for root in self.find_links(|link| link.role == Role::RootPeer) {
             let parents = Vec::new();
-            self.send(equal, Frame::Leave { parents });
-            self.close(equal);
+            self.send(root, Frame::Leave { parents });
+            self.close(root);
         }
     }
 
@@ -182,11 +182,11 @@
                 self.search.retry_at(now);
             }
             PlatformRequest::Leases { .. } => {
-                let wait = self.jitter(SPREAD);
+                let wait = self.jitter(ACQUIRE_JITTER);
                 self.search.retry_at(now + wait);
             }
             PlatformRequest::LatestVersion { .. } => self.gate.record_platform_failure(now),
-            // Tried again in time, and harmless until then.
+            // Retried later, and harmless until then.
             PlatformRequest::RenewLease { .. }
             | PlatformRequest::ReleaseLease { .. }
             | PlatformRequest::FetchLatest { .. }
@@ -212,21 +212,21 @@
         digest: Digest,
     ) {
         let step = Step {
-            // The journal leaves no number out.
+            // The numbers in the journal have no gaps.
             base: Version(version.0.saturating_sub(1)),
             version,
             patch,
             digest,
         };
-        let taken = self.replica.apply_step(step.clone());
-        if taken == ApplyOutcome::Gap && self.lease.is_root() {
+        let outcome = self.replica.apply_step(step.clone());
+        if outcome == ApplyOutcome::Gap && self.lease.is_root() {
             let after = self.version();
-            self.follow(after);
+            self.watch(after);
         }
-        self.finish_step(now, taken, &step);
+        self.finish_step(now, outcome, &step);
     }
 
-    /// Notes a version that can't be taken, once; operators see it in the node's status.
+    /// Records an invalid version, once; operators see it in the node's status.
     pub(crate) fn on_invalid_version(&mut self, version: Version, reason: SmolStr) {
         if self.replica.refuse(version, reason) {
             self.counters.refusals += 1;
@@ -235,8 +235,8 @@
 
     pub(crate) fn on_platform_full(&mut self, now: Instant, version: Version, mesh: Mesh) {
         match self.replica.apply_newest(version, mesh) {
-            (taken, Some(step)) => self.finish_step(now, taken, &step),
-            (taken, None) => self.handle_outcome(now, taken),
+            (outcome, Some(step)) => self.finish_step(now, outcome, &step),
+            (outcome, None) => self.handle_outcome(now, outcome),
         }
     }
 }
--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -1,4 +1,4 @@
-//! The search for a parent: whom to ask, when, and when to ask the platform.
+//! The search for a parent: which node to ask, when, and when to query the platform.
 
 use crate::event::{Action, PlatformRequest};
 use crate::link::{LinkKey, Purpose, Role};
@@ -9,56 +9,58 @@
 use std::time::{Duration, Instant};
 use wire::control::Frame;
 
-/// Bounds of the wait between rounds of tries among nodes that answer.
+/// Bounds of the backoff between rounds of attempts while nodes answer.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(3));
 
-/// Bounds of the wait between readings of the platform: 14,000 nodes without
-/// any root, each waiting half of this on average, read 1,400 times a second.
-const READINGS: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(20));
+/// Bounds of the backoff between reads of the platform. 14,000 nodes without
+/// any root, each waiting half the maximum on average, read 1,400 times per second.
+const READ_BACKOFF: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(20));
 
-/// Tries in a row without a wait: each refusal names others that have room.
-const TRIES: u32 = 6;
+/// Attempts in a row without a wait; each refusal names other nodes that have room.
+const MAX_ATTEMPTS: u32 = 6;
 
-/// Spread of a herd's first look; each node reads the platform three times at
-/// its start, so that 300 nodes stay below its 2,000 reads a second, and more
-/// are told when to come back.
-const START: Duration = Duration::from_millis(500);
+/// Maximum random delay before the first attempt of a new process.
+///
+/// Each node reads the platform three times at its start. With this delay, 300
+/// nodes that start together stay below the platform's limit of 2,000 reads per
+/// second; beyond that, it tells nodes when to retry.
+const START_JITTER: Duration = Duration::from_millis(500);
 
-/// Longest wait for the platform's answer before the seeds are asked.
-const LEASES: Duration = Duration::from_secs(1);
+/// Maximum wait for the platform's answer before the seeds are asked.
+const LEASES_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time that a parent may be without a root before its children look elsewhere.
-const PATIENCE: (Duration, Duration) = (Duration::from_secs(3), Duration::from_mins(1));
+/// Bounds of the time that a parent may have no path to a root before its children leave it.
+const ROOTLESS_TIMEOUT: (Duration, Duration) = (Duration::from_secs(3), Duration::from_mins(1));
 
-/// How new the platform's word on the leases is to be.
+/// Consistency of the next read of the leases.
 ///
-/// The first look does with what stood some seconds ago, which the platform gives for a tenth of
-/// the price: nearly always the roots that are there still. What rests on a root's being gone
-/// is decided by an exact one.
+/// The first read may be some seconds stale, which costs the platform a tenth of an exact one and
+/// nearly always names the current roots. Decisions that depend on a root being gone need an exact
+/// read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Freshness {
-    Recent,
+    MaybeStale,
     Exact,
 }
 
 /// The search for a parent.
 #[derive(Debug)]
 pub(crate) struct ParentSearch {
-    /// When to try next; none while there is a parent or an answer is awaited.
-    try_at: Option<Instant>,
+    /// When the next attempt is due; none while this node has a parent or is a root.
+    next_attempt_at: Option<Instant>,
     backoff: Backoff,
-    readings: Backoff,
-    tries: u32,
-    /// Whether any node answered in this round.
+    read_backoff: Backoff,
+    attempts: u32,
+    /// Whether any node has answered in this round.
     is_answered: bool,
-    /// Whether the platform is to be asked before the next try.
+    /// Whether to read the leases before the next attempt.
     wants_leases: bool,
-    /// What it is asked for.
+    /// Consistency required of that read.
     freshness: Freshness,
-    dialled: Option<(LinkKey, SocketAddr)>,
+    pending_dial: Option<(LinkKey, SocketAddr)>,
     leave_at: Option<Instant>,
-    patience: Duration,
-    /// Whether the last parent was lost without a farewell.
+    rootless_timeout: Duration,
+    /// Whether the last parent was lost without sending a `Leave` frame.
     pub(crate) was_parent_lost: bool,
 }
 
@@ -68,89 +70,93 @@
         R: Rng,
     {
         Self {
-            try_at: Some(now + START.mul_f64(rng.random::<f64>())),
+            next_attempt_at: Some(now + START_JITTER.mul_f64(rng.random::<f64>())),
             backoff: Backoff::new(BACKOFF.0, BACKOFF.1),
-            readings: Backoff::new(READINGS.0, READINGS.1),
-            tries: 0,
+            read_backoff: Backoff::new(READ_BACKOFF.0, READ_BACKOFF.1),
+            attempts: 0,
             is_answered: false,
             wants_leases: true,
-            freshness: Freshness::Recent,
-            dialled: None,
+            freshness: Freshness::MaybeStale,
+            pending_dial: None,
             leave_at: None,
-            patience: PATIENCE.0,
+            rootless_timeout: ROOTLESS_TIMEOUT.0,
             was_parent_lost: false,
         }
     }
 
     pub(crate) fn deadline(&self) -> Option<Instant> {
-        let try_at = self.try_at.filter(|_| self.dialled.is_none());
-        [try_at, self.leave_at].into_iter().flatten().min()
+        let next_attempt_at = self.next_attempt_at.filter(|_| self.pending_dial.is_none());
+        [next_attempt_at, self.leave_at].into_iter().flatten().min()
     }
 
-    /// Tells whether there is no parent yet.
+    /// Returns whether this node is looking for a parent.
     pub(crate) fn is_active(&self) -> bool {
-        self.try_at.is_some()
+        self.next_attempt_at.is_some()
     }
 
-    /// Takes the link out that is being opened.
+    /// Takes the link that is being opened.
     pub(crate) fn take_pending_dial(&mut self) -> Option<LinkKey> {
-        self.dialled.take().map(|(link, _)| link)
+        self.pending_dial.take().map(|(link, _)| link)
     }
 
-    /// Ends the opening of a link, if it is the one that is being opened; gives its address.
+    /// Clears the pending dial if it is of this link; returns the address that was dialled.
     pub(crate) fn finish_dial(&mut self, link: LinkKey) -> Option<SocketAddr> {
-        let (_, address) = self.dialled.take_if(|(dialled, _)| *dialled == link)?;
+        let (_, address) = self
+            .pending_dial
+            .take_if(|(pending_dial, _)| *pending_dial == link)?;
         Some(address)
     }
 
-    /// Goes on after a try came to nothing, by an answer or by none.
+    /// Continues the search after a failed attempt; `is_answered` if the node answered.
     pub(crate) fn continue_after_attempt(&mut self, is_answered: bool, now: Instant) {
         self.is_answered |= is_answered;
         if self.is_active() {
-            self.try_at = Some(now);
+            self.next_attempt_at = Some(now);
         }
     }
 
-    /// Notes whether the parent has a way to a root; one that has none for long is left.
-    pub(crate) fn update_parent_rooted<R>(&mut self, is_rooted: bool, now: Instant, rng: &mut R)
+    /// Records whether the parent has a path to a root; schedules leaving one that has none.
+    pub(crate) fn update_parent_rooted<R>(&mut self, has_root: bool, now: Instant, rng: &mut R)
     where
         R: Rng,
     {
-        let wait = self.patience + (self.patience / 2).mul_f64(rng.random::<f64>());
-        if is_rooted {
+        let wait = self.rootless_timeout + (self.rootless_timeout / 2).mul_f64(rng.random::<f64>());
+        if has_root {
             self.leave_at = None;
         } else {
             self.leave_at.get_or_insert(now + wait);
         }
     }
 
-    /// Tries again at `at` without asking the platform first.
+    /// Schedules the next attempt for `at`, without reading the leases first.
     pub(crate) fn retry_at(&mut self, at: Instant) {
-        if self.try_at.is_some() {
-            self.try_at = Some(at);
+        if self.next_attempt_at.is_some() {
+            self.next_attempt_at = Some(at);
             self.wants_leases = false;
         }
     }
 
-    /// Asks the platform again, for what stands now, if its last word may have been old.
+    /// Schedules an exact read of the leases if the last one may have been stale.
+    ///
+    /// Returns whether it did.
     pub(crate) fn require_exact_leases(&mut self, now: Instant) -> bool {
         if self.freshness == Freshness::Exact || !self.is_active() {
             return false;
         }
         self.freshness = Freshness::Exact;
         self.wants_leases = true;
-        self.try_at = Some(now);
+        self.next_attempt_at = Some(now);
         true
     }
 
     pub(crate) fn stop(&mut self) {
-        self.freshness = Freshness::Recent;
-        self.try_at = None;
+        self.freshness = Freshness::MaybeStale;
+        self.next_attempt_at = None;
         self.leave_at = None;
-        self.tries = 0;
-        self.patience = PATIENCE.0;
+        self.attempts = 0;
+        self.rootless_timeout = ROOTLESS_TIMEOUT.0;
         self.backoff.reset();
-        self.readings.reset();
+        self.read_backoff.reset();
     }
 }
 
@@ -161,7 +167,7 @@
         }
         self.search.stop();
         self.candidates.reset_attempts();
-        self.search.try_at = Some(now + self.jitter(BACKOFF.0 / 4));
+        self.search.next_attempt_at = Some(now + self.jitter(BACKOFF.0 / 4));
         self.search.wants_leases = false;
     }
 
@@ -169,34 +175,36 @@
         if self.search.leave_at.is_some_and(|at| now >= at) {
             self.leave_parent(now);
         }
-        let is_due = self.search.try_at.is_some_and(|at| now >= at);
-        if !is_due || self.search.dialled.is_some() {
+        let is_due = self.search.next_attempt_at.is_some_and(|at| now >= at);
+        if !is_due || self.search.pending_dial.is_some() {
             return;
         }
         if self.search.wants_leases {
             self.search.wants_leases = false;
-            self.search.try_at = Some(now + LEASES);
+            self.search.next_attempt_at = Some(now + LEASES_TIMEOUT);
             let is_exact = self.search.freshness == Freshness::Exact;
             self.actions
                 .push(Action::QueryPlatform(PlatformRequest::Leases { is_exact }));
             return;
         }
         let name = self.settings.local.node.clone();
-        let next = (self.search.tries < TRIES)
+        let next = (self.search.attempts < MAX_ATTEMPTS)
             .then(|| self.candidates.pick(&name, now))
             .flatten();
         match next {
             Some(address) if self.is_eligible_parent(address) => {
-                self.search.tries += 1;
+                self.search.attempts += 1;
                 let link = self.dial(address, Purpose::Join, now);
-                self.search.dialled = Some((link, address));
+                self.search.pending_dial = Some((link, address));
             }
-            Some(address) => self.candidates.postpone(address, now + PATIENCE.0),
+            Some(address) => self.candidates.postpone(address, now + ROOTLESS_TIMEOUT.0),
             None => self.back_off_search(now),
         }
     }
 
-    /// Waits before the next round; one in which no node answered begins with the platform's leases.
+    /// Waits before the next round.
+    ///
+    /// After a round in which no node answered, the next one begins by reading the leases.
     pub(crate) fn back_off_search(&mut self, now: Instant) {
         let is_answered = std::mem::take(&mut self.search.is_answered);
         let wait = if is_answered {
@@ -205,10 +213,13 @@
             let zone = &self.settings.local.zone;
             let nodes = self.table.iter().filter(|one| one.zone == *zone).count();
             let longest = crate::fallback_poll::poll_interval(nodes);
-            self.search.readings.next_delay(&mut self.rng).min(longest)
+            self.search
+                .read_backoff
+                .next_delay(&mut self.rng)
+                .min(longest)
         };
-        self.search.tries = 0;
-        self.search.try_at = Some(now + wait);
+        self.search.attempts = 0;
+        self.search.next_attempt_at = Some(now + wait);
         self.search.wants_leases = !is_answered;
         self.search.freshness = Freshness::Exact;
     }
@@ -221,15 +232,15 @@
         address != self.settings.local.address && !is_child
     }
 
-    /// Leaves a parent that has had no root for too long.
+    /// Leaves a parent that has had no path to a root for too long.
     fn leave_parent(&mut self, now: Instant) {
         self.search.leave_at = None;
-        let patience = (self.search.patience * 2).min(PATIENCE.1);
+        let rootless_timeout = (self.search.rootless_timeout * 2).min(ROOTLESS_TIMEOUT.1);
         for parent in self.find_links(|link| link.role == Role::Parent) {
             let parents = Vec::new();
             self.send(parent, Frame::Leave { parents });
             self.drop_link(now, parent, true);
         }
-        self.search.patience = patience;
+        self.search.rootless_timeout = rootless_timeout;
     }
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,23 +1,24 @@
-//! What a part of the fleet holds, summed up in bounded size.
+//! Status of a part of the fleet, aggregated in bounded size.
 //!
-//! Each node adds itself to what its children told and tells its parent, so a
-//! link carries one sum, however many nodes stand behind it.
+//! Each node merges its own status with those of its children and reports the
+//! result to its parent, so a link carries one status, however many nodes are
+//! behind it.
 
 use config::Version;
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 use wire::control::{Count, Refusal, Status};
 
-/// Most versions told apart: a fleet in order holds one or two.
+/// Maximum number of versions counted separately; a healthy fleet holds one or two.
 pub const MAX_VERSION_COUNTS: usize = 8;
 
-/// Most names of laggards and most refusals carried.
+/// Maximum number of laggards, and of refusals, in a status.
 pub const MAX_LISTED_NODES: usize = 8;
 
-/// Longest reason of a refusal, in bytes.
+/// Maximum length of the reason of a refusal, in bytes.
 pub const MAX_REASON_BYTES: usize = 160;
 
-/// Gives the status of one node alone.
+/// Returns the status of a single node.
 #[must_use]
 pub fn single_node(version: Version, refusal: Option<Refusal>) -> Status {
     Status {
@@ -27,7 +28,7 @@
     }
 }
 
-/// Sums parts up, each with the name of the node that told it.
+/// Aggregates statuses, each given with the name of the node that reported it.
 #[must_use]
 pub fn aggregate<'a, I>(parts: I) -> Status
 where
@@ -63,13 +64,14 @@
     total
 }
 
-/// Counts all nodes of a status.
+/// Returns the number of nodes covered by a status.
 #[must_use]
 pub fn node_count(status: &Status) -> u32 {
     status.counts.iter().map(|count| count.nodes).sum()
 }
 
-/// Keeps the lowest version and the highest ones; those between count as the next lower one kept.
+/// Keeps the lowest version and the highest ones; nodes of the versions between are added to the
+/// lowest.
 fn bound_counts(counts: BTreeMap<Version, u32>) -> Vec<Count> {
     let mut kept: Vec<_> = counts
         .into_iter()
@@ -82,7 +84,7 @@
     kept
 }
 
-/// Gives a refusal whose reason is cut to its limit.
+/// Creates a refusal, with its reason truncated to [`MAX_REASON_BYTES`].
 #[must_use]
 pub fn refusal(node: &SmolStr, version: Version, reason: &str) -> Refusal {
     let mut end = reason.len().min(MAX_REASON_BYTES);
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! How news of requests that crash backend servers reaches every node.
+//! Propagation of crash reports to every node.
 
 mod world;
 
@@ -7,56 +7,56 @@
 use std::time::Duration;
 use world::{MS, S, World};
 
-/// Time in which a node with a path to the platform must know of a third crash.
-const KNOWN: Duration = Duration::from_secs(3);
+/// Maximum time until a node with a path to the platform holds a request after its third crash.
+const HOLD_DEADLINE: Duration = Duration::from_secs(3);
 
-fn deadly() -> Digest {
+fn crashing_request() -> Digest {
     Digest::of("GET", "", "/s0/deadly", b"")
 }
 
-fn is_held(standing: RequestStatus) -> bool {
-    matches!(standing, RequestStatus::Held { .. })
+fn is_held(status: RequestStatus) -> bool {
+    matches!(status, RequestStatus::Held { .. })
 }
 
 fn all_hold(world: &World) -> bool {
-    world.all_request_status(deadly(), is_held)
+    world.all_request_status(crashing_request(), is_held)
 }
 
-/// Three crashes that three nodes saw must count as three at every node, within milliseconds.
+/// Crashes seen by three different nodes add up to three at every node, within milliseconds.
 #[test]
-fn three_nodes() {
+fn crashes_on_three_nodes() {
     let mut world = World::serving_nodes(20);
     for (id, vm) in (1..).zip([3, 22, 44]) {
         assert!(!all_hold(&world));
-        world.crash(vm, deadly(), id);
+        world.crash(vm, crashing_request(), id);
         world.run(S);
     }
     assert!(all_hold(&world), "{}", world.describe());
     let mut world = World::serving_nodes(20);
     for (id, vm) in (1..).zip([3, 22, 44]) {
-        world.crash(vm, deadly(), id);
+        world.crash(vm, crashing_request(), id);
     }
-    let took = world.run_until(KNOWN, "to hold", all_hold);
+    let took = world.run_until(HOLD_DEADLINE, "to hold", all_hold);
     assert!(took <= 50 * MS, "{took:?}");
 }
 
-/// An answer anywhere must lift the suspicion everywhere.
+/// An answer at any node clears the request at all nodes.
 #[test]
-fn answered() {
+fn cleared_by_answer() {
     let mut world = World::serving_nodes(8);
     for (id, vm) in (1..).zip([0, 1, 2]) {
-        world.crash(vm, deadly(), id);
+        world.crash(vm, crashing_request(), id);
     }
-    world.run_until(KNOWN, "to hold", all_hold);
-    world.answer(17, deadly());
-    world.run_until(KNOWN, "to clear", |world| {
-        world.all_request_status(deadly(), |standing| standing == RequestStatus::Clear)
+    world.run_until(HOLD_DEADLINE, "to hold", all_hold);
+    world.answer(17, crashing_request());
+    world.run_until(HOLD_DEADLINE, "to clear", |world| {
+        world.all_request_status(crashing_request(), |status| status == RequestStatus::Clear)
     });
 }
 
-/// Zones that are cut from each other and see a crash each must all hold the request.
+/// Three partitioned zones that see one crash each must all hold the request.
 #[test]
-fn cut_zones() {
+fn partitioned_zones() {
     for warning in [10 * S, Duration::ZERO] {
         let mut world = World::serving_nodes(6);
         world.partition(0, 1);
@@ -64,33 +64,33 @@
         world.partition(0, 2);
         world.run(warning);
         for (id, vm) in (1..).zip([0, 1, 2]) {
-            world.crash(vm, deadly(), id);
+            world.crash(vm, crashing_request(), id);
         }
-        world.run_until(KNOWN, "to hold", all_hold);
+        world.run_until(HOLD_DEADLINE, "to hold", all_hold);
     }
 }
 
-/// A node that only the platform reaches must not go on by what it knew before.
+/// A node that can reach only the platform must learn of new crashes from it.
 #[test]
-fn cut_node() {
+fn partitioned_node() {
     let mut world = World::serving_nodes(6);
-    let cut = 16;
-    world.drop_incoming(cut);
-    world.drop_outgoing(cut);
+    let isolated = 16;
+    world.drop_incoming(isolated);
+    world.drop_outgoing(isolated);
     for (id, vm) in (1..).zip([0, 1, 2]) {
-        world.crash(vm, deadly(), id);
+        world.crash(vm, crashing_request(), id);
     }
-    world.run_until(KNOWN, "to hold", all_hold);
+    world.run_until(HOLD_DEADLINE, "to hold", all_hold);
 }
 
-/// A node that starts again must know what is held before it serves.
+/// A restarted node must know the held requests before it serves.
 #[test]
-fn restarted() {
+fn restarted_nodes() {
     let mut world = World::serving_nodes(6);
     for (id, vm) in (1..).zip([0, 1, 2]) {
-        world.crash(vm, deadly(), id);
+        world.crash(vm, crashing_request(), id);
     }
-    world.run_until(KNOWN, "to hold", all_hold);
+    world.run_until(HOLD_DEADLINE, "to hold", all_hold);
     for vm in [4, 9, 14] {
         world.kill(vm, false);
         world.run(100 * MS);
@@ -103,19 +103,19 @@
             world.run(MS);
         }
         assert!(
-            is_held(world.request_status(vm, deadly())),
+            is_held(world.request_status(vm, crashing_request())),
             "{}",
             world.describe()
         );
     }
 }
 
-/// A fleet whose nodes are all killed at once must not forget what is held.
+/// The held requests must survive a kill of all nodes at once.
 #[test]
-fn all_restarted() {
+fn whole_fleet_restarted() {
     let mut world = World::serving_nodes(6);
     for (id, vm) in (1..).zip([0, 1, 2]) {
-        world.crash(vm, deadly(), id);
+        world.crash(vm, crashing_request(), id);
     }
     world.run(S);
     let all: Vec<_> = (0..world.vms.len()).collect();
@@ -123,27 +123,28 @@
     world.run_until(5 * S, "to hold again", all_hold);
 }
 
-/// A fleet that restarts whole must not serve before it knows what is held.
+/// If all nodes restart at once, none may serve before it knows the held requests.
 #[test]
-fn known_before_served() {
+fn known_before_serving() {
     let mut world = World::serving_nodes(6);
     for (id, vm) in (1..).zip([0, 1, 2]) {
-        world.crash(vm, deadly(), id);
+        world.crash(vm, crashing_request(), id);
     }
     world.run(S);
     let all: Vec<_> = (0..world.vms.len()).collect();
     world.restart(&all);
     world.check_when_ready(&all, |world, vm| {
-        is_held(world.request_status(vm, deadly()))
+        is_held(world.request_status(vm, crashing_request()))
     });
 }
 
-/// What the platform has lost of crashes must be written again: a fleet that restarts needs it.
+/// Crashes that the platform has lost in a restore must be written again, as a fleet that restarts
+/// as a whole reads them from there.
 #[test]
 fn platform_restored() {
     let mut world = World::serving_nodes(6);
     for (id, vm) in (1..).zip([0, 1, 2]) {
-        world.crash(vm, deadly(), id);
+        world.crash(vm, crashing_request(), id);
     }
     world.run(S);
     world.restore_from_copy();
@@ -151,14 +152,14 @@
     assert!(!world.platform.crashes().is_empty());
 }
 
-/// A crash must cost a node a few hundred bytes and the platform a few writes, however many
-/// nodes there are.
+/// A crash must cost each node at most 300 bytes and the platform at most 2 writes, regardless of
+/// the number of nodes.
 #[test]
-fn cost_a_crash() {
+fn cost_per_crash() {
     for per_zone in [4, 40, 120] {
         let mut world = World::serving_nodes(per_zone);
         let before = (world.crash_report_bytes, world.platform.crash_writes);
-        world.crash(1, deadly(), 1);
+        world.crash(1, crashing_request(), 1);
         world.run(5 * S);
         let nodes = world.vms.len() as u64;
         let bytes = (world.crash_report_bytes - before.0) / nodes;
--- a/crates/fleet/tests/endpoints.rs
+++ b/crates/fleet/tests/endpoints.rs
@@ -1,10 +1,10 @@
-//! Endpoints: merged in any order, gone when they are, held when much falls silent.
+//! The endpoint table and failure detection: merging, expiry, departures and mass losses.
 
 mod world;
 
 use config::{Endpoint, State};
 use fleet::departure::{DepartureGuard, GRACE};
-use fleet::endpoints::{EXPIRE, EndpointTable, MergeOutcome};
+use fleet::endpoints::{ENDPOINT_TTL, EndpointTable, MergeOutcome};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::sync::Arc;
@@ -29,11 +29,11 @@
     })
 }
 
-// Two nodes hear the same announcements by different ways, in another order
-// and partly twice. A caller must find the same endpoints at both, and a
-// backend server that has left must not come back with a late frame.
+// Two nodes get the same announcements over different paths, in another order
+// and partly twice. Both must end up with the same table, and a late frame must
+// not bring back a backend server that has left.
 #[test]
-fn order_free() {
+fn merge_order_irrelevant() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let mut runner = TestRunner::new_with_rng(Config::with_cases(256), rng);
     let state = prop_oneof![
@@ -48,7 +48,7 @@
         let now = Instant::now();
         let fill = |news: &[(usize, u64, u64, State)]| {
             let mut table = EndpointTable::default();
-            // Everybody knows the nodes as such; a tombstone of a stranger is dropped.
+            // Both tables know all nodes, as a tombstone of an unknown node is dropped.
             for node in 0..4 {
                 table.merge(&endpoint(node, 0, 0, State::Serving), now);
             }
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn late_word() {
+fn late_announcement() {
     let now = Instant::now();
     let mut table = EndpointTable::default();
     assert_eq!(
@@ -83,7 +83,7 @@
         table.merge(&endpoint(1, 1, 2, State::Serving), now),
         MergeOutcome::Ignored
     );
-    // Its own further word, or a new process, speaks louder than others' silence.
+    // A later announcement of the node, or of its new process, overrides the tombstone.
     assert_eq!(
         table.merge(&endpoint(1, 1, 3, State::Serving), now),
         MergeOutcome::Changed
@@ -99,38 +99,38 @@
 }
 
 #[test]
-fn expires_twice() {
+fn endpoint_then_tombstone_expires() {
     let now = Instant::now();
     let mut table = EndpointTable::default();
     table.merge(&endpoint(1, 1, 1, State::Serving), now);
-    table.expire(now + EXPIRE);
+    table.expire(now + ENDPOINT_TTL);
     assert_eq!(
         table.get("vm-1").map(|known| known.state),
         Some(State::Gone)
     );
-    table.expire(now + EXPIRE + EXPIRE);
+    table.expire(now + ENDPOINT_TTL + ENDPOINT_TTL);
     assert!(table.get("vm-1").is_none(), "tombstones go too");
     assert_eq!(table.checksum(), EndpointTable::default().checksum());
 }
 
-// A switch fails and a relay loses most of its children at once. They still
-// serve; taking them off the lists would refuse callers for nothing. Silence
-// of one or two is a departure, silence of many is a fault in between.
+// A switch fails and a parent loses most of its children at once, though they
+// still serve. Removing their endpoints would refuse calls needlessly. The loss of
+// one or two nodes counts as departure, the loss of many as a network fault.
 #[test]
-fn many_lost() {
+fn many_nodes_lost() {
     let now = Instant::now();
     let later = now + GRACE;
-    let lose = |count: usize, neighbours: usize, is_rooted: bool| {
+    let lose = |count: usize, neighbours: usize, has_root: bool| {
         let mut guard = DepartureGuard::default();
         for node in 0..count {
             guard.record_lost(&format!("vm-{node}").into(), now);
         }
         assert!(
             guard
-                .take_departed(neighbours, is_rooted, now + MS)
+                .take_departed(neighbours, has_root, now + MS)
                 .is_empty()
         );
-        guard.take_departed(neighbours, is_rooted, later).len()
+        guard.take_departed(neighbours, has_root, later).len()
     };
     assert_eq!(lose(1, 20, true), 1);
     assert_eq!(lose(2, 0, true), 2);
@@ -161,8 +161,8 @@
         .expect("there are leaves")
 }
 
-// A backend server asks to leave. Callers' nodes in all zones must stop
-// sending it work within a few seconds.
+// A backend server announces that it is leaving. Nodes in all zones must learn
+// it within 300 ms, to stop sending it work.
 #[test]
 fn leaving_spreads() {
     let mut world = started(21);
@@ -174,11 +174,10 @@
     assert!(took <= 300 * MS, "{took:?}");
 }
 
-// News of a departure is lost between relays, by whatever fault. Part of the
-// callers' nodes would go on sending work there for hours; the sums in the
-// beats show that two neighbours hold different lists.
+// The frames that announce a departure are lost. Without comparing the checksums
+// in heartbeats, some nodes would go on sending work there for hours.
 #[test]
-fn lost_news() {
+fn lost_departure() {
     let mut world = started(25);
     let vm = leaf(&world);
     world.network_faults = NetworkFaults {
@@ -194,9 +193,9 @@
     });
 }
 
-// A VM dies without a word. Its parent sees the silence, waits for it to show
-// up elsewhere, and then tells the others; a restart under the same name is
-// back at once.
+// A VM fails silently. Its parent detects the silence, waits for the node to appear
+// elsewhere, and then declares it gone. After a restart under the same name it must
+// be back within 3 s.
 #[test]
 fn killed_node() {
     let mut world = started(22);
@@ -212,8 +211,8 @@
     world.run_until(3 * S, "back", |world| everybody(world, 36));
 }
 
-// A node is only slow: its parent gives it up, it finds another. Its backend
-// server serves all the time and must not drop from any list.
+// A parent no longer hears from a slow node, which then finds another parent. Its
+// backend server serves all the time and must stay in all tables.
 #[test]
 fn changed_parent() {
     let mut world = started(23);
@@ -230,10 +229,10 @@
     assert!(world.all_rooted());
 }
 
-// The clock of a VM is set back and its process restarts. What the dead
-// process said last looks newer than all that the new one says, for good.
+// The clock of a VM is set back and its process restarts. Without a correction, the
+// last announcement of the old process would outrank all those of the new one, forever.
 #[test]
-fn clock_back() {
+fn clock_set_back() {
     let mut world = started(24);
     let vm = leaf(&world);
     for back in [0, 10] {
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -1,4 +1,4 @@
-//! Joining: bounded admission, no cycles, and serving only by the newest version heard.
+//! Joining: bounded admission, no cycles, and serving only with the newest version heard of.
 
 use config::Version;
 use fleet::bootstrap::ReadinessGate;
@@ -23,39 +23,39 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-// A thousand nodes ask one root at once. It takes a few, tells the others
-// when to come back, and takes no more than its rate later.
+// A thousand nodes try to join one root at once. It admits a few, tells the others
+// when to retry, and later admits no more than its rate allows.
 #[test]
 fn bounded_admission() {
     let start = Instant::now();
-    let mut door = LeakyBucket::new(1_600 * MS);
-    let taken = |door: &mut LeakyBucket, at| {
-        let tries = (0..1_000).map(|_| door.admit(at, 200 * MS));
+    let mut limiter = LeakyBucket::new(1_600 * MS);
+    let taken = |limiter: &mut LeakyBucket, at| {
+        let tries = (0..1_000).map(|_| limiter.admit(at, 200 * MS));
         tries.flatten().count()
     };
-    assert_eq!(taken(&mut door, start), 8);
-    let wait = door.admit(start, 200 * MS).expect_err("full");
+    assert_eq!(taken(&mut limiter, start), 8);
+    let wait = limiter.admit(start, 200 * MS).expect_err("full");
     assert!(wait <= 200 * MS);
-    assert_eq!(taken(&mut door, start + wait), 1);
-    assert_eq!(taken(&mut door, start + Duration::from_hours(1)), 8);
+    assert_eq!(taken(&mut limiter, start + wait), 1);
+    assert_eq!(taken(&mut limiter, start + Duration::from_hours(1)), 8);
 }
 
-// All twenty nodes of a zone restart and ask the same root, which has 20 kB for
-// each. They waited up to 1.3 s, one after the other. Cause: the door counted
-// children, by the megabyte that each costs in the largest fleet.
+// All twenty nodes of a zone restart and join the same root, which sends 20 kB to
+// each. They waited up to 1.3 s, one after the other, because the limiter charged
+// each child the megabyte that it costs in the largest fleet.
 #[test]
-fn small_children() {
+fn small_children_together() {
     let start = Instant::now();
-    let mut door = LeakyBucket::new(1_600 * MS);
-    assert!((0..20).all(|_| door.admit(start, 4 * MS).is_ok()));
+    let mut limiter = LeakyBucket::new(1_600 * MS);
+    assert!((0..20).all(|_| limiter.admit(start, 4 * MS).is_ok()));
 }
 
-// A zone loses power, and refuses all calls for 10 s after it is back, though the platform
-// answers. Its only lease was of a VM that had been replaced: another VM had its address
-// since, could be reached there, and was no root. The log had `started` of all nodes at
-// 40.5 to 40.7 s and the first `version_installed` at 51.0 s, as the lease ran out.
+// A zone that lost power refused all calls for 10 s after it was back, though the platform
+// answered. Its only lease was held by a VM that had been replaced: another VM used its
+// address, so the holder seemed reachable, but was no root. The log had `started` of all
+// nodes at 40.5 to 40.7 s and the first `version_installed` at 51.0 s, when the lease expired.
 #[test]
-fn address_used_again() {
+fn lease_address_reused() {
     let peer = |node: &str, port| Peer {
         node: node.into(),
         zone: "kl-a".into(),
@@ -74,19 +74,19 @@
     assert!(lease.slot_to_claim(&peer("kl-a-3", 3), |_| true).is_some());
 }
 
-// A fleet grows until one child alone costs more than the door lets in at
-// once. It must still be let in, when nothing else is on the way.
+// In a large fleet, one child alone can cost more than the burst of the limiter. It
+// must still be admitted when no other child is being served.
 #[test]
-fn huge_child() {
+fn oversized_child() {
     let start = Instant::now();
-    let mut door = LeakyBucket::new(1_600 * MS);
-    assert_eq!(door.admit(start, 5_000 * MS), Ok(()));
-    let wait = door.admit(start, 5_000 * MS).expect_err("full");
-    assert_eq!(door.admit(start + wait, 5_000 * MS), Ok(()));
+    let mut limiter = LeakyBucket::new(1_600 * MS);
+    assert_eq!(limiter.admit(start, 5_000 * MS), Ok(()));
+    let wait = limiter.admit(start, 5_000 * MS).expect_err("full");
+    assert_eq!(limiter.admit(start + wait, 5_000 * MS), Ok(()));
 }
 
 #[test]
-fn jittered_waits() {
+fn jittered_backoff() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut backoff = Backoff::new(200 * MS, 3_000 * MS);
     let waits: Vec<_> = (0..200).map(|_| backoff.next_delay(&mut rng)).collect();
@@ -98,10 +98,10 @@
     );
 }
 
-// A zone's nodes look for parents among the same names; no name may get much
-// more than its share.
+// All nodes of a zone choose among the same parent candidates; none may get much
+// more than its share of them.
 #[test]
-fn even_choice() {
+fn even_parent_choice() {
     let now = Instant::now();
     let mut chosen: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for node in 0..2_400 {
@@ -133,42 +133,45 @@
     assert_eq!(candidates.pick("vm", now + 100 * MS), Some(address(1)));
 }
 
-// A VM served by version 40 when its process was killed, and the platform is
-// out. The first peer that the new process hears is a relay that was cut off
-// at 39, then one of a zone that is behind; the VM must not serve by 39
-// before a node of its own zone was heard.
+// A VM served version 40 when its process was killed, and the platform is down.
+// The new process first hears from a node that was partitioned at version 39, then
+// from one in a zone that lags. It must not serve version 39 before it has heard
+// from a node of its own zone.
 #[test]
-fn older_peer() {
+fn lagging_peer() {
     let now = Instant::now();
     let mut gate = ReadinessGate::new();
     gate.record_peer_version(&"cut-off".into(), Version(39), false);
     assert!(
         !gate.begin_platform_query(Version(38), now),
-        "first what was heard of"
+        "the version heard of is not held yet"
     );
     assert!(
         gate.begin_platform_query(Version(39), now) && !gate.begin_platform_query(Version(39), now)
     );
-    assert!(!gate.try_open(Version(39)), "the platform was asked");
+    assert!(
+        !gate.try_open(Version(39)),
+        "the platform has not answered yet"
+    );
     gate.record_platform_failure(now);
     assert!(!gate.try_open(Version(39)));
     assert!(gate.begin_peer_query(now) && !gate.begin_peer_query(now));
     gate.record_peer_version(&"other-zone".into(), Version(39), false);
-    assert!(!gate.try_open(Version(39)), "none of the own zone");
+    assert!(!gate.try_open(Version(39)), "no source in this zone");
     gate.record_peer_version(&"own-zone".into(), Version(40), true);
     assert!(!gate.try_open(Version(39)));
     assert!(
         gate.begin_platform_query(Version(40), now + Duration::from_secs(5)),
-        "asked again"
+        "the platform is queried again"
     );
     assert!(gate.try_open(Version(40)));
     assert!(gate.deadline().is_none());
 }
 
-// As before, but many nodes of a zone that is behind were heard first: the
-// memory for sources was full, and the one that knew better was forgotten.
+// As in `lagging_peer`, but many nodes of a lagging zone are heard from first. They
+// filled the bounded set of sources, and the node with the higher version was ignored.
 #[test]
-fn many_behind() {
+fn many_lagging_peers() {
     let now = Instant::now();
     let mut gate = ReadinessGate::new();
     gate.record_platform_failure(now);
@@ -181,13 +184,16 @@
 }
 
 #[test]
-fn platform_knows() {
+fn platform_suffices() {
     let mut gate = ReadinessGate::new();
-    assert!(!gate.try_open(Version(0)), "nothing heard");
+    assert!(!gate.try_open(Version(0)), "no source");
     gate.record_peer_version(&"only".into(), Version(7), false);
     gate.record_platform_version(Version(9));
     assert!(!gate.try_open(Version(7)));
-    assert!(gate.try_open(Version(9)), "the platform needs no second");
+    assert!(
+        gate.try_open(Version(9)),
+        "the platform needs no second source"
+    );
 }
 
 fn peer(node: &str, port: u16) -> Peer {
@@ -198,7 +204,7 @@
     }
 }
 
-/// A node that looks for its place, a second after its start.
+/// Creates a node that searches for a parent, one second after its start.
 fn searching(now: Instant) -> Node {
     let settings = Settings {
         local: peer("vm-1", 1),
@@ -214,7 +220,7 @@
     node
 }
 
-/// A node that has just connected to its seed.
+/// Creates a node that has just connected to its seed.
 fn connected(now: Instant) -> (Node, LinkKey) {
     let mut node = searching(now);
     let failed = Event::Platform(PlatformResponse::Failed(PlatformRequest::Leases {
@@ -227,7 +233,7 @@
         Action::Connect { link, .. } => Some(*link),
         _ => None,
     });
-    let link = dialled.expect("the seed is asked when the platform is out");
+    let link = dialled.expect("the seed is dialled when the platform is down");
     let event = Event::Connected {
         link,
         peer: peer("vm-2", 2),
@@ -236,16 +242,16 @@
     (node, link)
 }
 
-// A relay loses its parent and, without knowing it, asks one of its own
-// descendants. If it were taken, the two would hold each other up: no version
-// would ever reach them again, and neither would notice.
+// A node loses its parent and unknowingly tries to join one of its own descendants.
+// The resulting cycle would be cut off from all versions, and no node in it would
+// notice.
 #[test]
 fn no_cycle() {
     let now = Instant::now();
     let later = now + Duration::from_secs(2);
     let path =
         |names: &[&str]| -> Vec<SmolStr> { names.iter().map(|name| (*name).into()).collect() };
-    for (names, is_taken) in [(["vm-9", "vm-2"], true), (["vm-1", "vm-2"], false)] {
+    for (names, is_accepted) in [(["vm-9", "vm-2"], true), (["vm-1", "vm-2"], false)] {
         let (mut node, link) = connected(now);
         let frame = Frame::Admit {
             path: path(&names),
@@ -254,7 +260,7 @@
             parents: Vec::new(),
         };
         node.handle(later, Event::Frame { link, frame });
-        assert_eq!(!node.path().is_empty(), is_taken, "{names:?}");
+        assert_eq!(!node.path().is_empty(), is_accepted, "{names:?}");
     }
     let (mut node, link) = connected(now);
     let frame = Frame::Admit {
@@ -272,32 +278,32 @@
     assert!(left && node.path().is_empty(), "{actions:?}");
 }
 
-// A root's VM is restarted under load and takes up its lease again. It served
-// at once by the platform's version with its own backend server alone: until
-// it met another root, its callers were told that no other service had an
-// endpoint. Cause: the platform's word on the version counted as one on endpoints.
+// A root's VM is restarted under load and acquires its lease again. It served at once
+// with the platform's version but only its own backend server: until it was linked to
+// another root, its callers were told that no other service had an endpoint. The
+// platform's answer about the version was taken for one about endpoints.
 #[yare::parameterized(
     met = { true, true },
     silent = { true, false },
     alone = { false, false },
 )]
-fn endpoints_first(is_other_known: bool, is_met: bool) {
+fn endpoints_before_serving(is_other_known: bool, is_met: bool) {
     let start = Instant::now();
     let mut node = searching(start);
-    let seat = |slot, name: &str, port| RootLease {
+    let lease = |slot, name: &str, port| RootLease {
         slot,
         holder: peer(name, port),
         is_live: true,
     };
-    let mut seats = vec![seat(0, "vm-1", 1)];
-    seats.extend(is_other_known.then(|| seat(1, "vm-2", 2)));
+    let mut leases = vec![lease(0, "vm-1", 1)];
+    leases.extend(is_other_known.then(|| lease(1, "vm-2", 2)));
     let granted_at = start + Duration::from_secs(1);
     let installs = |actions: &[Action]| {
         let is_view = |action: &Action| matches!(action, Action::InstallView(_));
         actions.iter().any(is_view)
     };
     let mut answer = |answer| node.handle(granted_at, Event::Platform(answer));
-    answer(PlatformResponse::Leases(seats));
+    answer(PlatformResponse::Leases(leases));
     answer(PlatformResponse::LeaseGranted { slot: 0 });
     answer(PlatformResponse::Crashes(Vec::new()));
     let actions = answer(PlatformResponse::LatestVersion(Version(0)));
@@ -327,28 +333,28 @@
     }
 }
 
-// Every VM that starts asks the platform who its zone's roots are, and a fleet of hundreds is
-// restarted day by day. A word that is some seconds old does, and costs a tenth; but a seat
-// that looks free in it may be taken by now, and is taken only on the platform's exact word.
+// Every VM that starts reads the roots of its zone from the platform, and fleets of hundreds of
+// VMs are restarted every day. A read that may be some seconds stale suffices and costs a tenth;
+// but a lease that is free in it may be taken by now, so acquiring one needs an exact read.
 #[yare::parameterized(
     roots_there = { 3, true },
     none_seen = { 0, false },
 )]
-fn recent_word_first(roots: u8, goes_on: bool) {
+fn stale_read_first(roots: u8, dials_root: bool) {
     let start = Instant::now();
     let mut node = searching(start);
     let names = ["vm-2", "vm-3", "vm-4"];
-    let seats = || {
-        let seats = (0..roots).zip(names).map(|(slot, name)| RootLease {
+    let leases = || {
+        let leases = (0..roots).zip(names).map(|(slot, name)| RootLease {
             slot,
             holder: peer(name, 2 + u16::from(slot)),
             is_live: true,
         });
-        Event::Platform(PlatformResponse::Leases(seats.collect()))
+        Event::Platform(PlatformResponse::Leases(leases.collect()))
     };
     let now = start + Duration::from_secs(1);
     let later = now + 100 * MS;
-    let mut actions = node.handle(now, seats());
+    let mut actions = node.handle(now, leases());
     actions.extend(node.handle(later, Event::Wake));
     let asks = |actions: &[Action], wanted: PlatformRequest| {
         let is_wanted =
@@ -363,11 +369,11 @@
         )
     };
     let dials = |action: &Action| matches!(action, Action::Connect { .. });
-    assert_eq!(actions.iter().any(dials), goes_on, "{actions:?}");
-    assert_eq!(asks(&actions, exact), !goes_on, "{actions:?}");
+    assert_eq!(actions.iter().any(dials), dials_root, "{actions:?}");
+    assert_eq!(asks(&actions, exact), !dials_root, "{actions:?}");
     assert!(!actions.iter().any(takes), "{actions:?}");
-    if !goes_on {
-        let actions = node.handle(later, seats());
+    if !dials_root {
+        let actions = node.handle(later, leases());
         assert!(actions.iter().any(takes), "{actions:?}");
     }
 }
--- a/crates/fleet/tests/refusal.rs
+++ b/crates/fleet/tests/refusal.rs
@@ -1,4 +1,4 @@
-//! A version that one node can't apply stops nobody else, and is reported.
+//! A version that one node cannot apply is reported and does not block other nodes.
 
 use config::{Change, Class, Digest, Held, Mesh, Patch, Repeat, Route, Service, Target, Version};
 use fleet::replica::{ApplyOutcome, Replica, Step};
@@ -35,62 +35,66 @@
     (steps.collect(), held)
 }
 
-fn take(holder: &mut Replica, frame: Frame) -> ApplyOutcome {
+fn apply(replica: &mut Replica, frame: Frame) -> ApplyOutcome {
     match frame {
         Frame::Step {
             base,
             version,
             patch,
             digest,
-        } => holder.apply_step(Step {
+        } => replica.apply_step(Step {
             base,
             version,
             patch,
             digest,
         }),
-        Frame::Chunk(chunk) => holder.apply_chunk(&chunk),
+        Frame::Chunk(chunk) => replica.apply_chunk(&chunk),
         frame => panic!("not a version: {frame:?}"),
     }
 }
 
-// The platform holds a version that the root can't read. Operators saw that it was
-// not in force, and nothing that said why. It is held as refused, with its reason,
-// until a version above it is in force; reading it again tells nothing new.
+// The platform holds a version that the root cannot read. Operators saw that it was
+// not in force, but not why. It must be kept as refused, with its reason, until a higher
+// version is in force; reading it again must not be reported again.
 #[test]
-fn unreadable() {
+fn unreadable_version() {
     let (all, _) = steps(3);
-    let mut holder = Replica::default();
-    holder.apply_step(all[0].clone());
-    assert!(!holder.refuse(Version(1), "in force".into()));
-    assert!(holder.refuse(Version(2), "route shop: odd timeout".into()));
-    assert!(!holder.refuse(Version(2), "route shop: odd timeout".into()));
-    let refused = holder.refused().expect("kept");
+    let mut replica = Replica::default();
+    replica.apply_step(all[0].clone());
+    assert!(!replica.refuse(Version(1), "in force".into()));
+    assert!(replica.refuse(Version(2), "route shop: odd timeout".into()));
+    assert!(!replica.refuse(Version(2), "route shop: odd timeout".into()));
+    let refused = replica.refused().expect("kept");
     assert_eq!(
         (refused.0, refused.1.as_str()),
         (Version(2), "route shop: odd timeout")
     );
-    assert_eq!(holder.version(), Version(1), "what is held stays in force");
-    holder.apply_step(all[1].clone());
-    holder.apply_step(all[2].clone());
-    assert_eq!(holder.refused(), None);
+    assert_eq!(
+        replica.version(),
+        Version(1),
+        "the current version stays in force"
+    );
+    replica.apply_step(all[1].clone());
+    replica.apply_step(all[2].clone());
+    assert_eq!(replica.refused(), None);
 }
 
-// A frame is damaged on its way, or a node's software can't read a version.
-// The node must hold none of it, say so, and come back by the whole of a
-// later version instead of staying behind for good.
+// A frame is corrupted, or a node's software cannot read a version. The node must
+// apply none of it, report it, and recover with the full configuration of a later
+// version instead of lagging forever.
 #[test]
-fn refused_then_whole() {
+fn full_configuration_after_refusal() {
     let (all, held) = steps(4);
-    let mut holder = Replica::default();
-    holder.apply_step(all[0].clone());
+    let mut replica = Replica::default();
+    replica.apply_step(all[0].clone());
     let damaged = Step {
         patch: Arc::new(put("other")),
         ..all[1].clone()
     };
-    assert_eq!(holder.apply_step(damaged), ApplyOutcome::Refused);
-    assert_eq!(holder.version(), Version(1));
+    assert_eq!(replica.apply_step(damaged), ApplyOutcome::Refused);
+    assert_eq!(replica.version(), Version(1));
     assert_eq!(
-        holder.refused().map(|(version, _)| *version),
+        replica.refused().map(|(version, _)| *version),
         Some(Version(2))
     );
     let mut source = Replica::default();
@@ -98,16 +102,16 @@
         source.apply_step(step.clone());
     }
     for frame in source.frames_after(Version(1), true) {
-        assert_eq!(take(&mut holder, frame), ApplyOutcome::Applied);
+        assert_eq!(apply(&mut replica, frame), ApplyOutcome::Applied);
     }
-    assert_eq!(holder.held(), &held);
-    assert!(holder.refused().is_none(), "no longer reported");
+    assert_eq!(replica.held(), &held);
+    assert!(replica.refused().is_none(), "no longer reported");
 }
 
-// A node that was away asks for what it lacks: a few steps when they are
-// still kept, the whole otherwise; never a step that doesn't fit.
+// A node that was away fetches what it lacks: the missing steps if they are still
+// kept, the full configuration otherwise, and never a step with another base version.
 #[test]
-fn ranges_and_wholes() {
+fn steps_or_full_configuration() {
     let (all, held) = steps(80);
     let mut source = Replica::default();
     for step in &all {
@@ -124,16 +128,16 @@
             .all(|frame| matches!(frame, Frame::Step { .. }));
         assert_eq!(is_steps, after >= 16, "64 steps are kept, after {after}");
         for frame in frames {
-            take(&mut behind, frame);
+            apply(&mut behind, frame);
         }
         assert_eq!(behind.held(), &held);
     }
 }
 
 #[test]
-fn chunks_mixed() {
+fn incomplete_chunks() {
     let (all, _) = steps(3);
-    // Names that don't compress, so that the whole is longer than a chunk.
+    // Names that do not compress, so that the configuration is longer than a chunk.
     let mut rng = SmallRng::seed_from_u64(3);
     let names = (0..4_000).map(|_| format!("{:032x}", rng.random::<u128>()));
     let many: Vec<_> = names.flat_map(|name| put(&name).changes).collect();
@@ -158,21 +162,25 @@
     let mut target = Replica::default();
     let last = frames.last().expect("some").clone();
     assert_eq!(
-        take(&mut target, last),
+        apply(&mut target, last),
         ApplyOutcome::Gap,
-        "the end alone is nothing"
+        "the last chunk alone is not enough"
     );
-    let mut taken = Vec::new();
+    let mut outcomes = Vec::new();
     for frame in frames {
-        taken.push(take(&mut target, frame));
+        outcomes.push(apply(&mut target, frame));
     }
-    assert_eq!(taken.pop(), Some(ApplyOutcome::Applied));
-    assert!(taken.iter().all(|taken| *taken == ApplyOutcome::Partial));
+    assert_eq!(outcomes.pop(), Some(ApplyOutcome::Applied));
+    assert!(
+        outcomes
+            .iter()
+            .all(|outcome| *outcome == ApplyOutcome::Partial)
+    );
     assert_eq!(target.held(), source.held());
 }
 
-// An operator asks how the fleet stands while one node of 14,000 refuses a
-// version. The answer must name it, and its size must not grow with nodes.
+// Some of 14,000 nodes refuse a version. The status of the fleet must name refusing
+// nodes, and its size must not grow with the number of nodes.
 #[test]
 fn bounded_status() {
     let name = |index: u64| SmolStr::from(format!("vm-{index}"));
@@ -207,11 +215,11 @@
     assert!(buffer.len() < 2_000, "{} bytes", buffer.len());
 }
 
-// An operator's tool writes whole configurations under numbers that leave some
-// out. The nodes below the one that reads them must get what changed and not
-// the whole each time, and one that missed a step must not take the next.
+// An operator's tool writes whole configurations with gaps in their numbers. The
+// descendants of the node that reads them must get only the changes instead of
+// everything each time, and a node that missed a step must not apply the next one.
 #[test]
-fn steps_of_whole_versions() {
+fn steps_between_full_configurations() {
     let mesh = |count: u64| {
         let patches = (0..count).map(|number| put(&format!("s{number}")));
         patches.fold(config::Mesh::default(), |mesh, patch| {
@@ -230,7 +238,7 @@
     assert_eq!((first.base, first.patch.changes.len()), (Version(3), 1));
     let mut child = Replica::default();
     for frame in source.frames_after(Version::ZERO, true) {
-        take(&mut child, frame);
+        apply(&mut child, frame);
     }
     assert_eq!(child.version(), Version(10));
     let mut behind = Replica::default();
@@ -240,7 +248,7 @@
     let frames = source.frames_after(Version(3), false);
     assert_eq!(frames.len(), 2);
     for frame in frames {
-        assert_eq!(take(&mut behind, frame), ApplyOutcome::Applied);
+        assert_eq!(apply(&mut behind, frame), ApplyOutcome::Applied);
     }
     assert_eq!(behind.held(), source.held());
     assert_eq!(
@@ -249,9 +257,9 @@
     );
 }
 
-// An operator adds 1,640 routes. A root relay has 16 children and a link of
-// 5 Mbit/s, and the last of them served by the old version for 2.6 s. Cause: the
-// step was too long for a frame, and the whole went out as 75 kB to each child.
+// An operator adds 1,640 routes. A root has 16 children and a link of 5 Mbit/s, and
+// the last child served the old version for 2.6 s: the step was too long for a frame,
+// and the full configuration sent instead took 75 kB for each child.
 #[test]
 fn many_routes_short() {
     let mut mesh = Mesh::default();
@@ -275,8 +283,8 @@
         mesh.routes.insert(prefix.into(), route);
     }
     let mut root = Replica::default();
-    let (taken, _) = root.apply_newest(Version(7), mesh.clone());
-    assert_eq!(taken, ApplyOutcome::Applied);
+    let (outcome, _) = root.apply_newest(Version(7), mesh.clone());
+    assert_eq!(outcome, ApplyOutcome::Applied);
     let frames = root.frames_after(Version::ZERO, false);
     let bytes: usize = frames
         .iter()
@@ -285,12 +293,12 @@
             frame => panic!("not whole: {frame:?}"),
         })
         .sum();
-    // 16 children then have it within 0.31 s at 5 Mbit/s.
+    // 16 children then get it within 0.31 s at 5 Mbit/s.
     assert!(bytes < 12_000, "{bytes} bytes");
     let mut child = Replica::default();
     let last = frames
         .into_iter()
-        .map(|frame| take(&mut child, frame))
+        .map(|frame| apply(&mut child, frame))
         .last();
     assert_eq!(last, Some(ApplyOutcome::Applied));
     assert_eq!(**child.held().mesh(), mesh);
--- a/crates/fleet/tests/rollouts.rs
+++ b/crates/fleet/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! How roll-outs of versions spread, and what stands in the end.
+//! Propagation of roll-outs and their outcomes.
 
 mod world;
 
@@ -8,10 +8,11 @@
 
 const SERVICE: &str = "s0";
 
-/// Time that operators give a roll-out.
+/// Duration of a roll-out, as ordered by operators.
 const DURATION: Duration = Duration::from_secs(12);
 
-/// What one proxy has counted after so many seconds of 4 calls to the new and 40 to the old version.
+/// Counts of one proxy after `seconds` seconds, with 4 calls to the new version and 40 to the old
+/// one per second.
 fn tally(seconds: u32, failed_percent: u32) -> Tally {
     let mut tally = Tally::default();
     tally.trial[0] = Counts {
@@ -23,8 +24,10 @@
     tally
 }
 
-/// Runs second by second while all nodes count calls, and ends early once all take it for `end`.
-fn play(world: &mut World, seconds: u32, failed_percent: u32, end: Stage) -> Option<u32> {
+/// Runs the world for up to `seconds` seconds while all nodes count calls.
+///
+/// Returns the second in which all nodes were at stage `end`.
+fn run_with_calls(world: &mut World, seconds: u32, failed_percent: u32, end: Stage) -> Option<u32> {
     for second in 1..=seconds {
         for vm in 0..world.vms.len() {
             world.report_tally(vm, SERVICE, tally(second, failed_percent));
@@ -43,7 +46,7 @@
     vms.all(|vm| world.stage(vm, SERVICE) == Some(stage))
 }
 
-/// A good version must take over everywhere before its time is up.
+/// A good version must be completed at all nodes within the ordered duration.
 #[test]
 fn good_version() {
     let mut world = World::serving_nodes(8);
@@ -51,57 +54,58 @@
     world.run_until(200 * MS, "to hear of it", |world| {
         all_at(world, Stage::Canary)
     });
-    let took = play(&mut world, 12, 0, Stage::Completed);
+    let took = run_with_calls(&mut world, 12, 0, Stage::Completed);
     assert!(took.is_some(), "{:?}", world.stage(0, SERVICE));
     assert_eq!((world.platform.verdicts, world.stopped_versions), (1, 0));
 }
 
-/// A bad version must get nothing more within two seconds, at no node.
+/// A bad version must be rolled back at all nodes within two seconds.
 #[test]
 fn bad_version() {
     let mut world = World::serving_nodes(20);
     world.order_rollout(SERVICE, "v2", DURATION);
     world.run(S);
-    let took = play(&mut world, 3, 30, Stage::RolledBack);
+    let took = run_with_calls(&mut world, 3, 30, Stage::RolledBack);
     assert!(took.is_some_and(|took| took <= 2), "{took:?}");
     assert_eq!(world.platform.verdicts, 1);
 }
 
-/// Zones that are cut from each other must all stop a bad version, by way of the platform.
+/// Partitioned zones must all stop a bad version, which they learn through the platform.
 #[test]
-fn cut_zones() {
+fn partitioned_zones() {
     let mut world = World::serving_nodes(6);
     world.order_rollout(SERVICE, "v2", DURATION);
     world.run(S);
     for (one, other) in [(0, 1), (1, 2), (0, 2)] {
         world.partition(one, other);
     }
-    let took = play(&mut world, 5, 30, Stage::RolledBack);
+    let took = run_with_calls(&mut world, 5, 30, Stage::RolledBack);
     assert!(took.is_some_and(|took| took <= 3), "{took:?}");
 }
 
-/// A verdict that can't be written must stop the version all the same, and be written later.
+/// A bad version must be stopped even if the platform is down, and the outcome be written later.
 #[test]
-fn platform_out() {
+fn platform_down() {
     let mut world = World::serving_nodes(6);
     world.order_rollout(SERVICE, "v2", DURATION);
     world.run(S);
     world.platform.is_down = true;
-    assert!(play(&mut world, 3, 30, Stage::Stopped).is_some());
+    assert!(run_with_calls(&mut world, 3, 30, Stage::Stopped).is_some());
     world.platform.is_down = false;
-    assert!(play(&mut world, 3, 30, Stage::RolledBack).is_some());
+    assert!(run_with_calls(&mut world, 3, 30, Stage::RolledBack).is_some());
     assert_eq!(world.platform.verdicts, 1);
 }
 
-/// A good version must not take over while the platform can't be told: the old endpoints would live on.
+/// A good version must not be completed while the platform is down, or the old endpoints would live
+/// on.
 #[test]
-fn handover_waits() {
+fn completion_waits_for_platform() {
     let mut world = World::serving_nodes(6);
     world.order_rollout(SERVICE, "v2", DURATION);
     world.run(S);
     world.platform.is_down = true;
-    assert_eq!(play(&mut world, 14, 0, Stage::Completed), None);
-    // Each zone's first root goes on by itself, thrice a second here.
+    assert_eq!(run_with_calls(&mut world, 14, 0, Stage::Completed), None);
+    // The first root of each zone goes on reporting by itself, three times per second here.
     let before = world.report_attempts;
     world.run(S);
     assert!((1..=12).contains(&(world.report_attempts - before)));
@@ -111,31 +115,31 @@
         world.stage(0, SERVICE)
     );
     world.platform.is_down = false;
-    assert!(play(&mut world, 3, 0, Stage::Completed).is_some());
+    assert!(run_with_calls(&mut world, 3, 0, Stage::Completed).is_some());
 }
 
-/// A verdict that the platform has lost must be written again, and stand everywhere meanwhile.
+/// An outcome that the platform has lost must be written again, and stay in effect at all nodes.
 #[yare::parameterized(
     good = { 0, Stage::Completed },
     bad = { 30, Stage::RolledBack },
 )]
-fn verdict_lost(failed_percent: u32, end: Stage) {
+fn outcome_lost(failed_percent: u32, end: Stage) {
     let mut world = World::serving_nodes(6);
     world.order_rollout(SERVICE, "v2", DURATION);
     world.run(500 * MS);
-    assert!(play(&mut world, 14, failed_percent, end).is_some());
+    assert!(run_with_calls(&mut world, 14, failed_percent, end).is_some());
     let calls = world.platform.calls;
     world.restore_from_copy();
     world.run(2 * S);
     assert!(all_at(&world, end));
-    let stands = world.platform.rollouts();
-    assert_eq!(stands.first().map(|rollout| rollout.stage), Some(end));
+    let rollouts = world.platform.rollouts();
+    assert_eq!(rollouts.first().map(|rollout| rollout.stage), Some(end));
     assert!(world.platform.calls - calls <= 60, "a storm");
 }
 
-/// A node that starts must know of a trial before it serves, also when all start at once.
+/// A node that starts must know of a roll-out before it serves, also when all nodes start at once.
 #[test]
-fn known_before_served() {
+fn known_before_serving() {
     let mut world = World::serving_nodes(6);
     world.order_rollout(SERVICE, "v2", DURATION);
     world.run(S);
@@ -146,7 +150,8 @@
     }
 }
 
-/// All roots lost in the midst of a trial must leave one verdict, and the one that the calls show.
+/// If all roots are lost during a roll-out, it must still end in one outcome, the one that the
+/// calls show.
 #[yare::parameterized(
     good = { 0, Stage::Completed },
     bad = { 30, Stage::RolledBack },
@@ -165,20 +170,21 @@
     for vm in &roots {
         world.kill(*vm, true);
     }
-    let took = play(&mut world, 24, failed_percent, end);
+    let took = run_with_calls(&mut world, 24, failed_percent, end);
     assert!(took.is_some(), "{}", world.describe());
     assert_eq!(world.platform.verdicts, 1);
 }
 
-/// A trial must cost a node less than half of its control bytes, however many nodes there are.
+/// A roll-out must cost each node at most 2,048 bytes per second, less than half of its control
+/// traffic, regardless of the number of nodes.
 #[test]
-fn cost_a_trial() {
+fn cost_per_rollout() {
     for per_zone in [4, 40, 120] {
         let mut world = World::serving_nodes(per_zone);
         world.order_rollout(SERVICE, "v2", DURATION);
         world.run(S);
         let before = world.rollout_bytes;
-        play(&mut world, 5, 0, Stage::Completed);
+        run_with_calls(&mut world, 5, 0, Stage::Completed);
         let nodes = world.vms.len() as u64;
         let bytes = (world.rollout_bytes - before) / nodes / 5;
         println!("{nodes} nodes: {bytes} bytes a node a second");
@@ -186,9 +192,9 @@
     }
 }
 
-/// A fault that only a zone which is cut off has seen must end the roll-out once it is back.
+/// A fault seen only by a partitioned zone must end the roll-out once the partition heals.
 #[test]
-fn found_apart() {
+fn fault_in_partitioned_zone() {
     let mut world = World::serving_nodes(6);
     world.order_rollout(SERVICE, "v2", 2 * DURATION);
     world.run(S);
