--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -12,10 +12,10 @@
 //! reported by backend servers is not used at all. There is no affinity by
 //! key, so a hot key spreads over all.
 
-use crate::choice::Call;
+use crate::choice::PickContext;
 use crate::duration;
-use crate::load_probe::Pressure;
-use crate::outlier::{self, Others, Phase, Sample};
+use crate::load_probe::ProbeTrigger;
+use crate::outlier::{self, EjectionState, PeerAverages, Sample};
 use crate::server::Server;
 use call::{Digest, owner};
 use rand::Rng;
@@ -123,21 +123,21 @@
 }
 
 /// Load that a refusal stands for.
-const FULL: f64 = 1.5;
+const FULL_LOAD: f64 = 1.5;
 
 /// The backend servers of one service, as one outbound proxy sees them.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) servers: Vec<Server>,
-    free: Vec<u32>,
-    known: HashMap<Identity, u32>,
+    free_indices: Vec<u32>,
+    index_by_identity: HashMap<Identity, u32>,
     /// In the choice, nearest first.
     pub(crate) tiers: [Vec<u32>; 4],
     /// In the choice for calls that try a new version.
     pub(crate) trial: Vec<u32>,
     pub(crate) durations: duration::Estimator,
-    probe_due: Option<Instant>,
-    pub(crate) pressure: Pressure,
+    half_open_at: Option<Instant>,
+    pub(crate) probe_trigger: ProbeTrigger,
 }
 
 impl Balancer {
@@ -146,13 +146,13 @@
     pub fn new() -> Self {
         Self {
             servers: Vec::new(),
-            free: Vec::new(),
-            known: HashMap::new(),
+            free_indices: Vec::new(),
+            index_by_identity: HashMap::new(),
             tiers: Default::default(),
             trial: Vec::new(),
             durations: duration::Estimator::new(duration::SERVICE_ROWS),
-            probe_due: None,
-            pressure: Pressure::default(),
+            half_open_at: None,
+            probe_trigger: ProbeTrigger::default(),
         }
     }
 
@@ -161,25 +161,25 @@
     where
         I: IntoIterator<Item = Candidate>,
     {
-        let first = self.known.is_empty();
+        let is_initial = self.index_by_identity.is_empty();
         for server in &mut self.servers {
-            server.present = false;
+            server.in_view = false;
             // A newer view knows better; one that lags costs a refusal at the door.
             server.leaving = false;
         }
         for candidate in candidates {
-            let index = match self.known.get(&candidate.identity) {
+            let index = match self.index_by_identity.get(&candidate.identity) {
                 Some(index) => *index,
-                None => self.add(now, &candidate, first),
+                None => self.add(now, &candidate, is_initial),
             };
             let server = &mut self.servers[index as usize];
-            server.present = true;
-            server.meet(now, &candidate);
+            server.in_view = true;
+            server.update_process(now, &candidate);
             server.distance = candidate.distance;
             server.arm = candidate.track;
             server.slots = f64::from(candidate.slots.max(1));
         }
-        self.rebuild();
+        self.rebuild_tiers();
     }
 
     /// Gives how many backend servers may be chosen from.
@@ -203,7 +203,8 @@
     /// Tells whether one has just started and is slow for that.
     #[must_use]
     pub fn is_cold(&self, now: Instant, key: Key) -> bool {
-        self.get(key).is_some_and(|server| server.warmth(now) < 1.0)
+        self.get(key)
+            .is_some_and(|server| server.slow_start_weight(now) < 1.0)
     }
 
     /// Gives the identity behind a key, while it is known.
@@ -216,27 +217,27 @@
     ///
     /// Only a `repeatable` call is used to probe one that was ejected: a
     /// commit that a sick backend server swallows is a clerk on the telephone.
-    pub fn pick<R>(&mut self, now: Instant, ask: &PickArgs<'_>, rng: &mut R) -> Option<Key>
+    pub fn pick<R>(&mut self, now: Instant, args: &PickArgs<'_>, rng: &mut R) -> Option<Key>
     where
         R: Rng,
     {
-        let call = Call::new(now, ask);
-        let probe = ask
+        let call = PickContext::new(now, args);
+        let half_open = args
             .repeatable
-            .then(|| self.find_probe(now, ask.tried))
+            .then(|| self.find_half_open(now, args.tried))
             .flatten();
-        let index = probe.or_else(|| self.choose(&call, rng))?;
-        self.servers[index as usize].start(now);
+        let index = half_open.or_else(|| self.select(&call, rng))?;
+        self.servers[index as usize].start_call(now);
         Some(self.key(index))
     }
 
     /// Chooses a backend server for a call that tries a new version, and counts the call to it.
-    pub fn pick_trial<R>(&mut self, now: Instant, ask: &PickArgs<'_>, rng: &mut R) -> Option<Key>
+    pub fn pick_trial<R>(&mut self, now: Instant, args: &PickArgs<'_>, rng: &mut R) -> Option<Key>
     where
         R: Rng,
     {
-        let index = self.choose_of(&self.trial, &Call::new(now, ask), rng)?;
-        self.servers[index as usize].start(now);
+        let index = self.select_of_two(&self.trial, &PickContext::new(now, args), rng)?;
+        self.servers[index as usize].start_call(now);
         Some(self.key(index))
     }
 
@@ -246,16 +247,24 @@
     /// *Load pattern:* a request that crashes what runs it comes at many nodes in the same
     /// instant. *Without one owner* its copies run beside each other, and a whole service is
     /// down before the first crash can hold it; with one they wait there for each other.
-    pub fn pick_owner(&mut self, now: Instant, ask: &PickArgs<'_>, request: Digest) -> Option<Key> {
+    pub fn pick_owner(
+        &mut self,
+        now: Instant,
+        args: &PickArgs<'_>,
+        request: Digest,
+    ) -> Option<Key> {
         let open = self
-            .present()
-            .filter(|index| !ask.tried.contains(&self.key(*index)));
+            .tier_members()
+            .filter(|index| !args.tried.contains(&self.key(*index)));
         let index = open.max_by_key(|index| {
             let server = &self.servers[*index as usize];
-            let is_in = server.health.phase(now) == Phase::In;
-            (is_in, owner::rank(request.seed(), &server.identity.node))
+            let is_active = server.health.state(now) == EjectionState::Active;
+            (
+                is_active,
+                owner::rank(request.seed(), &server.identity.node),
+            )
         })?;
-        self.servers[index as usize].start(now);
+        self.servers[index as usize].start_call(now);
         Some(self.key(index))
     }
 
@@ -272,50 +281,51 @@
         R: Rng,
     {
         if outcome == Outcome::Failed {
-            self.pressure.alarm(now);
+            self.probe_trigger.record_failure(now);
         }
         let Some(server) = self.get_mut(key) else {
             return;
         };
-        server.end(now.checked_sub(took).unwrap_or(now));
+        server.end_call(now.checked_sub(took).unwrap_or(now));
         match outcome {
-            Outcome::Answered(told) => {
-                if let Some(told) = told {
-                    server.tell_load(now, told.load);
-                    self.pressure.tell_load(told.load);
+            Outcome::Answered(report) => {
+                if let Some(report) = report {
+                    server.set_load(now, report.load);
+                    self.probe_trigger.record_load(report.load);
                 }
                 // A wait is told by the load. Counted as slowness as well, it
                 // would keep calls away long after the queue is gone.
-                let took = took.saturating_sub(told.map_or(Duration::ZERO, |told| told.queue_wait));
-                let usual = self.durations.expected(route);
+                let took =
+                    took.saturating_sub(report.map_or(Duration::ZERO, |report| report.queue_wait));
+                let expected = self.durations.expected(route);
                 self.durations.record(route, took, false);
-                let stretch = took.as_secs_f64() / usual.max(1e-6);
-                self.servers[key.index as usize].see(now, stretch);
-                self.weigh(now, key.index, Sample::Answered(stretch), rng);
+                let slowdown = took.as_secs_f64() / expected.max(1e-6);
+                self.servers[key.index as usize].record_slowdown(now, slowdown);
+                self.observe(now, key.index, Sample::Answered(slowdown), rng);
             }
             // How long it would have taken is not known, but that it was slow
             // is. Counted by the time it had, a backend server whose calls are
             // all overtaken would look hardly slow, and go on to get its share.
             Outcome::HedgeWon => {
-                let stretch = took.as_secs_f64() / self.durations.expected(route).max(1e-6);
-                let stretch = stretch.max(outlier::SLOW);
-                self.servers[key.index as usize].see(now, stretch);
-                self.weigh(now, key.index, Sample::Answered(stretch), rng);
+                let slowdown = took.as_secs_f64() / self.durations.expected(route).max(1e-6);
+                let slowdown = slowdown.max(outlier::SLOW_FACTOR);
+                self.servers[key.index as usize].record_slowdown(now, slowdown);
+                self.observe(now, key.index, Sample::Answered(slowdown), rng);
             }
             Outcome::Full => {
-                server.tell_load(now, FULL);
-                self.pressure.tell_load(FULL);
+                server.set_load(now, FULL_LOAD);
+                self.probe_trigger.record_load(FULL_LOAD);
             }
             // Refused although there was room: that is no load but a fault, and
             // one that the others don't have puts it out of the choice.
-            Outcome::Failed | Outcome::Shed => self.weigh(now, key.index, Sample::Failed, rng),
+            Outcome::Failed | Outcome::Shed => self.observe(now, key.index, Sample::Failed, rng),
             Outcome::Leaving => {
                 server.leaving = true;
-                self.rebuild();
+                self.rebuild_tiers();
             }
             Outcome::Cancelled => {}
         }
-        self.forget(key.index);
+        self.free_if_gone(key.index);
     }
 
     /// Tells whether one that has not refused the call is not known to be full.
@@ -324,17 +334,17 @@
     /// tenths of a second, and a further door would be tried for nothing.
     #[must_use]
     pub fn has_room(&self, now: Instant, tried: &[Key]) -> bool {
-        self.present().any(|index| {
+        self.tier_members().any(|index| {
             let server = &self.servers[index as usize];
             !tried.contains(&self.key(index))
-                && server.health.phase(now) == Phase::In
+                && server.health.state(now) == EjectionState::Active
                 && server.load(now) < 1.0
         })
     }
 
-    fn add(&mut self, now: Instant, candidate: &Candidate, first: bool) -> u32 {
-        let mut server = Server::new(now, candidate, first);
-        let index = if let Some(index) = self.free.pop() {
+    fn add(&mut self, now: Instant, candidate: &Candidate, is_initial: bool) -> u32 {
+        let mut server = Server::new(now, candidate, is_initial);
+        let index = if let Some(index) = self.free_indices.pop() {
             let place = &mut self.servers[index as usize];
             server.generation = place.generation;
             *place = server;
@@ -343,15 +353,16 @@
             self.servers.push(server);
             u32::try_from(self.servers.len() - 1).unwrap_or(u32::MAX)
         };
-        self.known.insert(candidate.identity.clone(), index);
+        self.index_by_identity
+            .insert(candidate.identity.clone(), index);
         index
     }
 
-    fn rebuild(&mut self) {
+    fn rebuild_tiers(&mut self) {
         self.tiers.iter_mut().for_each(Vec::clear);
         self.trial.clear();
         for (index, server) in (0..).zip(&self.servers) {
-            if !server.present || server.leaving {
+            if !server.in_view || server.leaving {
                 continue;
             }
             match server.arm {
@@ -361,57 +372,59 @@
             }
         }
         for index in 0..u32::try_from(self.servers.len()).unwrap_or(u32::MAX) {
-            self.forget(index);
+            self.free_if_gone(index);
         }
     }
 
     /// Frees the place of one that is gone, once its last call has ended.
-    fn forget(&mut self, index: u32) {
+    fn free_if_gone(&mut self, index: u32) {
         let server = &mut self.servers[index as usize];
-        if !server.present && server.in_flight == 0 && self.known.remove(&server.identity).is_some()
+        if !server.in_view
+            && server.in_flight == 0
+            && self.index_by_identity.remove(&server.identity).is_some()
         {
             server.generation = server.generation.wrapping_add(1);
-            self.free.push(index);
+            self.free_indices.push(index);
         }
     }
 
-    fn find_probe(&mut self, now: Instant, tried: &[Key]) -> Option<u32> {
-        if self.probe_due.is_none_or(|due| now < due) {
+    fn find_half_open(&mut self, now: Instant, tried: &[Key]) -> Option<u32> {
+        if self.half_open_at.is_none_or(|due| now < due) {
             return None;
         }
-        let found = self.present().find(|index| {
+        let found = self.tier_members().find(|index| {
             let server = &self.servers[*index as usize];
             server.in_flight == 0
-                && server.health.phase(now) == Phase::Probe
+                && server.health.state(now) == EjectionState::HalfOpen
                 && !tried.contains(&self.key(*index))
         });
         if found.is_none() {
-            self.probe_due = self.next_probe();
+            self.half_open_at = self.next_half_open();
         }
         found
     }
 
     /// Tells whether the call is to probe one that was ejected.
-    pub(crate) fn has_probe(&mut self, now: Instant, ask: &PickArgs<'_>) -> bool {
-        ask.repeatable && self.find_probe(now, ask.tried).is_some()
+    pub(crate) fn has_half_open(&mut self, now: Instant, args: &PickArgs<'_>) -> bool {
+        args.repeatable && self.find_half_open(now, args.tried).is_some()
     }
 
-    pub(crate) fn start(&mut self, now: Instant, key: Key) {
+    pub(crate) fn start_call(&mut self, now: Instant, key: Key) {
         if let Some(server) = self.get_mut(key) {
-            server.start(now);
+            server.start_call(now);
         }
     }
 
-    pub(crate) fn tell_load(&mut self, now: Instant, key: Key, load: f64) {
+    pub(crate) fn set_load(&mut self, now: Instant, key: Key, load: f64) {
         if let Some(server) = self.get_mut(key) {
-            server.tell_load(now, load);
+            server.set_load(now, load);
         }
     }
 
     /// Notes that one did not tell its outlook.
-    pub(crate) fn miss(&mut self, now: Instant, key: Key) {
+    pub(crate) fn record_missed_probe(&mut self, now: Instant, key: Key) {
         if let Some(server) = self.get_mut(key) {
-            server.miss(now);
+            server.record_missed_probe(now);
         }
     }
 
@@ -425,66 +438,71 @@
             .map(|server| server.failure_factor(repeatable))
     }
 
-    fn next_probe(&self) -> Option<Instant> {
-        self.present()
-            .filter_map(|index| self.servers[index as usize].health.out_until())
+    fn next_half_open(&self) -> Option<Instant> {
+        self.tier_members()
+            .filter_map(|index| self.servers[index as usize].health.ejected_until())
             .min()
     }
 
-    fn weigh<R>(&mut self, now: Instant, index: u32, sample: Sample, rng: &mut R)
+    fn observe<R>(&mut self, now: Instant, index: u32, sample: Sample, rng: &mut R)
     where
         R: Rng,
     {
-        if self.servers[index as usize].health.take_usual(now, sample) {
+        if self.servers[index as usize]
+            .health
+            .record_if_normal(now, sample)
+        {
             return;
         }
-        let others = self.others(index, now);
+        let peers = self.peer_averages(index, now);
         let server = &mut self.servers[index as usize];
-        if server.health.take(now, sample, &others, rng) {
-            server.restart(now);
+        if server.health.record(now, sample, &peers, rng) {
+            server.restart_slow_start(now);
         }
         let server = &self.servers[index as usize];
-        if server.health.phase(now) != Phase::In || !server.health.is_outlier(&others) {
+        if server.health.state(now) != EjectionState::Active || !server.health.is_outlier(&peers) {
             return;
         }
-        let out = self
-            .present()
-            .filter(|other| self.servers[*other as usize].health.phase(now) != Phase::In)
+        let ejected = self
+            .tier_members()
+            .filter(|other| {
+                self.servers[*other as usize].health.state(now) != EjectionState::Active
+            })
             .count();
-        if outlier::leaves_enough(self.len(), out) {
+        if outlier::can_eject_another(self.len(), ejected) {
             self.servers[index as usize].health.eject(now, rng);
-            self.probe_due = self.next_probe();
+            self.half_open_at = self.next_half_open();
         }
     }
 
     /// Averages over the others in the choice.
-    fn others(&self, index: u32, now: Instant) -> Others {
+    fn peer_averages(&self, index: u32, now: Instant) -> PeerAverages {
         let mut count = 0.0;
-        let mut sum = Others {
-            failures: 0.0,
-            stretch: 0.0,
+        let mut sum = PeerAverages {
+            failure_rate: 0.0,
+            slowdown: 0.0,
         };
-        for other in self.present().filter(|other| *other != index) {
+        for other in self.tier_members().filter(|other| *other != index) {
             let health = &self.servers[other as usize].health;
-            if health.phase(now) == Phase::In {
+            if health.state(now) == EjectionState::Active {
                 count += 1.0;
-                sum.failures += health.failures();
-                sum.stretch += health.stretch();
+                sum.failure_rate += health.failure_rate();
+                sum.slowdown += health.slowdown();
             }
         }
         if count < 1.0 {
-            return Others {
-                failures: 1.0,
-                stretch: f64::INFINITY,
+            return PeerAverages {
+                failure_rate: 1.0,
+                slowdown: f64::INFINITY,
             };
         }
-        Others {
-            failures: sum.failures / count,
-            stretch: sum.stretch / count,
+        PeerAverages {
+            failure_rate: sum.failure_rate / count,
+            slowdown: sum.slowdown / count,
         }
     }
 
-    pub(crate) fn present(&self) -> impl Iterator<Item = u32> {
+    pub(crate) fn tier_members(&self) -> impl Iterator<Item = u32> {
         self.tiers.iter().flatten().copied()
     }
 
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -10,34 +10,34 @@
 use std::time::{Duration, Instant};
 
 /// Quantile of latencies at which a second copy is sent.
-const LATE: f64 = 0.95;
+const HEDGE_QUANTILE: f64 = 0.95;
 
 /// Step of the quantile's estimate, as a share of it.
-const STEP: f64 = 0.05;
+const QUANTILE_STEP: f64 = 0.05;
 
 /// Share of hedges that have to win for hedging to go on.
-const PAYS: f64 = 0.25;
+const MIN_WIN_SHARE: f64 = 0.25;
 
 /// Weight of a hedge's result in the share of those that won: about 20 hedges.
-const WEIGHT: f64 = 0.05;
+const RESULT_WEIGHT: f64 = 0.05;
 
 /// While hedging does not pay, one in so many is sent to see whether it does again.
-const LOOK: u32 = 20;
+const SAMPLE_INTERVAL: u32 = 20;
 
 /// Time without hedges after a refusal for load: copies are load.
-const PAUSE: Duration = Duration::from_secs(1);
+const OVERLOAD_PAUSE: Duration = Duration::from_secs(1);
 
 /// Latencies seen before the quantile is worth acting on.
-const ENOUGH: u32 = 50;
+const MIN_LATENCIES: u32 = 50;
 
 /// Second copies of calls that may be repeated, while they pay.
 #[derive(Debug, Clone, Copy)]
 pub struct HedgePolicy {
-    late: f64,
-    seen: u32,
-    won: f64,
+    quantile: f64,
+    samples: u32,
+    win_share: f64,
     skipped: u32,
-    quiet_until: Instant,
+    paused_until: Instant,
 }
 
 impl HedgePolicy {
@@ -45,53 +45,53 @@
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
-            late: 0.0,
-            seen: 0,
-            won: 1.0,
+            quantile: 0.0,
+            samples: 0,
+            win_share: 1.0,
             skipped: 0,
-            quiet_until: now,
+            paused_until: now,
         }
     }
 
     /// Takes in how long a first copy took, or that it was overtaken after so long.
     pub fn record_latency(&mut self, took: Duration) {
         let took = took.as_secs_f64();
-        self.seen = self.seen.saturating_add(1);
-        if self.seen == 1 {
-            self.late = took;
+        self.samples = self.samples.saturating_add(1);
+        if self.samples == 1 {
+            self.quantile = took;
         }
-        let step = STEP * self.late.max(1e-6);
-        self.late += if took > self.late {
-            step * LATE
+        let step = QUANTILE_STEP * self.quantile.max(1e-6);
+        self.quantile += if took > self.quantile {
+            step * HEDGE_QUANTILE
         } else {
-            -step * (1.0 - LATE)
+            -step * (1.0 - HEDGE_QUANTILE)
         };
     }
 
     /// Takes in that a call was refused for load.
     pub fn pause(&mut self, now: Instant) {
-        self.quiet_until = now + PAUSE;
+        self.paused_until = now + OVERLOAD_PAUSE;
     }
 
     /// Gives the wait after which a second copy of a `repeatable` call is due,
     /// if one is to be sent; that copy is to be paid for by [`RetryBudget::spend`](crate::retry::RetryBudget::spend).
     pub fn delay(&mut self, now: Instant, repeatable: bool) -> Option<Duration> {
-        if !repeatable || self.seen < ENOUGH || now < self.quiet_until {
+        if !repeatable || self.samples < MIN_LATENCIES || now < self.paused_until {
             return None;
         }
-        if self.won < PAYS {
+        if self.win_share < MIN_WIN_SHARE {
             self.skipped += 1;
-            if self.skipped < LOOK {
+            if self.skipped < SAMPLE_INTERVAL {
                 return None;
             }
             self.skipped = 0;
         }
-        Duration::try_from_secs_f64(self.late).ok()
+        Duration::try_from_secs_f64(self.quantile).ok()
     }
 
     /// Takes in whether a second copy was answered before the first.
     pub fn record_result(&mut self, won: bool) {
         let won = if won { 1.0 } else { 0.0 };
-        self.won += WEIGHT * (won - self.won);
+        self.win_share += RESULT_WEIGHT * (won - self.win_share);
     }
 }
--- a/crates/policy/src/load_probe.rs
+++ b/crates/policy/src/load_probe.rs
@@ -11,8 +11,8 @@
 //! passed over: a VM without power says nothing, and a commit that is sent there is lost.
 
 use crate::balance::{Balancer, Distance, Key, PickArgs};
-use crate::choice::{AMPLE, Call, SOONER};
-use crate::outlier::Phase;
+use crate::choice::{FAR_SPEEDUP, PickContext, TARGET_MARGIN};
+use crate::outlier::EjectionState;
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use std::time::{Duration, Instant};
@@ -43,47 +43,47 @@
 ///
 /// With a third of them free, three draws meet a free one seven times in ten; each further
 /// draw costs two messages a call.
-const NEAR: usize = 3;
+const NEAR_PROBES: usize = 3;
 
 /// Backend servers of a further tier that are asked when no near one suffices.
-const FAR: usize = 2;
+const FAR_PROBES: usize = 2;
 
 /// Mean load told from which backend servers are asked before a call is sent.
 ///
 /// Below it nearly any of them has a free slot, and the call saves the trip.
-const PRESSED: f64 = 0.4;
+const PROBE_LOAD: f64 = 0.4;
 
 /// Weight of a further load told in that mean.
-const WEIGHT: f64 = 0.1;
+const LOAD_WEIGHT: f64 = 0.1;
 
 /// Time for which they are asked after a call has failed: one that is gone is in the view of
 /// others for some seconds.
-const ALARM: Duration = Duration::from_secs(5);
+const FAILURE_PROBING: Duration = Duration::from_secs(5);
 
 /// Times its usual duration that a call is taken to run on a backend server that has not run one like it.
-const UNTRIED: f64 = 1.5;
+const UNKNOWN_RUN_FACTOR: f64 = 1.5;
 
 /// Share of its duration up to which a wait at a near one is no reason to ask further away.
-const SHORT_WAIT: f64 = 0.5;
+const SHORT_WAIT_SHARE: f64 = 0.5;
 
 /// What tells whether backend servers are to be asked.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Pressure {
+pub(crate) struct ProbeTrigger {
     load: f64,
-    alarmed_until: Option<Instant>,
+    active_until: Option<Instant>,
 }
 
-impl Pressure {
-    pub(crate) fn tell_load(&mut self, load: f64) {
-        self.load += WEIGHT * (load - self.load);
+impl ProbeTrigger {
+    pub(crate) fn record_load(&mut self, load: f64) {
+        self.load += LOAD_WEIGHT * (load - self.load);
     }
 
-    pub(crate) fn alarm(&mut self, now: Instant) {
-        self.alarmed_until = Some(now + ALARM);
+    pub(crate) fn record_failure(&mut self, now: Instant) {
+        self.active_until = Some(now + FAILURE_PROBING);
     }
 
-    fn is_high(&self, now: Instant) -> bool {
-        self.load > PRESSED || self.alarmed_until.is_some_and(|until| now < until)
+    fn is_active(&self, now: Instant) -> bool {
+        self.load > PROBE_LOAD || self.active_until.is_some_and(|until| now < until)
     }
 }
 
@@ -91,16 +91,16 @@
     /// Gives the backend servers to ask about a call, those of the nearest tier that has any.
     ///
     /// None are given while the service is far from busy: nearly each has a free slot then.
-    pub fn probe_targets<R>(&self, now: Instant, ask: &PickArgs<'_>, rng: &mut R) -> Vec<Key>
+    pub fn probe_targets<R>(&self, now: Instant, args: &PickArgs<'_>, rng: &mut R) -> Vec<Key>
     where
         R: Rng,
     {
-        if !self.pressure.is_high(now) || self.len() < 2 {
+        if !self.probe_trigger.is_active(now) || self.len() < 2 {
             return Vec::new();
         }
-        let mut keys = self.draw_some(Distance::Vm, now, ask, NEAR, rng);
+        let mut keys = self.draw_targets(Distance::Vm, now, args, NEAR_PROBES, rng);
         for tier in [Distance::Zone, Distance::Region, Distance::Far] {
-            let found = self.draw_some(tier, now, ask, NEAR, rng);
+            let found = self.draw_targets(tier, now, args, NEAR_PROBES, rng);
             if !found.is_empty() {
                 keys.extend(found);
                 return keys;
@@ -113,25 +113,28 @@
     pub fn further_probe_targets<R>(
         &self,
         now: Instant,
-        ask: &PickArgs<'_>,
-        seen: &[ProbeResult],
+        args: &PickArgs<'_>,
+        results: &[ProbeResult],
         rng: &mut R,
     ) -> Vec<Key>
     where
         R: Rng,
     {
-        let call = Call::new(now, ask);
+        let call = PickContext::new(now, args);
         if self
-            .find_best(seen, &call)
+            .find_soonest(results, &call)
             .is_some_and(|best| Self::suffices(&best, &call))
         {
             return Vec::new();
         }
-        let farthest = seen.iter().filter_map(|one| self.distance(one.key)).max();
+        let farthest = results
+            .iter()
+            .filter_map(|result| self.distance(result.key))
+            .max();
         let tiers = [Distance::Zone, Distance::Region, Distance::Far];
         let further = tiers.into_iter().filter(|tier| Some(*tier) > farthest);
         further
-            .map(|tier| self.draw_some(tier, now, ask, FAR, rng))
+            .map(|tier| self.draw_targets(tier, now, args, FAR_PROBES, rng))
             .find(|keys| !keys.is_empty())
             .unwrap_or_default()
     }
@@ -142,64 +145,70 @@
     pub fn pick_probed<R>(
         &mut self,
         now: Instant,
-        ask: &PickArgs<'_>,
-        seen: &[ProbeResult],
+        args: &PickArgs<'_>,
+        results: &[ProbeResult],
         rng: &mut R,
     ) -> Option<Key>
     where
         R: Rng,
     {
-        for one in seen {
-            self.take_outlook(now, one);
+        for result in results {
+            self.record_probe(now, result);
         }
-        let call = Call::new(now, ask);
-        let is_near = |one: &&ProbeResult| {
-            self.distance(one.key)
+        let call = PickContext::new(now, args);
+        let is_near = |result: &&ProbeResult| {
+            self.distance(result.key)
                 .is_some_and(|distance| distance <= Distance::Zone)
         };
-        let near: Vec<_> = seen.iter().filter(is_near).copied().collect();
-        let near = self.find_best(&near, &call);
-        let best = self.find_best(seen, &call);
-        let (Some(best), false) = (best, self.has_probe(now, ask)) else {
-            return self.pick(now, ask, rng);
+        let near: Vec<_> = results.iter().filter(is_near).copied().collect();
+        let near = self.find_soonest(&near, &call);
+        let best = self.find_soonest(results, &call);
+        let (Some(best), false) = (best, self.has_half_open(now, args)) else {
+            return self.pick(now, args, rng);
         };
         let chosen = match near {
             Some(near) if Self::suffices(&near, &call) => near,
-            Some(near) if best.takes == near.takes && best.time * SOONER >= near.time => near,
+            Some(near) if best.accepts == near.accepts && best.time * FAR_SPEEDUP >= near.time => {
+                near
+            }
             _ => best,
         };
-        self.start(now, chosen.key);
+        self.start_call(now, chosen.key);
         Some(chosen.key)
     }
 
-    fn take_outlook(&mut self, now: Instant, one: &ProbeResult) {
-        let Some(outlook) = one.estimate else {
-            self.miss(now, one.key);
+    fn record_probe(&mut self, now: Instant, result: &ProbeResult) {
+        let Some(estimate) = result.estimate else {
+            self.record_missed_probe(now, result.key);
             return;
         };
-        self.pressure.tell_load(outlook.load);
-        self.tell_load(now, one.key, outlook.load);
+        self.probe_trigger.record_load(estimate.load);
+        self.set_load(now, result.key, estimate.load);
     }
 
     /// Gives the one that would end the call soonest, of those that would take it if there are any.
-    fn find_best(&self, seen: &[ProbeResult], call: &Call<'_>) -> Option<Prospect> {
-        let prospects = seen.iter().filter_map(|one| self.foresee(one, call));
-        prospects.min_by(|one, two| {
-            let by_taking = two.takes.cmp(&one.takes);
-            by_taking.then(one.cost.total_cmp(&two.cost))
+    fn find_soonest(&self, results: &[ProbeResult], call: &PickContext<'_>) -> Option<Prediction> {
+        let predictions = results
+            .iter()
+            .filter_map(|result| self.predict(result, call));
+        predictions.min_by(|a, b| {
+            let by_acceptance = b.accepts.cmp(&a.accepts);
+            by_acceptance.then(a.cost.total_cmp(&b.cost))
         })
     }
 
-    fn foresee(&self, one: &ProbeResult, call: &Call<'_>) -> Option<Prospect> {
-        let outlook = one.estimate?;
-        let usual = self.durations.expected(call.route);
-        let run = outlook.run.map_or(UNTRIED * usual, |run| run.as_secs_f64());
-        let wait = outlook.wait.as_secs_f64();
-        let failures = self.failure_factor(one.key, call.repeatable)?;
-        let fullness = outlook.load.min(1.0).powi(2);
-        Some(Prospect {
-            key: one.key,
-            takes: outlook.accepts,
+    fn predict(&self, result: &ProbeResult, call: &PickContext<'_>) -> Option<Prediction> {
+        let estimate = result.estimate?;
+        let expected = self.durations.expected(call.route);
+        let run = estimate
+            .run
+            .map_or(UNKNOWN_RUN_FACTOR * expected, |run| run.as_secs_f64());
+        let wait = estimate.wait.as_secs_f64();
+        let failures = self.failure_factor(result.key, call.repeatable)?;
+        let fullness = estimate.load.min(1.0).powi(2);
+        Some(Prediction {
+            key: result.key,
+            accepts: estimate.accepts,
             wait,
             run,
             time: (wait + run) * failures,
@@ -208,20 +217,20 @@
     }
 
     /// Tells whether a near one answers well enough that no further one need be asked.
-    fn suffices(one: &Prospect, call: &Call<'_>) -> bool {
-        let in_time = match call.left {
-            Some(left) => one.time * AMPLE <= left,
-            None => one.wait <= SHORT_WAIT * one.run,
+    fn suffices(prediction: &Prediction, call: &PickContext<'_>) -> bool {
+        let in_time = match call.time_left {
+            Some(time_left) => prediction.time * TARGET_MARGIN <= time_left,
+            None => prediction.wait <= SHORT_WAIT_SHARE * prediction.run,
         };
-        one.takes && in_time
+        prediction.accepts && in_time
     }
 
     /// Draws up to `count` different ones of a tier, a cold one less often.
-    fn draw_some<R>(
+    fn draw_targets<R>(
         &self,
         tier: Distance,
         now: Instant,
-        ask: &PickArgs<'_>,
+        args: &PickArgs<'_>,
         count: usize,
         rng: &mut R,
     ) -> Vec<Key>
@@ -234,14 +243,14 @@
         let drawn: Vec<_> = drawn
             .filter(|index| {
                 let server = &self.servers[*index as usize];
-                !ask.tried.contains(&self.key(*index))
-                    && server.health.phase(now) == Phase::In
-                    && server.is_heard(now)
+                !args.tried.contains(&self.key(*index))
+                    && server.health.state(now) == EjectionState::Active
+                    && server.may_probe(now)
             })
             .collect();
         let warm = drawn.into_iter().filter(|index| {
-            let warmth = self.servers[*index as usize].warmth(now);
-            rng.random_bool(warmth)
+            let slow_start_weight = self.servers[*index as usize].slow_start_weight(now);
+            rng.random_bool(slow_start_weight)
         });
         warm.take(count).map(|index| self.key(index)).collect()
     }
@@ -249,9 +258,9 @@
 
 /// What a call would come to at one that told its outlook.
 #[derive(Debug, Clone, Copy)]
-struct Prospect {
+struct Prediction {
     key: Key,
-    takes: bool,
+    accepts: bool,
     /// Seconds until it gets a slot.
     wait: f64,
     /// Seconds that it then runs.
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -14,35 +14,35 @@
 
 /// Failures in a row that make an outlier at once: by chance, at 10% failures
 /// of all, that is 1 in 100,000 calls.
-const IN_A_ROW: u32 = 5;
+const MAX_CONSECUTIVE_FAILURES: u32 = 5;
 
 /// Slow answers in a row that make an outlier at once: with service times that
 /// vary as much as their mean, by chance 1 in 160,000 calls.
-const SLOW_IN_A_ROW: u32 = 3;
+const MAX_CONSECUTIVE_SLOW: u32 = 3;
 
 /// Share of failures beyond the others' that makes an outlier.
-const FAILING: f64 = 0.3;
+const EXCESS_FAILURE_RATE: f64 = 0.3;
 
 /// Times the others' stretch that makes an outlier.
-pub(crate) const SLOW: f64 = 4.0;
+pub(crate) const SLOW_FACTOR: f64 = 4.0;
 
 /// Weight of a new sample: a window of about ten calls.
-const WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// Samples needed before the shares mean anything.
-const ENOUGH: u32 = 10;
+const MIN_SAMPLES: u32 = 10;
 
 /// First ejection; each further one doubles it.
-const FIRST: Duration = Duration::from_secs(5);
+const FIRST_EJECTION: Duration = Duration::from_secs(5);
 
 /// Longest ejection.
-const LONGEST: Duration = Duration::from_mins(1);
+const MAX_EJECTION: Duration = Duration::from_mins(1);
 
 /// Good probes in a row that bring it back in.
-const PROBES: u32 = 3;
+const RECOVERY_CALLS: u32 = 3;
 
 /// Time in service after which former ejections are forgotten.
-const FORGIVEN: Duration = Duration::from_mins(1);
+const EJECTION_MEMORY: Duration = Duration::from_mins(1);
 
 /// What a call says of the health of its backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -55,32 +55,32 @@
 
 /// Whether a backend server is in the choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum EjectionState {
     /// It is.
-    In,
+    Active,
     /// It is not.
-    Out,
+    Ejected,
     /// One call at a time may try it.
-    Probe,
+    HalfOpen,
 }
 
 /// What calls to one backend server came to.
 #[derive(Debug, Clone, Copy)]
 pub struct Health {
-    failures: f64,
-    stretch: f64,
+    failure_rate: f64,
+    slowdown: f64,
     samples: u32,
-    in_a_row: u32,
-    slow_in_a_row: u32,
-    ejected: Option<Ejection>,
-    times: u32,
-    in_since: Instant,
+    consecutive_failures: u32,
+    consecutive_slow: u32,
+    ejection: Option<Ejection>,
+    ejections: u32,
+    active_since: Instant,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Ejection {
     until: Instant,
-    good: u32,
+    good_calls: u32,
 }
 
 impl Health {
@@ -88,72 +88,78 @@
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
-            failures: 0.0,
-            stretch: 1.0,
+            failure_rate: 0.0,
+            slowdown: 1.0,
             samples: 0,
-            in_a_row: 0,
-            slow_in_a_row: 0,
-            ejected: None,
-            times: 0,
-            in_since: now,
+            consecutive_failures: 0,
+            consecutive_slow: 0,
+            ejection: None,
+            ejections: 0,
+            active_since: now,
         }
     }
 
     /// Gives the share of calls that failed lately.
     #[must_use]
-    pub fn failures(&self) -> f64 {
-        self.failures
+    pub fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 
     /// Gives how many times the usual duration calls took lately.
     #[must_use]
-    pub fn stretch(&self) -> f64 {
-        self.stretch
+    pub fn slowdown(&self) -> f64 {
+        self.slowdown
     }
 
     /// Tells whether it is in the choice.
     #[must_use]
-    pub fn phase(&self, now: Instant) -> Phase {
-        match self.ejected {
-            None => Phase::In,
-            Some(ejection) if now < ejection.until => Phase::Out,
-            Some(_) => Phase::Probe,
+    pub fn state(&self, now: Instant) -> EjectionState {
+        match self.ejection {
+            None => EjectionState::Active,
+            Some(ejection) if now < ejection.until => EjectionState::Ejected,
+            Some(_) => EjectionState::HalfOpen,
         }
     }
 
     /// Gives the end of its ejection.
     #[must_use]
-    pub fn out_until(&self) -> Option<Instant> {
-        self.ejected.map(|ejection| ejection.until)
+    pub fn ejected_until(&self) -> Option<Instant> {
+        self.ejection.map(|ejection| ejection.until)
     }
 
     /// Takes in what a call came to; tells whether a probe brought it back in.
-    pub fn take<R>(&mut self, now: Instant, sample: Sample, others: &Others, rng: &mut R) -> bool
+    pub fn record<R>(
+        &mut self,
+        now: Instant,
+        sample: Sample,
+        peers: &PeerAverages,
+        rng: &mut R,
+    ) -> bool
     where
         R: Rng,
     {
         self.count(sample);
-        let Some(ejection) = &mut self.ejected else {
+        let Some(ejection) = &mut self.ejection else {
             return false;
         };
-        let good = match sample {
-            Sample::Answered(stretch) => stretch < SLOW * others.stretch,
+        let is_good = match sample {
+            Sample::Answered(slowdown) => slowdown < SLOW_FACTOR * peers.slowdown,
             Sample::Failed => false,
         };
-        if !good {
+        if !is_good {
             // Answers to calls from before the ejection come in as well.
             if now >= ejection.until {
                 self.eject(now, rng);
             }
             return false;
         }
-        ejection.good += 1;
-        if now < ejection.until || ejection.good < PROBES {
+        ejection.good_calls += 1;
+        if now < ejection.until || ejection.good_calls < RECOVERY_CALLS {
             return false;
         }
-        let times = self.times;
+        let ejections = self.ejections;
         *self = Self {
-            times,
+            ejections,
             ..Self::new(now)
         };
         true
@@ -161,17 +167,20 @@
 
     /// Tells whether it is far off from the others of its service.
     #[must_use]
-    pub fn is_outlier(&self, others: &Others) -> bool {
-        if self.in_a_row >= IN_A_ROW && others.failures < FAILING {
+    pub fn is_outlier(&self, peers: &PeerAverages) -> bool {
+        if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+            && peers.failure_rate < EXCESS_FAILURE_RATE
+        {
             return true;
         }
-        if self.slow_in_a_row >= SLOW_IN_A_ROW && others.stretch < SLOW / 2.0 {
+        if self.consecutive_slow >= MAX_CONSECUTIVE_SLOW && peers.slowdown < SLOW_FACTOR / 2.0 {
             return true;
         }
-        if self.samples < ENOUGH {
+        if self.samples < MIN_SAMPLES {
             return false;
         }
-        self.failures > others.failures + FAILING || self.stretch > SLOW * others.stretch
+        self.failure_rate > peers.failure_rate + EXCESS_FAILURE_RATE
+            || self.slowdown > SLOW_FACTOR * peers.slowdown
     }
 
     /// Takes it out of the choice, for a time that doubles and is spread by jitter.
@@ -179,14 +188,18 @@
     where
         R: Rng,
     {
-        if self.ejected.is_none() && now.saturating_duration_since(self.in_since) > FORGIVEN {
-            self.times = 0;
+        if self.ejection.is_none()
+            && now.saturating_duration_since(self.active_since) > EJECTION_MEMORY
+        {
+            self.ejections = 0;
         }
-        let wait = FIRST.saturating_mul(1 << self.times.min(8)).min(LONGEST);
-        self.times += 1;
-        self.ejected = Some(Ejection {
+        let wait = FIRST_EJECTION
+            .saturating_mul(1 << self.ejections.min(8))
+            .min(MAX_EJECTION);
+        self.ejections += 1;
+        self.ejection = Some(Ejection {
             until: now + wait.mul_f64(rng.random_range(0.75..1.25)),
-            good: 0,
+            good_calls: 0,
         });
     }
 
@@ -194,49 +207,49 @@
     ///
     /// Judging looks at all others of the service. Most calls are answered as
     /// usual by one that is in the choice, which can make no outlier of it.
-    pub fn take_usual(&mut self, now: Instant, sample: Sample) -> bool {
-        let usual = matches!(sample, Sample::Answered(stretch) if stretch < SLOW);
-        let usual = usual && self.phase(now) == Phase::In;
-        if usual {
+    pub fn record_if_normal(&mut self, now: Instant, sample: Sample) -> bool {
+        let is_normal = matches!(sample, Sample::Answered(slowdown) if slowdown < SLOW_FACTOR);
+        let is_normal = is_normal && self.state(now) == EjectionState::Active;
+        if is_normal {
             self.count(sample);
         }
-        usual
+        is_normal
     }
 
     fn count(&mut self, sample: Sample) {
         self.samples = self.samples.saturating_add(1);
         let failed = match sample {
-            Sample::Answered(stretch) => {
-                self.in_a_row = 0;
-                self.slow_in_a_row = if stretch < SLOW {
+            Sample::Answered(slowdown) => {
+                self.consecutive_failures = 0;
+                self.consecutive_slow = if slowdown < SLOW_FACTOR {
                     0
                 } else {
-                    self.slow_in_a_row + 1
+                    self.consecutive_slow + 1
                 };
                 // One freak value may not eject: ten times the usual is as bad as it gets.
-                self.stretch += WEIGHT * (stretch.min(10.0) - self.stretch);
+                self.slowdown += SAMPLE_WEIGHT * (slowdown.min(10.0) - self.slowdown);
                 0.0
             }
             Sample::Failed => {
-                self.in_a_row += 1;
+                self.consecutive_failures += 1;
                 1.0
             }
         };
-        self.failures += WEIGHT * (failed - self.failures);
+        self.failure_rate += SAMPLE_WEIGHT * (failed - self.failure_rate);
     }
 }
 
 /// The other backend servers of a service, on average.
 #[derive(Debug, Clone, Copy)]
-pub struct Others {
+pub struct PeerAverages {
     /// Share of calls that failed.
-    pub failures: f64,
+    pub failure_rate: f64,
     /// Times the usual duration.
-    pub stretch: f64,
+    pub slowdown: f64,
 }
 
 /// Tells whether one more may be taken out of `total`, when `out` are already.
 #[must_use]
-pub fn leaves_enough(total: usize, out: usize) -> bool {
-    (out + 1) * 2 <= total
+pub fn can_eject_another(endpoints: usize, ejected: usize) -> bool {
+    (ejected + 1) * 2 <= endpoints
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -94,31 +94,32 @@
 
 /// Tokens that a budget starts with and can hold: a quiet service may try
 /// again too, and saved-up successes allow no storm.
-const MOST: f64 = 10.0;
+const MAX_TOKENS: f64 = 10.0;
 
 /// Tokens a second that come without successes, for services with a call now and then.
-const TRICKLE: f64 = 0.2;
+const TOKENS_PER_SECOND: f64 = 0.2;
 
 /// Doors that a call may be turned away from. What outbound proxies know of
 /// loads is some hundred milliseconds old, so that the first choice may be full
 /// while another has room; with three doors of a service's four, 97 in 100 find
 /// the room that a third of its backend servers have. Each costs a round trip.
-const DOORS: u8 = 3;
+const MAX_ADMISSION_ATTEMPTS: u8 = 3;
 
 /// Backend servers that may end under one call: one may have been taken down by another
 /// call that it ran beside; a second one speaks against the call itself.
 const MAX_CRASHES: u8 = 2;
 
 /// Ceilings of the wait before a try of a call that failed.
-const WAIT: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(200));
+const BACKOFF_CEILINGS: (Duration, Duration) =
+    (Duration::from_millis(5), Duration::from_millis(200));
 
 /// Retries of one service: a share of its successes, and within the part of the
 /// fleet's allowance where operators bound the fleet.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     tokens: f64,
-    share: f64,
-    at: Instant,
+    success_share: f64,
+    refilled_at: Instant,
     allowance: Option<RetryQuota>,
 }
 
@@ -127,9 +128,9 @@
     #[must_use]
     pub fn new(now: Instant, percent: u8) -> Self {
         Self {
-            tokens: if percent == 0 { 0.0 } else { MOST },
-            share: f64::from(percent) / 100.0,
-            at: now,
+            tokens: if percent == 0 { 0.0 } else { MAX_TOKENS },
+            success_share: f64::from(percent) / 100.0,
+            refilled_at: now,
             allowance: None,
         }
     }
@@ -166,33 +167,36 @@
 
     /// Takes in the share that a new configuration names.
     pub fn set_percent(&mut self, percent: u8) {
-        self.share = f64::from(percent) / 100.0;
+        self.success_share = f64::from(percent) / 100.0;
     }
 
     /// Takes in a success of a first try.
     pub fn record_success(&mut self) {
-        self.tokens = (self.tokens + self.share).min(MOST);
+        self.tokens = (self.tokens + self.success_share).min(MAX_TOKENS);
     }
 
     /// Decides what follows a try that came to nothing.
-    pub fn decide<R>(&mut self, now: Instant, tried: &FailedAttempt, rng: &mut R) -> Decision
+    pub fn decide<R>(&mut self, now: Instant, failed: &FailedAttempt, rng: &mut R) -> Decision
     where
         R: Rng,
     {
-        if let Some(stop) = find_stop(tried) {
-            return Decision::GiveUp(stop);
+        if let Some(reason) = find_give_up_reason(failed) {
+            return Decision::GiveUp(reason);
         }
-        let wait = match tried.cause {
+        let wait = match failed.cause {
             Cause::Leaving | Cause::Unreached | Cause::Full | Cause::Shed => Duration::ZERO,
-            Cause::Failed | Cause::Held => draw_wait(tried.attempts, rng),
+            Cause::Failed | Cause::Held => draw_backoff(failed.attempts, rng),
         };
-        if now + wait + tried.expected_duration > tried.deadline {
+        if now + wait + failed.expected_duration > failed.deadline {
             return Decision::GiveUp(GiveUpReason::Deadline);
         }
         // Refused at the door, by one that leaves, is full or is not there, the
         // call has cost no backend server anything: a rolling restart, or one that is slow
         // while the others have room, must not use up the budget.
-        let is_free = matches!(tried.cause, Cause::Leaving | Cause::Unreached | Cause::Full);
+        let is_free = matches!(
+            failed.cause,
+            Cause::Leaving | Cause::Unreached | Cause::Full
+        );
         if is_free || self.spend(now) {
             Decision::Retry(wait)
         } else {
@@ -202,10 +206,16 @@
 
     /// Takes a token, if there is one.
     pub fn spend(&mut self, now: Instant) -> bool {
-        let age = now.saturating_duration_since(self.at).as_secs_f64();
-        let trickle = if self.share > 0.0 { TRICKLE } else { 0.0 };
-        self.tokens = (self.tokens + age * trickle).min(MOST);
-        self.at = now;
+        let age = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        let refill_rate = if self.success_share > 0.0 {
+            TOKENS_PER_SECOND
+        } else {
+            0.0
+        };
+        self.tokens = (self.tokens + age * refill_rate).min(MAX_TOKENS);
+        self.refilled_at = now;
         if self.tokens < 1.0 {
             return false;
         }
@@ -219,37 +229,40 @@
     }
 }
 
-fn find_stop(tried: &FailedAttempt) -> Option<GiveUpReason> {
-    let harmless = match tried.verdict {
+fn find_give_up_reason(failed: &FailedAttempt) -> Option<GiveUpReason> {
+    let is_safe = match failed.verdict {
         Verdict::NotRun => true,
-        Verdict::MayHaveRun => tried.repeatable,
+        Verdict::MayHaveRun => failed.repeatable,
         // It was answered; whatever the answer, it is the caller's.
         Verdict::Ran => false,
     };
-    if !harmless {
+    if !is_safe {
         return Some(GiveUpReason::Unsafe);
     }
-    if tried.crashes >= MAX_CRASHES || tried.cause == Cause::Held {
+    if failed.crashes >= MAX_CRASHES || failed.cause == Cause::Held {
         return Some(GiveUpReason::Crashes);
     }
-    let is_used_up = match tried.cause {
+    let is_exhausted = match failed.cause {
         Cause::Leaving | Cause::Unreached => false,
         // Turned away at the door, it has cost no backend server anything.
-        Cause::Full => tried.attempts >= DOORS.max(tried.max_attempts),
-        Cause::Shed | Cause::Failed | Cause::Held => tried.dispatched >= tried.max_attempts,
+        Cause::Full => failed.attempts >= MAX_ADMISSION_ATTEMPTS.max(failed.max_attempts),
+        Cause::Shed | Cause::Failed | Cause::Held => failed.dispatched >= failed.max_attempts,
     };
-    if is_used_up || !tried.has_alternative {
+    if is_exhausted || !failed.has_alternative {
         return Some(GiveUpReason::Exhausted);
     }
-    (tried.retried_by_caller && tried.cause != Cause::Leaving)
+    (failed.retried_by_caller && failed.cause != Cause::Leaving)
         .then_some(GiveUpReason::RetriedByCaller)
 }
 
-fn draw_wait<R>(tries: u8, rng: &mut R) -> Duration
+fn draw_backoff<R>(attempts: u8, rng: &mut R) -> Duration
 where
     R: Rng,
 {
-    let doublings = u32::from(tries.saturating_sub(1).min(16));
-    let ceiling = WAIT.0.saturating_mul(1 << doublings).min(WAIT.1);
+    let doublings = u32::from(attempts.saturating_sub(1).min(16));
+    let ceiling = BACKOFF_CEILINGS
+        .0
+        .saturating_mul(1 << doublings)
+        .min(BACKOFF_CEILINGS.1);
     backoff::Backoff::new(ceiling, ceiling).next_delay(rng)
 }
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -13,14 +13,14 @@
 const SLOW_START: Duration = Duration::from_secs(5);
 
 /// Share of its calls that a cold backend server begins with.
-const COLD: f64 = 0.1;
+const MIN_SLOW_START_WEIGHT: f64 = 0.1;
 
 /// Time over which what an inbound proxy said of its load is forgotten.
-const HINT_MEMORY: f64 = 0.3;
+const LOAD_DECAY_TIME: f64 = 0.3;
 
 /// Time over which a bad latency is forgotten if no call renews it: one that is
 /// avoided would otherwise be avoided for ever.
-const STRETCH_MEMORY: f64 = 10.0;
+const SLOWDOWN_DECAY_TIME: f64 = 10.0;
 
 /// Share of its slots up to which a further call finds one free, however old
 /// the figures are.
@@ -28,24 +28,24 @@
 /// From there on the wait is taken to grow with the square of what is over: a
 /// quarter of a call's duration when the last slot is taken, and a whole one
 /// at half as many calls again as slots.
-const FREE: f64 = 0.5;
+const FREE_LOAD: f64 = 0.5;
 
 /// Weight of a new latency.
-const WEIGHT: f64 = 0.1;
+const SLOWDOWN_WEIGHT: f64 = 0.1;
 
 /// Time for which one that did not tell its outlook is not asked again: each question that
 /// nobody answers holds its call up by the whole patience of whoever asks.
-const UNHEARD: Duration = Duration::from_millis(500);
+const PROBE_PAUSE: Duration = Duration::from_millis(500);
 
 /// What failures add to a score: at 10% failures it doubles.
 const FAILURE_COST: f64 = 10.0;
 
 /// The same for calls that may not be repeated, each of which is lost if it
 /// fails: after one failure, nearly any other backend server is better.
-const UNSAFE_FAILURE_COST: f64 = 100.0;
+const UNREPEATABLE_FAILURE_COST: f64 = 100.0;
 
 /// Answers seen before one's own latency counts.
-const ENOUGH: u32 = 3;
+const MIN_ANSWERS: u32 = 3;
 
 /// A backend server as one outbound proxy sees it.
 #[derive(Debug)]
@@ -54,52 +54,52 @@
     pub(crate) generation: u32,
     /// The process behind its node, as it was last told.
     process: u64,
-    pub(crate) present: bool,
+    pub(crate) in_view: bool,
     pub(crate) leaving: bool,
     pub(crate) distance: Distance,
     pub(crate) arm: Track,
     pub(crate) slots: f64,
     pub(crate) in_flight: u32,
     /// Sum of the starts of the calls in flight, in seconds since `epoch`.
-    starts: f64,
+    start_sum: f64,
     epoch: Instant,
-    stretch: f64,
+    slowdown: f64,
     answers: u32,
-    seen_at: Instant,
+    answered_at: Instant,
     load: f64,
-    load_at: Instant,
-    pub(crate) warm_from: Option<Instant>,
+    load_reported_at: Instant,
+    pub(crate) slow_start_from: Option<Instant>,
     /// Time from then on until it gets its full share.
     slow_start: Duration,
     /// Until when it is not asked, as it did not answer.
-    unheard_until: Option<Instant>,
+    probes_paused_until: Option<Instant>,
     pub(crate) health: Health,
 }
 
 impl Server {
     /// Starts as healthy and fast; cold, unless it is one of the `first` seen.
-    pub(crate) fn new(now: Instant, candidate: &Candidate, first: bool) -> Self {
+    pub(crate) fn new(now: Instant, candidate: &Candidate, is_initial: bool) -> Self {
         Self {
             identity: candidate.identity.clone(),
             generation: 0,
             process: candidate.process,
-            present: true,
+            in_view: true,
             leaving: false,
             distance: candidate.distance,
             arm: candidate.track,
             slots: 1.0,
             in_flight: 0,
-            starts: 0.0,
+            start_sum: 0.0,
             epoch: now,
-            stretch: 1.0,
+            slowdown: 1.0,
             answers: 0,
-            seen_at: now,
+            answered_at: now,
             load: 0.0,
-            load_at: now,
+            load_reported_at: now,
             // At one's own start all are new, and none of them is cold for that.
-            warm_from: (!first).then_some(now),
+            slow_start_from: (!is_initial).then_some(now),
             slow_start: candidate.warm_up.unwrap_or(SLOW_START),
-            unheard_until: None,
+            probes_paused_until: None,
             health: Health::new(now),
         }
     }
@@ -109,40 +109,47 @@
     /// Its node was not restarted, so that nothing else tells it from the former
     /// one: it would get a warm one's share of the calls while it is cold, and be
     /// judged by what the other did.
-    pub(crate) fn meet(&mut self, now: Instant, candidate: &Candidate) {
+    pub(crate) fn update_process(&mut self, now: Instant, candidate: &Candidate) {
         if self.process == candidate.process {
             return;
         }
         self.process = candidate.process;
         self.health = Health::new(now);
-        self.restart(now);
+        self.restart_slow_start(now);
         self.slow_start = candidate.warm_up.unwrap_or(SLOW_START);
     }
 
     /// Starts again as it is back from an ejection.
-    pub(crate) fn restart(&mut self, now: Instant) {
-        self.warm_from = Some(now);
+    pub(crate) fn restart_slow_start(&mut self, now: Instant) {
+        self.slow_start_from = Some(now);
         self.slow_start = SLOW_START;
-        self.stretch = 1.0;
+        self.slowdown = 1.0;
         self.answers = 0;
     }
 
     /// Gives a figure that evens out load: the lower, the less there is in front of a further call.
     /// `usual` is the mean duration, in seconds, of the service's calls.
-    pub(crate) fn score(&self, now: Instant, usual: f64, repeatable: bool) -> f64 {
-        (self.load(now) + 1.0 / self.slots) * self.slowness(now, usual, repeatable)
+    pub(crate) fn load_score(&self, now: Instant, mean_duration: f64, repeatable: bool) -> f64 {
+        (self.load(now) + 1.0 / self.slots) * self.cost_factor(now, mean_duration, repeatable)
     }
 
     /// Gives how soon a further call would be answered, in usual durations.
-    pub(crate) fn finish(&self, now: Instant, usual: f64, repeatable: bool) -> f64 {
+    pub(crate) fn expected_finish(
+        &self,
+        now: Instant,
+        mean_duration: f64,
+        repeatable: bool,
+    ) -> f64 {
         let busy = self.load(now) + 1.0 / self.slots;
-        let wait = (busy - FREE).max(0.0).powi(2);
-        (1.0 + wait) * self.slowness(now, usual, repeatable)
+        let wait = (busy - FREE_LOAD).max(0.0).powi(2);
+        (1.0 + wait) * self.cost_factor(now, mean_duration, repeatable)
     }
 
-    fn slowness(&self, now: Instant, usual: f64, repeatable: bool) -> f64 {
-        let slowness = self.stretch(now).max(self.mean_age(now) / usual);
-        slowness * self.failure_factor(repeatable)
+    fn cost_factor(&self, now: Instant, mean_duration: f64, repeatable: bool) -> f64 {
+        let slowdown = self
+            .slowdown(now)
+            .max(self.mean_call_age(now) / mean_duration);
+        slowdown * self.failure_factor(repeatable)
     }
 
     /// Gives how many times its cost a call to it is weighed for its failures.
@@ -150,34 +157,34 @@
         let cost = if repeatable {
             FAILURE_COST
         } else {
-            UNSAFE_FAILURE_COST
+            UNREPEATABLE_FAILURE_COST
         };
-        1.0 + cost * self.health.failures()
+        1.0 + cost * self.health.failure_rate()
     }
 
     /// Counts a call to it.
-    pub(crate) fn start(&mut self, now: Instant) {
+    pub(crate) fn start_call(&mut self, now: Instant) {
         self.in_flight += 1;
-        self.starts += self.since_epoch(now);
+        self.start_sum += self.since_epoch(now);
     }
 
     /// Takes a call out of the count.
-    pub(crate) fn end(&mut self, started: Instant) {
+    pub(crate) fn end_call(&mut self, started: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.starts = if self.in_flight == 0 {
+        self.start_sum = if self.in_flight == 0 {
             0.0
         } else {
-            self.starts - self.since_epoch(started)
+            self.start_sum - self.since_epoch(started)
         };
     }
 
     /// Gives the mean age of the calls in flight: a backend server that
     /// swallows calls shows by it long before the first deadline.
-    fn mean_age(&self, now: Instant) -> f64 {
+    fn mean_call_age(&self, now: Instant) -> f64 {
         if self.in_flight == 0 {
             return 0.0;
         }
-        self.since_epoch(now) - self.starts / f64::from(self.in_flight)
+        self.since_epoch(now) - self.start_sum / f64::from(self.in_flight)
     }
 
     fn since_epoch(&self, at: Instant) -> f64 {
@@ -187,49 +194,53 @@
     /// Gives the load in slots' worth: one's own calls, or what the inbound
     /// proxy said lately, whichever is more.
     pub(crate) fn load(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.load_at).as_secs_f64();
-        let told = self.load * (-age / HINT_MEMORY).exp();
-        told.max(f64::from(self.in_flight) / self.slots)
+        let age = now
+            .saturating_duration_since(self.load_reported_at)
+            .as_secs_f64();
+        let reported = self.load * (-age / LOAD_DECAY_TIME).exp();
+        reported.max(f64::from(self.in_flight) / self.slots)
     }
 
-    pub(crate) fn tell_load(&mut self, now: Instant, load: f64) {
+    pub(crate) fn set_load(&mut self, now: Instant, load: f64) {
         self.load = load;
-        self.load_at = now;
+        self.load_reported_at = now;
     }
 
     /// Notes that it did not tell its outlook.
-    pub(crate) fn miss(&mut self, now: Instant) {
-        self.unheard_until = Some(now + UNHEARD);
+    pub(crate) fn record_missed_probe(&mut self, now: Instant) {
+        self.probes_paused_until = Some(now + PROBE_PAUSE);
     }
 
     /// Tells whether it may be asked.
-    pub(crate) fn is_heard(&self, now: Instant) -> bool {
-        self.unheard_until.is_none_or(|until| until <= now)
+    pub(crate) fn may_probe(&self, now: Instant) -> bool {
+        self.probes_paused_until.is_none_or(|until| until <= now)
     }
 
-    pub(crate) fn see(&mut self, now: Instant, stretch: f64) {
-        self.stretch = self.stretch(now);
-        self.stretch += WEIGHT * (stretch - self.stretch);
+    pub(crate) fn record_slowdown(&mut self, now: Instant, slowdown: f64) {
+        self.slowdown = self.slowdown(now);
+        self.slowdown += SLOWDOWN_WEIGHT * (slowdown - self.slowdown);
         self.answers = self.answers.saturating_add(1);
-        self.seen_at = now;
+        self.answered_at = now;
     }
 
-    fn stretch(&self, now: Instant) -> f64 {
-        if self.answers < ENOUGH {
+    fn slowdown(&self, now: Instant) -> f64 {
+        if self.answers < MIN_ANSWERS {
             return 1.0;
         }
-        let age = now.saturating_duration_since(self.seen_at).as_secs_f64();
-        1.0 + (self.stretch - 1.0) * (-age / STRETCH_MEMORY).exp()
+        let age = now
+            .saturating_duration_since(self.answered_at)
+            .as_secs_f64();
+        1.0 + (self.slowdown - 1.0) * (-age / SLOWDOWN_DECAY_TIME).exp()
     }
 
-    pub(crate) fn warmth(&self, now: Instant) -> f64 {
-        let Some(from) = self.warm_from else {
+    pub(crate) fn slow_start_weight(&self, now: Instant) -> f64 {
+        let Some(from) = self.slow_start_from else {
             return 1.0;
         };
         let age = now.saturating_duration_since(from);
         if age >= self.slow_start {
             return 1.0;
         }
-        (age.as_secs_f64() / self.slow_start.as_secs_f64()).clamp(COLD, 1.0)
+        (age.as_secs_f64() / self.slow_start.as_secs_f64()).clamp(MIN_SLOW_START_WEIGHT, 1.0)
     }
 }
