--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -1,15 +1,15 @@
-//! Waits between tries, spread so that a herd does not come back as one.
+//! Backoff delays with jitter between attempts.
 //!
-//! *Load pattern:* many processes lose the same peer at the same instant and
-//! try again. *Without it* they return together, at every doubling, and the
-//! peer that comes back is pushed over again. *Grounds:* full jitter gives the
-//! fewest calls in total among the ways compared in "Exponential Backoff And
+//! Many processes can lose the same peer at the same instant and retry. Without jitter they would
+//! return together after every doubling and overload the peer again as soon as it is back. Full
+//! jitter needs the fewest calls in total among the methods compared in "Exponential Backoff And
 //! Jitter" (AWS Architecture Blog, 2015).
 
 use rand::Rng;
 use std::time::Duration;
 
-/// Waits that grow from try to try, each drawn anew from nought to the ceiling.
+/// Exponential backoff with full jitter: each delay is drawn between zero and a ceiling that grows
+/// with each attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
     base: Duration,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Draws the wait before the next try.
+    /// Draws the delay before the next attempt.
     pub fn next_delay<R>(&mut self, rng: &mut R) -> Duration
     where
         R: Rng,
@@ -38,16 +38,17 @@
         wait
     }
 
-    /// Starts again from the base, after a success.
+    /// Resets the ceiling to the base after a success.
     pub fn reset(&mut self) {
         self.ceiling = self.base.min(self.cap);
     }
 }
 
-/// Spreads a wait that must not be cut short over once to twice its length.
+/// Adds jitter to a delay that must not be shortened: the result is between one and two times its
+/// length.
 ///
-/// A Retry-After is the time until there is room: coming earlier is in vain,
-/// and all coming exactly then is the next burst.
+/// A Retry-After is the time until there is room. Returning earlier is useless, and if all callers
+/// returned exactly then, they would form the next burst.
 #[must_use]
 pub fn add_jitter<R>(wait: Duration, rng: &mut R) -> Duration
 where
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -1,16 +1,17 @@
-//! Which backend server of a service a call goes to.
+//! Selects the backend server of a service that a call goes to.
 //!
-//! *Load pattern:* many outbound proxies that see the same figures, backend
-//! servers that are slow, cold, full or lie, some in the own availability zone
-//! and some elsewhere. *Without it*: round robin gives the slow one as much as
-//! the fast; the least loaded of all by reports that lag sends everybody to
-//! the same one, then to the next. *Grounds:* two choices at random (Mitzenmacher,
-//! "The Power of Two Choices in Randomized Load Balancing", 2001) come within
-//! a constant of the best, and stay good when figures are old ("How Useful Is
-//! Old Information?", 2000). Scores come from calls in flight, from what the
-//! inbound proxies say of their queues, and from durations seen; health
-//! reported by backend servers is not used at all. There is no affinity by
-//! key, so a hot key spreads over all.
+//! Several outbound proxies balance over the same backend servers with the same, partly outdated
+//! load figures. Some backend servers are slow, still warming up, full, or report a wrong health;
+//! some are in the local availability zone and some are not. Round robin would give a slow backend
+//! server as many calls as a fast one. Always selecting the least loaded one by delayed reports
+//! would make all proxies move to the same backend server, and then together to the next.
+//!
+//! The balancer picks the better of two random choices (Mitzenmacher, "The Power of Two Choices in
+//! Randomized Load Balancing", 2001), which comes within a constant factor of the optimum and still
+//! works with old load figures ("How Useful Is Old Information?", 2000). Scores are computed from
+//! the calls in flight, the queue load that inbound proxies report, and measured durations. Health
+//! that backend servers report about themselves is not used. There is no key affinity, so the calls
+//! for a hot key are spread over all backend servers.
 
 use crate::choice::PickContext;
 use crate::duration;
@@ -23,117 +24,117 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// One process of one node: a restart is another one.
+/// Identifies one process of one node; a restarted node has a new identity.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Identity {
     /// Name of the node.
     pub node: SmolStr,
-    /// Random number of its process.
+    /// Random number chosen when the node's process starts.
     pub incarnation: u64,
 }
 
 /// How far away a backend server is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// On the same VM: no other node is on the way.
+    /// On the same VM: a call passes no other node.
     Vm,
     /// In the same availability zone.
     Zone,
-    /// In another availability zone of the region.
+    /// In another availability zone of the same region.
     Region,
     /// In another region.
     Far,
 }
 
-/// Which calls a backend server takes while a version of its service is brought in.
+/// Which calls a backend server takes during a roll-out of its service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Track {
-    /// All.
+    /// All calls outside the trial.
     #[default]
     Stable,
-    /// Those that try the new version.
+    /// Only calls that are sampled to try the new version.
     Trial,
-    /// None.
+    /// No calls.
     Excluded,
 }
 
-/// A backend server as the view names it.
+/// A backend server as listed in the configuration view.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// Which one.
+    /// Node and process that identify it.
     pub identity: Identity,
-    /// How far away.
+    /// Distance from this proxy.
     pub distance: Distance,
-    /// Calls that it says it runs at once.
+    /// Number of concurrent calls that it advertises.
     pub slots: u16,
-    /// Names the process of the backend server behind the node.
+    /// Identifies the backend server's process behind the node.
     pub process: u64,
-    /// How long it is slow from now on, if it says so.
+    /// Advertised time from now until it reaches full speed.
     pub warm_up: Option<Duration>,
     /// Which calls it takes.
     pub track: Track,
 }
 
-/// A call that asks for a backend server.
+/// What a pick depends on besides the state of the backend servers.
 #[derive(Debug, Clone, Copy)]
 pub struct PickArgs<'a> {
-    /// Those that have refused it.
+    /// Backend servers that have already refused the call.
     pub tried: &'a [Key],
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// Its route, as a [`crate::hash`].
+    /// Hash of the route ([`crate::hash`]).
     pub route: u64,
-    /// Until when an answer is worth most, if that is known.
+    /// Latency target: an answer is worth most until then.
     pub target: Option<Instant>,
 }
 
-/// Names a backend server within one [`Balancer`].
+/// Identifies a backend server within one [`Balancer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Key {
     index: u32,
     generation: u32,
 }
 
-/// What an inbound proxy tells of itself with an answer.
+/// Load figures that an inbound proxy attaches to an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadReport {
-    /// Its [`load`](crate::admission::Admission::load).
+    /// Load of its [`Admission`](crate::admission::Admission::load).
     pub load: f64,
     /// How long the call waited there for a slot.
     pub queue_wait: Duration,
 }
 
-/// What a call came to.
+/// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
-    /// It was answered; what the inbound proxy told along with it, if it did.
+    /// It was answered, with a load report if the inbound proxy sent one.
     Answered(Option<LoadReport>),
-    /// A copy that was sent later elsewhere was answered first.
+    /// A hedge sent later to another backend server was answered first.
     HedgeWon,
-    /// It failed, or its link did.
+    /// The call or its connection failed.
     Failed,
-    /// It was refused as there is too much load.
+    /// Admission control refused it because of overload.
     Full,
-    /// The backend server refused it, though its inbound proxy had found room.
+    /// The backend server itself refused it after its inbound proxy had admitted it.
     Shed,
-    /// It was refused as the backend server leaves.
+    /// It was refused because the backend server is leaving.
     Leaving,
-    /// Its caller went away; nothing is learnt.
+    /// The caller went away; the outcome says nothing about the backend server.
     Cancelled,
 }
 
-/// Load that a refusal stands for.
+/// Load assumed of a backend server after it refused a call as full.
 const FULL_LOAD: f64 = 1.5;
 
-/// The backend servers of one service, as one outbound proxy sees them.
+/// Load balancer of one service in one outbound proxy.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) servers: Vec<Server>,
     free_indices: Vec<u32>,
     index_by_identity: HashMap<Identity, u32>,
-    /// In the choice, nearest first.
+    /// Selectable backend servers by distance, nearest first.
     pub(crate) tiers: [Vec<u32>; 4],
-    /// In the choice for calls that try a new version.
+    /// Backend servers that only take calls of a trial.
     pub(crate) trial: Vec<u32>,
     pub(crate) durations: duration::Estimator,
     half_open_at: Option<Instant>,
@@ -141,7 +142,7 @@
 }
 
 impl Balancer {
-    /// Makes a balance that knows no backend server.
+    /// Creates a balancer without backend servers.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Takes in the backend servers of a new view; what is known of those that stay is kept.
+    /// Applies the backend servers of a new view and keeps what is known about those that stay.
     pub fn sync<I>(&mut self, now: Instant, candidates: I)
     where
         I: IntoIterator<Item = Candidate>,
@@ -164,7 +165,7 @@
         let is_initial = self.index_by_identity.is_empty();
         for server in &mut self.servers {
             server.in_view = false;
-            // A newer view knows better; one that lags costs a refusal at the door.
+            // A newer view is more accurate; if it is outdated, the cost is one refused call.
             server.leaving = false;
         }
         for candidate in candidates {
@@ -182,41 +183,42 @@
         self.rebuild_tiers();
     }
 
-    /// Gives how many backend servers may be chosen from.
+    /// Returns the number of backend servers to select from.
     #[must_use]
     pub fn len(&self) -> usize {
         self.tiers.iter().map(Vec::len).sum()
     }
 
-    /// Tells whether there is none to choose from.
+    /// Returns whether there is no backend server to select from.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Gives the seconds that a call of `route` is expected to take.
+    /// Returns the expected duration of a call of `route`.
     #[must_use]
     pub fn expected_duration(&self, route: u64) -> Duration {
         Duration::try_from_secs_f64(self.durations.expected(route)).unwrap_or(Duration::ZERO)
     }
 
-    /// Tells whether one has just started and is slow for that.
+    /// Returns whether a backend server is in slow start.
     #[must_use]
     pub fn is_cold(&self, now: Instant, key: Key) -> bool {
         self.get(key)
             .is_some_and(|server| server.slow_start_weight(now) < 1.0)
     }
 
-    /// Gives the identity behind a key, while it is known.
+    /// Returns the identity of a backend server while it is known.
     #[must_use]
     pub fn identity(&self, key: Key) -> Option<&Identity> {
         self.get(key).map(|server| &server.identity)
     }
 
-    /// Chooses a backend server, and counts a call to it.
+    /// Picks a backend server and counts a call to it.
     ///
-    /// Only a `repeatable` call is used to probe one that was ejected: a
-    /// commit that a sick backend server swallows is a clerk on the telephone.
+    /// Only a `repeatable` call may be sent to an ejected backend server to test whether it has
+    /// recovered: a commit lost there could not be retried and would have to be followed up by
+    /// hand.
     pub fn pick<R>(&mut self, now: Instant, args: &PickArgs<'_>, rng: &mut R) -> Option<Key>
     where
         R: Rng,
@@ -231,7 +233,7 @@
         Some(self.key(index))
     }
 
-    /// Chooses a backend server for a call that tries a new version, and counts the call to it.
+    /// Picks a backend server on the trial track and counts a call to it.
     pub fn pick_trial<R>(&mut self, now: Instant, args: &PickArgs<'_>, rng: &mut R) -> Option<Key>
     where
         R: Rng,
@@ -241,12 +243,13 @@
         Some(self.key(index))
     }
 
-    /// Chooses the backend server that all outbound proxies choose for a request, as far as
-    /// they know the same ones, and counts a call to it.
+    /// Picks the backend server that every outbound proxy with the same view picks for a request,
+    /// and counts a call to it.
     ///
-    /// *Load pattern:* a request that crashes what runs it comes at many nodes in the same
-    /// instant. *Without one owner* its copies run beside each other, and a whole service is
-    /// down before the first crash can hold it; with one they wait there for each other.
+    /// A request that crashes backend servers can arrive at many nodes at the same instant. If its
+    /// copies ran on different backend servers in parallel, the whole service would be down before
+    /// the first crash could quarantine the request. With a common owner the copies queue behind
+    /// each other there.
     pub fn pick_owner(
         &mut self,
         now: Instant,
@@ -268,7 +271,7 @@
         Some(self.key(index))
     }
 
-    /// Takes in what a call of [`Balancer::pick`] came to.
+    /// Records how a call picked by [`Balancer::pick`] ended.
     pub fn finish<R>(
         &mut self,
         now: Instant,
@@ -293,8 +296,8 @@
                     server.set_load(now, report.load);
                     self.probe_trigger.record_load(report.load);
                 }
-                // A wait is told by the load. Counted as slowness as well, it
-                // would keep calls away long after the queue is gone.
+                // The queue wait is already part of the reported load. If it counted as slowness
+                // too, it would keep calls away long after the queue is gone.
                 let took =
                     took.saturating_sub(report.map_or(Duration::ZERO, |report| report.queue_wait));
                 let expected = self.durations.expected(route);
@@ -303,9 +306,9 @@
                 self.servers[key.index as usize].record_slowdown(now, slowdown);
                 self.observe(now, key.index, Sample::Answered(slowdown), rng);
             }
-            // How long it would have taken is not known, but that it was slow
-            // is. Counted by the time it had, a backend server whose calls are
-            // all overtaken would look hardly slow, and go on to get its share.
+            // The full duration is unknown, but the call was slow. If only the elapsed time
+            // counted, a backend server whose calls are always overtaken by hedges would hardly
+            // look slow and would keep its share of calls.
             Outcome::HedgeWon => {
                 let slowdown = took.as_secs_f64() / self.durations.expected(route).max(1e-6);
                 let slowdown = slowdown.max(outlier::SLOW_FACTOR);
@@ -316,8 +319,8 @@
                 server.set_load(now, FULL_LOAD);
                 self.probe_trigger.record_load(FULL_LOAD);
             }
-            // Refused although there was room: that is no load but a fault, and
-            // one that the others don't have puts it out of the choice.
+            // A refusal after admission is a fault rather than load; a backend server that fails
+            // while its peers do not is ejected.
             Outcome::Failed | Outcome::Shed => self.observe(now, key.index, Sample::Failed, rng),
             Outcome::Leaving => {
                 server.leaving = true;
@@ -328,10 +331,10 @@
         self.free_if_gone(key.index);
     }
 
-    /// Tells whether one that has not refused the call is not known to be full.
+    /// Returns whether a backend server that has not refused the call may have room.
     ///
-    /// In an overload of the whole service all have said so within the last
-    /// tenths of a second, and a further door would be tried for nothing.
+    /// When the whole service is overloaded, all of them have reported being full within the last
+    /// tenths of a second, and another attempt would be wasted.
     #[must_use]
     pub fn has_room(&self, now: Instant, tried: &[Key]) -> bool {
         self.tier_members().any(|index| {
@@ -376,7 +379,7 @@
         }
     }
 
-    /// Frees the place of one that is gone, once its last call has ended.
+    /// Frees the slot of a backend server that left the view, once its last call has ended.
     fn free_if_gone(&mut self, index: u32) {
         let server = &mut self.servers[index as usize];
         if !server.in_view
@@ -404,7 +407,7 @@
         found
     }
 
-    /// Tells whether the call is to probe one that was ejected.
+    /// Returns whether the call is to test an ejected backend server.
     pub(crate) fn has_half_open(&mut self, now: Instant, args: &PickArgs<'_>) -> bool {
         args.repeatable && self.find_half_open(now, args.tried).is_some()
     }
@@ -421,7 +424,7 @@
         }
     }
 
-    /// Notes that one did not tell its outlook.
+    /// Records that a backend server did not answer a load probe.
     pub(crate) fn record_missed_probe(&mut self, now: Instant, key: Key) {
         if let Some(server) = self.get_mut(key) {
             server.record_missed_probe(now);
@@ -432,7 +435,7 @@
         self.get(key).map(|server| server.distance)
     }
 
-    /// Gives how many times its cost a call to one is weighed for its failures.
+    /// Returns the factor by which a backend server's failures raise the cost of a call to it.
     pub(crate) fn failure_factor(&self, key: Key, repeatable: bool) -> Option<f64> {
         self.get(key)
             .map(|server| server.failure_factor(repeatable))
@@ -475,7 +478,7 @@
         }
     }
 
-    /// Averages over the others in the choice.
+    /// Averages over the other backend servers that are not ejected.
     fn peer_averages(&self, index: u32, now: Instant) -> PeerAverages {
         let mut count = 0.0;
         let mut sum = PeerAverages {
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -1,37 +1,39 @@
-//! The choice itself: two at random of the nearest tier, with spill-over by load.
+//! Selection by power of two choices in the nearest tier, with load-based spillover to tiers
+//! further away.
 //!
-//! The load patterns and grounds stand in [`crate::balance`].
+//! See [`crate::balance`] for the failures that this prevents and the sources.
 
 use crate::balance::{Balancer, Distance, Key, PickArgs};
 use crate::outlier::EjectionState;
 use rand::Rng;
 use std::time::Instant;
 
-/// Load of the own zone's choice from which other zones are looked at by calls
-/// without a target; from here to a full load ever more calls look.
+/// Load of the candidate in the local zone above which calls without a target start to consider
+/// other zones; their share rises linearly to all calls at full load.
 const SPILLOVER_LOAD: f64 = 0.7;
 
-/// Times the score that a backend server elsewhere must stay under for them.
+/// Factor on the score of a more distant backend server for calls without a target.
 const SPILLOVER_COST: f64 = 1.5;
 
-/// Times sooner that a backend server elsewhere must answer for calls with one.
+/// Factor by which a more distant backend server has to be faster for calls with a target.
 pub(crate) const FAR_SPEEDUP: f64 = 1.25;
 
-/// Times the expected time of an answer that must be left until its target for
-/// the nearer one to do: durations vary by half of their mean, and bytes
-/// between availability zones are paid for.
+/// Factor on the expected response time that must fit into the time left until the target for the
+/// nearer backend server to be used: durations vary by half of their mean, and traffic between
+/// availability zones costs money.
 pub(crate) const TARGET_MARGIN: f64 = 1.1;
 
-/// Draws before one that is cold or already tried is taken as it is.
+/// Random draws before settling for a backend server that is still in slow start or searching for
+/// any usable one.
 const MAX_DRAWS: usize = 8;
 
-/// What a choice depends on besides the backend servers.
+/// What a selection depends on besides the state of the backend servers.
 pub(crate) struct PickContext<'a> {
     pub(crate) now: Instant,
     pub(crate) tried: &'a [Key],
     pub(crate) repeatable: bool,
     pub(crate) route: u64,
-    /// Seconds until its target, if it has one.
+    /// Seconds until the call's target, if it has one.
     pub(crate) time_left: Option<f64>,
 }
 
@@ -49,7 +51,8 @@
 }
 
 impl Balancer {
-    /// Chooses for one call: the better of two in the nearest tier, or further away as the near ones fill.
+    /// Selects a backend server for a call: the better of two from the nearest tier, or one further
+    /// away as the near ones fill up.
     pub(crate) fn select<R>(&self, call: &PickContext<'_>, rng: &mut R) -> Option<u32>
     where
         R: Rng,
@@ -60,7 +63,8 @@
             let Some(found) = self.select_of_two(servers, call, rng) else {
                 continue;
             };
-            // Alone in its tier, a cold one would get all that comes in on its VM.
+            // Alone in its tier, a backend server in slow start would get every call that enters on
+            // its VM.
             let slow_start_weight = self.servers[found as usize].slow_start_weight(call.now);
             if tier == Distance::Vm as usize && !rng.random_bool(slow_start_weight) {
                 cold = Some(found);
@@ -75,10 +79,10 @@
         best.or(cold).or_else(|| self.select_ejected(call))
     }
 
-    /// Chooses among those that are out, if there are no others at all.
+    /// Selects among ejected backend servers if there is no active one.
     ///
-    /// The floor of ejections holds when one is ejected; when the others leave
-    /// afterwards, callers would be told that there is no backend server.
+    /// The limit on ejections is checked at the time of an ejection. If the remaining backend
+    /// servers leave afterwards, callers would be told that there is no backend server.
     fn select_ejected(&self, call: &PickContext<'_>) -> Option<u32> {
         let health = |index: u32| &self.servers[index as usize].health;
         if self
@@ -92,12 +96,12 @@
             .min_by_key(|index| health(*index).ejected_until())
     }
 
-    /// Decides between the nearer and the further of two.
+    /// Selects between a nearer and a more distant backend server.
     ///
-    /// The near one will do where it answers well in time. Without a target
-    /// that is told by its load: from a point on ever more calls look further,
-    /// and as the look is a matter of chance that grows steadily, no threshold
-    /// makes the flow flap.
+    /// The nearer one is used if it is expected to answer in time. For calls without a target, its
+    /// load decides: above a threshold, a growing share of calls considers the more distant one.
+    /// Because this is random and the share grows steadily, traffic does not flap around a fixed
+    /// threshold.
     fn select_by_distance<R>(&self, near: u32, far: u32, call: &PickContext<'_>, rng: &mut R) -> u32
     where
         R: Rng,
@@ -137,7 +141,7 @@
         Some(if is_better { second } else { first })
     }
 
-    /// Draws one that is in the choice, a cold one less often.
+    /// Draws an active backend server; one in slow start is drawn less often.
     fn draw_usable<R>(
         &self,
         tier: &[u32],
@@ -164,15 +168,15 @@
             }
             cold = Some(index);
         }
-        // Luck failed; a first choice has to be found if there is any.
+        // No draw succeeded, but the first choice must be found if there is any.
         cold.or_else(|| {
             let found = tier.iter().copied().find(|index| usable(*index));
             found.filter(|_| except.is_none())
         })
     }
 
-    /// Gives what one is compared with others by: how soon it would answer a
-    /// call that has a target, else how much there is in front of the call.
+    /// Returns the score by which backend servers are compared, lower is better: the expected
+    /// finish time for a call with a target, otherwise the load ahead of the call.
     fn score(&self, index: u32, call: &PickContext<'_>) -> f64 {
         let (server, mean_duration) =
             (&self.servers[index as usize], self.durations.overall_mean());
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -1,36 +1,35 @@
-//! Which calls get a second copy while the first is late.
+//! Hedging: sends a second attempt of a call while the first is late.
 //!
-//! *Load pattern:* a backend server stalls now and then. *Without it* the call
-//! that met the stall waits it out, and so does every layer above. *Grounds:*
-//! Dean and Barroso, "The Tail at Scale", 2013, send the second copy at the
-//! 95th percentile; only calls that may be repeated are copied, each copy is
-//! paid for by the retry budget, and copies stop while they don't win or while
-//! there is too much load, as they are load themselves.
+//! When a backend server stalls now and then, a call that meets the stall would wait for its end,
+//! and so would every service above it in the call chain. As in Dean and Barroso, "The Tail at
+//! Scale", 2013, the hedge is sent at the 95th percentile of latencies. Only repeatable calls are
+//! hedged, and each hedge is paid for from the retry budget. Hedges add load themselves, so they
+//! stop while they do not win and while there is overload.
 
 use std::time::{Duration, Instant};
 
-/// Quantile of latencies at which a second copy is sent.
+/// Quantile of the latencies after which a hedge is sent.
 const HEDGE_QUANTILE: f64 = 0.95;
 
-/// Step of the quantile's estimate, as a share of it.
+/// Step by which the estimate of the quantile moves, as a share of it.
 const QUANTILE_STEP: f64 = 0.05;
 
-/// Share of hedges that have to win for hedging to go on.
+/// Share of hedges that have to win for hedging to continue.
 const MIN_WIN_SHARE: f64 = 0.25;
 
-/// Weight of a hedge's result in the share of those that won: about 20 hedges.
+/// Weight of a result in the share of hedges that won: a window of about 20 hedges.
 const RESULT_WEIGHT: f64 = 0.05;
 
-/// While hedging does not pay, one in so many is sent to see whether it does again.
+/// While too few hedges win, only one in this many is sent, to detect when hedging pays again.
 const SAMPLE_INTERVAL: u32 = 20;
 
-/// Time without hedges after a refusal for load: copies are load.
+/// Time without hedges after a refusal because of overload, since hedges add load.
 const OVERLOAD_PAUSE: Duration = Duration::from_secs(1);
 
-/// Latencies seen before the quantile is worth acting on.
+/// Latencies needed before the estimated quantile is used.
 const MIN_LATENCIES: u32 = 50;
 
-/// Second copies of calls that may be repeated, while they pay.
+/// Decides when repeatable calls of a service are hedged.
 #[derive(Debug, Clone, Copy)]
 pub struct HedgePolicy {
     quantile: f64,
@@ -41,7 +40,7 @@
 }
 
 impl HedgePolicy {
-    /// Starts without an idea of the latencies.
+    /// Starts without any measured latency.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -53,7 +52,7 @@
         }
     }
 
-    /// Takes in how long a first copy took, or that it was overtaken after so long.
+    /// Records the latency of a first attempt, or the time after which a hedge overtook it.
     pub fn record_latency(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.samples = self.samples.saturating_add(1);
@@ -68,13 +67,13 @@
         };
     }
 
-    /// Takes in that a call was refused for load.
+    /// Suspends hedging after a call was refused because of overload.
     pub fn pause(&mut self, now: Instant) {
         self.paused_until = now + OVERLOAD_PAUSE;
     }
 
-    /// Gives the wait after which a second copy of a `repeatable` call is due,
-    /// if one is to be sent; that copy is to be paid for by [`RetryBudget::spend`](crate::retry::RetryBudget::spend).
+    /// Returns the delay after which a `repeatable` call is to be hedged, if at all. The hedge has
+    /// to be paid for with [`RetryBudget::spend`](crate::retry::RetryBudget::spend).
     pub fn delay(&mut self, now: Instant, repeatable: bool) -> Option<Duration> {
         if !repeatable || self.samples < MIN_LATENCIES || now < self.paused_until {
             return None;
@@ -89,7 +88,7 @@
         Duration::try_from_secs_f64(self.quantile).ok()
     }
 
-    /// Takes in whether a second copy was answered before the first.
+    /// Records whether a hedge was answered before the first attempt.
     pub fn record_result(&mut self, won: bool) {
         let won = if won { 1.0 } else { 0.0 };
         self.win_share += RESULT_WEIGHT * (won - self.win_share);
--- a/crates/policy/src/load_probe.rs
+++ b/crates/policy/src/load_probe.rs
@@ -1,14 +1,17 @@
-//! What would become of a call at a backend server that it has not been sent to, and where it goes by that.
+//! Load probes: asks backend servers about a call before it is sent, and selects one by their
+//! replies.
 //!
-//! *Load pattern:* hundreds of outbound proxies, each with a few calls a second, in front of a
-//! hundred backend servers of unlike speed whose slots are mostly taken. *Without it* a proxy hears
-//! of each backend server every few seconds only, far longer than a queue there lasts. It chooses
-//! as good as blindly: calls wait in front of the slow ones while slots of the fast ones stand
-//! idle. *Grounds:* a few that are drawn at random are asked when the call is there, and the one
-//! that would end it soonest gets it (Sparrow's batch sampling, Ousterhout et al., 2013), so that
-//! figures are one trip old however small a proxy's part of the traffic is. Each call asks a
-//! fixed number of them, so that the cost doesn't grow with the fleet. What doesn't answer is
-//! passed over: a VM without power says nothing, and a commit that is sent there is lost.
+//! Consider hundreds of outbound proxies with a few calls a second each, in front of a hundred
+//! backend servers that differ in speed and whose slots are mostly taken. From its own calls, a
+//! proxy hears of each backend server only every few seconds, much longer than a queue lasts there.
+//! Its choice would be almost blind: calls would wait in front of slow backend servers while slots
+//! of fast ones stay idle.
+//!
+//! A few randomly drawn backend servers are therefore probed for each call, and the one that would
+//! finish it soonest gets it (batch sampling as in Sparrow, Ousterhout et al., 2013). The figures
+//! are then only one round trip old, however little traffic a proxy has. The number of probes per
+//! call is fixed, so the cost does not grow with the fleet. A backend server that does not answer
+//! is passed over: a VM without power does not reply, and a commit sent there would be lost.
 
 use crate::balance::{Balancer, Distance, Key, PickArgs};
 use crate::choice::{FAR_SPEEDUP, PickContext, TARGET_MARGIN};
@@ -17,56 +20,58 @@
 use rand::seq::IndexedRandom;
 use std::time::{Duration, Instant};
 
-/// What an inbound proxy expects of a call that it has not got.
+/// What an inbound proxy expects of a call that it has not received: its reply to a load probe.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// Whether it would be let in.
+    /// Whether the call would be admitted.
     pub accepts: bool,
     /// How long it would wait for a slot.
     pub wait: Duration,
-    /// How long calls of its route run there, if any has.
+    /// Mean duration of calls of its route there, if any have run.
     pub run: Option<Duration>,
-    /// Calls running and waiting over slots.
+    /// Calls running and waiting, divided by the slots.
     pub load: f64,
 }
 
-/// A backend server that was asked about a call, and what it told, if it did.
+/// A probed backend server and its reply, if it answered.
 #[derive(Debug, Clone, Copy)]
 pub struct ProbeResult {
-    /// Which one.
+    /// The backend server that was probed.
     pub key: Key,
-    /// What it told.
+    /// Its reply.
     pub estimate: Option<Estimate>,
 }
 
-/// Backend servers of the nearest tier that are asked about a call.
+/// Backend servers of the nearest tier that are probed for a call.
 ///
-/// With a third of them free, three draws meet a free one seven times in ten; each further
+/// If a third of them have a free slot, three draws find one in seven of ten cases; each further
 /// draw costs two messages a call.
 const NEAR_PROBES: usize = 3;
 
-/// Backend servers of a further tier that are asked when no near one suffices.
+/// Backend servers of a more distant tier that are probed when no nearer one suffices.
 const FAR_PROBES: usize = 2;
 
-/// Mean load told from which backend servers are asked before a call is sent.
+/// Mean reported load above which calls are preceded by probes.
 ///
-/// Below it nearly any of them has a free slot, and the call saves the trip.
+/// Below it, almost every backend server has a free slot, and the call saves the round trip.
 const PROBE_LOAD: f64 = 0.4;
 
-/// Weight of a further load told in that mean.
+/// Weight of a new report in the mean reported load.
 const LOAD_WEIGHT: f64 = 0.1;
 
-/// Time for which they are asked after a call has failed: one that is gone is in the view of
-/// others for some seconds.
+/// Time for which calls are preceded by probes after a call has failed: a backend server that is
+/// gone stays in the view for some seconds.
 const FAILURE_PROBING: Duration = Duration::from_secs(5);
 
-/// Times its usual duration that a call is taken to run on a backend server that has not run one like it.
+/// Assumed duration of a call, in multiples of the route's mean, on a backend server that has not
+/// run a call of this route.
 const UNKNOWN_RUN_FACTOR: f64 = 1.5;
 
-/// Share of its duration up to which a wait at a near one is no reason to ask further away.
+/// Share of the expected duration up to which the wait at a near backend server is short enough not
+/// to probe more distant ones.
 const SHORT_WAIT_SHARE: f64 = 0.5;
 
-/// What tells whether backend servers are to be asked.
+/// Decides whether calls are preceded by probes.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ProbeTrigger {
     load: f64,
@@ -88,9 +93,11 @@
 }
 
 impl Balancer {
-    /// Gives the backend servers to ask about a call, those of the nearest tier that has any.
+    /// Returns the backend servers to probe for a call: some on the own VM, and some of the nearest
+    /// tier beyond it that has any.
     ///
-    /// None are given while the service is far from busy: nearly each has a free slot then.
+    /// Returns none while the service has low load, as almost every backend server then has a free
+    /// slot.
     pub fn probe_targets<R>(&self, now: Instant, args: &PickArgs<'_>, rng: &mut R) -> Vec<Key>
     where
         R: Rng,
@@ -109,7 +116,8 @@
         keys
     }
 
-    /// Gives further ones to ask, in the next tier, when none of those `seen` suffices.
+    /// Returns further backend servers to probe, from the next tier, if none of the `results` so
+    /// far is good enough.
     pub fn further_probe_targets<R>(
         &self,
         now: Instant,
@@ -139,9 +147,9 @@
             .unwrap_or_default()
     }
 
-    /// Chooses a backend server by what those that were asked have told, and counts a call to it.
+    /// Picks a backend server by the results of load probes and counts a call to it.
     ///
-    /// When none has told anything, it chooses as [`Balancer::pick`] does.
+    /// If no probe was answered, it picks as [`Balancer::pick`] does.
     pub fn pick_probed<R>(
         &mut self,
         now: Instant,
@@ -186,7 +194,8 @@
         self.set_load(now, result.key, estimate.load);
     }
 
-    /// Gives the one that would end the call soonest, of those that would take it if there are any.
+    /// Returns the backend server that would finish the call soonest, preferring those that would
+    /// admit it.
     fn find_soonest(&self, results: &[ProbeResult], call: &PickContext<'_>) -> Option<Prediction> {
         let predictions = results
             .iter()
@@ -204,19 +213,20 @@
             .run
             .map_or(UNKNOWN_RUN_FACTOR * expected, |run| run.as_secs_f64());
         let wait = estimate.wait.as_secs_f64();
-        let failures = self.failure_factor(result.key, call.repeatable)?;
+        let failure_factor = self.failure_factor(result.key, call.repeatable)?;
         let fullness = estimate.load.min(1.0).powi(2);
         Some(Prediction {
             key: result.key,
             accepts: estimate.accepts,
             wait,
             run,
-            time: (wait + run) * failures,
-            cost: (wait + run * (1.0 + fullness)) * failures,
+            time: (wait + run) * failure_factor,
+            cost: (wait + run * (1.0 + fullness)) * failure_factor,
         })
     }
 
-    /// Tells whether a near one answers well enough that no further one need be asked.
+    /// Returns whether a near backend server is good enough that no more distant one has to be
+    /// probed.
     fn suffices(prediction: &Prediction, call: &PickContext<'_>) -> bool {
         let in_time = match call.time_left {
             Some(time_left) => prediction.time * TARGET_MARGIN <= time_left,
@@ -225,7 +235,8 @@
         prediction.accepts && in_time
     }
 
-    /// Draws up to `count` different ones of a tier, a cold one less often.
+    /// Draws up to `count` distinct backend servers of a tier; those in slow start are drawn less
+    /// often.
     fn draw_targets<R>(
         &self,
         tier: Distance,
@@ -238,7 +249,7 @@
         R: Rng,
     {
         let servers = &self.tiers[tier as usize];
-        // Twice as many, as some are out, have been tried, or are cold.
+        // Twice as many are drawn because some are ejected, already tried or in slow start.
         let drawn = servers.choose_multiple(rng, 2 * count).copied();
         let drawn: Vec<_> = drawn
             .filter(|index| {
@@ -256,7 +267,7 @@
     }
 }
 
-/// What a call would come to at one that told its outlook.
+/// Predicted course of a call at a backend server that answered a load probe.
 #[derive(Debug, Clone, Copy)]
 struct Prediction {
     key: Key,
@@ -265,11 +276,12 @@
     wait: f64,
     /// Seconds that it then runs.
     run: f64,
-    /// Seconds until its answer, more for one that fails calls.
+    /// Seconds until its answer, increased for a backend server that fails calls.
     time: f64,
-    /// The same, and up to a further run for what runs there already.
+    /// The same, plus up to one more run time in proportion to the square of the load there.
     ///
-    /// What is told of runs is the mean of a few. By time alone, all proxies would follow the
-    /// luck of the last calls and fill one backend server while others have most slots free.
+    /// The reported run time is the mean of a few calls. By time alone, all proxies would follow
+    /// the random variation of the last calls and fill one backend server while others have most
+    /// slots free.
     cost: f64,
 }
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,70 +1,70 @@
-//! Which backend servers are taken out of the choice, for how long, and how they come back.
+//! Outlier detection: which backend servers are ejected, for how long, and how they return.
 //!
-//! *Load pattern:* one backend server answers errors within a millisecond, or
-//! everything ten times as slowly, and reports that it is well. *Without it*
-//! fast errors look like speed and a free slot, and draw the calls of all.
-//! *Grounds:* only what calls came to is believed, never a health report; a
-//! backend server is compared with the others of its service, so that a fault
-//! common to all ejects none. Never more than half are out (Envoy's outlier
-//! detection has such a floor as well): with too few left the rest would be
-//! pushed over in turn.
+//! A faulty backend server may answer with errors within a millisecond, or ten times as slowly as
+//! the others, while reporting that it is healthy. Fast errors look like speed and free slots and
+//! would attract the calls of all proxies.
+//!
+//! Only the outcomes of calls are used, never a health report. A backend server is compared with
+//! its peers in the same service, so that a fault common to all of them ejects none. At most half
+//! of them are ejected (Envoy's outlier detection has a similar limit): with too few left, the rest
+//! would be overloaded one after the other.
 
 use rand::Rng;
 use std::time::{Duration, Instant};
 
-/// Failures in a row that make an outlier at once: by chance, at 10% failures
-/// of all, that is 1 in 100,000 calls.
+/// Consecutive failures that make an outlier at once; at an overall failure rate of 10%, this
+/// happens by chance once in 100,000 calls.
 const MAX_CONSECUTIVE_FAILURES: u32 = 5;
 
-/// Slow answers in a row that make an outlier at once: with service times that
-/// vary as much as their mean, by chance 1 in 160,000 calls.
+/// Consecutive slow answers that make an outlier at once; with service times that vary as much as
+/// their mean, this happens by chance once in 160,000 calls.
 const MAX_CONSECUTIVE_SLOW: u32 = 3;
 
-/// Share of failures beyond the others' that makes an outlier.
+/// Failure rate above that of the peers that makes an outlier.
 const EXCESS_FAILURE_RATE: f64 = 0.3;
 
-/// Times the others' stretch that makes an outlier.
+/// Multiple of the peers' slowdown that makes an outlier.
 pub(crate) const SLOW_FACTOR: f64 = 4.0;
 
 /// Weight of a new sample: a window of about ten calls.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Samples needed before the shares mean anything.
+/// Samples needed before the averages are used.
 const MIN_SAMPLES: u32 = 10;
 
-/// First ejection; each further one doubles it.
+/// Duration of the first ejection; it doubles with each further one.
 const FIRST_EJECTION: Duration = Duration::from_secs(5);
 
-/// Longest ejection.
+/// Upper bound of an ejection.
 const MAX_EJECTION: Duration = Duration::from_mins(1);
 
-/// Good probes in a row that bring it back in.
+/// Consecutive good test calls that end an ejection.
 const RECOVERY_CALLS: u32 = 3;
 
-/// Time in service after which former ejections are forgotten.
+/// Time without an ejection after which earlier ejections are forgotten.
 const EJECTION_MEMORY: Duration = Duration::from_mins(1);
 
-/// What a call says of the health of its backend server.
+/// Outcome of a call, as far as it concerns the health of its backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Sample {
-    /// It was answered, in that many times the usual duration of its route.
+    /// Answered after this multiple of the normal duration of its route.
     Answered(f64),
-    /// It failed.
+    /// Failed.
     Failed,
 }
 
-/// Whether a backend server is in the choice.
+/// Whether a backend server may be selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionState {
-    /// It is.
+    /// It may be selected.
     Active,
-    /// It is not.
+    /// It may not be selected.
     Ejected,
-    /// One call at a time may try it.
+    /// It may be tested by one call at a time.
     HalfOpen,
 }
 
-/// What calls to one backend server came to.
+/// Health of one backend server, from the outcomes of its calls.
 #[derive(Debug, Clone, Copy)]
 pub struct Health {
     failure_rate: f64,
@@ -84,7 +84,7 @@
 }
 
 impl Health {
-    /// Starts as healthy.
+    /// Creates the state of a healthy backend server.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -99,19 +99,20 @@
         }
     }
 
-    /// Gives the share of calls that failed lately.
+    /// Returns the moving average of the failure rate.
     #[must_use]
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Gives how many times the usual duration calls took lately.
+    /// Returns the moving average of the slowdown: the duration of a call in multiples of the
+    /// normal duration of its route.
     #[must_use]
     pub fn slowdown(&self) -> f64 {
         self.slowdown
     }
 
-    /// Tells whether it is in the choice.
+    /// Returns whether it may be selected.
     #[must_use]
     pub fn state(&self, now: Instant) -> EjectionState {
         match self.ejection {
@@ -121,13 +122,13 @@
         }
     }
 
-    /// Gives the end of its ejection.
+    /// Returns the end of its ejection.
     #[must_use]
     pub fn ejected_until(&self) -> Option<Instant> {
         self.ejection.map(|ejection| ejection.until)
     }
 
-    /// Takes in what a call came to; tells whether a probe brought it back in.
+    /// Records the outcome of a call. Returns whether a test call ended an ejection.
     pub fn record<R>(
         &mut self,
         now: Instant,
@@ -147,7 +148,7 @@
             Sample::Failed => false,
         };
         if !is_good {
-            // Answers to calls from before the ejection come in as well.
+            // Calls that began before the ejection are recorded as well.
             if now >= ejection.until {
                 self.eject(now, rng);
             }
@@ -165,7 +166,7 @@
         true
     }
 
-    /// Tells whether it is far off from the others of its service.
+    /// Returns whether it differs widely from its peers.
     #[must_use]
     pub fn is_outlier(&self, peers: &PeerAverages) -> bool {
         if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
@@ -183,7 +184,7 @@
             || self.slowdown > SLOW_FACTOR * peers.slowdown
     }
 
-    /// Takes it out of the choice, for a time that doubles and is spread by jitter.
+    /// Ejects it for a time that doubles with each ejection and is spread by jitter.
     pub fn eject<R>(&mut self, now: Instant, rng: &mut R)
     where
         R: Rng,
@@ -203,10 +204,11 @@
         });
     }
 
-    /// Takes in a sample if it is one of the usual, and tells whether it was.
+    /// Records a sample if it is a normal answer of an active backend server, and returns whether
+    /// it was.
     ///
-    /// Judging looks at all others of the service. Most calls are answered as
-    /// usual by one that is in the choice, which can make no outlier of it.
+    /// A normal answer cannot make an outlier, so most samples skip the comparison with all peers
+    /// of the service.
     pub fn record_if_normal(&mut self, now: Instant, sample: Sample) -> bool {
         let is_normal = matches!(sample, Sample::Answered(slowdown) if slowdown < SLOW_FACTOR);
         let is_normal = is_normal && self.state(now) == EjectionState::Active;
@@ -226,7 +228,7 @@
                 } else {
                     self.consecutive_slow + 1
                 };
-                // One freak value may not eject: ten times the usual is as bad as it gets.
+                // A single extreme value must not cause an ejection, so the ratio is capped at ten.
                 self.slowdown += SAMPLE_WEIGHT * (slowdown.min(10.0) - self.slowdown);
                 0.0
             }
@@ -239,16 +241,17 @@
     }
 }
 
-/// The other backend servers of a service, on average.
+/// Averages over the other backend servers of a service.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerAverages {
     /// Share of calls that failed.
     pub failure_rate: f64,
-    /// Times the usual duration.
+    /// Duration of calls in multiples of the normal duration.
     pub slowdown: f64,
 }
 
-/// Tells whether one more may be taken out of `total`, when `out` are already.
+/// Returns whether another of the service's `endpoints` may be ejected when `ejected` of them are
+/// already.
 #[must_use]
 pub fn can_eject_another(endpoints: usize, ejected: usize) -> bool {
     (ejected + 1) * 2 <= endpoints
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,14 +1,14 @@
-//! Which calls are tried again, and when.
+//! Decides which calls are retried, and when.
 //!
-//! *Load pattern:* a backend server fails or is full, and every caller tries
-//! three times, at each of 26 layers. *Without it* the load is multiplied just
-//! when there is too much already, and stays so after the cause is gone.
-//! *Grounds:* retries are a share of successes (Google's SRE book, "Handling
-//! Overload": 10% a server; Finagle's retry budget: 20%), so that in a failure
-//! of all there are next to none. Only this hop's own failures are tried
-//! again: an answer of the backend server's, error or not, is passed up. So
-//! when a call fails deep down, just the layer next to the failure tries
-//! again.
+//! If a backend server fails or is full and every caller makes three attempts, in a call chain of
+//! 26 layers, the load is multiplied just when there is already too much of it, and stays high
+//! after the cause is gone.
+//!
+//! Retries are therefore limited to a share of successes (Google's SRE book, "Handling Overload":
+//! 10% a server; Finagle's retry budget: 20%), so that there are almost none when everything fails.
+//! Only failures of this hop are retried: an answer of the backend server, error or not, is passed
+//! to the caller. When a call fails deep in the chain, only the layer next to the failure retries
+//! it.
 
 use crate::backoff;
 use crate::retry_quota::{FleetLimits, RetryQuota};
@@ -16,166 +16,167 @@
 use rand::Rng;
 use std::time::{Duration, Instant};
 
-/// Name of the request header by which a layer above says that this try is
-/// itself a retry; a backend server that passes it on keeps the layers below
-/// from multiplying it.
+/// Name of the request header that marks an attempt as a retry. A backend server that passes it on
+/// with its own calls keeps the layers below from multiplying the retry.
 pub const HEADER: &str = "bluebellpick-retry";
 
-/// Why a try came to nothing.
+/// Why an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// The backend server leaves: another one will take it.
+    /// The backend server is leaving; another one can take the call.
     Leaving,
-    /// There was too much load, as the inbound proxy found; the backend server never saw it.
+    /// The inbound proxy refused the call because of overload; the backend server never received
+    /// it.
     Full,
-    /// The backend server refused it.
+    /// The backend server refused the call.
     Shed,
-    /// Its node could not be reached; another one will take it.
+    /// The node could not be reached; another one can take the call.
     Unreached,
-    /// The try failed.
+    /// The attempt failed.
     Failed,
-    /// The request is held, as it crashes backend servers ([`crate::quarantine`]).
+    /// The request is quarantined because it crashes backend servers ([`crate::quarantine`]).
     Held,
 }
 
-/// A try that came to nothing.
+/// An attempt that failed.
 #[derive(Debug, Clone, Copy)]
 pub struct FailedAttempt {
-    /// Whether it may have run.
+    /// Whether the call may have run.
     pub verdict: Verdict,
-    /// Why it came to nothing.
+    /// Why the attempt failed.
     pub cause: Cause,
-    /// Whether the call may be repeated, whatever became of it.
+    /// Whether the call may be repeated even if it has run.
     pub repeatable: bool,
-    /// Tries so far, this one included.
+    /// Attempts so far, including this one.
     pub attempts: u8,
-    /// Those of them that were given to a backend server, or may have been.
+    /// Attempts that were handed to a backend server, or may have been.
     pub dispatched: u8,
     /// Backend servers that ended while they ran the call.
     pub crashes: u8,
-    /// Tries allowed by the retry rule.
+    /// Attempts allowed by the retry rule.
     pub max_attempts: u8,
-    /// Whether a layer above marked the call as a retry ([`HEADER`]).
+    /// Whether the caller, or a layer above it, marked the call as a retry ([`HEADER`]).
     pub retried_by_caller: bool,
-    /// Whether there are backend servers that have not refused the call, and
-    /// after [`Cause::Full`] one that is not known to be full as well.
+    /// Whether there are backend servers that have not refused the call; after [`Cause::Full`], one
+    /// of them must also not be known to be full.
     pub has_alternative: bool,
     /// When nobody waits for the answer any more.
     pub deadline: Instant,
-    /// How long a try is expected to take.
+    /// Expected duration of an attempt.
     pub expected_duration: Duration,
 }
 
-/// What follows a try that came to nothing.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It is tried again after a wait.
+    /// Retry after a delay.
     Retry(Duration),
-    /// The caller gets its final answer now.
+    /// Return the final answer to the caller now.
     GiveUp(GiveUpReason),
 }
 
-/// Why there is no further try.
+/// Why a call is not retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// It may have run, and may not be repeated.
+    /// It may have run and must not be repeated.
     Unsafe,
-    /// All tries are used, or no backend server is left.
+    /// All attempts are used, or no backend server is left.
     Exhausted,
-    /// A layer above tries again already.
+    /// A layer above already retries.
     RetriedByCaller,
-    /// A further try would end after the deadline.
+    /// A further attempt would end after the deadline.
     Deadline,
-    /// The budget is used up.
+    /// The retry budget is used up.
     Budget,
-    /// It seems to crash the backend servers that run it.
+    /// The call seems to crash the backend servers that run it.
     Crashes,
 }
 
-/// Tokens that a budget starts with and can hold: a quiet service may try
-/// again too, and saved-up successes allow no storm.
+/// Initial and maximum number of tokens: a service with few calls can retry as well, and saved-up
+/// successes cannot pay for a retry storm.
 const MAX_TOKENS: f64 = 10.0;
 
-/// Tokens a second that come without successes, for services with a call now and then.
+/// Tokens added a second without any success, for services with only occasional calls.
 const TOKENS_PER_SECOND: f64 = 0.2;
 
-/// Doors that a call may be turned away from. What outbound proxies know of
-/// loads is some hundred milliseconds old, so that the first choice may be full
-/// while another has room; with three doors of a service's four, 97 in 100 find
-/// the room that a third of its backend servers have. Each costs a round trip.
+/// Backend servers that may refuse a call as full before it is given up. The load known to an
+/// outbound proxy is some hundred milliseconds old, so the first choice may be full while another
+/// backend server has room. If a third of a service's four backend servers have room, three
+/// attempts find it in 97 of 100 cases. Each attempt costs a round trip.
 const MAX_ADMISSION_ATTEMPTS: u8 = 3;
 
-/// Backend servers that may end under one call: one may have been taken down by another
-/// call that it ran beside; a second one speaks against the call itself.
+/// Backend servers that may end while running a call. The first may have been taken down by another
+/// call that ran at the same time; a second one points to the call itself.
 const MAX_CRASHES: u8 = 2;
 
-/// Ceilings of the wait before a try of a call that failed.
+/// First and highest ceiling of the backoff delay after a failed call.
 const BACKOFF_CEILINGS: (Duration, Duration) =
     (Duration::from_millis(5), Duration::from_millis(200));
 
-/// Retries of one service: a share of its successes, and within the part of the
-/// fleet's allowance where operators bound the fleet.
+/// Retry budget of one service: a share of its successes and, where operators limit retries for the
+/// whole fleet, this node's quota of that limit.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     tokens: f64,
     success_share: f64,
     refilled_at: Instant,
-    allowance: Option<RetryQuota>,
+    quota: Option<RetryQuota>,
 }
 
 impl RetryBudget {
-    /// Makes a budget of retries in per cent of successes.
+    /// Creates a budget that allows retries for `percent` per cent of the successes.
     #[must_use]
     pub fn new(now: Instant, percent: u8) -> Self {
         Self {
             tokens: if percent == 0 { 0.0 } else { MAX_TOKENS },
             success_share: f64::from(percent) / 100.0,
             refilled_at: now,
-            allowance: None,
+            quota: None,
         }
     }
 
-    /// Holds it within this node's part of what the whole fleet may repeat.
+    /// Also limits the budget to this node's quota of the fleet-wide limit.
     #[must_use]
-    pub fn with_fleet_limits(self, now: Instant, bounds: FleetLimits) -> Self {
+    pub fn with_fleet_limits(self, now: Instant, limits: FleetLimits) -> Self {
         Self {
-            allowance: Some(RetryQuota::new(now, bounds)),
+            quota: Some(RetryQuota::new(now, limits)),
             ..self
         }
     }
 
-    /// Takes in how many nodes the fleet has.
+    /// Sets the number of nodes in the fleet.
     pub fn set_node_count(&mut self, now: Instant, nodes: usize) {
-        if let Some(allowance) = &mut self.allowance {
-            allowance.set_node_count(now, nodes);
+        if let Some(quota) = &mut self.quota {
+            quota.set_node_count(now, nodes);
         }
     }
 
-    /// Takes in a caller's request for the service.
+    /// Records a caller's request for the service.
     pub fn record_request(&mut self, now: Instant) {
-        if let Some(allowance) = &mut self.allowance {
-            allowance.record_request(now);
+        if let Some(quota) = &mut self.quota {
+            quota.record_request(now);
         }
     }
 
-    /// Takes in a repeat that can't be left out: a call made by a run that is one.
+    /// Records a repeat that cannot be suppressed: a call made while running a call that is itself
+    /// a repeat.
     pub fn record_retry(&mut self, now: Instant) {
-        if let Some(allowance) = &mut self.allowance {
-            allowance.record_retry(now);
+        if let Some(quota) = &mut self.quota {
+            quota.record_retry(now);
         }
     }
 
-    /// Takes in the share that a new configuration names.
+    /// Sets the share of successes from a new configuration.
     pub fn set_percent(&mut self, percent: u8) {
         self.success_share = f64::from(percent) / 100.0;
     }
 
-    /// Takes in a success of a first try.
+    /// Records a successful first attempt.
     pub fn record_success(&mut self) {
         self.tokens = (self.tokens + self.success_share).min(MAX_TOKENS);
     }
 
-    /// Decides what follows a try that came to nothing.
+    /// Decides what to do after a failed attempt.
     pub fn decide<R>(&mut self, now: Instant, failed: &FailedAttempt, rng: &mut R) -> Decision
     where
         R: Rng,
@@ -190,9 +191,9 @@
         if now + wait + failed.expected_duration > failed.deadline {
             return Decision::GiveUp(GiveUpReason::Deadline);
         }
-        // Refused at the door, by one that leaves, is full or is not there, the
-        // call has cost no backend server anything: a rolling restart, or one that is slow
-        // while the others have room, must not use up the budget.
+        // A call refused because the backend server is leaving, full or unreachable has cost no
+        // backend server anything. A rolling restart, or a single slow backend server while the
+        // others have room, must not use up the budget.
         let is_free = matches!(
             failed.cause,
             Cause::Leaving | Cause::Unreached | Cause::Full
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Takes a token, if there is one.
+    /// Takes a token if one is available and returns whether it was.
     pub fn spend(&mut self, now: Instant) -> bool {
         let age = now
             .saturating_duration_since(self.refilled_at)
@@ -219,8 +220,8 @@
         if self.tokens < 1.0 {
             return false;
         }
-        if let Some(allowance) = &mut self.allowance
-            && !allowance.spend(now)
+        if let Some(quota) = &mut self.quota
+            && !quota.spend(now)
         {
             return false;
         }
@@ -233,7 +234,7 @@
     let is_safe = match failed.verdict {
         Verdict::NotRun => true,
         Verdict::MayHaveRun => failed.repeatable,
-        // It was answered; whatever the answer, it is the caller's.
+        // The call was answered; whatever the answer, it goes to the caller.
         Verdict::Ran => false,
     };
     if !is_safe {
@@ -244,7 +245,7 @@
     }
     let is_exhausted = match failed.cause {
         Cause::Leaving | Cause::Unreached => false,
-        // Turned away at the door, it has cost no backend server anything.
+        // A call that is not admitted has cost no backend server anything.
         Cause::Full => failed.attempts >= MAX_ADMISSION_ATTEMPTS.max(failed.max_attempts),
         Cause::Shed | Cause::Failed | Cause::Held => failed.dispatched >= failed.max_attempts,
     };
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -1,58 +1,58 @@
-//! What an outbound proxy knows of one backend server.
+//! State that an outbound proxy keeps about one backend server.
 
 use crate::balance::{Candidate, Distance, Identity, Track};
 use crate::outlier::Health;
 use std::time::{Duration, Instant};
 
-/// Time over which a new backend server that does not tell it, or one that is
-/// back, gets its full share: caches and connection pools fill in seconds (1 ms a
-/// connection, 110 connections, and cold code).
+/// Slow-start period of a backend server that does not advertise one, or that returns from an
+/// ejection: caches and connection pools fill within seconds (1 ms a connection, 110 connections,
+/// and cold code).
 ///
-/// One whose node alone was restarted tells that it is warm, and gets its share
-/// at once: in a rolling restart of all nodes some VM was always taken for cold.
+/// A backend server whose node alone was restarted advertises that it is warm and gets its full
+/// share at once. Otherwise a rolling restart of all nodes would keep some VM in slow start at all
+/// times.
 const SLOW_START: Duration = Duration::from_secs(5);
 
-/// Share of its calls that a cold backend server begins with.
+/// Share of its calls that a backend server gets at the beginning of slow start.
 const MIN_SLOW_START_WEIGHT: f64 = 0.1;
 
-/// Time over which what an inbound proxy said of its load is forgotten.
+/// Time constant, in seconds, with which a reported load decays.
 const LOAD_DECAY_TIME: f64 = 0.3;
 
-/// Time over which a bad latency is forgotten if no call renews it: one that is
-/// avoided would otherwise be avoided for ever.
+/// Time constant, in seconds, with which a measured slowdown decays while no call updates it.
+/// Without decay, a backend server that is avoided would be avoided forever.
 const SLOWDOWN_DECAY_TIME: f64 = 10.0;
 
-/// Share of its slots up to which a further call finds one free, however old
-/// the figures are.
+/// Load up to which a further call is expected to find a free slot, however old the figures are.
 ///
-/// From there on the wait is taken to grow with the square of what is over: a
-/// quarter of a call's duration when the last slot is taken, and a whole one
-/// at half as many calls again as slots.
+/// Above it, the expected wait grows with the square of the excess: a quarter of a call's duration
+/// when the last slot is taken, and a whole duration at one and a half times as many calls as
+/// slots.
 const FREE_LOAD: f64 = 0.5;
 
-/// Weight of a new latency.
+/// Weight of a new sample in the mean slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.1;
 
-/// Time for which one that did not tell its outlook is not asked again: each question that
-/// nobody answers holds its call up by the whole patience of whoever asks.
+/// Time for which a backend server that did not answer a load probe is not probed again: each
+/// unanswered probe delays its call by the full probe timeout.
 const PROBE_PAUSE: Duration = Duration::from_millis(500);
 
-/// What failures add to a score: at 10% failures it doubles.
+/// Weight of the failure rate in a score: a failure rate of 10% doubles it.
 const FAILURE_COST: f64 = 10.0;
 
-/// The same for calls that may not be repeated, each of which is lost if it
-/// fails: after one failure, nearly any other backend server is better.
+/// The same for calls that must not be repeated, each of which is lost if it fails: after one
+/// failure, nearly any other backend server is better.
 const UNREPEATABLE_FAILURE_COST: f64 = 100.0;
 
-/// Answers seen before one's own latency counts.
+/// Answers needed before the measured slowdown of a backend server is used.
 const MIN_ANSWERS: u32 = 3;
 
-/// A backend server as one outbound proxy sees it.
+/// A backend server as seen by one outbound proxy.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) identity: Identity,
     pub(crate) generation: u32,
-    /// The process behind its node, as it was last told.
+    /// The process behind its node, as last advertised.
     process: u64,
     pub(crate) in_view: bool,
     pub(crate) leaving: bool,
@@ -60,7 +60,7 @@
     pub(crate) arm: Track,
     pub(crate) slots: f64,
     pub(crate) in_flight: u32,
-    /// Sum of the starts of the calls in flight, in seconds since `epoch`.
+    /// Sum of the start times of the calls in flight, in seconds since `epoch`.
     start_sum: f64,
     epoch: Instant,
     slowdown: f64,
@@ -69,15 +69,16 @@
     load: f64,
     load_reported_at: Instant,
     pub(crate) slow_start_from: Option<Instant>,
-    /// Time from then on until it gets its full share.
+    /// Length of the slow start that began then.
     slow_start: Duration,
-    /// Until when it is not asked, as it did not answer.
+    /// End of the pause after an unanswered load probe.
     probes_paused_until: Option<Instant>,
     pub(crate) health: Health,
 }
 
 impl Server {
-    /// Starts as healthy and fast; cold, unless it is one of the `first` seen.
+    /// Creates a healthy and fast backend server, in slow start unless it `is_initial`: one of
+    /// those that were known from the beginning.
     pub(crate) fn new(now: Instant, candidate: &Candidate, is_initial: bool) -> Self {
         Self {
             identity: candidate.identity.clone(),
@@ -96,7 +97,8 @@
             answered_at: now,
             load: 0.0,
             load_reported_at: now,
-            // At one's own start all are new, and none of them is cold for that.
+            // When the proxy itself starts, all backend servers are new to it; that does not make
+            // them cold.
             slow_start_from: (!is_initial).then_some(now),
             slow_start: candidate.warm_up.unwrap_or(SLOW_START),
             probes_paused_until: None,
@@ -104,11 +106,10 @@
         }
     }
 
-    /// Starts again if another process of the backend server is behind the same node.
+    /// Resets the state if another process of the backend server is now behind the node.
     ///
-    /// Its node was not restarted, so that nothing else tells it from the former
-    /// one: it would get a warm one's share of the calls while it is cold, and be
-    /// judged by what the other did.
+    /// The identity does not change, because the node was not restarted. Without the reset, a cold
+    /// process would get the share of a warm one and be judged by the calls of its predecessor.
     pub(crate) fn update_process(&mut self, now: Instant, candidate: &Candidate) {
         if self.process == candidate.process {
             return;
@@ -119,7 +120,7 @@
         self.slow_start = candidate.warm_up.unwrap_or(SLOW_START);
     }
 
-    /// Starts again as it is back from an ejection.
+    /// Restarts the slow start, as after an ejection.
     pub(crate) fn restart_slow_start(&mut self, now: Instant) {
         self.slow_start_from = Some(now);
         self.slow_start = SLOW_START;
@@ -127,13 +128,13 @@
         self.answers = 0;
     }
 
-    /// Gives a figure that evens out load: the lower, the less there is in front of a further call.
-    /// `usual` is the mean duration, in seconds, of the service's calls.
+    /// Returns a score for evening out load: the lower, the less work is ahead of a further call.
+    /// `mean_duration` is the mean duration of the service's calls in seconds.
     pub(crate) fn load_score(&self, now: Instant, mean_duration: f64, repeatable: bool) -> f64 {
         (self.load(now) + 1.0 / self.slots) * self.cost_factor(now, mean_duration, repeatable)
     }
 
-    /// Gives how soon a further call would be answered, in usual durations.
+    /// Returns how soon a further call would be answered, in multiples of its normal duration.
     pub(crate) fn expected_finish(
         &self,
         now: Instant,
@@ -152,7 +153,7 @@
         slowdown * self.failure_factor(repeatable)
     }
 
-    /// Gives how many times its cost a call to it is weighed for its failures.
+    /// Returns the factor by which its failures raise the cost of a call.
     pub(crate) fn failure_factor(&self, repeatable: bool) -> f64 {
         let cost = if repeatable {
             FAILURE_COST
@@ -162,13 +163,13 @@
         1.0 + cost * self.health.failure_rate()
     }
 
-    /// Counts a call to it.
+    /// Counts the start of a call.
     pub(crate) fn start_call(&mut self, now: Instant) {
         self.in_flight += 1;
         self.start_sum += self.since_epoch(now);
     }
 
-    /// Takes a call out of the count.
+    /// Counts the end of a call that began at `started`.
     pub(crate) fn end_call(&mut self, started: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.start_sum = if self.in_flight == 0 {
@@ -178,8 +179,8 @@
         };
     }
 
-    /// Gives the mean age of the calls in flight: a backend server that
-    /// swallows calls shows by it long before the first deadline.
+    /// Returns the mean age of the calls in flight, in seconds. It reveals a backend server that
+    /// never answers long before the first deadline expires.
     fn mean_call_age(&self, now: Instant) -> f64 {
         if self.in_flight == 0 {
             return 0.0;
@@ -191,8 +192,8 @@
         at.saturating_duration_since(self.epoch).as_secs_f64()
     }
 
-    /// Gives the load in slots' worth: one's own calls, or what the inbound
-    /// proxy said lately, whichever is more.
+    /// Returns the load as a share of the slots: the greater of this proxy's own calls in flight
+    /// and the recently reported load.
     pub(crate) fn load(&self, now: Instant) -> f64 {
         let age = now
             .saturating_duration_since(self.load_reported_at)
@@ -206,12 +207,12 @@
         self.load_reported_at = now;
     }
 
-    /// Notes that it did not tell its outlook.
+    /// Records that it did not answer a load probe.
     pub(crate) fn record_missed_probe(&mut self, now: Instant) {
         self.probes_paused_until = Some(now + PROBE_PAUSE);
     }
 
-    /// Tells whether it may be asked.
+    /// Returns whether it may be probed.
     pub(crate) fn may_probe(&self, now: Instant) -> bool {
         self.probes_paused_until.is_none_or(|until| until <= now)
     }
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -1,31 +1,31 @@
-//! How fast a backend server works off what waits, and what was told to come back.
+//! Measured throughput of a backend server, and the backlog of work that it refused.
 //!
-//! *Load pattern:* an overload whose refused callers try again. *Without it*
-//! Retry-After is a constant: too short and the same calls are refused over and
-//! over, too long and slots stand idle. *Grounds:* the rate is measured, and
-//! refused work is counted as a queue of its own that drains at that rate.
+//! Refused callers retry during an overload. With a constant Retry-After that is too short, the
+//! same calls are refused again and again; with one that is too long, slots stay idle. The rate is
+//! therefore measured, and refused work is counted as a virtual queue that drains at this rate.
 
 use std::time::Instant;
 
-/// Bounds of a Retry-After, in seconds: the round trips of a refusal are not
-/// worth less, and a person has gone away after more.
+/// Bounds of a Retry-After in seconds: below, it would not be worth the round trips of another
+/// refusal; above, a person has given up waiting.
 const RETRY_AFTER_RANGE: (f64, f64) = (0.05, 10.0);
 
-/// Time over which the speed is averaged: a second of 6 slots is 200 calls of 30 ms.
+/// Time constant of the speed, in seconds: one second of 6 slots is 200 calls of 30 ms.
 const SPEED_DECAY_TIME: f64 = 1.0;
 
-/// Slot-seconds at the expected speed with which a measurement is mixed, so
-/// that one odd call alone does not count.
+/// Slot-seconds at the expected speed that are mixed into a measurement, so that a single unusual
+/// call has little weight.
 const PRIOR_WORK: f64 = 0.2;
 
-/// Least speed assumed, so that waits stay finite.
+/// Lower bound of the speed, which keeps waits finite.
 const MIN_SPEED: f64 = 0.02;
 
-/// Work done by a slot a second, as a share of what its calls were expected to take.
+/// Speed of a slot: the work that it does in a second, as a share of what its calls were expected
+/// to take.
 ///
-/// It is taken from durations, not from counting what ends: with jobs of a
-/// second among calls of milliseconds, counts come in lumps. A backend server
-/// that hangs ends nothing at all; it shows by the age of the calls that run.
+/// It is derived from durations and not from the number of completions, which is irregular when
+/// jobs of a second run among calls of milliseconds. A backend server that hangs completes nothing
+/// at all; it is recognized by the age of its running calls.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlotSpeed {
     expected: f64,
@@ -59,7 +59,7 @@
     pub(crate) fn finish(&mut self, now: Instant, started: Instant, expected: f64) {
         self.running -= 1.0;
         if self.running < 0.5 {
-            // An idle backend server is exactly idle: sums of floats would drift.
+            // Resets the sums of floats while idle, so that rounding errors do not accumulate.
             self.running_expected = 0.0;
             self.running_start_sum = 0.0;
         } else {
@@ -86,21 +86,21 @@
     }
 }
 
-/// Time over which a lane's rate is averaged, at the least.
+/// Minimum time constant of a lane's rate, in seconds.
 const LANE_DECAY_TIME: f64 = 0.5;
 
-/// Time over which a lane that does not wait drifts to the whole. Longer than
-/// the other: a class that gets little waits on and off, and a quick drift
-/// forgot each time how little.
+/// Time constant, in seconds, with which the rate of a lane without waiting calls approaches the
+/// total rate. It is longer than [`LANE_DECAY_TIME`]: a class with a small share has waiting calls
+/// only on and off, and with a faster approach its low rate was forgotten each time.
 const IDLE_DECAY_TIME: f64 = 2.0;
 
-/// Calls over which a lane's rate is averaged, at the least.
+/// Minimum number of calls over which a lane's rate is averaged.
 const MIN_LANE_CALLS: f64 = 8.0;
 
-/// Slot-seconds a second that one class and kind of calls gets.
+/// Slot-seconds a second that a lane (calls of one class and kind) gets.
 ///
-/// It is only seen while such calls wait. While none does, it drifts to what
-/// all slots give: a lane that gets by without waiting could get more.
+/// The rate is only observable while calls of the lane wait. While none waits, it approaches the
+/// rate of all slots, because a lane that is served without waiting could get more.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LaneRate {
     rate: f64,
@@ -115,21 +115,21 @@
         }
     }
 
-    /// Takes in that none has waited since it was last asked.
+    /// Records that no call of the lane has waited since the last query.
     pub(crate) fn record_idle(&mut self, now: Instant, total_rate: f64) {
         let decay = decay(now, self.updated_at, IDLE_DECAY_TIME);
         self.rate = total_rate + (self.rate - total_rate) * decay;
         self.updated_at = now;
     }
 
-    /// Takes in that one which waited has got its turn.
+    /// Records that a waiting call was started.
     pub(crate) fn record_served(&mut self, now: Instant, work: f64) {
         let decay_time = LANE_DECAY_TIME.max(MIN_LANE_CALLS * work);
         self.rate = self.rate * decay(now, self.updated_at, decay_time) + work / decay_time;
         self.updated_at = now;
     }
 
-    /// Gives the rate for calls that are expected to take `work`.
+    /// Returns the rate for calls that are expected to take `work`.
     pub(crate) fn get(self, now: Instant, work: f64) -> f64 {
         self.rate
             * decay(
@@ -144,7 +144,7 @@
     (-now.saturating_duration_since(from).as_secs_f64() / decay_time).exp()
 }
 
-/// Work that was refused and sent to come back later.
+/// Refused work whose callers were told to return later.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DeferredWork {
     work: f64,
@@ -159,11 +159,11 @@
         }
     }
 
-    /// Adds refused work; gives the seconds until it can be served.
+    /// Adds refused work and returns the seconds until it can be served.
     pub(crate) fn add(&mut self, now: Instant, work: f64, rate: f64) -> f64 {
         let drained = now.saturating_duration_since(self.updated_at).as_secs_f64() * rate;
-        // Beyond the longest Retry-After more promises tell nothing new, and
-        // would only outlast the overload.
+        // Beyond the longest Retry-After, more deferred work gives no further information and would
+        // only outlast the overload.
         let max_work = RETRY_AFTER_RANGE.1 * rate;
         self.work = ((self.work - drained).max(0.0) + work).min(max_work);
         self.updated_at = now;
--- a/crates/policy/tests/balance.rs
+++ b/crates/policy/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Where calls go.
+//! Tests of how calls are balanced over backend servers.
 
 use call::Digest;
 use clock::{Clock, Manual};
@@ -10,13 +10,13 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// Calls, 6 ms apart.
+/// Number of calls, 6 ms apart.
 const CALLS: u32 = 2_000;
 
-/// How long a call takes at a backend server that is well.
-const USUAL: Duration = Duration::from_millis(60);
+/// Duration of a call at a healthy backend server.
+const NORMAL_DURATION: Duration = Duration::from_millis(60);
 
-/// A call that has not ended.
+/// A call in flight.
 struct Pending {
     due: Instant,
     key: Key,
@@ -39,7 +39,7 @@
     (0..count).map(make).collect()
 }
 
-fn ask(tried: &[Key], repeatable: bool) -> PickArgs<'_> {
+fn pick_args(tried: &[Key], repeatable: bool) -> PickArgs<'_> {
     PickArgs {
         tried,
         repeatable,
@@ -48,32 +48,31 @@
     }
 }
 
-// A backend server crashes and starts again behind a node that goes on, and
-// says that it is cold for 4 s. It was at once sent as many calls as the warm
-// ones, and look-ups waited behind them. Cause: only a new node counted as a
-// new backend server.
+// A backend server restarts behind a node that keeps running and advertises a warm-up time of 4 s.
+// It must not get as many calls as the warm ones, which would make look-ups wait behind them. It
+// did when only a new node counted as a new backend server.
 #[test]
-fn restarted_behind_node() {
+fn restart_behind_node() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut balance = Balancer::new();
-    balance.sync(clock.now(), list_candidates(4));
+    let mut balancer = Balancer::new();
+    balancer.sync(clock.now(), list_candidates(4));
     clock.advance(Duration::from_secs(20));
     let mut candidates = list_candidates(4);
     candidates[2].process = 2;
     candidates[2].warm_up = Some(Duration::from_secs(4));
-    balance.sync(clock.now(), candidates.clone());
+    balancer.sync(clock.now(), candidates.clone());
     let mut share = |clock: &Manual| {
-        let mut to_restarted = 0;
+        let mut restarted_calls = 0;
         for _ in 0..CALLS {
-            let key = balance
-                .pick(clock.now(), &ask(&[], true), &mut rng)
+            let key = balancer
+                .pick(clock.now(), &pick_args(&[], true), &mut rng)
                 .unwrap();
-            to_restarted += u32::from(balance.identity(key) == Some(&candidates[2].identity));
+            restarted_calls += u32::from(balancer.identity(key) == Some(&candidates[2].identity));
             let done = Outcome::Answered(None);
-            balance.finish(clock.now(), key, 1, USUAL, done, &mut rng);
+            balancer.finish(clock.now(), key, 1, NORMAL_DURATION, done, &mut rng);
         }
-        f64::from(to_restarted) / f64::from(CALLS)
+        f64::from(restarted_calls) / f64::from(CALLS)
     };
     let at_start = share(&clock);
     assert!(at_start < 0.1, "{at_start}");
@@ -82,39 +81,38 @@
     assert!((0.15..0.35).contains(&warm), "{warm}");
 }
 
-// One of four backend servers is ten times slower, and copies of its late
-// look-ups are answered elsewhere after three times the usual. It went on to
-// get one call in twenty, commits among them. Cause: a call that was overtaken
-// counted by the time that it had, so that a backend server all of whose calls
-// are overtaken looked only three times slower, and its queue was empty.
+// One of four backend servers is ten times slower, and its late look-ups are hedged elsewhere after
+// three times the usual duration. It must not keep one call in twenty, commits among them. It did
+// when an overtaken call counted with its elapsed time: a backend server whose calls are all
+// overtaken then looked only three times slower, with an empty queue.
 #[test]
-fn overtaken_shunned() {
+fn hedged_server_avoided() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut balance = Balancer::new();
-    balance.sync(clock.now(), list_candidates(4));
+    let mut balancer = Balancer::new();
+    balancer.sync(clock.now(), list_candidates(4));
     let mut pending = Vec::<Pending>::new();
-    let mut to_slow = 0;
+    let mut slow_calls = 0;
     for call in 0..CALLS {
         clock.advance(Duration::from_millis(6));
         let now = clock.now();
         for ended in pending.extract_if(.., |call| call.due <= now) {
-            balance.finish(now, ended.key, 1, ended.took, ended.outcome, &mut rng);
+            balancer.finish(now, ended.key, 1, ended.took, ended.outcome, &mut rng);
         }
-        let key = balance.pick(now, &ask(&[], true), &mut rng).unwrap();
-        let is_slow = balance.identity(key).unwrap().incarnation == 0;
+        let key = balancer.pick(now, &pick_args(&[], true), &mut rng).unwrap();
+        let is_slow = balancer.identity(key).unwrap().incarnation == 0;
         let (took, outcome) = if is_slow {
-            (3 * USUAL, Outcome::HedgeWon)
+            (3 * NORMAL_DURATION, Outcome::HedgeWon)
         } else {
             (
-                USUAL,
+                NORMAL_DURATION,
                 Outcome::Answered(Some(LoadReport {
                     load: 0.5,
                     queue_wait: Duration::ZERO,
                 })),
             )
         };
-        to_slow += u32::from(is_slow && call >= CALLS / 10);
+        slow_calls += u32::from(is_slow && call >= CALLS / 10);
         pending.push(Pending {
             due: now + took,
             key,
@@ -122,130 +120,148 @@
             outcome,
         });
     }
-    assert!(to_slow * 100 < CALLS, "{to_slow} calls");
+    assert!(slow_calls * 100 < CALLS, "{slow_calls} calls");
 }
 
-// One of two backend servers is out for its errors when the other one is
-// drained. Callers were told at once that there is no backend server, though
-// the one that is left answers most calls. Cause: the floor that keeps enough
-// was looked at only at the time of an ejection.
+// One of two backend servers is ejected for its errors when the other one is drained. Calls must go
+// to the ejected one, which still answers most of them, instead of failing at once for lack of a
+// backend server. The limit on ejections was only checked at the time of an ejection.
 #[test]
-fn last_one_left() {
+fn only_ejected_left() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut balance = Balancer::new();
-    let both = list_candidates(2);
-    balance.sync(clock.now(), both.clone());
-    let mut well = Vec::new();
-    while well.is_empty() {
-        let key = balance
-            .pick(clock.now(), &ask(&[], false), &mut rng)
+    let mut balancer = Balancer::new();
+    let candidates = list_candidates(2);
+    balancer.sync(clock.now(), candidates.clone());
+    let mut healthy = Vec::new();
+    while healthy.is_empty() {
+        let key = balancer
+            .pick(clock.now(), &pick_args(&[], false), &mut rng)
             .unwrap();
-        if balance.identity(key).unwrap().incarnation == 1 {
-            well.push(key);
+        if balancer.identity(key).unwrap().incarnation == 1 {
+            healthy.push(key);
         }
-        balance.finish(clock.now(), key, 1, USUAL, Outcome::Cancelled, &mut rng);
+        balancer.finish(
+            clock.now(),
+            key,
+            1,
+            NORMAL_DURATION,
+            Outcome::Cancelled,
+            &mut rng,
+        );
     }
-    while let Some(key) = balance.pick(clock.now(), &ask(&well, false), &mut rng) {
-        clock.advance(USUAL);
-        balance.finish(clock.now(), key, 1, USUAL, Outcome::Failed, &mut rng);
+    while let Some(key) = balancer.pick(clock.now(), &pick_args(&healthy, false), &mut rng) {
+        clock.advance(NORMAL_DURATION);
+        balancer.finish(
+            clock.now(),
+            key,
+            1,
+            NORMAL_DURATION,
+            Outcome::Failed,
+            &mut rng,
+        );
     }
-    balance.sync(clock.now(), both[..1].to_vec());
+    balancer.sync(clock.now(), candidates[..1].to_vec());
     assert!(
-        balance
-            .pick(clock.now(), &ask(&[], false), &mut rng)
+        balancer
+            .pick(clock.now(), &pick_args(&[], false), &mut rng)
             .is_some()
     );
 }
 
-/// Shares of the calls that a second backend server gets in its first second.
-fn first_second(cold: Option<Duration>) -> f64 {
+/// Returns the share of calls that a second backend server gets in its first second.
+fn first_second_share(warm_up: Option<Duration>) -> f64 {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut balance = Balancer::new();
-    let mut both = list_candidates(2);
-    both[1].warm_up = cold;
-    balance.sync(clock.now(), both[..1].to_vec());
-    balance.sync(clock.now(), both);
-    let mut to_new = 0;
+    let mut balancer = Balancer::new();
+    let mut candidates = list_candidates(2);
+    candidates[1].warm_up = warm_up;
+    balancer.sync(clock.now(), candidates[..1].to_vec());
+    balancer.sync(clock.now(), candidates);
+    let mut new_calls = 0;
     for _ in 0..1_000 {
         clock.advance(Duration::from_millis(1));
         let now = clock.now();
-        let key = balance.pick(now, &ask(&[], true), &mut rng).unwrap();
-        to_new += i32::from(balance.identity(key).unwrap().incarnation == 1);
+        let key = balancer.pick(now, &pick_args(&[], true), &mut rng).unwrap();
+        new_calls += i32::from(balancer.identity(key).unwrap().incarnation == 1);
         let answered = Outcome::Answered(None);
-        balance.finish(now, key, 1, USUAL, answered, &mut rng);
+        balancer.finish(now, key, 1, NORMAL_DURATION, answered, &mut rng);
     }
-    f64::from(to_new) / 1_000.0
+    f64::from(new_calls) / 1_000.0
 }
 
-// All nodes are restarted one after the other beside backend servers that run
-// on. At any time one of three was taken for cold, and the others were too full.
-// Cause: a node's new process looked like a new backend server.
+// All nodes are restarted one after the other while their backend servers keep running. None of
+// these may be put into slow start. At any time one of three was, and the others became too full,
+// because a node's new process looked like a new backend server.
 #[test]
-fn warm_at_once() {
-    let (unknown, warm) = (first_second(None), first_second(Some(Duration::ZERO)));
-    let cold = first_second(Some(Duration::from_secs(10)));
+fn warm_after_restart() {
+    let (unknown, warm) = (
+        first_second_share(None),
+        first_second_share(Some(Duration::ZERO)),
+    );
+    let cold = first_second_share(Some(Duration::from_secs(10)));
     println!("unknown {unknown:.3} warm {warm:.3} cold {cold:.3}");
     assert!(warm > 0.45 && unknown < 0.25 && cold <= unknown);
 }
 
-/// Copies of a request that crashes servers must all go to one, whoever sends them.
+/// Copies of a request that crashes backend servers must all go to the same one, whichever node
+/// sends them.
 #[test]
-fn one_owner() {
+fn same_owner_everywhere() {
     let now = Manual::new().now();
     let request = |number: usize| Digest::of("GET", "", &format!("/records/{number}"), b"");
-    let mut proxies: Vec<Balancer> = Vec::new();
+    let mut balancers: Vec<Balancer> = Vec::new();
     for turn in 0..5 {
-        let mut balance = Balancer::new();
+        let mut balancer = Balancer::new();
         let mut candidates = list_candidates(5);
         candidates.rotate_left(turn);
-        balance.sync(now, candidates);
-        proxies.push(balance);
+        balancer.sync(now, candidates);
+        balancers.push(balancer);
     }
     let mut owners = HashSet::new();
     for number in 0..50 {
-        let choices = proxies.iter_mut().map(|balance| {
-            let key = balance.pick_owner(now, &ask(&[], true), request(number));
-            balance.identity(key.unwrap()).unwrap().node.clone()
+        let choices = balancers.iter_mut().map(|balancer| {
+            let key = balancer.pick_owner(now, &pick_args(&[], true), request(number));
+            balancer.identity(key.unwrap()).unwrap().node.clone()
         });
         let choices: HashSet<_> = choices.collect();
         assert_eq!(choices.len(), 1, "{choices:?}");
         owners.extend(choices);
     }
-    assert_eq!(owners.len(), 5, "different requests go to different ones");
+    assert_eq!(owners.len(), 5, "requests are spread over all owners");
 }
 
-/// Calls must reach a version under trial only when they are to try it, and never one taken back.
+/// The version under trial must get only the calls that are to try it, and an excluded version
+/// none.
 #[test]
-fn arms_apart() {
+fn tracks_kept_apart() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut balance = Balancer::new();
+    let mut balancer = Balancer::new();
     let mut candidates = list_candidates(6);
     candidates[4].track = Track::Trial;
     candidates[5].track = Track::Excluded;
-    balance.sync(clock.now(), candidates.clone());
+    balancer.sync(clock.now(), candidates.clone());
     let stable: Vec<_> = candidates[..4].iter().map(|one| &one.identity).collect();
     for _ in 0..500 {
-        let picked = balance.pick(clock.now(), &ask(&[], true), &mut rng);
+        let picked = balancer.pick(clock.now(), &pick_args(&[], true), &mut rng);
         let key = picked.unwrap();
-        assert!(stable.contains(&balance.identity(key).unwrap()));
-        let tried = balance.pick_trial(clock.now(), &ask(&[], true), &mut rng);
+        assert!(stable.contains(&balancer.identity(key).unwrap()));
+        let tried = balancer.pick_trial(clock.now(), &pick_args(&[], true), &mut rng);
         let trial = tried.unwrap();
-        assert_eq!(balance.identity(trial), Some(&candidates[4].identity));
-        // The trial's endpoint gets no second try of the same call.
-        let again = balance.pick_trial(clock.now(), &ask(&[trial], true), &mut rng);
+        assert_eq!(balancer.identity(trial), Some(&candidates[4].identity));
+        // The endpoint under trial gets no second attempt of the same call.
+        let again = balancer.pick_trial(clock.now(), &pick_args(&[trial], true), &mut rng);
         assert_eq!(again, None);
         for key in [key, trial] {
             let done = Outcome::Answered(None);
-            balance.finish(clock.now(), key, 1, USUAL, done, &mut rng);
+            balancer.finish(clock.now(), key, 1, NORMAL_DURATION, done, &mut rng);
         }
     }
-    // Nothing but the trial is left: callers are told so, and are not sent to it.
+    // Only the endpoint under trial is left: callers get an error instead of being sent to it.
     candidates.truncate(5);
     candidates.drain(..4);
-    balance.sync(clock.now(), candidates);
-    let picked = balance.pick(clock.now(), &ask(&[], true), &mut rng);
+    balancer.sync(clock.now(), candidates);
+    let picked = balancer.pick(clock.now(), &pick_args(&[], true), &mut rng);
     assert_eq!(picked, None);
 }
--- a/crates/policy/tests/probe.rs
+++ b/crates/policy/tests/first_calls.rs
@@ -1,4 +1,4 @@
-//! The first calls of a backend server, while its speed is not known yet.
+//! Tests the first calls of a backend server, while its speed is not yet known.
 
 use clock::{Clock, Manual};
 use config::Class;
@@ -7,19 +7,18 @@
 use rand::rngs::SmallRng;
 use std::time::Duration;
 
-/// Longest wait of a call that finds a free slot behind long ones.
-const PROBE: Duration = Duration::from_millis(250);
+/// Longest wait of a call behind long ones while a slot is free.
+const MAX_WAIT: Duration = Duration::from_millis(250);
 
-// A customer on a slow line fetches a long report right after a backend server
-// has started; look-ups beside it are refused for as long as that takes,
-// although slots are free. Cause: the speed was first tried out with half of
-// the slots, and only the end of a call ended that.
+// Long reports are fetched over slow lines right after a backend server has started. Look-ups must
+// not be refused meanwhile although slots are free. They were when half of the slots were used to
+// measure the speed until a call ended.
 #[yare::parameterized(
     two_slots = { 2 },
     three_slots = { 3 },
     six_slots = { 6 },
 )]
-fn long_first(slots: u16) {
+fn long_calls_first(slots: u16) {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(7);
     let mut admission = Admission::new(clock.now(), slots, 7);
@@ -47,7 +46,7 @@
     );
     if waiting > 0 {
         let wake_at = admission.wake_at().unwrap();
-        assert!(wake_at <= clock.now() + PROBE);
+        assert!(wake_at <= clock.now() + MAX_WAIT);
         clock.advance(wake_at - clock.now());
     }
     while let Some(next) = admission.next(clock.now(), &mut rng) {
--- a/crates/policy/tests/load_probe.rs
+++ b/crates/policy/tests/load_probe.rs
@@ -1,4 +1,4 @@
-//! Which backend servers are asked about a call, and which of them gets it.
+//! Tests of which backend servers are probed before a call, and which of them gets it.
 
 use clock::{Clock, Manual};
 use policy::balance::{
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// How long calls run that have taught the balance what is usual.
-const USUAL: Duration = Duration::from_millis(100);
+/// Duration of the calls that set the expected duration.
+const NORMAL_DURATION: Duration = Duration::from_millis(100);
 
-/// A service of four backend servers in the own zone and two in another one.
-fn spawn_balance(clock: &Manual, rng: &mut SmallRng, load: f64) -> Balancer {
+/// A service of four backend servers in the local zone and two in another one.
+fn make_balancer(clock: &Manual, rng: &mut SmallRng, load: f64) -> Balancer {
     let make = |index: u64| Candidate {
         identity: Identity {
             node: format!("vm-{index}").into(),
@@ -30,21 +30,23 @@
         warm_up: None,
         track: policy::balance::Track::Stable,
     };
-    let mut balance = Balancer::new();
-    balance.sync(clock.now(), (0..6).map(make));
+    let mut balancer = Balancer::new();
+    balancer.sync(clock.now(), (0..6).map(make));
     for _ in 0..40 {
-        let key = balance.pick(clock.now(), &ask(&[], None), rng).unwrap();
-        let told = LoadReport {
+        let key = balancer
+            .pick(clock.now(), &pick_args(&[], None), rng)
+            .unwrap();
+        let report = LoadReport {
             load,
             queue_wait: Duration::ZERO,
         };
-        let done = Outcome::Answered(Some(told));
-        balance.finish(clock.now(), key, 1, USUAL, done, rng);
+        let done = Outcome::Answered(Some(report));
+        balancer.finish(clock.now(), key, 1, NORMAL_DURATION, done, rng);
     }
-    balance
+    balancer
 }
 
-fn ask(tried: &[Key], target: Option<std::time::Instant>) -> PickArgs<'_> {
+fn pick_args(tried: &[Key], target: Option<std::time::Instant>) -> PickArgs<'_> {
     PickArgs {
         tried,
         repeatable: false,
@@ -53,7 +55,7 @@
     }
 }
 
-fn told(wait_ms: u64, run_ms: u64) -> Estimate {
+fn estimate(wait_ms: u64, run_ms: u64) -> Estimate {
     Estimate {
         accepts: true,
         wait: Duration::from_millis(wait_ms),
@@ -66,130 +68,133 @@
     free = { 0.2, 0 },
     busy = { 0.9, 3 },
 )]
-fn asks_when_busy(load: f64, asked: usize) {
+fn probes_when_busy(load: f64, probed: usize) {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(1);
-    let balance = spawn_balance(&clock, &mut rng, load);
-    let keys = balance.probe_targets(clock.now(), &ask(&[], None), &mut rng);
-    assert_eq!(keys.len(), asked);
-    let near = |key: &Key| balance.identity(*key).unwrap().incarnation < 4;
+    let balancer = make_balancer(&clock, &mut rng, load);
+    let keys = balancer.probe_targets(clock.now(), &pick_args(&[], None), &mut rng);
+    assert_eq!(keys.len(), probed);
+    let near = |key: &Key| balancer.identity(*key).unwrap().incarnation < 4;
     assert!(keys.iter().all(near));
 }
 
-// A call fails while the service is far from busy: its backend server lost power. The next
-// bookings went there as well, since nothing was asked of anybody. Cause: a load alone was
-// taken for trouble.
+// A call fails while the service has low load, because its backend server lost power. The next
+// calls must be preceded by probes. When probing depended on load alone, the next bookings were
+// sent to the same backend server.
 #[test]
-fn asks_after_failure() {
+fn probes_after_failure() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(2);
-    let mut balance = spawn_balance(&clock, &mut rng, 0.1);
-    let key = balance.pick(clock.now(), &ask(&[], None), &mut rng);
+    let mut balancer = make_balancer(&clock, &mut rng, 0.1);
+    let key = balancer.pick(clock.now(), &pick_args(&[], None), &mut rng);
     let key = key.unwrap();
-    balance.finish(clock.now(), key, 1, USUAL, Outcome::Failed, &mut rng);
-    let asked = |clock: &Manual, rng: &mut SmallRng| {
-        let keys = balance.probe_targets(clock.now(), &ask(&[], None), rng);
+    balancer.finish(
+        clock.now(),
+        key,
+        1,
+        NORMAL_DURATION,
+        Outcome::Failed,
+        &mut rng,
+    );
+    let probed = |clock: &Manual, rng: &mut SmallRng| {
+        let keys = balancer.probe_targets(clock.now(), &pick_args(&[], None), rng);
         keys.len()
     };
-    assert_eq!(asked(&clock, &mut rng), 3);
+    assert_eq!(probed(&clock, &mut rng), 3);
     clock.advance(Duration::from_secs(6));
-    assert_eq!(asked(&clock, &mut rng), 0);
+    assert_eq!(probed(&clock, &mut rng), 0);
 }
 
 #[parameterized(
-    shorter_wait = { Some(told(80, 100)), told(20, 100), 1 },
-    faster = { Some(told(0, 300)), told(60, 100), 1 },
-    silent = { None, told(500, 100), 1 },
-    turns_away = { Some(Estimate { accepts: false, ..told(0, 100) }), told(500, 100), 1 },
-    unknown_there = { Some(Estimate { run: None, ..told(0, 100) }), told(20, 100), 1 },
-    emptier = { Some(told(0, 100)), Estimate { load: 0.2, ..told(0, 110) }, 1 },
-    sooner_there = { Some(told(0, 100)), told(1, 100), 0 },
+    shorter_wait = { Some(estimate(80, 100)), estimate(20, 100), 1 },
+    faster = { Some(estimate(0, 300)), estimate(60, 100), 1 },
+    unanswered = { None, estimate(500, 100), 1 },
+    refuses = { Some(Estimate { accepts: false, ..estimate(0, 100) }), estimate(500, 100), 1 },
+    unknown_there = { Some(Estimate { run: None, ..estimate(0, 100) }), estimate(20, 100), 1 },
+    emptier = { Some(estimate(0, 100)), Estimate { load: 0.2, ..estimate(0, 110) }, 1 },
+    sooner_there = { Some(estimate(0, 100)), estimate(1, 100), 0 },
 )]
-fn soonest_gets_it(one: Option<Estimate>, two: Estimate, chosen: usize) {
+fn soonest_is_picked(one: Option<Estimate>, two: Estimate, chosen: usize) {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut balance = spawn_balance(&clock, &mut rng, 0.9);
-    let keys = balance.probe_targets(clock.now(), &ask(&[], None), &mut rng);
-    let seen = [(keys[0], one), (keys[1], Some(two))].map(|(key, outlook)| ProbeResult {
-        key,
-        estimate: outlook,
-    });
-    let picked = balance.pick_probed(clock.now(), &ask(&[], None), &seen, &mut rng);
+    let mut balancer = make_balancer(&clock, &mut rng, 0.9);
+    let keys = balancer.probe_targets(clock.now(), &pick_args(&[], None), &mut rng);
+    let results =
+        [(keys[0], one), (keys[1], Some(two))].map(|(key, estimate)| ProbeResult { key, estimate });
+    let picked = balancer.pick_probed(clock.now(), &pick_args(&[], None), &results, &mut rng);
     assert_eq!(picked, Some(keys[chosen]));
 }
 
-// Each zone has its own backend servers, and bytes between zones are paid for. Another zone is
-// asked only for a call that would be late in its own, and gets it only if it is sooner there.
+// Each zone has its own backend servers, and traffic between zones costs money. Another zone is
+// only probed for a call that would be late in its own, and gets it only if it would finish sooner
+// there.
 #[parameterized(
     in_time_near = { 100, 0, 0, false },
     late_near = { 900, 2, 0, true },
     late_everywhere = { 900, 2, 850, false },
 )]
-fn further_when_late(near_wait: u64, asked: usize, far_wait: u64, goes_far: bool) {
+fn other_zone_when_late(near_wait: u64, probed: usize, far_wait: u64, goes_far: bool) {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(4);
-    let mut balance = spawn_balance(&clock, &mut rng, 0.9);
+    let mut balancer = make_balancer(&clock, &mut rng, 0.9);
     let target = Some(clock.now() + Duration::from_millis(500));
-    let ask = ask(&[], target);
-    let near = balance.probe_targets(clock.now(), &ask, &mut rng);
-    let mut seen: Vec<_> = near
+    let args = pick_args(&[], target);
+    let near = balancer.probe_targets(clock.now(), &args, &mut rng);
+    let mut results: Vec<_> = near
         .into_iter()
         .map(|key| ProbeResult {
             key,
-            estimate: Some(told(near_wait, 100)),
+            estimate: Some(estimate(near_wait, 100)),
         })
         .collect();
-    let further = balance.further_probe_targets(clock.now(), &ask, &seen, &mut rng);
-    assert_eq!(further.len(), asked);
-    seen.extend(further.into_iter().map(|key| ProbeResult {
+    let further = balancer.further_probe_targets(clock.now(), &args, &results, &mut rng);
+    assert_eq!(further.len(), probed);
+    results.extend(further.into_iter().map(|key| ProbeResult {
         key,
-        estimate: Some(told(far_wait, 100)),
+        estimate: Some(estimate(far_wait, 100)),
     }));
-    let picked = balance.pick_probed(clock.now(), &ask, &seen, &mut rng);
-    let picked = balance.identity(picked.unwrap()).unwrap();
+    let picked = balancer.pick_probed(clock.now(), &args, &results, &mut rng);
+    let picked = balancer.identity(picked.unwrap()).unwrap();
     assert_eq!(picked.incarnation >= 4, goes_far);
 }
 
-// A VM is without power for seconds before it is taken out of the view, and every third call
-// of each node was held up by the question to it. Cause: it was asked again and again.
+// A VM without power stays in the view for some seconds. Unless probes to it pause, every third
+// call of each node is delayed by an unanswered probe.
 #[test]
-fn silent_left_alone() {
+fn unanswered_probes_pause() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(6);
-    let mut balance = spawn_balance(&clock, &mut rng, 0.9);
-    let keys = balance.probe_targets(clock.now(), &ask(&[], None), &mut rng);
-    let seen = [(keys[0], None), (keys[1], Some(told(0, 100)))];
-    let seen = seen.map(|(key, outlook)| ProbeResult {
-        key,
-        estimate: outlook,
-    });
-    balance.pick_probed(clock.now(), &ask(&[], None), &seen, &mut rng);
-    let mut is_asked = |clock: &Manual| {
+    let mut balancer = make_balancer(&clock, &mut rng, 0.9);
+    let keys = balancer.probe_targets(clock.now(), &pick_args(&[], None), &mut rng);
+    let results = [(keys[0], None), (keys[1], Some(estimate(0, 100)))];
+    let results = results.map(|(key, estimate)| ProbeResult { key, estimate });
+    balancer.pick_probed(clock.now(), &pick_args(&[], None), &results, &mut rng);
+    let mut is_probed = |clock: &Manual| {
         (0..50).any(|_| {
-            let keys = balance.probe_targets(clock.now(), &ask(&[], None), &mut rng);
-            keys.contains(&seen[0].key)
+            let keys = balancer.probe_targets(clock.now(), &pick_args(&[], None), &mut rng);
+            keys.contains(&results[0].key)
         })
     };
-    assert!(!is_asked(&clock));
+    assert!(!is_probed(&clock));
     clock.advance(Duration::from_millis(600));
-    assert!(is_asked(&clock));
+    assert!(is_probed(&clock));
 }
 
-// Nobody answers: the node itself is cut off, or all are gone. The call is still sent
-// somewhere, as it would have been without asking.
+// No probe is answered because the node itself is cut off or all backend servers are gone. The call
+// must still be sent, as it would be without probes.
 #[test]
-fn nobody_answers() {
+fn no_probe_answered() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut balance = spawn_balance(&clock, &mut rng, 0.9);
-    let keys = balance.probe_targets(clock.now(), &ask(&[], None), &mut rng);
-    let seen: Vec<_> = keys
+    let mut balancer = make_balancer(&clock, &mut rng, 0.9);
+    let keys = balancer.probe_targets(clock.now(), &pick_args(&[], None), &mut rng);
+    let results: Vec<_> = keys
         .into_iter()
         .map(|key| ProbeResult {
             key,
             estimate: None,
         })
         .collect();
-    let picked = balance.pick_probed(clock.now(), &ask(&[], None), &seen, &mut rng);
+    let picked = balancer.pick_probed(clock.now(), &pick_args(&[], None), &results, &mut rng);
     assert!(picked.is_some());
 }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Which calls are tried again.
+//! Tests of which calls are retried and hedged.
 
 use call::Verdict;
 use clock::{Clock, Manual};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use yare::parameterized;
 
-fn make_try(clock: &Manual, verdict: Verdict, cause: Cause) -> FailedAttempt {
+fn make_attempt(clock: &Manual, verdict: Verdict, cause: Cause) -> FailedAttempt {
     FailedAttempt {
         verdict,
         cause,
@@ -28,51 +28,51 @@
 fn decide(change: fn(&mut FailedAttempt), verdict: Verdict, cause: Cause) -> Decision {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut tried = make_try(&clock, verdict, cause);
-    change(&mut tried);
-    RetryBudget::new(clock.now(), 10).decide(clock.now(), &tried, &mut rng)
+    let mut failed = make_attempt(&clock, verdict, cause);
+    change(&mut failed);
+    RetryBudget::new(clock.now(), 10).decide(clock.now(), &failed, &mut rng)
 }
 
-// A booking must land once: only a sure "not run" lets it be tried again.
+// A booking must take effect only once: it is retried only if it certainly has not run.
 #[parameterized(
     not_run = { |_| {}, Verdict::NotRun, Cause::Full, None },
     may_have_run = { |_| {}, Verdict::MayHaveRun, Cause::Failed, Some(GiveUpReason::Unsafe) },
-    ran = { |tried| tried.repeatable = true, Verdict::Ran, Cause::Failed, Some(GiveUpReason::Unsafe) },
-    repeatable = { |tried| tried.repeatable = true, Verdict::MayHaveRun, Cause::Failed, None },
-    attempts_used = { |tried| tried.dispatched = 3, Verdict::NotRun, Cause::Shed, Some(GiveUpReason::Exhausted) },
-    full_attempts = { |tried| tried.dispatched = 3, Verdict::NotRun, Cause::Full, None },
-    unreached_is_free = { |tried| tried.dispatched = 3, Verdict::NotRun, Cause::Unreached, None },
-    unreached_late = { |tried| tried.expected_duration = Duration::from_secs(2), Verdict::NotRun, Cause::Unreached, Some(GiveUpReason::Deadline) },
-    doors_used = { |tried| tried.attempts = 3, Verdict::NotRun, Cause::Full, Some(GiveUpReason::Exhausted) },
-    leaving_is_free = { |tried| tried.attempts = 3, Verdict::NotRun, Cause::Leaving, None },
-    all_tried = { |tried| tried.has_alternative = false, Verdict::NotRun, Cause::Leaving, Some(GiveUpReason::Exhausted) },
-    layer_above = { |tried| tried.retried_by_caller = true, Verdict::NotRun, Cause::Full, Some(GiveUpReason::RetriedByCaller) },
-    too_late = { |tried| tried.expected_duration = Duration::from_secs(2), Verdict::NotRun, Cause::Full, Some(GiveUpReason::Deadline) },
+    ran = { |failed| failed.repeatable = true, Verdict::Ran, Cause::Failed, Some(GiveUpReason::Unsafe) },
+    repeatable = { |failed| failed.repeatable = true, Verdict::MayHaveRun, Cause::Failed, None },
+    attempts_used = { |failed| failed.dispatched = 3, Verdict::NotRun, Cause::Shed, Some(GiveUpReason::Exhausted) },
+    full_is_free = { |failed| failed.dispatched = 3, Verdict::NotRun, Cause::Full, None },
+    unreached_is_free = { |failed| failed.dispatched = 3, Verdict::NotRun, Cause::Unreached, None },
+    unreached_late = { |failed| failed.expected_duration = Duration::from_secs(2), Verdict::NotRun, Cause::Unreached, Some(GiveUpReason::Deadline) },
+    full_attempts_used = { |failed| failed.attempts = 3, Verdict::NotRun, Cause::Full, Some(GiveUpReason::Exhausted) },
+    leaving_is_free = { |failed| failed.attempts = 3, Verdict::NotRun, Cause::Leaving, None },
+    all_tried = { |failed| failed.has_alternative = false, Verdict::NotRun, Cause::Leaving, Some(GiveUpReason::Exhausted) },
+    retried_by_caller = { |failed| failed.retried_by_caller = true, Verdict::NotRun, Cause::Full, Some(GiveUpReason::RetriedByCaller) },
+    too_late = { |failed| failed.expected_duration = Duration::from_secs(2), Verdict::NotRun, Cause::Full, Some(GiveUpReason::Deadline) },
 )]
-fn safe_only(
+fn safe_retries_only(
     change: fn(&mut FailedAttempt),
     verdict: Verdict,
     cause: Cause,
-    stop: Option<GiveUpReason>,
+    reason: Option<GiveUpReason>,
 ) {
-    match (decide(change, verdict, cause), stop) {
-        (Decision::GiveUp(got), Some(stop)) => assert_eq!(got, stop),
+    match (decide(change, verdict, cause), reason) {
+        (Decision::GiveUp(got), Some(reason)) => assert_eq!(got, reason),
         (Decision::Retry(_), None) => {}
-        (got, wanted) => panic!("{got:?} in place of {wanted:?}"),
+        (got, wanted) => panic!("expected {wanted:?}, got {got:?}"),
     }
 }
 
-// Everything fails at once, and each call would be tried three times over: the
-// load must not be multiplied.
+// When everything fails and each call could make three attempts, the budget must keep the load from
+// multiplying.
 #[test]
-fn budget_bounds() {
+fn budget_limits_retries() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(3);
     let mut budget = RetryBudget::new(clock.now(), 10);
     let mut retries = 0;
     for _ in 0..1_000 {
-        let tried = make_try(&clock, Verdict::NotRun, Cause::Shed);
-        let decision = budget.decide(clock.now(), &tried, &mut rng);
+        let failed = make_attempt(&clock, Verdict::NotRun, Cause::Shed);
+        let decision = budget.decide(clock.now(), &failed, &mut rng);
         retries += u32::from(matches!(decision, Decision::Retry(_)));
         clock.advance(Duration::from_millis(1));
     }
@@ -81,9 +81,9 @@
     assert!(budget.spend(clock.now()));
 }
 
-// Copies that never win are load for nothing; they stop but for one in twenty.
+// Hedges that never win only add load: all but one in twenty are suppressed.
 #[test]
-fn hedge_pays() {
+fn losing_hedges_stop() {
     let clock = Manual::new();
     let mut hedge = HedgePolicy::new(clock.now());
     (0..100).for_each(|_| hedge.record_latency(Duration::from_millis(10)));
@@ -99,24 +99,24 @@
     assert!(hedge.delay(clock.now(), true).is_some());
 }
 
-/// A call must not go on to a third backend server when two have ended under it.
+/// A call must not go to a third backend server after two have ended while running it.
 #[parameterized(
     first_crash = { 1, Cause::Failed, None },
     second_crash = { 2, Cause::Failed, Some(GiveUpReason::Crashes) },
     held = { 0, Cause::Held, Some(GiveUpReason::Crashes) },
 )]
-fn crashes(crashes: u8, cause: Cause, stop: Option<GiveUpReason>) {
+fn crash_limit(crashes: u8, cause: Cause, reason: Option<GiveUpReason>) {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(3);
-    let tried = FailedAttempt {
+    let failed = FailedAttempt {
         repeatable: true,
         crashes,
-        ..make_try(&clock, Verdict::MayHaveRun, cause)
+        ..make_attempt(&clock, Verdict::MayHaveRun, cause)
     };
-    let decided = RetryBudget::new(clock.now(), 10).decide(clock.now(), &tried, &mut rng);
-    let stopped = match decided {
+    let decided = RetryBudget::new(clock.now(), 10).decide(clock.now(), &failed, &mut rng);
+    let given_up = match decided {
         Decision::Retry(_) => None,
-        Decision::GiveUp(stop) => Some(stop),
+        Decision::GiveUp(reason) => Some(reason),
     };
-    assert_eq!(stopped, stop);
+    assert_eq!(given_up, reason);
 }
