--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -12,11 +12,12 @@
 //! for bursts.
 
 use crate::backoff;
+
 use crate::duration;
 use crate::fair_share::{self, Cells};
 use crate::limit::{ConcurrencyLimit, Outcome};
 use crate::load_probe::Estimate;
-use crate::queue::{self, Entry, Queue, TIERS, Tier, rank_of};
+use crate::queue::{self, Entry, Queue, TIERS, Tier, tier_index};
 use crate::throughput::{DeferredWork, LaneRate, SlotSpeed};
 use config::Class;
 use rand::Rng;
@@ -98,39 +99,39 @@
 /// Wait up to which a class's queue is in order, in durations of the call itself.
 ///
 /// A commit rather waits than is refused, a board will be read again soon.
-const TARGETS: [f64; TIERS.len()] = [8.0, 8.0, 8.0, 2.0, 1.0, 1.0];
+const QUEUE_TARGETS: [f64; TIERS.len()] = [8.0, 8.0, 8.0, 2.0, 1.0, 1.0];
 
 /// Least target, so that very short calls may wait for a scheduling hiccup.
-const LEAST_TARGET: f64 = 0.025;
+const MIN_QUEUE_TARGET: f64 = 0.025;
 
 /// Times its target that a queue may grow to in a burst.
-const BURST: f64 = 2.0;
+const BURST_FACTOR: f64 = 2.0;
 
 /// Time after which a queue that was never empty counts as standing; `CoDel`'s
 /// own interval.
-const INTERVAL: Duration = Duration::from_millis(100);
+const STANDING_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Times its bound after which a waiting call is given up, though its deadline
 /// is far: the prediction was wrong, for instance as the backend server hangs.
-const PATIENCE: f64 = 6.0;
+const MAX_WAIT_FACTOR: f64 = 6.0;
 
 /// Times its expected duration that must be left when a call starts: with
 /// durations that vary as much as their mean, 86% then end in time.
-const MARGIN: f64 = 2.0;
+const DEADLINE_MARGIN: f64 = 2.0;
 
 /// Times its expected duration that must be left to its target when a call
 /// starts: with durations that vary by half of their mean, 70% are then in time.
-const AIM_MARGIN: f64 = 1.3;
+const TARGET_MARGIN: f64 = 1.3;
 
 /// Least wait, in durations of the call itself, that any call may begin with:
 /// one whose target is tight may still wait for the slot that gets free next.
-const LEAST_SLACK: f64 = 0.25;
+const MIN_SLACK: f64 = 0.25;
 
 /// Share of the slots that long jobs may not take, rounded down: two of six.
 ///
 /// With none held back, long jobs fill all slots and short calls wait for one of them to end;
 /// with half of them held back, slots stand idle while long jobs wait.
-const RESERVE: f64 = 1.0 / 3.0;
+const SHORT_CALL_RESERVE: f64 = 1.0 / 3.0;
 
 /// Admission in front of one backend server.
 #[derive(Debug)]
@@ -139,15 +140,15 @@
     durations: duration::Estimator,
     queue: Queue,
     /// What each caller has had, by class.
-    callers: [fair_share::UsageSketch; TIERS.len()],
+    caller_usage: [fair_share::UsageSketch; TIERS.len()],
     /// What calls about each key have had, by class.
-    keys: [fair_share::UsageSketch; TIERS.len()],
+    key_usage: [fair_share::UsageSketch; TIERS.len()],
     /// When a call last found none of its lane waiting.
-    in_order_at: [Instant; queue::LANES],
-    promises: [DeferredWork; TIERS.len()],
+    last_empty_at: [Instant; queue::LANES],
+    deferred_work: [DeferredWork; TIERS.len()],
     speed: SlotSpeed,
     /// What each lane gets of the slots.
-    rates: [LaneRate; queue::LANES],
+    lane_rates: [LaneRate; queue::LANES],
     running: u32,
     running_long: u32,
 }
@@ -159,16 +160,16 @@
         let limit = ConcurrencyLimit::new(now, slots);
         Self {
             speed: SlotSpeed::new(now),
-            rates: [LaneRate::new(now, limit.slots()); queue::LANES],
+            lane_rates: [LaneRate::new(now, limit.slots()); queue::LANES],
             limit,
             durations: duration::Estimator::new(duration::LOCAL_ROWS),
             queue: Queue::new(),
-            callers: [1, 2, 3, 4, 5, 6]
+            caller_usage: [1, 2, 3, 4, 5, 6]
                 .map(|salt| fair_share::UsageSketch::new(now, seed.wrapping_add(salt))),
-            keys: [7, 8, 9, 10, 11, 12]
+            key_usage: [7, 8, 9, 10, 11, 12]
                 .map(|salt| fair_share::UsageSketch::new(now, seed.wrapping_add(salt))),
-            in_order_at: [now; queue::LANES],
-            promises: [DeferredWork::new(now); TIERS.len()],
+            last_empty_at: [now; queue::LANES],
+            deferred_work: [DeferredWork::new(now); TIERS.len()],
             running: 0,
             running_long: 0,
         }
@@ -210,21 +211,21 @@
         R: Rng,
     {
         self.limit.end_probe(now);
-        let entry = self.entry_of(now, request);
-        if self.is_free(now, request, &entry) {
-            self.in_order_at[queue::lane_of(entry.tier, entry.long)] = now;
+        let entry = self.record_entry(now, request);
+        if self.can_run(now, request, &entry) {
+            self.last_empty_at[queue::lane_index(entry.tier, entry.long)] = now;
             self.charge(now, entry.tier, entry.caller, entry.key, entry.cost);
             return Decision::Run(self.start(now, &entry));
         }
-        if let Some(reason) = self.find_fault(now, request, &entry) {
+        if let Some(reason) = self.refusal_reason(now, request, &entry) {
             return Decision::Refuse(self.refuse(now, &entry, reason, rng));
         }
-        let patience = now + seconds(patience_of(&entry));
+        let expires_at = now + duration_from_secs(max_queue_time(&entry));
         // Charged as it begins to wait: a hot caller's burst would otherwise
         // fill the queue before any of it counts.
         self.charge(now, entry.tier, entry.caller, entry.key, entry.cost);
         Decision::Wait(self.queue.push(Entry {
-            start_by: entry.start_by.min(patience),
+            start_by: entry.start_by.min(expires_at),
             ..entry
         }))
     }
@@ -235,33 +236,36 @@
         R: Rng,
     {
         self.limit.end_probe(now);
-        let entry = self.entry_of(now, request);
-        if self.is_free(now, request, &entry) {
+        let entry = self.record_entry(now, request);
+        if self.can_run(now, request, &entry) {
             return None;
         }
-        let reason = self.find_fault(now, request, &entry)?;
+        let reason = self.refusal_reason(now, request, &entry)?;
         Some(self.refuse(now, &entry, reason, rng))
     }
 
     /// Gives what would become of a call that is not here yet; it counts for nobody's share.
     pub fn estimate(&mut self, now: Instant, request: &Request) -> Estimate {
         self.limit.end_probe(now);
-        let rank = rank_of(find_tier(now, request));
-        let places = [
-            self.callers[rank].place(request.caller),
-            self.keys[rank].place(request.key),
+        let tier = tier_index(tier_of(now, request));
+        let cells = [
+            self.caller_usage[tier].cells(request.caller),
+            self.key_usage[tier].cells(request.key),
         ];
-        let entry = self.make_entry(now, request, places);
-        let is_free = self.is_free(now, request, &entry);
-        let wait = if is_free {
+        let entry = self.make_entry(now, request, cells);
+        let can_run = self.can_run(now, request, &entry);
+        let wait = if can_run {
             0.0
         } else {
             self.predict_wait(now, &entry)
         };
         Estimate {
-            accepts: is_free || self.find_fault(now, request, &entry).is_none(),
-            wait: seconds(wait),
-            run: self.durations.route_mean(request.route).map(seconds),
+            accepts: can_run || self.refusal_reason(now, request, &entry).is_none(),
+            wait: duration_from_secs(wait),
+            run: self
+                .durations
+                .route_mean(request.route)
+                .map(duration_from_secs),
             load: self.load(),
         }
     }
@@ -269,34 +273,34 @@
     /// Gives how long a call of `route` is expected to run.
     #[must_use]
     pub fn expected_duration(&self, route: u64) -> Duration {
-        seconds(self.durations.expected(route))
+        duration_from_secs(self.durations.expected(route))
     }
 
     /// Takes in that a call asks to be served, and gives what is known of it.
-    fn entry_of(&mut self, now: Instant, request: &Request) -> Entry {
-        let rank = rank_of(find_tier(now, request));
-        let places = [
-            self.callers[rank].ask(now, request.caller),
-            self.keys[rank].ask(now, request.key),
+    fn record_entry(&mut self, now: Instant, request: &Request) -> Entry {
+        let tier = tier_index(tier_of(now, request));
+        let cells = [
+            self.caller_usage[tier].record_request(now, request.caller),
+            self.key_usage[tier].record_request(now, request.key),
         ];
-        self.make_entry(now, request, places)
+        self.make_entry(now, request, cells)
     }
 
     /// Gives what is known of a call, with the latest moment at which it may start.
-    fn make_entry(&self, now: Instant, request: &Request, places: [Cells; 2]) -> Entry {
+    fn make_entry(&self, now: Instant, request: &Request, cells: [Cells; 2]) -> Entry {
         let cost = self.durations.expected(request.route);
-        let left = left_of(now, request);
-        let [caller, key] = places;
+        let left = time_left(now, request);
+        let [caller, key] = cells;
         let entry = Entry {
-            tier: find_tier(now, request),
+            tier: tier_of(now, request),
             caller,
             key,
             route: request.route,
             long: self.durations.is_long(request.route),
             cost,
-            start_by: now + seconds((left - MARGIN * cost).max(0.0)),
+            start_by: now + duration_from_secs((left - DEADLINE_MARGIN * cost).max(0.0)),
         };
-        aim(now, request, entry)
+        apply_target(now, request, entry)
     }
 
     /// Tells whether a call may run without waiting.
@@ -304,25 +308,28 @@
     /// A free slot is tried whatever the call is expected to take: else a
     /// backend server that was once slower than the deadlines would never be
     /// given a call again to show that it no longer is.
-    fn is_free(&self, now: Instant, request: &Request, entry: &Entry) -> bool {
-        self.has_room(entry.long) && !self.queue.has(entry.long) && left_of(now, request) > 0.0
+    fn can_run(&self, now: Instant, request: &Request, entry: &Entry) -> bool {
+        self.has_free_slot(entry.long)
+            && !self.queue.has_kind(entry.long)
+            && time_left(now, request) > 0.0
     }
 
     /// Tells why a call that would have to wait is to be refused, if it is.
-    fn find_fault(&mut self, now: Instant, request: &Request, entry: &Entry) -> Option<Reason> {
+    fn refusal_reason(&mut self, now: Instant, request: &Request, entry: &Entry) -> Option<Reason> {
         if !self.queue.has_lane(entry.tier, entry.long) {
-            let whole = self.drain_rate(now);
-            self.rates[queue::lane_of(entry.tier, entry.long)].record_idle(now, whole);
+            let total = self.service_rate(now);
+            self.lane_rates[queue::lane_index(entry.tier, entry.long)].record_idle(now, total);
         }
-        if entry.tier == Tier::Overdue && self.queue.has_fresh() {
+        if entry.tier == Tier::Overdue && self.queue.has_timely() {
             return Some(Reason::Full);
         }
         let wait = self.predict_wait(now, entry);
-        let has_target = request.target.is_some_and(|target| target > now) && entry.tier.is_aimed();
-        if wait > self.bound(now, entry, has_target) {
+        let has_target =
+            request.target.is_some_and(|target| target > now) && entry.tier.uses_target();
+        if wait > self.max_wait(now, entry, has_target) {
             return Some(Reason::Full);
         }
-        (wait + MARGIN * entry.cost > left_of(now, request)).then_some(Reason::Deadline)
+        (wait + DEADLINE_MARGIN * entry.cost > time_left(now, request)).then_some(Reason::Deadline)
     }
 
     /// Takes in the end of a call.
@@ -344,14 +351,14 @@
         self.running -= 1;
         self.running_long -= u32::from(long);
         let took = now.saturating_duration_since(started);
-        let stretch = match outcome {
+        let slowdown = match outcome {
             Outcome::Done => {
                 let light = self.limit.is_light(running);
                 self.durations.record(route, took, light)
             }
             Outcome::Shed | Outcome::Failed => None,
         };
-        self.limit.record(now, running, outcome, stretch);
+        self.limit.record(now, running, outcome, slowdown);
         self.speed.finish(now, started, cost);
         // The guess that was charged at the start is made good.
         self.charge(now, tier, caller, key, took.as_secs_f64() - cost);
@@ -366,20 +373,20 @@
     {
         self.limit.end_probe(now);
         if let Some((key, entry)) = self.queue.expire(now) {
-            return Some(self.give_up(now, key, &entry, Reason::Deadline, rng));
+            return Some(self.refuse_waiting(now, key, &entry, Reason::Deadline, rng));
         }
-        if let Some((key, entry)) = self.queue.pop_hopeless() {
-            return Some(self.give_up(now, key, &entry, Reason::Full, rng));
+        if let Some((key, entry)) = self.queue.pop_overdue() {
+            return Some(self.refuse_waiting(now, key, &entry, Reason::Full, rng));
         }
-        if !self.has_room(false) {
+        if !self.has_free_slot(false) {
             return None;
         }
-        let (key, entry) = self.queue.pop(self.has_room(true))?;
-        self.rates[queue::lane_of(entry.tier, entry.long)].record_served(now, entry.cost);
+        let (key, entry) = self.queue.pop(self.has_free_slot(true))?;
+        self.lane_rates[queue::lane_index(entry.tier, entry.long)].record_served(now, entry.cost);
         Some(Next::Run(key, self.start(now, &entry)))
     }
 
-    fn give_up<R>(
+    fn refuse_waiting<R>(
         &mut self,
         now: Instant,
         key: queue::Key,
@@ -411,14 +418,14 @@
         true
     }
 
-    fn has_room(&self, long: bool) -> bool {
+    fn has_free_slot(&self, long: bool) -> bool {
         let slots = self.limit.slots();
-        let most = if long {
-            slots - (slots * RESERVE).floor()
+        let max_running = if long {
+            slots - (slots * SHORT_CALL_RESERVE).floor()
         } else {
             slots
         };
-        f64::from(self.running) < slots && (!long || f64::from(self.running_long) < most)
+        f64::from(self.running) < slots && (!long || f64::from(self.running_long) < max_running)
     }
 
     fn start(&mut self, now: Instant, entry: &Entry) -> Ticket {
@@ -442,42 +449,47 @@
     fn predict_wait(&self, now: Instant, entry: &Entry) -> f64 {
         let work = self
             .queue
-            .work_before(entry.tier, entry.long, entry.start_by);
+            .work_ahead(entry.tier, entry.long, entry.start_by);
         // The slot that gets free next belongs to a call that is half through.
-        let slot = self.durations.overall_mean() / 2.0 / self.drain_rate(now);
+        let slot = self.durations.overall_mean() / 2.0 / self.service_rate(now);
         slot + work / self.lane_rate(now, entry)
     }
 
     fn lane_rate(&self, now: Instant, entry: &Entry) -> f64 {
-        let least = self.drain_rate(now) * self.queue.share_of(entry.tier, entry.long);
-        let lane = queue::lane_of(entry.tier, entry.long);
-        self.rates[lane].get(now, entry.cost).max(least)
+        let min_rate = self.service_rate(now) * self.queue.min_share(entry.tier, entry.long);
+        let lane = queue::lane_index(entry.tier, entry.long);
+        self.lane_rates[lane].get(now, entry.cost).max(min_rate)
     }
 
-    fn drain_rate(&self, now: Instant) -> f64 {
+    fn service_rate(&self, now: Instant) -> f64 {
         self.limit.slots() * self.speed.get(now)
     }
 
     /// Gives the longest wait that a call may begin with.
-    fn bound(&mut self, now: Instant, entry: &Entry, has_target: bool) -> f64 {
-        let rank = rank_of(entry.tier);
-        let target = target_of(entry);
-        let lane = queue::lane_of(entry.tier, entry.long);
+    fn max_wait(&mut self, now: Instant, entry: &Entry, has_target: bool) -> f64 {
+        let tier = tier_index(entry.tier);
+        let target = queue_target(entry);
+        let lane = queue::lane_index(entry.tier, entry.long);
         if !self.queue.has_lane(entry.tier, entry.long) {
-            self.in_order_at[lane] = now;
+            self.last_empty_at[lane] = now;
         }
-        let standing = now.saturating_duration_since(self.in_order_at[lane]) > INTERVAL;
-        let bound = if standing { target } else { target * BURST };
+        let is_standing =
+            now.saturating_duration_since(self.last_empty_at[lane]) > STANDING_INTERVAL;
+        let bound = if is_standing {
+            target
+        } else {
+            target * BURST_FACTOR
+        };
         let slack = entry.start_by.saturating_duration_since(now).as_secs_f64();
         let bound = if has_target { slack } else { bound };
-        let caller = self.callers[rank].factor(now, entry.caller, entry.cost);
-        let key = self.keys[rank].factor(now, entry.key, entry.cost);
+        let caller = self.caller_usage[tier].wait_factor(now, entry.caller, entry.cost);
+        let key = self.key_usage[tier].wait_factor(now, entry.key, entry.cost);
         bound * caller.min(key)
     }
 
     fn charge(&mut self, now: Instant, tier: Tier, caller: Cells, key: Cells, work: f64) {
-        self.callers[rank_of(tier)].charge(now, caller, work);
-        self.keys[rank_of(tier)].charge(now, key, work);
+        self.caller_usage[tier_index(tier)].charge(now, caller, work);
+        self.key_usage[tier_index(tier)].charge(now, key, work);
     }
 
     /// Refuses, with a Retry-After from the measured drain rate.
@@ -490,11 +502,11 @@
         R: Rng,
     {
         let rate = self.lane_rate(now, entry);
-        let promise = &mut self.promises[rank_of(entry.tier)];
-        let wait = promise.add(now, entry.cost, rate);
+        let deferred = &mut self.deferred_work[tier_index(entry.tier)];
+        let wait = deferred.add(now, entry.cost, rate);
         Refusal {
             reason,
-            retry_after: backoff::add_jitter(seconds(wait), rng),
+            retry_after: backoff::add_jitter(duration_from_secs(wait), rng),
         }
     }
 }
@@ -515,15 +527,15 @@
 /// fresh call that is then late as well: of the answers, four in ten were late.
 /// *Grounds:* a late answer is worth a fraction of one in time, whatever its
 /// class, and a slot serves one of the two.
-pub(crate) fn find_tier(now: Instant, request: &Request) -> Tier {
-    let is_late = request.target.is_some_and(|target| target <= now);
+pub(crate) fn tier_of(now: Instant, request: &Request) -> Tier {
+    let is_overdue = request.target.is_some_and(|target| target <= now);
     match (request.class, request.nested) {
         // A commit is never the last: what is late of it comes after fresh commits only.
-        (Class::Commit, None) if is_late => Tier::Lookup,
+        (Class::Commit, None) if is_overdue => Tier::Lookup,
         (Class::Commit, _) => Tier::Commit,
         (_, Some(Class::Refresh)) => Tier::NestedRefresh,
         (_, Some(Class::Commit | Class::Lookup)) => Tier::Nested,
-        (_, None) if is_late => Tier::Overdue,
+        (_, None) if is_overdue => Tier::Overdue,
         (Class::Lookup, None) => Tier::Lookup,
         (Class::Refresh, None) => Tier::Refresh,
     }
@@ -538,24 +550,24 @@
 /// answered late only is better sent to come back, and the slot given to
 /// one that is still in time. Commits wait on: late is better than lost. What
 /// is late already waits for a slot that nobody else wants.
-fn aim(now: Instant, request: &Request, entry: Entry) -> Entry {
-    if !entry.tier.is_aimed() {
+fn apply_target(now: Instant, request: &Request, entry: Entry) -> Entry {
+    if !entry.tier.uses_target() {
         return entry;
     }
     let Some(target) = request.target.filter(|target| *target > now) else {
         return entry;
     };
     let left = target.saturating_duration_since(now).as_secs_f64();
-    let slack = (left - AIM_MARGIN * entry.cost).max(LEAST_SLACK * entry.cost);
+    let slack = (left - TARGET_MARGIN * entry.cost).max(MIN_SLACK * entry.cost);
     Entry {
-        start_by: entry.start_by.min(now + seconds(slack)),
+        start_by: entry.start_by.min(now + duration_from_secs(slack)),
         ..entry
     }
 }
 
 /// Gives the wait up to which the queue of a call's class is in order.
-fn target_of(entry: &Entry) -> f64 {
-    (TARGETS[rank_of(entry.tier)] * entry.cost).max(LEAST_TARGET)
+fn queue_target(entry: &Entry) -> f64 {
+    (QUEUE_TARGETS[tier_index(entry.tier)] * entry.cost).max(MIN_QUEUE_TARGET)
 }
 
 /// Gives the longest wait after which a call is given up, though its deadline is far.
@@ -563,21 +575,21 @@
 /// *Load pattern:* an overload whose refused callers come back late. *Without the short one* for
 /// what is late, each waits behind the fresh ones that come after it, until its deadline and for
 /// nothing. *Grounds:* it gets what fresh calls leave; where these wait by now there is nothing left, and its caller is told so.
-fn patience_of(entry: &Entry) -> f64 {
-    let patience = if entry.tier == Tier::Overdue {
+fn max_queue_time(entry: &Entry) -> f64 {
+    let factor = if entry.tier == Tier::Overdue {
         1.0
     } else {
-        PATIENCE
+        MAX_WAIT_FACTOR
     };
-    patience * BURST * target_of(entry)
+    factor * BURST_FACTOR * queue_target(entry)
 }
 
 /// Gives the seconds until nobody waits for a call's answer any more.
-fn left_of(now: Instant, request: &Request) -> f64 {
+fn time_left(now: Instant, request: &Request) -> f64 {
     let left = request.deadline.saturating_duration_since(now);
     left.as_secs_f64()
 }
 
-pub(crate) fn seconds(seconds: f64) -> Duration {
+pub(crate) fn duration_from_secs(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO)
 }
--- a/crates/policy/src/body_scheduler.rs
+++ b/crates/policy/src/body_scheduler.rs
@@ -13,10 +13,10 @@
 //! before a byte of it is sent, as a call is at the slots
 //! (see [`crate::admission`]).
 
-use crate::admission::{Reason, Refusal, Request, find_tier, seconds};
+use crate::admission::{Reason, Refusal, Request, duration_from_secs, tier_of};
 use crate::backoff;
 use crate::fair_share::Cells;
-use crate::queue::{self, Entry, Queue, TIERS, rank_of};
+use crate::queue::{self, Entry, Queue, TIERS, tier_index};
 use crate::throughput::DeferredWork;
 use rand::Rng;
 use std::collections::HashMap;
@@ -25,54 +25,54 @@
 /// Time's worth of the link that may be asked for and not have come: several times the
 /// way there and back within a region with a sender that wakes late (1 ms and some
 /// ms on a tenth of a core), and a twelfth of the shortest deadlines seen, 250 ms.
-const AHEAD: f64 = 0.02;
+const OUTSTANDING_SECONDS: f64 = 0.02;
 
 /// Bounds of what may be asked for and not have come, in bytes: two small pieces,
 /// and the window of the bodies that nobody bounds by their link.
-const AHEAD_BYTES: (f64, f64) = (8_192.0, 262_144.0);
+const OUTSTANDING_BYTES: (f64, f64) = (8_192.0, 262_144.0);
 
 /// Pieces that fit into what may be asked for: one that comes makes room for the next.
-const PIECES: u64 = 4;
+const MAX_CHUNKS: u64 = 4;
 
 /// Pieces that may be asked of one body at once. The one whose turn it is goes nearly as
 /// fast as the link, as bodies that share it evenly are all late together; what is left
 /// keeps the link in use while a sender is slow.
-const OF_ONE: u64 = 3;
+const MAX_CHUNKS_OF_BODY: u64 = 3;
 
 /// Bodies that come in at once: a sender that is slow must not leave the link idle,
 /// and each further body only makes all of them late together.
-const MOST_MOVING: usize = 4;
+const MAX_ACTIVE: usize = 4;
 
 /// Time after which what was asked for counts as lost: its sender is gone or held up,
 /// and would keep the others from the link. A healthy one answers within 20 ms.
-const STALL: Duration = Duration::from_millis(100);
+const STALL_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time over which the rate that is seen is averaged: some dozens of bodies at most.
-const RATE_MEMORY: f64 = 2.0;
+const RATE_DECAY: f64 = 2.0;
 
 /// Time at the rate that was told with which an intake starts.
 const RATE_PRIOR: f64 = 0.2;
 
 /// Share of the rate that was told under which the rate seen is not believed: senders
 /// that are all slow look like a slow link, and asking them for less would make it so.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE_SHARE: f64 = 0.1;
 
 /// Times what a call is expected to take that must be left after its body, until its
 /// target and until its deadline: as for calls that wait for a slot.
-const MARGIN: (f64, f64) = (1.3, 1.5);
+const MARGINS: (f64, f64) = (1.3, 1.5);
 
 /// Least wait, in times of the call with its body, that any may begin with.
-const LEAST_SLACK: f64 = 0.25;
+const MIN_SLACK: f64 = 0.25;
 
 /// Bodies of mean length in front of a further one at which the link counts as full.
-const FULL: f64 = 6.0;
+const FULL_BODIES: f64 = 6.0;
 
 /// Weight of a further length in the mean, which is of the last sixteen or so.
 const LENGTH_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Rate that is assumed of a link when nobody tells it, in bytes a second: 100 Mbit/s,
+/// LaneRate that is assumed of a link when nobody tells it, in bytes a second: 100 Mbit/s,
 /// of which a tenth may be all that there is.
-const USUAL_RATE: f64 = 12.5e6;
+const DEFAULT_RATE: f64 = 12.5e6;
 
 /// Names a body.
 pub type Key = u64;
@@ -106,76 +106,76 @@
 
 /// A body that comes in.
 #[derive(Debug, Clone, Copy)]
-struct Moving {
+struct Active {
     key: Key,
     length: u64,
     /// Bytes that were not asked for.
-    left: u64,
+    uncredited: u64,
     /// Bytes that were asked for and have not come.
-    due: u64,
+    outstanding: u64,
     /// When some of it last came or was asked for.
-    at: Instant,
+    last_progress: Instant,
 }
 
-impl Moving {
+impl Active {
     fn is_stalled(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) >= STALL
+        now.saturating_duration_since(self.last_progress) >= STALL_TIMEOUT
     }
 
     fn bytes(&self) -> u64 {
-        self.left + self.due
+        self.uncredited + self.outstanding
     }
 }
 
 /// Bytes a second that come in while some are due.
 #[derive(Debug, Clone, Copy)]
-struct Rate {
-    told: f64,
+struct LinkRate {
+    advertised: f64,
     bytes: f64,
     seconds: f64,
     /// Since when bytes are due, or when some last came.
-    since: Option<Instant>,
+    busy_since: Option<Instant>,
 }
 
-impl Rate {
-    fn new(told: f64) -> Self {
+impl LinkRate {
+    fn new(advertised: f64) -> Self {
         Self {
-            told,
-            bytes: told * RATE_PRIOR,
+            advertised,
+            bytes: advertised * RATE_PRIOR,
             seconds: RATE_PRIOR,
-            since: None,
+            busy_since: None,
         }
     }
 
     /// Takes in that bytes came, and whether more are due.
-    fn take(&mut self, now: Instant, bytes: f64, more: bool) {
-        let Some(since) = self.since else {
+    fn record(&mut self, now: Instant, bytes: f64, more: bool) {
+        let Some(since) = self.busy_since else {
             return;
         };
         let took = now.saturating_duration_since(since).as_secs_f64();
-        let fade = (-took / RATE_MEMORY).exp();
-        self.bytes = self.bytes * fade + bytes;
-        self.seconds = self.seconds * fade + took;
-        self.since = more.then_some(now);
+        let decay = (-took / RATE_DECAY).exp();
+        self.bytes = self.bytes * decay + bytes;
+        self.seconds = self.seconds * decay + took;
+        self.busy_since = more.then_some(now);
     }
 
     fn get(&self) -> f64 {
-        (self.bytes / self.seconds).clamp(self.told * LEAST_RATE, self.told)
+        (self.bytes / self.seconds).clamp(self.advertised * MIN_RATE_SHARE, self.advertised)
     }
 }
 
 /// The bodies that come in over one VM's link.
 #[derive(Debug)]
 pub struct BodyScheduler {
-    rate: Rate,
+    rate: LinkRate,
     queue: Queue,
     waiting: HashMap<queue::Key, Waiting>,
-    moving: Vec<Moving>,
-    promises: [DeferredWork; TIERS.len()],
+    active: Vec<Active>,
+    deferred_work: [DeferredWork; TIERS.len()],
     mean_length: f64,
     /// Bytes of bodies that come in or are here.
     held: u64,
-    most_held: u64,
+    max_held: u64,
     next_key: Key,
 }
 
@@ -186,16 +186,16 @@
     /// *Load pattern:* a burst of uploads for slots that are taken. *Without a bound* all
     /// bodies are here long before their slots, and the node outgrows its VM.
     #[must_use]
-    pub fn new(now: Instant, rate: Option<f64>, most_held: u64) -> Self {
+    pub fn new(now: Instant, rate: Option<f64>, max_held: u64) -> Self {
         Self {
-            rate: Rate::new(rate.unwrap_or(USUAL_RATE)),
+            rate: LinkRate::new(rate.unwrap_or(DEFAULT_RATE)),
             queue: Queue::new(),
             waiting: HashMap::new(),
-            moving: Vec::new(),
-            promises: [DeferredWork::new(now); TIERS.len()],
+            active: Vec::new(),
+            deferred_work: [DeferredWork::new(now); TIERS.len()],
             mean_length: 0.0,
             held: 0,
-            most_held,
+            max_held,
             next_key: 0,
         }
     }
@@ -213,7 +213,7 @@
             return 0.0;
         }
         let waiting: u64 = self.waiting.values().map(|body| body.length).sum();
-        to_f64(waiting + self.moving_bytes()) / (self.mean_length * FULL)
+        to_f64(waiting + self.active_bytes()) / (self.mean_length * FULL_BODIES)
     }
 
     /// Decides on a body that asks to be sent; [`BodyScheduler::next`] names what is to come of it.
@@ -221,20 +221,25 @@
     /// # Errors
     ///
     /// When it could not be whole in time.
-    pub fn offer<R>(&mut self, now: Instant, ask: &BodyOffer, rng: &mut R) -> Result<Key, Refusal>
+    pub fn offer<R>(
+        &mut self,
+        now: Instant,
+        body_offer: &BodyOffer,
+        rng: &mut R,
+    ) -> Result<Key, Refusal>
     where
         R: Rng,
     {
-        self.mean_length += (to_f64(ask.length) - self.mean_length) * LENGTH_WEIGHT;
-        let entry = self.entry_of(now, ask);
+        self.mean_length += (to_f64(body_offer.length) - self.mean_length) * LENGTH_WEIGHT;
+        let entry = self.make_entry(now, body_offer);
         let ahead = self
             .queue
-            .work_before(entry.tier, entry.long, entry.start_by)
-            + to_f64(self.moving_bytes()) / self.rate();
-        if now + seconds(ahead) > entry.start_by {
-            let left = ask.call.deadline.saturating_duration_since(now);
-            let takes = ahead + entry.cost + MARGIN.1 * ask.run.as_secs_f64();
-            let reason = if takes > left.as_secs_f64() {
+            .work_ahead(entry.tier, entry.long, entry.start_by)
+            + to_f64(self.active_bytes()) / self.rate();
+        if now + duration_from_secs(ahead) > entry.start_by {
+            let left = body_offer.call.deadline.saturating_duration_since(now);
+            let needed = ahead + entry.cost + MARGINS.1 * body_offer.run.as_secs_f64();
+            let reason = if needed > left.as_secs_f64() {
                 Reason::Deadline
             } else {
                 Reason::Full
@@ -243,9 +248,9 @@
         }
         let key = self.next_key;
         self.next_key += 1;
-        let place = self.queue.push(entry);
-        let length = ask.length;
-        self.waiting.insert(place, Waiting { key, length });
+        let position = self.queue.push(entry);
+        let length = body_offer.length;
+        self.waiting.insert(position, Waiting { key, length });
         Ok(key)
     }
 
@@ -255,17 +260,17 @@
     where
         R: Rng,
     {
-        while let Some((place, entry)) = self.queue.expire(now) {
+        while let Some((position, entry)) = self.queue.expire(now) {
             let refusal = self.refuse(now, &entry, Reason::Deadline, rng);
-            if let Some(body) = self.waiting.remove(&place) {
+            if let Some(body) = self.waiting.remove(&position) {
                 return Some(Next::Refuse(body.key, refusal));
             }
         }
         loop {
-            if let Some(next) = self.ask_on(now) {
+            if let Some(next) = self.next_credit(now) {
                 return Some(next);
             }
-            if !self.begin_next(now) {
+            if !self.activate_next(now) {
                 return None;
             }
         }
@@ -273,17 +278,17 @@
 
     /// Takes in that bytes of a body came.
     pub fn receive(&mut self, now: Instant, key: Key, bytes: u64) {
-        let Some(body) = self.moving.iter_mut().find(|body| body.key == key) else {
+        let Some(body) = self.active.iter_mut().find(|body| body.key == key) else {
             return;
         };
-        body.due = body.due.saturating_sub(bytes);
-        body.at = now;
+        body.outstanding = body.outstanding.saturating_sub(bytes);
+        body.last_progress = now;
         let is_whole = body.bytes() == 0;
-        let more = self.moving.iter().any(|body| body.due > 0);
-        self.rate.take(now, to_f64(bytes), more);
+        let more = self.active.iter().any(|body| body.outstanding > 0);
+        self.rate.record(now, to_f64(bytes), more);
         if is_whole {
-            self.finish();
-            self.moving.retain(|body| body.key != key);
+            self.stop_rate_if_idle();
+            self.active.retain(|body| body.key != key);
         }
     }
 
@@ -294,29 +299,29 @@
 
     /// Forgets a body that nobody waits for any more and that is not whole.
     pub fn remove(&mut self, key: Key) {
-        if let Some(place) = self.moving.iter().position(|body| body.key == key) {
-            let body = self.moving.remove(place);
+        if let Some(position) = self.active.iter().position(|body| body.key == key) {
+            let body = self.active.remove(position);
             self.release(body.length);
         }
-        let place = self.waiting.iter().find(|(_, body)| body.key == key);
-        if let Some(place) = place.map(|(place, _)| *place) {
-            self.waiting.remove(&place);
-            self.queue.remove(place);
+        let position = self.waiting.iter().find(|(_, body)| body.key == key);
+        if let Some(position) = position.map(|(position, _)| *position) {
+            self.waiting.remove(&position);
+            self.queue.remove(position);
         }
-        self.finish();
+        self.stop_rate_if_idle();
     }
 
     /// Notes that the link carries nothing that was asked for, if it is so.
-    fn finish(&mut self) {
-        if self.moving.iter().all(|body| body.due == 0) {
-            self.rate.since = None;
+    fn stop_rate_if_idle(&mut self) {
+        if self.active.iter().all(|body| body.outstanding == 0) {
+            self.rate.busy_since = None;
         }
     }
 
     /// Tells whether more of a body is to come.
     #[must_use]
     pub fn is_pending(&self, key: Key) -> bool {
-        self.moving.iter().any(|body| body.key == key)
+        self.active.iter().any(|body| body.key == key)
             || self.waiting.values().any(|body| body.key == key)
     }
 
@@ -324,9 +329,9 @@
     #[must_use]
     pub fn wake_at(&mut self, now: Instant) -> Option<Instant> {
         // What has stalled already waits for nothing that the time alone brings.
-        let stalls = self.moving.iter().filter(|body| body.due > 0);
-        let stalls_at = stalls
-            .map(|body| body.at + STALL)
+        let pending = self.active.iter().filter(|body| body.outstanding > 0);
+        let stalls_at = pending
+            .map(|body| body.last_progress + STALL_TIMEOUT)
             .filter(|at| *at > now)
             .min();
         let expires_at = self.queue.wake_at();
@@ -334,99 +339,100 @@
     }
 
     /// Gives what is known of a body, with the latest moment at which it may begin to come.
-    fn entry_of(&self, now: Instant, ask: &BodyOffer) -> Entry {
-        let cost = to_f64(ask.length) / self.rate();
-        let run = ask.run.as_secs_f64();
-        let tier = find_tier(now, &ask.call);
+    fn make_entry(&self, now: Instant, body_offer: &BodyOffer) -> Entry {
+        let cost = to_f64(body_offer.length) / self.rate();
+        let run = body_offer.run.as_secs_f64();
+        let tier = tier_of(now, &body_offer.call);
         let until = |end: Instant, margin: f64| {
             let left = end.saturating_duration_since(now).as_secs_f64();
             left - cost - margin * run
         };
-        let mut slack = until(ask.call.deadline, MARGIN.1);
-        if let Some(target) = ask.call.target.filter(|_| tier.is_aimed()) {
-            let least = LEAST_SLACK * (cost + run);
-            slack = slack.min(until(target, MARGIN.0).max(least));
+        let mut slack = until(body_offer.call.deadline, MARGINS.1);
+        if let Some(target) = body_offer.call.target.filter(|_| tier.uses_target()) {
+            let least = MIN_SLACK * (cost + run);
+            slack = slack.min(until(target, MARGINS.0).max(least));
         }
         Entry {
             tier,
             caller: Cells::default(),
             key: Cells::default(),
-            route: ask.call.route,
+            route: body_offer.call.route,
             long: false,
             cost,
             // One without any time left is refused unless nothing is before it.
-            start_by: now + seconds(slack.max(0.0)),
+            start_by: now + duration_from_secs(slack.max(0.0)),
         }
     }
 
     /// Asks for the next piece of the bodies that come in, the first of them first.
-    fn ask_on(&mut self, now: Instant) -> Option<Next> {
-        let piece = self.piece();
-        let due = self.bytes_due(now);
-        if due + piece > PIECES * piece {
+    fn next_credit(&mut self, now: Instant) -> Option<Next> {
+        let chunk = self.chunk_size();
+        let outstanding = self.outstanding_bytes(now);
+        if outstanding + chunk > MAX_CHUNKS * chunk {
             return None;
         }
-        let body = self
-            .moving
-            .iter_mut()
-            .find(|body| body.left > 0 && body.due + piece.min(body.left) <= OF_ONE * piece)?;
-        let bytes = piece.min(body.left);
-        body.left -= bytes;
-        body.due += bytes;
-        body.at = now;
+        let body = self.active.iter_mut().find(|body| {
+            body.uncredited > 0
+                && body.outstanding + chunk.min(body.uncredited) <= MAX_CHUNKS_OF_BODY * chunk
+        })?;
+        let bytes = chunk.min(body.uncredited);
+        body.uncredited -= bytes;
+        body.outstanding += bytes;
+        body.last_progress = now;
         let key = body.key;
-        if due == 0 {
-            self.rate.since = Some(now);
+        if outstanding == 0 {
+            self.rate.busy_since = Some(now);
         }
         Some(Next::Credit(key, u32::try_from(bytes).unwrap_or(u32::MAX)))
     }
 
     /// Lets the body come in whose turn it is; gives false when there is none, or no room.
-    fn begin_next(&mut self, now: Instant) -> bool {
-        let stalled = self.moving.iter().filter(|body| body.is_stalled(now));
-        if self.moving.len() - stalled.count() >= MOST_MOVING {
+    fn activate_next(&mut self, now: Instant) -> bool {
+        let stalled = self.active.iter().filter(|body| body.is_stalled(now));
+        if self.active.len() - stalled.count() >= MAX_ACTIVE {
             return false;
         }
-        let piece = self.piece();
-        if self.bytes_due(now) + piece > PIECES * piece {
+        let chunk = self.chunk_size();
+        if self.outstanding_bytes(now) + chunk > MAX_CHUNKS * chunk {
             return false;
         }
         // Which one is next is not known before: room for the longest is kept free.
         let longest = self.waiting.values().map(|body| body.length).max();
-        if self.held > 0 && self.held + longest.unwrap_or(0) > self.most_held {
+        if self.held > 0 && self.held + longest.unwrap_or(0) > self.max_held {
             return false;
         }
-        let Some((place, _)) = self.queue.pop(false) else {
+        let Some((position, _)) = self.queue.pop(false) else {
             return false;
         };
-        let Some(body) = self.waiting.remove(&place) else {
+        let Some(body) = self.waiting.remove(&position) else {
             return true;
         };
         self.held += body.length;
-        self.moving.push(Moving {
+        self.active.push(Active {
             key: body.key,
             length: body.length,
-            left: body.length,
-            due: 0,
-            at: now,
+            uncredited: body.length,
+            outstanding: 0,
+            last_progress: now,
         });
         true
     }
 
     /// Gives the bytes that are asked for at once.
-    fn piece(&self) -> u64 {
-        let ahead = (self.rate() * AHEAD).clamp(AHEAD_BYTES.0, AHEAD_BYTES.1);
-        to_u64(ahead) / PIECES
+    fn chunk_size(&self) -> u64 {
+        let ahead =
+            (self.rate() * OUTSTANDING_SECONDS).clamp(OUTSTANDING_BYTES.0, OUTSTANDING_BYTES.1);
+        to_u64(ahead) / MAX_CHUNKS
     }
 
     /// Gives the bytes that were asked for and are on their way.
-    fn bytes_due(&self, now: Instant) -> u64 {
-        let moving = self.moving.iter().filter(|body| !body.is_stalled(now));
-        moving.map(|body| body.due).sum()
+    fn outstanding_bytes(&self, now: Instant) -> u64 {
+        let active = self.active.iter().filter(|body| !body.is_stalled(now));
+        active.map(|body| body.outstanding).sum()
     }
 
-    fn moving_bytes(&self) -> u64 {
-        self.moving.iter().map(Moving::bytes).sum()
+    fn active_bytes(&self) -> u64 {
+        self.active.iter().map(Active::bytes).sum()
     }
 
     /// Refuses, with the time until the link has carried all that was refused before.
@@ -435,10 +441,10 @@
         R: Rng,
     {
         // Counted in seconds of the link, of which it carries one a second.
-        let wait = self.promises[rank_of(entry.tier)].add(now, entry.cost, 1.0);
+        let wait = self.deferred_work[tier_index(entry.tier)].add(now, entry.cost, 1.0);
         Refusal {
             reason,
-            retry_after: backoff::add_jitter(seconds(wait), rng),
+            retry_after: backoff::add_jitter(duration_from_secs(wait), rng),
         }
     }
 }
--- a/crates/policy/src/duration.rs
+++ b/crates/policy/src/duration.rs
@@ -16,39 +16,39 @@
 
 /// Samples after which a mean follows as an exponential one: it then forgets a
 /// former speed within about 16 calls, a tenth of a second at 6 slots of 4 ms.
-const MEMORY: u32 = 16;
+const MEAN_SAMPLES: u32 = 16;
 
 /// The same for durations under light load, to which the others are compared:
 /// with service times that vary as much as their mean, it is off by 6%.
-const LIGHT_MEMORY: u32 = 128;
+const LIGHT_MEAN_SAMPLES: u32 = 128;
 
 /// Calls under light load before others are compared to them. With none
 /// required, a chance first few would cut the limit of healthy backend servers.
-const LIGHT_ENOUGH: u32 = 32;
+const MIN_LIGHT_SAMPLES: u32 = 32;
 
 /// What an unknown route is taken for while nothing at all is known.
-const FIRST_GUESS: f64 = 0.010;
+const DEFAULT_SECONDS: f64 = 0.010;
 
 /// Times the typical (geometric mean) call from which a call counts as long.
 ///
 /// With fewer, ordinary variance between look-ups would count; a job worth
 /// keeping apart blocks a slot for the time of several short calls.
-const LONG: f64 = 4.0;
+const LONG_FACTOR: f64 = 4.0;
 
 /// Durations learnt per route.
 #[derive(Debug, Clone)]
 pub struct Estimator {
     rows: Box<[Row]>,
-    all: Mean<MEMORY>,
-    log: Mean<MEMORY>,
+    overall: Mean<MEAN_SAMPLES>,
+    log_mean: Mean<MEAN_SAMPLES>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Row {
     route: u64,
-    hold: u32,
-    took: Mean<MEMORY>,
-    light: Mean<LIGHT_MEMORY>,
+    claims: u32,
+    mean: Mean<MEAN_SAMPLES>,
+    light_mean: Mean<LIGHT_MEAN_SAMPLES>,
 }
 
 impl Estimator {
@@ -57,8 +57,8 @@
     pub fn new(rows: usize) -> Self {
         Self {
             rows: vec![Row::default(); rows].into_boxed_slice(),
-            all: Mean::default(),
-            log: Mean::default(),
+            overall: Mean::default(),
+            log_mean: Mean::default(),
         }
     }
 
@@ -72,23 +72,23 @@
     /// Gives the seconds that a call of `route` is expected to take, if any has run.
     #[must_use]
     pub fn route_mean(&self, route: u64) -> Option<f64> {
-        self.find(route).and_then(|row| row.took.get())
+        self.find_row(route).and_then(|row| row.mean.get())
     }
 
     /// Gives the seconds that a call of any route takes, on average.
     #[must_use]
     pub fn overall_mean(&self) -> f64 {
-        self.all.get().unwrap_or(FIRST_GUESS)
+        self.overall.get().unwrap_or(DEFAULT_SECONDS)
     }
 
     /// Tells whether calls of `route` take many times as long as the typical call.
     #[must_use]
     pub fn is_long(&self, route: u64) -> bool {
         match (
-            self.find(route).and_then(|row| row.took.get()),
-            self.log.get(),
+            self.find_row(route).and_then(|row| row.mean.get()),
+            self.log_mean.get(),
         ) {
-            (Some(took), Some(log)) => took > LONG * log.exp(),
+            (Some(took), Some(log)) => took > LONG_FACTOR * log.exp(),
             _ => false,
         }
     }
@@ -99,46 +99,49 @@
     /// light load, once that is known.
     pub fn record(&mut self, route: u64, took: Duration, light: bool) -> Option<f64> {
         let seconds = took.as_secs_f64().max(1e-6);
-        self.all.add(seconds);
-        self.log.add(seconds.ln());
-        let row = self.claim(route)?;
-        row.took.add(seconds);
-        let usual = row.light.get().filter(|_| row.light.count >= LIGHT_ENOUGH);
-        let stretch = usual.map(|usual| seconds / usual);
+        self.overall.add(seconds);
+        self.log_mean.add(seconds.ln());
+        let row = self.claim_row(route)?;
+        row.mean.add(seconds);
+        let baseline = row
+            .light_mean
+            .get()
+            .filter(|_| row.light_mean.count >= MIN_LIGHT_SAMPLES);
+        let slowdown = baseline.map(|baseline| seconds / baseline);
         if light {
-            row.light.add(seconds);
+            row.light_mean.add(seconds);
         }
-        stretch
+        slowdown
     }
 
     fn index_of(&self, route: u64) -> usize {
         usize::try_from(route % self.rows.len() as u64).unwrap_or(0)
     }
 
-    fn find(&self, route: u64) -> Option<&Row> {
+    fn find_row(&self, route: u64) -> Option<&Row> {
         let row = &self.rows[self.index_of(route)];
-        (row.hold > 0 && row.route == route).then_some(row)
+        (row.claims > 0 && row.route == route).then_some(row)
     }
 
     /// Gives the row of `route`. One that another route holds is given up only
     /// after it was asked for as often as it was used: a scan of one-off
     /// routes would otherwise wash out the ones in use.
-    fn claim(&mut self, route: u64) -> Option<&mut Row> {
+    fn claim_row(&mut self, route: u64) -> Option<&mut Row> {
         let index = self.index_of(route);
         let row = &mut self.rows[index];
-        if row.hold > 0 && row.route != route {
-            row.hold -= 1;
-            if row.hold > 0 {
+        if row.claims > 0 && row.route != route {
+            row.claims -= 1;
+            if row.claims > 0 {
                 return None;
             }
         }
-        if row.hold == 0 {
+        if row.claims == 0 {
             *row = Row {
                 route,
                 ..Row::default()
             };
         }
-        row.hold = (row.hold + 1).min(MEMORY);
+        row.claims = (row.claims + 1).min(MEAN_SAMPLES);
         Some(row)
     }
 }
--- a/crates/policy/src/elapsed.rs
+++ b/crates/policy/src/elapsed.rs
@@ -15,11 +15,11 @@
 
 /// Share of the difference to a shorter time by which the longest seen fades
 /// with each call: one that operators shorten is learnt within a thousand calls.
-const FADE: f64 = 1.0 / 256.0;
+const DECAY: f64 = 1.0 / 256.0;
 
 /// Share of the longest time that may be missing on the way, with timers and
 /// queues of connections: 125 ms of 2.5 s.
-const ON_THE_WAY: f64 = 0.05;
+const TRANSIT_TOLERANCE: f64 = 0.05;
 
 /// The longest times that callers start with, by route.
 #[derive(Debug, Clone)]
@@ -43,19 +43,19 @@
     }
 
     /// Takes in how much time a caller of `route` has `left`, and gives how long it has waited.
-    pub fn observe(&mut self, route: u64, left: Duration) -> Duration {
+    pub fn observe(&mut self, route: u64, remaining: Duration) -> Duration {
         let index = usize::try_from(route % self.rows.len() as u64).unwrap_or(0);
         let row = &mut self.rows[index];
-        let left = left.as_secs_f64();
+        let remaining = remaining.as_secs_f64();
         if row.route != route {
             *row = Row {
                 route,
                 longest: 0.0,
             };
         }
-        let missing = row.longest - left;
-        row.longest = left.max(row.longest - missing * FADE);
-        if missing <= row.longest * ON_THE_WAY {
+        let missing = row.longest - remaining;
+        row.longest = remaining.max(row.longest - missing * DECAY);
+        if missing <= row.longest * TRANSIT_TOLERANCE {
             return Duration::ZERO;
         }
         Duration::try_from_secs_f64(missing).unwrap_or(Duration::ZERO)
--- a/crates/policy/src/fair_share.rs
+++ b/crates/policy/src/fair_share.rs
@@ -13,14 +13,14 @@
 /// Places of each of a table's two rows. A caller is in one place of each, and
 /// the lesser use counts (a count-min sketch, Cormode and Muthukrishnan 2005):
 /// with one row, one of 30 callers shares the hot one's place in 6% of tables.
-const BUCKETS: usize = 512;
+const CELLS_PER_ROW: usize = 512;
 
 /// Time over which use is forgotten: long against a call, short against the
 /// 3 s in which things are to be normal again after a burst.
-const MEMORY: Duration = Duration::from_secs(1);
+const DECAY_TIME: Duration = Duration::from_secs(1);
 
 /// Least factor of the bound, for those who have had many times the fair share.
-const LEAST: f64 = 0.25;
+const MIN_FACTOR: f64 = 0.25;
 
 /// Times the fair share that is within the ordinary, and so many calls beyond:
 /// callers with a few calls a second go over it by chance half of the time.
@@ -34,29 +34,29 @@
 #[derive(Debug, Clone)]
 pub struct UsageSketch {
     seed: u64,
-    rows: [Box<[Use]>; 2],
-    total: Use,
+    rows: [Box<[Usage]>; 2],
+    total: Usage,
     epoch: u32,
     epoch_start: Instant,
     active: u32,
-    active_before: u32,
+    previous_active: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Use {
+struct Usage {
     amount: f64,
     at: Instant,
     epoch: u32,
 }
 
-impl Use {
-    fn get(self, now: Instant) -> f64 {
+impl Usage {
+    fn decayed(self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at);
-        self.amount * (-age.as_secs_f64() / MEMORY.as_secs_f64()).exp()
+        self.amount * (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
     }
 
     fn add(&mut self, now: Instant, amount: f64) {
-        self.amount = (self.get(now) + amount).max(0.0);
+        self.amount = (self.decayed(now) + amount).max(0.0);
         self.at = now;
     }
 }
@@ -65,55 +65,55 @@
     /// Makes an empty table; `seed` spreads the callers.
     #[must_use]
     pub fn new(now: Instant, seed: u64) -> Self {
-        let none = Use {
+        let unused = Usage {
             amount: 0.0,
             at: now,
             epoch: 0,
         };
         Self {
             seed,
-            rows: [0, 1].map(|_| vec![none; BUCKETS].into_boxed_slice()),
-            total: none,
+            rows: [0, 1].map(|_| vec![unused; CELLS_PER_ROW].into_boxed_slice()),
+            total: unused,
             epoch: 1,
             epoch_start: now,
             active: 0,
-            active_before: 0,
+            previous_active: 0,
         }
     }
 
     /// Gives the caller's place.
-    pub(crate) fn place(&self, caller: u64) -> Cells {
+    pub(crate) fn cells(&self, caller: u64) -> Cells {
         // The finalizer of SplitMix64 spreads neighbouring hashes.
         let mut mixed = caller ^ self.seed;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^= mixed >> 31;
         Cells([mixed, mixed >> 32].map(|half| {
-            let index = half % BUCKETS as u64;
+            let index = half % CELLS_PER_ROW as u64;
             u16::try_from(index).unwrap_or(0)
         }))
     }
 
     /// Takes in that the caller asks for work, whether or not it gets any; gives its place.
-    pub fn ask(&mut self, now: Instant, caller: u64) -> Cells {
-        let place = self.place(caller);
-        if now.saturating_duration_since(self.epoch_start) >= MEMORY {
+    pub fn record_request(&mut self, now: Instant, caller: u64) -> Cells {
+        let cells = self.cells(caller);
+        if now.saturating_duration_since(self.epoch_start) >= DECAY_TIME {
             self.epoch = self.epoch.wrapping_add(1);
             self.epoch_start = now;
-            self.active_before = self.active;
+            self.previous_active = self.active;
             self.active = 0;
         }
-        let used = &mut self.rows[0][usize::from(place.0[0])];
-        if used.epoch != self.epoch {
-            used.epoch = self.epoch;
+        let usage = &mut self.rows[0][usize::from(cells.0[0])];
+        if usage.epoch != self.epoch {
+            usage.epoch = self.epoch;
             self.active += 1;
         }
-        place
+        cells
     }
 
     /// Takes in work given to the caller, in slot-seconds; negative to correct a guess.
-    pub fn charge(&mut self, now: Instant, place: Cells, work: f64) {
-        for (row, index) in self.rows.iter_mut().zip(place.0) {
+    pub fn charge(&mut self, now: Instant, cells: Cells, work: f64) {
+        for (row, index) in self.rows.iter_mut().zip(cells.0) {
             row[usize::from(index)].add(now, work);
         }
         self.total.add(now, work);
@@ -127,17 +127,17 @@
     /// who have had less, so that use evens out without quotas: with nobody
     /// else about, anyone may use all there is.
     #[must_use]
-    pub fn factor(&self, now: Instant, place: Cells, cost: f64) -> f64 {
-        let active = f64::from(self.active.max(self.active_before).max(1));
-        let fair = self.total.get(now) / active;
-        let cells = self.rows.iter().zip(place.0);
-        let used = cells
-            .map(|(row, index)| row[usize::from(index)].get(now))
+    pub fn wait_factor(&self, now: Instant, cells: Cells, cost: f64) -> f64 {
+        let active = f64::from(self.active.max(self.previous_active).max(1));
+        let fair_share = self.total.decayed(now) / active;
+        let usages = self.rows.iter().zip(cells.0);
+        let used = usages
+            .map(|(row, index)| row[usize::from(index)].decayed(now))
             .fold(f64::MAX, f64::min);
-        let ordinary = TOLERANCE * (fair + cost);
-        if used <= ordinary {
+        let allowed = TOLERANCE * (fair_share + cost);
+        if used <= allowed {
             return 1.0;
         }
-        (ordinary / used).max(LEAST)
+        (allowed / used).max(MIN_FACTOR)
     }
 }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -35,7 +35,7 @@
 
 impl Tier {
     /// Tells whether its calls are worth most until a target; for the others late is better than lost.
-    pub(crate) fn is_aimed(self) -> bool {
+    pub(crate) fn uses_target(self) -> bool {
         matches!(self, Self::Lookup | Self::Refresh)
     }
 }
@@ -69,10 +69,10 @@
 /// Waiting calls of a lane up to which those that go before another are
 /// counted; beyond, all are taken to, and a burst costs no time that grows
 /// with its square.
-const MANY: usize = 64;
+const EXACT_SUM_MAX: usize = 64;
 
 /// Stale places kept in a lane beyond the live ones before they are swept.
-const SLACK: usize = 64;
+const MAX_STALE_ENTRIES: usize = 64;
 
 /// Names a waiting call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -103,16 +103,16 @@
 /// The waiting calls of one backend server.
 #[derive(Debug, Default)]
 pub struct Queue {
-    slots: Vec<Slot>,
-    free: Vec<u32>,
+    slab: Vec<SlabSlot>,
+    free_indices: Vec<u32>,
     lanes: [Lane; LANES],
     passes: [u64; TIERS.len()],
-    time: u64,
+    virtual_time: u64,
     waiting: usize,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Slot {
+struct SlabSlot {
     generation: u32,
     entry: Option<Entry>,
 }
@@ -120,7 +120,7 @@
 #[derive(Debug, Default)]
 struct Lane {
     /// Earliest deadline first; calls that were taken out stay until they come up.
-    order: BinaryHeap<Reverse<(Instant, Key)>>,
+    heap: BinaryHeap<Reverse<(Instant, Key)>>,
     pass: u64,
     waiting: usize,
     work: f64,
@@ -147,93 +147,95 @@
 
     /// Tells whether a call of this kind waits.
     #[must_use]
-    pub fn has(&self, long: bool) -> bool {
+    pub fn has_kind(&self, long: bool) -> bool {
         TIERS
             .iter()
-            .any(|tier| self.lanes[lane_of(*tier, long)].waiting > 0)
+            .any(|tier| self.lanes[lane_index(*tier, long)].waiting > 0)
     }
 
     /// Tells whether a call of this class and kind waits.
     #[must_use]
     pub fn has_lane(&self, tier: Tier, long: bool) -> bool {
-        self.lanes[lane_of(tier, long)].waiting > 0
+        self.lanes[lane_index(tier, long)].waiting > 0
     }
 
     /// Tells whether a call of this class waits.
     #[must_use]
-    pub fn is_waiting(&self, tier: Tier) -> bool {
+    pub fn has_tier(&self, tier: Tier) -> bool {
         [false, true]
             .iter()
-            .any(|long| self.lanes[lane_of(tier, *long)].waiting > 0)
+            .any(|long| self.lanes[lane_index(tier, *long)].waiting > 0)
     }
 
     /// Takes out a call whose answer comes late while fresh ones wait, which go before it.
-    pub fn pop_hopeless(&mut self) -> Option<(Key, Entry)> {
-        if !self.has_fresh() {
+    pub fn pop_overdue(&mut self) -> Option<(Key, Entry)> {
+        if !self.has_timely() {
             return None;
         }
-        let lanes = [false, true].map(|long| lane_of(Tier::Overdue, long));
-        let (_, key) = lanes.into_iter().find_map(|lane| self.first(lane))?;
+        let lanes = [false, true].map(|long| lane_index(Tier::Overdue, long));
+        let (_, key) = lanes.into_iter().find_map(|lane| self.first_live(lane))?;
         let entry = self.remove(key)?;
         Some((key, entry))
     }
 
     /// Tells whether a call waits whose answer can still be in time.
     #[must_use]
-    pub fn has_fresh(&self) -> bool {
+    pub fn has_timely(&self) -> bool {
         TIERS
             .iter()
-            .any(|tier| *tier != Tier::Overdue && self.is_waiting(*tier))
+            .any(|tier| *tier != Tier::Overdue && self.has_tier(*tier))
     }
 
     /// Gives the slot-seconds that a call which is to start by `start_by` has to
     /// wait for: those of its lane that go before it, and what its class has
     /// had ahead of its turn.
     #[must_use]
-    pub fn work_before(&self, tier: Tier, long: bool, start_by: Instant) -> f64 {
-        let rank = rank_of(tier);
-        let turn = TIERS
+    pub fn work_ahead(&self, tier: Tier, long: bool, start_by: Instant) -> f64 {
+        let tier_rank = tier_index(tier);
+        let next_pass = TIERS
             .iter()
-            .filter(|other| **other != tier && self.is_waiting(**other))
-            .map(|other| self.passes[rank_of(*other)])
+            .filter(|other| **other != tier && self.has_tier(**other))
+            .map(|other| self.passes[tier_index(*other)])
             .min();
-        let ahead = turn.map_or(0, |turn| self.passes[rank].saturating_sub(turn));
-        let ahead = Duration::from_nanos(ahead).as_secs_f64() * WEIGHTS[rank];
-        ahead + self.work_due(lane_of(tier, long), start_by)
+        let ahead = next_pass.map_or(0, |next_pass| {
+            self.passes[tier_rank].saturating_sub(next_pass)
+        });
+        let ahead = Duration::from_nanos(ahead).as_secs_f64() * WEIGHTS[tier_rank];
+        ahead + self.lane_work_ahead(lane_index(tier, long), start_by)
     }
 
     /// Gives the slot-seconds of a lane that are to start by `start_by`.
-    fn work_due(&self, lane: usize, start_by: Instant) -> f64 {
+    fn lane_work_ahead(&self, lane: usize, start_by: Instant) -> f64 {
         let lane = &self.lanes[lane];
-        if lane.waiting > MANY {
+        if lane.waiting > EXACT_SUM_MAX {
             return lane.work;
         }
-        let due = lane.order.iter().filter(|one| one.0.0 <= start_by);
-        due.filter(|one| is_live(&self.slots, one.0.1))
-            .filter_map(|one| self.slots[one.0.1.index as usize].entry)
+        let due = lane.heap.iter().filter(|item| item.0.0 <= start_by);
+        due.filter(|item| is_live(&self.slab, item.0.1))
+            .filter_map(|item| self.slab[item.0.1.index as usize].entry)
             .map(|entry| entry.cost)
             .sum()
     }
 
     /// Gives the share of the slots that a lane has at least, beside those that wait now.
     #[must_use]
-    pub fn share_of(&self, tier: Tier, long: bool) -> f64 {
-        let sibling = self.lanes[lane_of(tier, !long)].waiting > 0;
-        let kind = if sibling { 0.5 } else { 1.0 };
+    pub fn min_share(&self, tier: Tier, long: bool) -> f64 {
+        let sibling = self.lanes[lane_index(tier, !long)].waiting > 0;
+        let long = if sibling { 0.5 } else { 1.0 };
         let others = TIERS.iter().filter(|other| **other != tier);
-        let others = others.filter(|other| self.is_waiting(**other));
-        let beside: f64 = others.map(|other| WEIGHTS[rank_of(*other)]).sum();
-        let own = WEIGHTS[rank_of(tier)];
-        kind * own / (own + beside)
+        let others = others.filter(|other| self.has_tier(**other));
+        let other_weights: f64 = others.map(|other| WEIGHTS[tier_index(*other)]).sum();
+        let own = WEIGHTS[tier_index(tier)];
+        long * own / (own + other_weights)
     }
 
     /// Adds a call.
     pub fn push(&mut self, entry: Entry) -> Key {
-        self.wake_tier(entry.tier);
-        self.wake_lane(entry.tier, entry.long);
-        let key = self.store(entry);
-        let lane = &mut self.lanes[lane_of(entry.tier, entry.long)];
-        lane.order.push(Reverse((entry.start_by, key)));
+        self.activate_tier(entry.tier);
+        self.activate_lane(entry.tier, entry.long);
+        let key = self.insert(entry);
+        let lane = &mut self.lanes[lane_index(entry.tier, entry.long)];
+        lane.heap.push(Reverse((entry.start_by, key)));
         lane.waiting += 1;
         lane.work += entry.cost;
         self.waiting += 1;
@@ -243,23 +245,23 @@
     /// Takes the call whose turn it is; a long one only if `long` is.
     pub fn pop(&mut self, long: bool) -> Option<(Key, Entry)> {
         let (tier, long) = self.choose_lane(long)?;
-        let rank = rank_of(tier);
-        let (_, key) = self.first(lane_of(tier, long))?;
+        let tier_rank = tier_index(tier);
+        let (_, key) = self.first_live(lane_index(tier, long))?;
         let entry = self.remove(key)?;
-        self.time = self.passes[rank];
-        self.passes[rank] += nanos(entry.cost / WEIGHTS[rank]);
-        self.lanes[lane_of(tier, long)].pass += nanos(entry.cost);
+        self.virtual_time = self.passes[tier_rank];
+        self.passes[tier_rank] += nanos(entry.cost / WEIGHTS[tier_rank]);
+        self.lanes[lane_index(tier, long)].pass += nanos(entry.cost);
         Some((key, entry))
     }
 
     /// Takes a call out, as its caller no longer waits for it.
     pub fn remove(&mut self, key: Key) -> Option<Entry> {
-        let slot = self.slots.get_mut(key.index as usize)?;
+        let slot = self.slab.get_mut(key.index as usize)?;
         let entry = slot.entry.filter(|_| slot.generation == key.generation)?;
         slot.entry = None;
         slot.generation = slot.generation.wrapping_add(1);
-        self.free.push(key.index);
-        let lane = &mut self.lanes[lane_of(entry.tier, entry.long)];
+        self.free_indices.push(key.index);
+        let lane = &mut self.lanes[lane_index(entry.tier, entry.long)];
         lane.waiting -= 1;
         // An empty lane is exactly empty: sums of floats would drift.
         lane.work = if lane.waiting == 0 {
@@ -268,7 +270,7 @@
             lane.work - entry.cost
         };
         self.waiting -= 1;
-        self.sweep(lane_of(entry.tier, entry.long));
+        self.drop_stale(lane_index(entry.tier, entry.long));
         Some(entry)
     }
 
@@ -288,32 +290,32 @@
     }
 
     fn earliest(&mut self) -> Option<(Instant, Key)> {
-        (0..LANES).filter_map(|lane| self.first(lane)).min()
+        (0..LANES).filter_map(|lane| self.first_live(lane)).min()
     }
 
     /// Gives the first live call of a lane.
-    fn first(&mut self, lane: usize) -> Option<(Instant, Key)> {
-        while let Some(Reverse((at, key))) = self.lanes[lane].order.peek().copied() {
-            if is_live(&self.slots, key) {
+    fn first_live(&mut self, lane: usize) -> Option<(Instant, Key)> {
+        while let Some(Reverse((at, key))) = self.lanes[lane].heap.peek().copied() {
+            if is_live(&self.slab, key) {
                 return Some((at, key));
             }
-            self.lanes[lane].order.pop();
+            self.lanes[lane].heap.pop();
         }
         None
     }
 
     /// A class or lane that begins to wait starts at the present: it is owed
     /// nothing for the time in which it asked for nothing.
-    fn wake_tier(&mut self, tier: Tier) {
-        if !self.is_waiting(tier) {
-            let pass = &mut self.passes[rank_of(tier)];
-            *pass = (*pass).max(self.time);
+    fn activate_tier(&mut self, tier: Tier) {
+        if !self.has_tier(tier) {
+            let pass = &mut self.passes[tier_index(tier)];
+            *pass = (*pass).max(self.virtual_time);
         }
     }
 
-    fn wake_lane(&mut self, tier: Tier, long: bool) {
-        let sibling = self.lanes[lane_of(tier, !long)].pass;
-        let lane = &mut self.lanes[lane_of(tier, long)];
+    fn activate_lane(&mut self, tier: Tier, long: bool) {
+        let sibling = self.lanes[lane_index(tier, !long)].pass;
+        let lane = &mut self.lanes[lane_index(tier, long)];
         if lane.waiting == 0 {
             lane.pass = lane.pass.max(sibling);
         }
@@ -322,20 +324,20 @@
     fn choose_lane(&self, long: bool) -> Option<(Tier, bool)> {
         let mut best = None;
         for tier in TIERS {
-            let Some(kind) = self.choose_kind(tier, long) else {
+            let Some(long) = self.choose_long(tier, long) else {
                 continue;
             };
-            let pass = self.passes[rank_of(tier)];
+            let pass = self.passes[tier_index(tier)];
             if best.is_none_or(|(least, _, _)| pass < least) {
-                best = Some((pass, tier, kind));
+                best = Some((pass, tier, long));
             }
         }
-        best.map(|(_, tier, kind)| (tier, kind))
+        best.map(|(_, tier, long)| (tier, long))
     }
 
-    fn choose_kind(&self, tier: Tier, long: bool) -> Option<bool> {
-        let short_lane = &self.lanes[lane_of(tier, false)];
-        let long_lane = &self.lanes[lane_of(tier, true)];
+    fn choose_long(&self, tier: Tier, long: bool) -> Option<bool> {
+        let short_lane = &self.lanes[lane_index(tier, false)];
+        let long_lane = &self.lanes[lane_index(tier, true)];
         let has_long = long && long_lane.waiting > 0;
         match (short_lane.waiting > 0, has_long) {
             (true, true) => Some(long_lane.pass < short_lane.pass),
@@ -345,18 +347,18 @@
         }
     }
 
-    fn store(&mut self, entry: Entry) -> Key {
-        if let Some(index) = self.free.pop() {
-            let slot = &mut self.slots[index as usize];
+    fn insert(&mut self, entry: Entry) -> Key {
+        if let Some(index) = self.free_indices.pop() {
+            let slot = &mut self.slab[index as usize];
             slot.entry = Some(entry);
             let generation = slot.generation;
             return Key { index, generation };
         }
-        self.slots.push(Slot {
+        self.slab.push(SlabSlot {
             generation: 0,
             entry: Some(entry),
         });
-        let index = u32::try_from(self.slots.len() - 1).unwrap_or(u32::MAX);
+        let index = u32::try_from(self.slab.len() - 1).unwrap_or(u32::MAX);
         Key {
             index,
             generation: 0,
@@ -365,26 +367,26 @@
 
     /// Drops stale places: without it, calls withdrawn from the middle would
     /// pile up until their deadlines come to the front.
-    fn sweep(&mut self, lane: usize) {
+    fn drop_stale(&mut self, lane: usize) {
         let lane = &mut self.lanes[lane];
-        if lane.order.len() > 2 * lane.waiting + SLACK {
-            let slots = &self.slots;
-            lane.order.retain(|Reverse((_, key))| is_live(slots, *key));
+        if lane.heap.len() > 2 * lane.waiting + MAX_STALE_ENTRIES {
+            let slab = &self.slab;
+            lane.heap.retain(|Reverse((_, key))| is_live(slab, *key));
         }
     }
 }
 
-fn is_live(slots: &[Slot], key: Key) -> bool {
-    let slot = &slots[key.index as usize];
+fn is_live(slab: &[SlabSlot], key: Key) -> bool {
+    let slot = &slab[key.index as usize];
     slot.entry.is_some() && slot.generation == key.generation
 }
 
-pub(crate) fn rank_of(tier: Tier) -> usize {
+pub(crate) fn tier_index(tier: Tier) -> usize {
     tier as usize
 }
 
-pub(crate) fn lane_of(tier: Tier, long: bool) -> usize {
-    rank_of(tier) * 2 + usize::from(long)
+pub(crate) fn lane_index(tier: Tier, long: bool) -> usize {
+    tier_index(tier) * 2 + usize::from(long)
 }
 
 fn nanos(seconds: f64) -> u64 {
--- a/crates/policy/src/retry_quota.rs
+++ b/crates/policy/src/retry_quota.rs
@@ -15,14 +15,14 @@
 use std::time::{Duration, Instant};
 
 /// Parts that a span is counted in; what is just over one old may count on for that long.
-const PARTS: u32 = 20;
+const BUCKETS: u32 = 20;
 
 /// Share of the number on top that is used: nodes that have just joined are not
 /// yet known to all, and spans are counted in parts.
-const CAUTION: f64 = 0.8;
+const SAFETY_FACTOR: f64 = 0.8;
 
 /// Time for which the highest number of nodes counts.
-const NODES_MEMORY: Duration = Duration::from_mins(1);
+const NODE_COUNT_MEMORY: Duration = Duration::from_mins(1);
 
 /// What the fleet as a whole may repeat.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -38,65 +38,65 @@
 /// What one node has sent to a service within a span.
 #[derive(Debug, Clone)]
 pub struct RetryQuota {
-    bounds: FleetLimits,
+    limits: FleetLimits,
     started: Instant,
-    nodes: f64,
-    nodes_at: Instant,
-    parts: VecDeque<Part>,
+    node_count: f64,
+    node_count_at: Instant,
+    buckets: VecDeque<Bucket>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Part {
+struct Bucket {
     since: Instant,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 impl RetryQuota {
     /// Starts with nothing earned.
     #[must_use]
-    pub fn new(now: Instant, bounds: FleetLimits) -> Self {
+    pub fn new(now: Instant, limits: FleetLimits) -> Self {
         Self {
-            bounds,
+            limits,
             started: now,
-            nodes: 1.0,
-            nodes_at: now,
-            parts: VecDeque::new(),
+            node_count: 1.0,
+            node_count_at: now,
+            buckets: VecDeque::new(),
         }
     }
 
     /// Takes in how many nodes there are, as this one sees it.
     pub fn set_node_count(&mut self, now: Instant, nodes: usize) {
         let nodes = f64::from(u32::try_from(nodes).unwrap_or(u32::MAX)).max(1.0);
-        let is_old = now.saturating_duration_since(self.nodes_at) > NODES_MEMORY;
-        if nodes >= self.nodes || is_old {
-            self.nodes = nodes;
-            self.nodes_at = now;
+        let is_stale = now.saturating_duration_since(self.node_count_at) > NODE_COUNT_MEMORY;
+        if nodes >= self.node_count || is_stale {
+            self.node_count = nodes;
+            self.node_count_at = now;
         }
     }
 
     /// Counts a request of a caller's.
     pub fn record_request(&mut self, now: Instant) {
-        self.part(now).requests += 1;
+        self.bucket(now).requests += 1;
     }
 
     /// Counts a repeat that nobody asks about: a call made by a run that was itself a repeat.
     pub fn record_retry(&mut self, now: Instant) {
-        self.part(now).repeats += 1;
+        self.bucket(now).retries += 1;
     }
 
     /// Counts a repeat, if there is one left.
     pub fn spend(&mut self, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.started).as_secs_f64();
-        let earned = (age / self.bounds.window.as_secs_f64()).min(1.0);
-        let on_top = CAUTION * earned * self.bounds.extra / self.nodes;
-        self.part(now);
-        let (mut requests, mut repeats) = (0.0, 0.0);
-        for part in &self.parts {
-            requests += f64::from(part.requests);
-            repeats += f64::from(part.repeats);
+        let earned = (age / self.limits.window.as_secs_f64()).min(1.0);
+        let extra = SAFETY_FACTOR * earned * self.limits.extra / self.node_count;
+        self.bucket(now);
+        let (mut requests, mut retries) = (0.0, 0.0);
+        for bucket in &self.buckets {
+            requests += f64::from(bucket.requests);
+            retries += f64::from(bucket.retries);
         }
-        if repeats + 1.0 > self.bounds.share * requests + on_top {
+        if retries + 1.0 > self.limits.share * requests + extra {
             return false;
         }
         self.record_retry(now);
@@ -104,21 +104,22 @@
     }
 
     /// Gives the part of the present, and drops those that are over a span old.
-    fn part(&mut self, now: Instant) -> &mut Part {
-        let length = self.bounds.window / PARTS;
-        let is_over =
-            |part: &Part| now.saturating_duration_since(part.since) > self.bounds.window + length;
-        while self.parts.front().is_some_and(is_over) {
-            self.parts.pop_front();
+    fn bucket(&mut self, now: Instant) -> &mut Bucket {
+        let length = self.limits.window / BUCKETS;
+        let is_expired = |bucket: &Bucket| {
+            now.saturating_duration_since(bucket.since) > self.limits.window + length
+        };
+        while self.buckets.front().is_some_and(is_expired) {
+            self.buckets.pop_front();
         }
-        let is_new = |part: &Part| now.saturating_duration_since(part.since) >= length;
-        if self.parts.back().is_none_or(is_new) {
-            self.parts.push_back(Part {
+        let is_new = |bucket: &Bucket| now.saturating_duration_since(bucket.since) >= length;
+        if self.buckets.back().is_none_or(is_new) {
+            self.buckets.push_back(Bucket {
                 since: now,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
-        self.parts.back_mut().expect("one was put there")
+        self.buckets.back_mut().expect("a current bucket exists")
     }
 }
--- a/crates/policy/tests/body_scheduler.rs
+++ b/crates/policy/tests/body_scheduler.rs
@@ -13,7 +13,7 @@
 const RATE: f64 = 1_050_000.0;
 
 /// Bytes of bodies that a VM holds.
-const MOST_HELD: u64 = 8 << 20;
+const MAX_HELD: u64 = 8 << 20;
 
 /// Step of the replay.
 const STEP: Duration = Duration::from_millis(1);
@@ -78,17 +78,17 @@
     key: Key,
     sent: Instant,
     length: f64,
-    came: f64,
+    received: f64,
 }
 
 /// Plays a minute; without the intake, senders send bodies at once.
-fn play(seed: u64, load: &Load, with_intake: bool, told: Option<f64>) -> Report {
+fn simulate(seed: u64, load: &Load, scheduled: bool, advertised: Option<f64>) -> Report {
     let clock = Manual::new();
     let start = clock.now();
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut intake = BodyScheduler::new(start, told, MOST_HELD);
+    let mut scheduler = BodyScheduler::new(start, advertised, MAX_HELD);
     let mut link: VecDeque<(Parcel, f64)> = VecDeque::new();
-    let mut on_way: Vec<(Instant, Key, f64)> = Vec::new();
+    let mut in_transit: Vec<(Instant, Key, f64)> = Vec::new();
     let mut uploads: Vec<Upload> = Vec::new();
     let mut report = Report {
         seconds: 60.0,
@@ -106,13 +106,13 @@
         if rng.random_bool(upload_chance) {
             report.uploads += 1;
             let length = load.mean * rng.random_range(0.5..1.5);
-            if with_intake {
-                match intake.offer(now, &ask(now, length), &mut rng) {
+            if scheduled {
+                match scheduler.offer(now, &upload_offer(now, length), &mut rng) {
                     Ok(key) => uploads.push(Upload {
                         key,
                         sent: now,
                         length,
-                        came: 0.0,
+                        received: 0.0,
                     }),
                     Err(_) => report.refused += 1,
                 }
@@ -124,16 +124,16 @@
                 link.push_back((whole, length));
             }
         }
-        while let Some(next) = intake.next(now, &mut rng) {
+        while let Some(next) = scheduler.next(now, &mut rng) {
             match next {
-                Next::Credit(key, bytes) => on_way.push((now + ANSWER, key, f64::from(bytes))),
+                Next::Credit(key, bytes) => in_transit.push((now + ANSWER, key, f64::from(bytes))),
                 Next::Refuse(key, _) => {
                     uploads.retain(|upload| upload.key != key);
                     report.refused += 1;
                 }
             }
         }
-        on_way.retain(|(at, key, bytes)| {
+        in_transit.retain(|(at, key, bytes)| {
             if *at <= now {
                 let (key, bytes) = (*key, *bytes);
                 link.push_back((Parcel::Piece { key, bytes }, bytes));
@@ -162,14 +162,17 @@
                         clippy::cast_sign_loss,
                         reason = "a piece"
                     )]
-                    intake.receive(now, key, bytes as u64);
+                    scheduler.receive(now, key, bytes as u64);
                     let at = uploads.iter().position(|upload| upload.key == key);
                     if let Some(at) = at {
-                        uploads[at].came += bytes;
-                        if !intake.is_pending(key) {
-                            intake.release(whole_bytes(uploads[at].length));
+                        uploads[at].received += bytes;
+                        if !scheduler.is_pending(key) {
+                            scheduler.release(whole_bytes(uploads[at].length));
                             let done = uploads.swap_remove(at);
-                            assert!((done.came - done.length).abs() < 1.0, "all of it came");
+                            assert!(
+                                (done.received - done.length).abs() < 1.0,
+                                "the whole body is received"
+                            );
                             note_upload(&mut report, now, done.sent, done.length);
                         }
                     }
@@ -197,7 +200,7 @@
     length as u64
 }
 
-fn ask(now: Instant, length: f64) -> BodyOffer {
+fn upload_offer(now: Instant, length: f64) -> BodyOffer {
     let length = whole_bytes(length);
     BodyOffer {
         call: Request {
@@ -219,15 +222,15 @@
 // after the other, and so did nearly all photographs. Cause: all senders sent
 // their bodies at once, and seconds of them stood in front of the link.
 #[test]
-fn full_link() {
+fn saturated_link() {
     let load = Load {
         uploads: 1.3,
         checks_per_second: 50.0,
         mean: 60_000.0,
     };
     for seed in 1..=3 {
-        let without = play(seed, &load, false, Some(RATE));
-        let with = play(seed, &load, true, Some(RATE));
+        let without = simulate(seed, &load, false, Some(RATE));
+        let with = simulate(seed, &load, true, Some(RATE));
         println!("full link, seed {seed}: {with:?}; without: {without:?}");
         assert!(without.check_share() < 0.1, "{without:?}");
         assert!(with.check_share() > 0.99, "{with:?}");
@@ -239,15 +242,15 @@
 // The same with a link that carries less than its VM was told, as one that is
 // squeezed, and with nothing told at all.
 #[test]
-fn slower_than_told() {
+fn slower_than_advertised() {
     let load = Load {
         uploads: 1.3,
         checks_per_second: 50.0,
         mean: 60_000.0,
     };
-    for told in [Some(4.0 * RATE), None] {
-        let report = play(1, &load, true, told);
-        println!("told {told:?}: {report:?}");
+    for advertised in [Some(4.0 * RATE), None] {
+        let report = simulate(1, &load, true, advertised);
+        println!("advertised {advertised:?}: {report:?}");
         assert!(report.check_share() > 0.95, "{report:?}");
         assert!(report.link_share() > 0.75, "{report:?}");
     }
@@ -261,7 +264,7 @@
         checks_per_second: 50.0,
         mean: 60_000.0,
     };
-    let report = play(1, &load, true, Some(RATE));
+    let report = simulate(1, &load, true, Some(RATE));
     println!("idle link: {report:?}");
     assert_eq!(report.refused, 0);
     assert_eq!(report.uploads - report.uploads_in_time, 0);
@@ -271,85 +274,96 @@
 // backend server stood still until their deadlines. Cause: what had been asked
 // of it and never came kept the others from being asked.
 #[test]
-fn sender_gone() {
+fn unresponsive_sender() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut intake = BodyScheduler::new(clock.now(), Some(RATE), MOST_HELD);
-    let gone: Vec<_> = (0..4)
+    let mut scheduler = BodyScheduler::new(clock.now(), Some(RATE), MAX_HELD);
+    let unresponsive: Vec<_> = (0..4)
         .map(|_| {
-            intake
-                .offer(clock.now(), &ask(clock.now(), 60_000.0), &mut rng)
+            scheduler
+                .offer(clock.now(), &upload_offer(clock.now(), 60_000.0), &mut rng)
                 .unwrap()
         })
         .collect();
-    let mut asked = Vec::new();
-    while let Some(Next::Credit(key, _)) = intake.next(clock.now(), &mut rng) {
-        asked.push(key);
+    let mut credited = Vec::new();
+    while let Some(Next::Credit(key, _)) = scheduler.next(clock.now(), &mut rng) {
+        credited.push(key);
     }
-    assert!(asked.iter().all(|key| gone.contains(key)), "{asked:?}");
-    let live = intake
-        .offer(clock.now(), &ask(clock.now(), 60_000.0), &mut rng)
+    assert!(
+        credited.iter().all(|key| unresponsive.contains(key)),
+        "{credited:?}"
+    );
+    let live = scheduler
+        .offer(clock.now(), &upload_offer(clock.now(), 60_000.0), &mut rng)
         .unwrap();
     assert_eq!(
-        intake.next(clock.now(), &mut rng),
+        scheduler.next(clock.now(), &mut rng),
         None,
-        "the link is asked for"
+        "the credit of the link is used up"
     );
     clock.advance(Duration::from_millis(100));
-    let mut asked = Vec::new();
-    while let Some(Next::Credit(key, _)) = intake.next(clock.now(), &mut rng) {
-        asked.push(key);
+    let mut credited = Vec::new();
+    while let Some(Next::Credit(key, _)) = scheduler.next(clock.now(), &mut rng) {
+        credited.push(key);
     }
-    assert!(asked.contains(&live), "{asked:?}");
+    assert!(credited.contains(&live), "{credited:?}");
 }
 
 // A body that takes longer than its caller waits is refused before any of it is
 // sent, and so is one that has waited until it can't be whole in time any more.
 #[test]
-fn hopeless() {
+fn too_late() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut intake = BodyScheduler::new(clock.now(), Some(RATE), MOST_HELD);
-    let first = intake.offer(clock.now(), &ask(clock.now(), 300_000.0), &mut rng);
+    let mut scheduler = BodyScheduler::new(clock.now(), Some(RATE), MAX_HELD);
+    let first = scheduler.offer(clock.now(), &upload_offer(clock.now(), 300_000.0), &mut rng);
     assert!(first.is_ok(), "nothing is before it");
-    while intake.next(clock.now(), &mut rng).is_some() {}
-    let refused = intake.offer(clock.now(), &ask(clock.now(), 1_800_000.0), &mut rng);
+    while scheduler.next(clock.now(), &mut rng).is_some() {}
+    let refused = scheduler.offer(
+        clock.now(),
+        &upload_offer(clock.now(), 1_800_000.0),
+        &mut rng,
+    );
     assert_eq!(refused.unwrap_err().reason, Reason::Deadline);
-    let waits = intake.offer(clock.now(), &ask(clock.now(), 5_000.0), &mut rng);
+    let waits = scheduler.offer(clock.now(), &upload_offer(clock.now(), 5_000.0), &mut rng);
     let waits = waits.expect("short enough to come after the first");
     clock.advance(Duration::from_millis(600));
-    let mut told = None;
-    while let Some(next) = intake.next(clock.now(), &mut rng) {
+    let mut refused_waiting = None;
+    while let Some(next) = scheduler.next(clock.now(), &mut rng) {
         if let Next::Refuse(key, refusal) = next {
-            told = Some((key, refusal.reason));
+            refused_waiting = Some((key, refusal.reason));
         }
     }
-    assert_eq!(told, Some((waits, Reason::Deadline)));
+    assert_eq!(refused_waiting, Some((waits, Reason::Deadline)));
 }
 
 // Photographs come faster than slots get free. Their bodies must not all be here
 // first: a VM of 160 MB has died of less. What is over the bound is asked for as
 // others are done with.
 #[test]
-fn bounded() {
+fn max_held_bytes() {
     let clock = Manual::new();
     let now = clock.now();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut intake = BodyScheduler::new(now, Some(100.0 * RATE), 200_000);
+    let mut scheduler = BodyScheduler::new(now, Some(100.0 * RATE), 200_000);
     let keys: Vec<_> = (0..5)
-        .map(|_| intake.offer(now, &ask(now, 60_000.0), &mut rng).unwrap())
+        .map(|_| {
+            scheduler
+                .offer(now, &upload_offer(now, 60_000.0), &mut rng)
+                .unwrap()
+        })
         .collect();
-    let mut came = Vec::new();
-    let mut pump = |intake: &mut BodyScheduler| {
-        while let Some(Next::Credit(key, bytes)) = intake.next(now, &mut rng) {
-            intake.receive(now, key, bytes.into());
-            if !intake.is_pending(key) {
-                came.push(key);
+    let mut received = Vec::new();
+    let mut deliver_credited = |scheduler: &mut BodyScheduler| {
+        while let Some(Next::Credit(key, bytes)) = scheduler.next(now, &mut rng) {
+            scheduler.receive(now, key, bytes.into());
+            if !scheduler.is_pending(key) {
+                received.push(key);
             }
         }
-        came.clone()
+        received.clone()
     };
-    assert_eq!(pump(&mut intake), keys[..3]);
-    intake.release(60_000);
-    assert_eq!(pump(&mut intake), keys[..4]);
+    assert_eq!(deliver_credited(&mut scheduler), keys[..3]);
+    scheduler.release(60_000);
+    assert_eq!(deliver_credited(&mut scheduler), keys[..4]);
 }
