--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,18 +1,18 @@
-//! Whom a backend server serves now, who waits, and who is refused at once.
+//! Admission control in front of one backend server: which calls run now, which wait and which
+//! are refused at once.
 //!
-//! *Load pattern:* a burst or a lasting overload of commits, look-ups and
-//! refreshes from many callers, a few of them hot, long jobs among short
-//! calls. *Without it* calls pile up in front of the backend server until all
-//! of them are answered after their deadlines: it is busy, and nobody is
-//! served. *Grounds:* the wait is predicted from the work that waits and the
-//! drain rate that is measured; what can't fit its deadline or the class's
-//! bound is refused before it waits, so a refusal costs no waiting. The bound
-//! shrinks when a queue stands (`CoDel`, Nichols and Jacobson 2012, as
-//! Facebook's "Fail at Scale", 2015, has it for requests): a queue is there
-//! for bursts.
+//! It protects the backend server from bursts and lasting overloads of commits, look-ups and
+//! refreshes from many callers, a few of them hot, with long jobs among short calls. Without
+//! it, calls pile up in front of the backend server until all of them are answered after their
+//! deadlines: it is busy, and nobody is served.
+//!
+//! The wait of a call is predicted from the queued work and the measured service rate. A call
+//! that can't meet its deadline or would exceed the bound of its class is refused before it
+//! waits, so a refusal costs no waiting time. The bound shrinks while a queue is standing
+//! (`CoDel`, Nichols and Jacobson 2012, applied to requests as in Facebook's "Fail at Scale",
+//! 2015), as a queue is meant to absorb bursts.
 
 use crate::backoff;
-
 use crate::duration;
 use crate::fair_share::{self, Cells};
 use crate::limit::{ConcurrencyLimit, Outcome};
@@ -23,26 +23,27 @@
 use rand::Rng;
 use std::time::{Duration, Instant};
 
-/// A call that asks to be served.
+/// A call that asks for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct Request {
-    /// What it is worth.
+    /// Priority class of the call.
     pub class: Class,
-    /// On whose behalf it runs, as a [`crate::hash`].
+    /// Caller on whose behalf the call runs, as a [`crate::hash`].
     pub caller: u64,
-    /// What it is about (its path), as a [`crate::hash`].
+    /// Key that the call is about (its path), as a [`crate::hash`].
     pub key: u64,
-    /// Its route, as a [`crate::hash`]: calls of one route take about as long.
+    /// Route, as a [`crate::hash`]: calls of one route take about the same time.
     pub route: u64,
-    /// When nobody waits for its answer any more.
+    /// Deadline, after which nobody waits for the answer.
     pub deadline: Instant,
-    /// Until when an answer is worth most, if that is known.
+    /// Latency target: the answer loses most of its value after it, if there is one.
     pub target: Option<Instant>,
-    /// What a call is worth that runs elsewhere and holds a slot there until it has this one's answer.
+    /// Class of the parent, if the call is nested: the parent holds a slot at another backend
+    /// server until it has this call's answer.
     pub nested: Option<Class>,
 }
 
-/// The right to run one call; handed back to [`Admission::finish`].
+/// The right to run one call; must be handed back to [`Admission::finish`].
 #[derive(Debug)]
 #[must_use]
 pub struct Ticket {
@@ -59,102 +60,104 @@
 /// Why a call is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// Too much waits already.
+    /// Too much work is queued already.
     Full,
-    /// It could not be served before its deadline.
+    /// The call could not finish before its deadline.
     Deadline,
 }
 
-/// A call that has not run and will not.
+/// Refusal of a call, which has not run and will not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the call is refused.
     pub reason: Reason,
-    /// When there will be room again.
+    /// When there is expected to be room again.
     pub retry_after: Duration,
 }
 
-/// What becomes of a call that asks to be served.
+/// What happens to a call that asks for a slot.
 #[derive(Debug)]
 #[must_use]
 pub enum Decision {
-    /// It runs now.
+    /// The call runs now.
     Run(Ticket),
-    /// It waits; [`Admission::next`] will name it.
+    /// The call waits; [`Admission::next`] returns its key later.
     Wait(queue::Key),
-    /// It is refused.
+    /// The call is refused.
     Refuse(Refusal),
 }
 
-/// What becomes of a call that has waited.
+/// What happens to a call that has waited.
 #[derive(Debug)]
 #[must_use]
 pub enum Next {
-    /// It runs now.
+    /// The call runs now.
     Run(queue::Key, Ticket),
-    /// It is given up on, and gets its final answer now.
+    /// The call is given up and gets its final answer now.
     Refuse(queue::Key, Refusal),
 }
 
-/// Wait up to which a class's queue is in order, in durations of the call itself.
+/// Acceptable queue wait of each tier, as a multiple of the call's expected duration.
 ///
-/// A commit rather waits than is refused, a board will be read again soon.
+/// A commit is better delayed than refused; a board (refresh) is read again soon anyway.
 const QUEUE_TARGETS: [f64; TIERS.len()] = [8.0, 8.0, 8.0, 2.0, 1.0, 1.0];
 
-/// Least target, so that very short calls may wait for a scheduling hiccup.
+/// Minimum acceptable queue wait in seconds, so that very short calls survive a scheduling
+/// hiccup.
 const MIN_QUEUE_TARGET: f64 = 0.025;
 
-/// Times its target that a queue may grow to in a burst.
+/// Factor by which a burst may exceed the acceptable queue wait.
 const BURST_FACTOR: f64 = 2.0;
 
-/// Time after which a queue that was never empty counts as standing; `CoDel`'s
-/// own interval.
+/// Time without an empty queue after which the queue counts as standing; the interval of
+/// `CoDel`.
 const STANDING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Times its bound after which a waiting call is given up, though its deadline
-/// is far: the prediction was wrong, for instance as the backend server hangs.
+/// Factor over its bound at which a waiting call is given up although its deadline is far off:
+/// the prediction was wrong, for instance because the backend server hangs.
 const MAX_WAIT_FACTOR: f64 = 6.0;
 
-/// Times its expected duration that must be left when a call starts: with
-/// durations that vary as much as their mean, 86% then end in time.
+/// Time that must be left until the deadline when a call starts, as a multiple of its expected
+/// duration. If durations vary as much as their mean, 86% of the calls then end in time.
 const DEADLINE_MARGIN: f64 = 2.0;
 
-/// Times its expected duration that must be left to its target when a call
-/// starts: with durations that vary by half of their mean, 70% are then in time.
+/// Time that must be left until the latency target when a call starts, as a multiple of its
+/// expected duration. If durations vary by half of their mean, 70% of the calls are then in
+/// time.
 const TARGET_MARGIN: f64 = 1.3;
 
-/// Least wait, in durations of the call itself, that any call may begin with:
-/// one whose target is tight may still wait for the slot that gets free next.
+/// Minimum wait that any call may begin with, as a multiple of its expected duration: a call
+/// with a tight target may still wait for the next slot that becomes free.
 const MIN_SLACK: f64 = 0.25;
 
 /// Share of the slots that long jobs may not take, rounded down: two of six.
 ///
-/// With none held back, long jobs fill all slots and short calls wait for one of them to end;
-/// with half of them held back, slots stand idle while long jobs wait.
+/// With no reserve, long jobs fill all slots and short calls wait for one of them to end; with
+/// half of the slots reserved, slots stand idle while long jobs wait.
 const SHORT_CALL_RESERVE: f64 = 1.0 / 3.0;
 
-/// Admission in front of one backend server.
+/// Admission controller of one backend server.
 #[derive(Debug)]
 pub struct Admission {
     limit: ConcurrencyLimit,
     durations: duration::Estimator,
     queue: Queue,
-    /// What each caller has had, by class.
+    /// Recent use of slots by each caller, per tier.
     caller_usage: [fair_share::UsageSketch; TIERS.len()],
-    /// What calls about each key have had, by class.
+    /// Recent use of slots by calls about each key, per tier.
     key_usage: [fair_share::UsageSketch; TIERS.len()],
-    /// When a call last found none of its lane waiting.
+    /// When each lane was last seen empty by an arriving call.
     last_empty_at: [Instant; queue::LANES],
     deferred_work: [DeferredWork; TIERS.len()],
     speed: SlotSpeed,
-    /// What each lane gets of the slots.
+    /// Measured service rate of each lane.
     lane_rates: [LaneRate; queue::LANES],
     running: u32,
     running_long: u32,
 }
 
 impl Admission {
-    /// Makes the admission of a backend server that says it has `slots`.
+    /// Creates the controller of a backend server that advertises `slots`.
     #[must_use]
     pub fn new(now: Instant, slots: u16, seed: u64) -> Self {
         let limit = ConcurrencyLimit::new(now, slots);
@@ -175,37 +178,38 @@
         }
     }
 
-    /// Takes in how many slots the backend server says it has.
+    /// Updates the number of slots that the backend server advertises.
     pub fn set_advertised_slots(&mut self, slots: u16) {
         self.limit.set_advertised(slots);
     }
 
-    /// Gives how many calls run.
+    /// Returns the number of running calls.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Gives how many calls wait.
+    /// Returns the number of waiting calls.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Gives how many calls may run at once.
+    /// Returns the number of calls that may run at once.
     #[must_use]
     pub fn slots(&self) -> f64 {
         self.limit.slots()
     }
 
-    /// Gives the load as calls running and waiting over slots: a hint for the outbound proxies.
+    /// Returns the load, as running and waiting calls per slot; outbound proxies use it as a
+    /// hint.
     #[must_use]
     pub fn load(&self) -> f64 {
         let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
         (f64::from(self.running) + f64::from(waiting)) / self.limit.slots()
     }
 
-    /// Decides on a call that asks to be served.
+    /// Decides whether an arriving call runs, waits or is refused.
     pub fn offer<R>(&mut self, now: Instant, request: &Request, rng: &mut R) -> Decision
     where
         R: Rng,
@@ -221,8 +225,8 @@
             return Decision::Refuse(self.refuse(now, &entry, reason, rng));
         }
         let expires_at = now + duration_from_secs(max_queue_time(&entry));
-        // Charged as it begins to wait: a hot caller's burst would otherwise
-        // fill the queue before any of it counts.
+        // Charged when the wait begins: otherwise a hot caller's burst would fill the queue
+        // before any of it counts.
         self.charge(now, entry.tier, entry.caller, entry.key, entry.cost);
         Decision::Wait(self.queue.push(Entry {
             start_by: entry.start_by.min(expires_at),
@@ -230,7 +234,7 @@
         }))
     }
 
-    /// Refuses a call that would be refused now, before its body is asked for.
+    /// Returns the refusal that a call would get now, so that its body need not be transferred.
     pub fn precheck<R>(&mut self, now: Instant, request: &Request, rng: &mut R) -> Option<Refusal>
     where
         R: Rng,
@@ -244,7 +248,8 @@
         Some(self.refuse(now, &entry, reason, rng))
     }
 
-    /// Gives what would become of a call that is not here yet; it counts for nobody's share.
+    /// Returns what would happen to a call that has not been sent here; it is not charged to
+    /// any caller or key.
     pub fn estimate(&mut self, now: Instant, request: &Request) -> Estimate {
         self.limit.end_probe(now);
         let tier = tier_index(tier_of(now, request));
@@ -270,13 +275,14 @@
         }
     }
 
-    /// Gives how long a call of `route` is expected to run.
+    /// Returns how long a call of `route` is expected to run.
     #[must_use]
     pub fn expected_duration(&self, route: u64) -> Duration {
         duration_from_secs(self.durations.expected(route))
     }
 
-    /// Takes in that a call asks to be served, and gives what is known of it.
+    /// Records that the caller and the key ask for work, and describes the call as a queue
+    /// entry.
     fn record_entry(&mut self, now: Instant, request: &Request) -> Entry {
         let tier = tier_index(tier_of(now, request));
         let cells = [
@@ -286,7 +292,7 @@
         self.make_entry(now, request, cells)
     }
 
-    /// Gives what is known of a call, with the latest moment at which it may start.
+    /// Describes a call as a queue entry, with the latest time at which it may start.
     fn make_entry(&self, now: Instant, request: &Request, cells: [Cells; 2]) -> Entry {
         let cost = self.durations.expected(request.route);
         let left = time_left(now, request);
@@ -303,18 +309,18 @@
         apply_target(now, request, entry)
     }
 
-    /// Tells whether a call may run without waiting.
+    /// Returns whether a call may run without waiting.
     ///
-    /// A free slot is tried whatever the call is expected to take: else a
-    /// backend server that was once slower than the deadlines would never be
-    /// given a call again to show that it no longer is.
+    /// A free slot is used whatever duration is expected: otherwise a backend server that was
+    /// once slower than the deadlines would never again get a call to show that it has
+    /// recovered.
     fn can_run(&self, now: Instant, request: &Request, entry: &Entry) -> bool {
         self.has_free_slot(entry.long)
             && !self.queue.has_kind(entry.long)
             && time_left(now, request) > 0.0
     }
 
-    /// Tells why a call that would have to wait is to be refused, if it is.
+    /// Returns why a call that would have to wait must be refused, if so.
     fn refusal_reason(&mut self, now: Instant, request: &Request, entry: &Entry) -> Option<Reason> {
         if !self.queue.has_lane(entry.tier, entry.long) {
             let total = self.service_rate(now);
@@ -332,7 +338,7 @@
         (wait + DEADLINE_MARGIN * entry.cost > time_left(now, request)).then_some(Reason::Deadline)
     }
 
-    /// Takes in the end of a call.
+    /// Records the end of a call.
     #[expect(
         clippy::needless_pass_by_value,
         reason = "a ticket is used up, so that no call can end twice"
@@ -360,13 +366,12 @@
         };
         self.limit.record(now, running, outcome, slowdown);
         self.speed.finish(now, started, cost);
-        // The guess that was charged at the start is made good.
+        // Replaces the estimate that was charged at the start by the actual duration.
         self.charge(now, tier, caller, key, took.as_secs_f64() - cost);
     }
 
-    /// Gives what has become of the waiting calls, one at a time: to be called
-    /// until it gives none, after each [`Admission::finish`] and at
-    /// [`Admission::wake_at`].
+    /// Returns the next waiting call whose outcome is decided. Call this after each
+    /// [`Admission::finish`] and at [`Admission::wake_at`], until it returns `None`.
     pub fn next<R>(&mut self, now: Instant, rng: &mut R) -> Option<Next>
     where
         R: Rng,
@@ -401,7 +406,8 @@
         Next::Refuse(key, self.refuse(now, entry, reason, rng))
     }
 
-    /// Gives when a waiting call has next to be given up on, or may be let in by the time alone.
+    /// Returns when a waiting call must next be given up, or may start because a probe of the
+    /// limit ends.
     #[must_use]
     pub fn wake_at(&mut self) -> Option<Instant> {
         let expires_at = self.queue.wake_at()?;
@@ -409,7 +415,7 @@
         Some(probe_ends_at.map_or(expires_at, |at| at.min(expires_at)))
     }
 
-    /// Takes out a waiting call that nobody waits for any more; tells whether it did wait.
+    /// Removes a waiting call that nobody waits for any more; returns whether it was waiting.
     pub fn withdraw(&mut self, now: Instant, key: queue::Key) -> bool {
         let Some(entry) = self.queue.remove(key) else {
             return false;
@@ -444,13 +450,13 @@
         }
     }
 
-    /// Predicts the wait from what the class has got of the slots lately: a
-    /// look-up's wait depends on the commits that will come after it.
+    /// Predicts the wait from the share of the slots that the lane got recently: the wait of a
+    /// look-up also depends on the commits that arrive after it.
     fn predict_wait(&self, now: Instant, entry: &Entry) -> f64 {
         let work = self
             .queue
             .work_ahead(entry.tier, entry.long, entry.start_by);
-        // The slot that gets free next belongs to a call that is half through.
+        // The call whose slot becomes free next is on average half finished.
         let slot = self.durations.overall_mean() / 2.0 / self.service_rate(now);
         slot + work / self.lane_rate(now, entry)
     }
@@ -465,7 +471,7 @@
         self.limit.slots() * self.speed.get(now)
     }
 
-    /// Gives the longest wait that a call may begin with.
+    /// Returns the longest predicted wait with which a call is still queued.
     fn max_wait(&mut self, now: Instant, entry: &Entry, has_target: bool) -> f64 {
         let tier = tier_index(entry.tier);
         let target = queue_target(entry);
@@ -492,11 +498,11 @@
         self.key_usage[tier_index(tier)].charge(now, key, work);
     }
 
-    /// Refuses, with a Retry-After from the measured drain rate.
+    /// Refuses a call, with a Retry-After from the measured service rate.
     ///
-    /// Everybody refused is assumed to come back, so each is sent to the end of
-    /// a virtual queue of those refused before. Told only how long the real,
-    /// short queue takes, all of them would be back in some milliseconds.
+    /// All refused callers are assumed to come back, so each is sent to the end of a virtual
+    /// queue of the work refused before. If Retry-After covered only the real, short queue, all
+    /// of them would be back within milliseconds.
     fn refuse<R>(&mut self, now: Instant, entry: &Entry, reason: Reason, rng: &mut R) -> Refusal
     where
         R: Rng,
@@ -511,26 +517,27 @@
     }
 }
 
-/// Gives what a call is worth: its class, unless a running call waits for it or it is late.
+/// Returns the scheduling tier of a call: that of its class, unless the call is nested or
+/// overdue.
 ///
-/// *Load pattern of nested calls:* a service whose backend servers call another
-/// one, both at their limits. *Without it* the calls of look-ups queue as
-/// look-ups, behind the other service's own work; one that is turned away fails
-/// its parent, and the slot-seconds that the parent has had are lost: a quarter
-/// of all runs at 1.3 times the capacity. *Grounds:* they have tiers of their own, by
-/// what their parents are worth: for a refresh as large as that of fresh look-ups, so
-/// that neither crowds the other out, and else three times that; they have no
-/// target, as late is better than failing the parent.
+/// Nested calls arise where the backend servers of one service call another and both services
+/// are at their limits. If the calls of look-ups queued as look-ups, they would wait behind the
+/// other service's own work. A nested call that is refused fails its parent and wastes the
+/// slot-seconds that the parent has used: a quarter of all runs at 1.3 times the capacity.
+/// Nested calls therefore have tiers of their own, by the class of the parent. The share for
+/// parents that are refreshes equals that of fresh look-ups, so that neither crowds out the
+/// other; for other parents it is three times that. Nested calls have no latency target, as a
+/// late answer is better than a failed parent.
 ///
-/// *Load pattern of late calls:* a lasting overload whose refused callers come
-/// back, their target gone by. *Without it* each of them takes a slot from a
-/// fresh call that is then late as well: of the answers, four in ten were late.
-/// *Grounds:* a late answer is worth a fraction of one in time, whatever its
-/// class, and a slot serves one of the two.
+/// Overdue calls arise in a lasting overload, when refused callers come back after their
+/// target. Without a separate tier, each takes a slot from a fresh call, which is then late as
+/// well: four in ten answers were late. A late answer is worth a fraction of one in time,
+/// whatever its class, and a slot can serve only one of the two.
 pub(crate) fn tier_of(now: Instant, request: &Request) -> Tier {
     let is_overdue = request.target.is_some_and(|target| target <= now);
     match (request.class, request.nested) {
-        // A commit is never the last: what is late of it comes after fresh commits only.
+        // Commits never sink to the last tier: an overdue commit comes after fresh commits
+        // only.
         (Class::Commit, None) if is_overdue => Tier::Lookup,
         (Class::Commit, _) => Tier::Commit,
         (_, Some(Class::Refresh)) => Tier::NestedRefresh,
@@ -541,15 +548,14 @@
     }
 }
 
-/// Brings the latest start of a call forward to where its answer is worth most.
+/// Moves the latest start of a call forward so that its answer meets the latency target.
 ///
-/// *Load pattern:* a lasting overload of calls whose answers lose most of
-/// their worth some time before their deadlines. *Without it* the queue
-/// grows until all are answered just before their deadlines: the same
-/// number is served, nearly all of them late. A call that could be
-/// answered late only is better sent to come back, and the slot given to
-/// one that is still in time. Commits wait on: late is better than lost. What
-/// is late already waits for a slot that nobody else wants.
+/// This matters in a lasting overload of calls whose answers lose most of their value some time
+/// before the deadline. Without it, the queue grows until all calls are answered just before
+/// their deadlines: the same number is served, nearly all of them late. It is better to refuse
+/// a call that could only be answered late, so that its caller comes back, and to give the slot
+/// to one that is still in time. Commits keep waiting, as late is better than lost. Overdue
+/// calls wait for a slot that no other call needs.
 fn apply_target(now: Instant, request: &Request, entry: Entry) -> Entry {
     if !entry.tier.uses_target() {
         return entry;
@@ -565,16 +571,17 @@
     }
 }
 
-/// Gives the wait up to which the queue of a call's class is in order.
+/// Returns the acceptable queue wait for a call, in seconds.
 fn queue_target(entry: &Entry) -> f64 {
     (QUEUE_TARGETS[tier_index(entry.tier)] * entry.cost).max(MIN_QUEUE_TARGET)
 }
 
-/// Gives the longest wait after which a call is given up, though its deadline is far.
+/// Returns the longest time that a call may spend in the queue, even if its deadline is later.
 ///
-/// *Load pattern:* an overload whose refused callers come back late. *Without the short one* for
-/// what is late, each waits behind the fresh ones that come after it, until its deadline and for
-/// nothing. *Grounds:* it gets what fresh calls leave; where these wait by now there is nothing left, and its caller is told so.
+/// Overdue calls get a shorter one. In an overload whose refused callers come back late, each
+/// of them would otherwise wait in vain until its deadline, behind the fresh calls that keep
+/// arriving. Overdue calls get only what fresh calls leave; if fresh calls are waiting by then,
+/// nothing is left, and the caller is told so.
 fn max_queue_time(entry: &Entry) -> f64 {
     let factor = if entry.tier == Tier::Overdue {
         1.0
@@ -584,7 +591,7 @@
     factor * BURST_FACTOR * queue_target(entry)
 }
 
-/// Gives the seconds until nobody waits for a call's answer any more.
+/// Returns the seconds until the call's deadline.
 fn time_left(now: Instant, request: &Request) -> f64 {
     let left = request.deadline.saturating_duration_since(now);
     left.as_secs_f64()
--- a/crates/policy/src/body_scheduler.rs
+++ b/crates/policy/src/body_scheduler.rs
@@ -1,17 +1,17 @@
-//! Which requests' bodies come in over a VM's link, and in what order.
+//! Receiver-driven scheduling of request bodies: which bodies come in over a VM's link, and in
+//! what order.
 //!
-//! *Load pattern:* uploads that are more bytes than the link of their backend
-//! server's VM carries, while its slots are idle, beside small calls with short
-//! deadlines. *Without it* every outbound proxy sends its bodies at once: megabytes
-//! stand in front of the link, small calls wait behind them for seconds (5 in 100
-//! were answered in time), and the uploads themselves are whole after their
-//! deadlines. *Grounds:* the receiver is the one that knows all who send to it,
-//! so it asks for bodies piece by piece, as in receiver-driven transports (`pHost`,
-//! Gao et al. 2015; `Homa`, Montazeri et al. 2018). What has been asked for and
-//! has not come is kept at a few milliseconds of the link, so that the queue in
-//! front of it is never longer; a body that could not be whole in time is refused
-//! before a byte of it is sent, as a call is at the slots
-//! (see [`crate::admission`]).
+//! Uploads may have more bytes than the link of their backend server's VM carries, while its
+//! slots are idle, beside small calls with short deadlines. If every outbound proxy sends its
+//! bodies at once, megabytes queue in front of the link, small calls wait behind them for
+//! seconds (5 in 100 were answered in time), and the uploads themselves are complete only after
+//! their deadlines.
+//!
+//! Only the receiver knows all of its senders, so it requests bodies chunk by chunk, as in
+//! receiver-driven transports (`pHost`, Gao et al. 2015; `Homa`, Montazeri et al. 2018). The
+//! outstanding credit is kept at a few milliseconds of the link, which bounds the queue in
+//! front of it. A body that could not be complete in time is refused before a byte of it is
+//! sent, as calls are refused at the slots (see [`crate::admission`]).
 
 use crate::admission::{Reason, Refusal, Request, duration_from_secs, tier_of};
 use crate::backoff;
@@ -22,98 +22,99 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Time's worth of the link that may be asked for and not have come: several times the
-/// way there and back within a region with a sender that wakes late (1 ms and some
-/// ms on a tenth of a core), and a twelfth of the shortest deadlines seen, 250 ms.
+/// Outstanding credit, in seconds of the link: several times a round trip within a region (1
+/// ms) plus the delay of a sender that wakes late (some ms on a tenth of a core), and a twelfth
+/// of the shortest deadlines seen, 250 ms.
 const OUTSTANDING_SECONDS: f64 = 0.02;
 
-/// Bounds of what may be asked for and not have come, in bytes: two small pieces,
-/// and the window of the bodies that nobody bounds by their link.
+/// Bounds of the outstanding credit, in bytes: two small chunks, and the window of bodies that
+/// aren't scheduled by their link.
 const OUTSTANDING_BYTES: (f64, f64) = (8_192.0, 262_144.0);
 
-/// Pieces that fit into what may be asked for: one that comes makes room for the next.
+/// Chunks that fit into the outstanding credit: each one that arrives makes room for the next.
 const MAX_CHUNKS: u64 = 4;
 
-/// Pieces that may be asked of one body at once. The one whose turn it is goes nearly as
-/// fast as the link, as bodies that share it evenly are all late together; what is left
-/// keeps the link in use while a sender is slow.
+/// Chunks that one body may have outstanding. The first body proceeds at nearly the rate of the
+/// link, as bodies that share it evenly are all late together; the rest of the credit keeps the
+/// link busy while a sender is slow.
 const MAX_CHUNKS_OF_BODY: u64 = 3;
 
-/// Bodies that come in at once: a sender that is slow must not leave the link idle,
-/// and each further body only makes all of them late together.
+/// Bodies that are transferred at once: a slow sender must not leave the link idle, but each
+/// further body only makes all of them later.
 const MAX_ACTIVE: usize = 4;
 
-/// Time after which what was asked for counts as lost: its sender is gone or held up,
-/// and would keep the others from the link. A healthy one answers within 20 ms.
+/// Time after which outstanding bytes count as lost: their sender is gone or held up, and would
+/// block the others. A healthy one answers within 20 ms.
 const STALL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time over which the rate that is seen is averaged: some dozens of bodies at most.
+/// Time constant in seconds over which the measured rate is averaged: some dozens of bodies at
+/// most.
 const RATE_DECAY: f64 = 2.0;
 
-/// Time at the rate that was told with which an intake starts.
+/// Weight of the advertised rate at the start, as seconds of transfer at that rate.
 const RATE_PRIOR: f64 = 0.2;
 
-/// Share of the rate that was told under which the rate seen is not believed: senders
-/// that are all slow look like a slow link, and asking them for less would make it so.
+/// Share of the advertised rate below which the measured rate is ignored: if all senders are
+/// slow, the link looks slow, and smaller credits would make it so.
 const MIN_RATE_SHARE: f64 = 0.1;
 
-/// Times what a call is expected to take that must be left after its body, until its
-/// target and until its deadline: as for calls that wait for a slot.
+/// Time that must be left after the body has arrived, as a multiple of the expected run time:
+/// until the latency target and until the deadline, as for calls that wait for a slot.
 const MARGINS: (f64, f64) = (1.3, 1.5);
 
-/// Least wait, in times of the call with its body, that any may begin with.
+/// Minimum wait that any body may begin with, as a multiple of its transfer and run time.
 const MIN_SLACK: f64 = 0.25;
 
-/// Bodies of mean length in front of a further one at which the link counts as full.
+/// Bodies of mean length ahead of a new one at which the link counts as full.
 const FULL_BODIES: f64 = 6.0;
 
-/// Weight of a further length in the mean, which is of the last sixteen or so.
+/// Weight of a new length in the mean, which spans about the last sixteen bodies.
 const LENGTH_WEIGHT: f64 = 1.0 / 16.0;
 
-/// LaneRate that is assumed of a link when nobody tells it, in bytes a second: 100 Mbit/s,
-/// of which a tenth may be all that there is.
+/// Rate assumed for a link of unknown rate, in bytes per second: 100 Mbit/s, of which as little
+/// as a tenth may be available.
 const DEFAULT_RATE: f64 = 12.5e6;
 
-/// Names a body.
+/// Handle of a body.
 pub type Key = u64;
 
-/// A body that asks to be sent.
+/// A body that a sender offers.
 #[derive(Debug, Clone, Copy)]
 pub struct BodyOffer {
-    /// The call that it is of.
+    /// The call that the body belongs to.
     pub call: Request,
-    /// Its length in bytes.
+    /// Length in bytes.
     pub length: u64,
-    /// How long the call is expected to take once its body is there.
+    /// How long the call is expected to run once its body has arrived.
     pub run: Duration,
 }
 
-/// What becomes of a body that asked.
+/// The next step for an offered body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// So many further bytes of it are to be sent.
+    /// The sender may send this many more bytes.
     Credit(Key, u32),
-    /// It is given up, as it can't be whole in time any more.
+    /// The body is given up, as it can't be complete in time any more.
     Refuse(Key, Refusal),
 }
 
-/// A body of which nothing was asked for yet.
+/// A body for which no credit was given yet.
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
     key: Key,
     length: u64,
 }
 
-/// A body that comes in.
+/// A body that is being transferred.
 #[derive(Debug, Clone, Copy)]
 struct Active {
     key: Key,
     length: u64,
-    /// Bytes that were not asked for.
+    /// Bytes for which no credit was given yet.
     uncredited: u64,
-    /// Bytes that were asked for and have not come.
+    /// Bytes for which credit was given and that have not arrived.
     outstanding: u64,
-    /// When some of it last came or was asked for.
+    /// When bytes last arrived or credit was last given.
     last_progress: Instant,
 }
 
@@ -127,13 +128,13 @@
     }
 }
 
-/// Bytes a second that come in while some are due.
+/// Measured rate of the link, in bytes per second while bytes are outstanding.
 #[derive(Debug, Clone, Copy)]
 struct LinkRate {
     advertised: f64,
     bytes: f64,
     seconds: f64,
-    /// Since when bytes are due, or when some last came.
+    /// When bytes became outstanding or last arrived.
     busy_since: Option<Instant>,
 }
 
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Takes in that bytes came, and whether more are due.
+    /// Records that bytes arrived, and whether more are outstanding.
     fn record(&mut self, now: Instant, bytes: f64, more: bool) {
         let Some(since) = self.busy_since else {
             return;
@@ -164,7 +165,7 @@
     }
 }
 
-/// The bodies that come in over one VM's link.
+/// Schedules the bodies that come in over one VM's link.
 #[derive(Debug)]
 pub struct BodyScheduler {
     rate: LinkRate,
@@ -173,18 +174,18 @@
     active: Vec<Active>,
     deferred_work: [DeferredWork; TIERS.len()],
     mean_length: f64,
-    /// Bytes of bodies that come in or are here.
+    /// Bytes of the bodies that are being transferred or have arrived and not been released.
     held: u64,
     max_held: u64,
     next_key: Key,
 }
 
 impl BodyScheduler {
-    /// Makes the intake of a link of so many bytes a second, if that is known, for a VM
-    /// that holds at most so many bytes of bodies.
+    /// Creates the scheduler of a link with this rate in bytes per second, if known, for a VM
+    /// that holds at most `max_held` bytes of bodies.
     ///
-    /// *Load pattern:* a burst of uploads for slots that are taken. *Without a bound* all
-    /// bodies are here long before their slots, and the node outgrows its VM.
+    /// In a burst of uploads for slots that are taken, unlimited bodies would all arrive long
+    /// before their slots are free, and the node would exceed the memory of its VM.
     #[must_use]
     pub fn new(now: Instant, rate: Option<f64>, max_held: u64) -> Self {
         Self {
@@ -200,13 +201,14 @@
         }
     }
 
-    /// Gives the bytes a second that are reckoned with.
+    /// Returns the assumed rate of the link in bytes per second.
     #[must_use]
     pub fn rate(&self) -> f64 {
         self.rate.get()
     }
 
-    /// Gives bodies that wait or come in over those that make the link count as full.
+    /// Returns the load: bytes of waiting and active bodies over those at which the link counts
+    /// as full.
     #[must_use]
     pub fn load(&self) -> f64 {
         if self.mean_length < 1.0 {
@@ -216,11 +218,12 @@
         to_f64(waiting + self.active_bytes()) / (self.mean_length * FULL_BODIES)
     }
 
-    /// Decides on a body that asks to be sent; [`BodyScheduler::next`] names what is to come of it.
+    /// Accepts or refuses an offered body; [`BodyScheduler::next`] returns the steps of an
+    /// accepted one.
     ///
     /// # Errors
     ///
-    /// When it could not be whole in time.
+    /// Returns a refusal if the body could not be complete in time.
     pub fn offer<R>(
         &mut self,
         now: Instant,
@@ -254,8 +257,8 @@
         Ok(key)
     }
 
-    /// Gives what is to come of the bodies, one at a time: to be called until it gives
-    /// none, after each of the other calls and at [`BodyScheduler::wake_at`].
+    /// Returns the next step for any of the bodies. Call this after each of the other calls and
+    /// at [`BodyScheduler::wake_at`], until it returns `None`.
     pub fn next<R>(&mut self, now: Instant, rng: &mut R) -> Option<Next>
     where
         R: Rng,
@@ -276,7 +279,7 @@
         }
     }
 
-    /// Takes in that bytes of a body came.
+    /// Records that bytes of a body arrived.
     pub fn receive(&mut self, now: Instant, key: Key, bytes: u64) {
         let Some(body) = self.active.iter_mut().find(|body| body.key == key) else {
             return;
@@ -292,12 +295,12 @@
         }
     }
 
-    /// Takes in that a body of so many bytes, which came whole, is held no longer.
+    /// Records that a body of this length, which had arrived completely, is no longer held.
     pub fn release(&mut self, length: u64) {
         self.held = self.held.saturating_sub(length);
     }
 
-    /// Forgets a body that nobody waits for any more and that is not whole.
+    /// Removes an incomplete body that nobody waits for any more.
     pub fn remove(&mut self, key: Key) {
         if let Some(position) = self.active.iter().position(|body| body.key == key) {
             let body = self.active.remove(position);
@@ -311,24 +314,24 @@
         self.stop_rate_if_idle();
     }
 
-    /// Notes that the link carries nothing that was asked for, if it is so.
+    /// Stops measuring the rate if no bytes are outstanding.
     fn stop_rate_if_idle(&mut self) {
         if self.active.iter().all(|body| body.outstanding == 0) {
             self.rate.busy_since = None;
         }
     }
 
-    /// Tells whether more of a body is to come.
+    /// Returns whether more of a body is to come.
     #[must_use]
     pub fn is_pending(&self, key: Key) -> bool {
         self.active.iter().any(|body| body.key == key)
             || self.waiting.values().any(|body| body.key == key)
     }
 
-    /// Gives when [`BodyScheduler::next`] is next worth a call, if nothing comes before.
+    /// Returns when [`BodyScheduler::next`] should be called again if nothing happens before.
     #[must_use]
     pub fn wake_at(&mut self, now: Instant) -> Option<Instant> {
-        // What has stalled already waits for nothing that the time alone brings.
+        // The passing of time brings nothing more for bodies that have stalled already.
         let pending = self.active.iter().filter(|body| body.outstanding > 0);
         let stalls_at = pending
             .map(|body| body.last_progress + STALL_TIMEOUT)
@@ -338,7 +341,7 @@
         stalls_at.into_iter().chain(expires_at).min()
     }
 
-    /// Gives what is known of a body, with the latest moment at which it may begin to come.
+    /// Describes a body as a queue entry, with the latest time at which its transfer may begin.
     fn make_entry(&self, now: Instant, body_offer: &BodyOffer) -> Entry {
         let cost = to_f64(body_offer.length) / self.rate();
         let run = body_offer.run.as_secs_f64();
@@ -359,12 +362,12 @@
             route: body_offer.call.route,
             long: false,
             cost,
-            // One without any time left is refused unless nothing is before it.
+            // A body without any time left is refused unless nothing is ahead of it.
             start_by: now + duration_from_secs(slack.max(0.0)),
         }
     }
 
-    /// Asks for the next piece of the bodies that come in, the first of them first.
+    /// Gives credit for the next chunk to the first active body that may have one.
     fn next_credit(&mut self, now: Instant) -> Option<Next> {
         let chunk = self.chunk_size();
         let outstanding = self.outstanding_bytes(now);
@@ -386,7 +389,7 @@
         Some(Next::Credit(key, u32::try_from(bytes).unwrap_or(u32::MAX)))
     }
 
-    /// Lets the body come in whose turn it is; gives false when there is none, or no room.
+    /// Activates the next waiting body; returns false if there is none or no room.
     fn activate_next(&mut self, now: Instant) -> bool {
         let stalled = self.active.iter().filter(|body| body.is_stalled(now));
         if self.active.len() - stalled.count() >= MAX_ACTIVE {
@@ -396,7 +399,7 @@
         if self.outstanding_bytes(now) + chunk > MAX_CHUNKS * chunk {
             return false;
         }
-        // Which one is next is not known before: room for the longest is kept free.
+        // It isn't known yet which body is next, so room is kept for the longest.
         let longest = self.waiting.values().map(|body| body.length).max();
         if self.held > 0 && self.held + longest.unwrap_or(0) > self.max_held {
             return false;
@@ -418,14 +421,14 @@
         true
     }
 
-    /// Gives the bytes that are asked for at once.
+    /// Returns the bytes of one credit.
     fn chunk_size(&self) -> u64 {
         let ahead =
             (self.rate() * OUTSTANDING_SECONDS).clamp(OUTSTANDING_BYTES.0, OUTSTANDING_BYTES.1);
         to_u64(ahead) / MAX_CHUNKS
     }
 
-    /// Gives the bytes that were asked for and are on their way.
+    /// Returns the outstanding bytes, except for those of stalled bodies.
     fn outstanding_bytes(&self, now: Instant) -> u64 {
         let active = self.active.iter().filter(|body| !body.is_stalled(now));
         active.map(|body| body.outstanding).sum()
@@ -435,12 +438,12 @@
         self.active.iter().map(Active::bytes).sum()
     }
 
-    /// Refuses, with the time until the link has carried all that was refused before.
+    /// Refuses a body, with the time until the link has carried all bodies refused before.
     fn refuse<R>(&mut self, now: Instant, entry: &Entry, reason: Reason, rng: &mut R) -> Refusal
     where
         R: Rng,
     {
-        // Counted in seconds of the link, of which it carries one a second.
+        // In seconds of the link, which carries one per second.
         let wait = self.deferred_work[tier_index(entry.tier)].add(now, entry.cost, 1.0);
         Refusal {
             reason,
--- a/crates/policy/src/duration.rs
+++ b/crates/policy/src/duration.rs
@@ -1,41 +1,40 @@
-//! How long calls take, learnt per route.
+//! Call durations, learned per route.
 //!
-//! *Load pattern:* calls of a few milliseconds and jobs of seconds share one
-//! backend server. *Without it* every wait is predicted from one mean, which is
-//! wrong for both. *Grounds:* the tables are of fixed size, as the number of
-//! routes is the operators' and the memory is the VM's.
+//! Calls of a few milliseconds and jobs of seconds share one backend server. If every wait were
+//! predicted from one mean, it would be wrong for both. The tables are of fixed size, as the
+//! operators choose the number of routes and the memory is the VM's.
 
 use std::time::Duration;
 
 /// Rows for the one backend server of a node: 12 KB.
 pub const LOCAL_ROWS: usize = 256;
 
-/// Rows for each service that a node calls: 1.5 KB, so that 410 services take
-/// 0.6 MB of a node's 32 MB.
+/// Rows for each service that a node calls: 1.5 KB, so that 410 services take 0.6 MB of a
+/// node's 32 MB.
 pub const SERVICE_ROWS: usize = 32;
 
-/// Samples after which a mean follows as an exponential one: it then forgets a
-/// former speed within about 16 calls, a tenth of a second at 6 slots of 4 ms.
+/// Samples after which a mean becomes an exponential moving average: it then forgets a former
+/// speed within about 16 calls, a tenth of a second at 6 slots of 4 ms.
 const MEAN_SAMPLES: u32 = 16;
 
-/// The same for durations under light load, to which the others are compared:
-/// with service times that vary as much as their mean, it is off by 6%.
+/// The same for durations under light load, the baseline of the slowdown: with service times
+/// that vary as much as their mean, it is off by 6%.
 const LIGHT_MEAN_SAMPLES: u32 = 128;
 
-/// Calls under light load before others are compared to them. With none
-/// required, a chance first few would cut the limit of healthy backend servers.
+/// Calls under light load that are required before others are compared with them. Without a
+/// minimum, the first few could by chance cut the limit of healthy backend servers.
 const MIN_LIGHT_SAMPLES: u32 = 32;
 
-/// What an unknown route is taken for while nothing at all is known.
+/// Duration assumed for a route, in seconds, before any call has ended.
 const DEFAULT_SECONDS: f64 = 0.010;
 
-/// Times the typical (geometric mean) call from which a call counts as long.
+/// Multiple of the typical (geometric mean) duration from which a call counts as long.
 ///
-/// With fewer, ordinary variance between look-ups would count; a job worth
-/// keeping apart blocks a slot for the time of several short calls.
+/// With a lower factor, the ordinary variance between look-ups would count; a job worth keeping
+/// apart blocks a slot for the time of several short calls.
 const LONG_FACTOR: f64 = 4.0;
 
-/// Durations learnt per route.
+/// Durations of calls, learned per route.
 #[derive(Debug, Clone)]
 pub struct Estimator {
     rows: Box<[Row]>,
@@ -52,7 +51,7 @@
 }
 
 impl Estimator {
-    /// Makes an empty table of so many rows.
+    /// Creates an empty table with this number of rows.
     #[must_use]
     pub fn new(rows: usize) -> Self {
         Self {
@@ -62,26 +61,26 @@
         }
     }
 
-    /// Gives the seconds that a call of `route` is expected to take.
+    /// Returns the seconds that a call of `route` is expected to take.
     #[must_use]
     pub fn expected(&self, route: u64) -> f64 {
         self.route_mean(route)
             .unwrap_or_else(|| self.overall_mean())
     }
 
-    /// Gives the seconds that a call of `route` is expected to take, if any has run.
+    /// Returns the mean seconds of calls of `route`, if any has run.
     #[must_use]
     pub fn route_mean(&self, route: u64) -> Option<f64> {
         self.find_row(route).and_then(|row| row.mean.get())
     }
 
-    /// Gives the seconds that a call of any route takes, on average.
+    /// Returns the mean seconds of calls of all routes.
     #[must_use]
     pub fn overall_mean(&self) -> f64 {
         self.overall.get().unwrap_or(DEFAULT_SECONDS)
     }
 
-    /// Tells whether calls of `route` take many times as long as the typical call.
+    /// Returns whether calls of `route` take many times as long as the typical call.
     #[must_use]
     pub fn is_long(&self, route: u64) -> bool {
         match (
@@ -93,10 +92,11 @@
         }
     }
 
-    /// Takes in how long a call took; `light` when the backend server had little else to do.
+    /// Records how long a call took; `light` means that the backend server had little else to
+    /// do.
     ///
-    /// Gives how many times as long it took as calls of its route do under
-    /// light load, once that is known.
+    /// Returns the slowdown compared with calls of the route under light load, once that is
+    /// known.
     pub fn record(&mut self, route: u64, took: Duration, light: bool) -> Option<f64> {
         let seconds = took.as_secs_f64().max(1e-6);
         self.overall.add(seconds);
@@ -123,9 +123,9 @@
         (row.claims > 0 && row.route == route).then_some(row)
     }
 
-    /// Gives the row of `route`. One that another route holds is given up only
-    /// after it was asked for as often as it was used: a scan of one-off
-    /// routes would otherwise wash out the ones in use.
+    /// Returns the row of `route`. A row that another route holds is given up only after it was
+    /// requested as often as it was used: a scan of one-off routes would otherwise evict the
+    /// routes in use.
     fn claim_row(&mut self, route: u64) -> Option<&mut Row> {
         let index = self.index_of(route);
         let row = &mut self.rows[index];
@@ -146,7 +146,7 @@
     }
 }
 
-/// A plain mean of the first samples, an exponential one from then on.
+/// Arithmetic mean of the first `N` samples, then an exponential moving average.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Mean<const N: u32> {
     value: f64,
--- a/crates/policy/src/elapsed.rs
+++ b/crates/policy/src/elapsed.rs
@@ -1,27 +1,27 @@
-//! How long a caller has waited before, told from the time that it has left.
+//! Estimates how long a caller has waited already, from the time that it has left.
 //!
-//! *Load pattern:* an overload whose refused callers come back. *Without it* a
-//! node takes them for fresh ones: it aims at a target that has gone by, and a
-//! slot goes to an answer that is late in place of one that would have been in
-//! time. *Grounds:* callers of one route start with the same time and name what
-//! is left of it, so that what one lacks to the longest seen has gone by. A
-//! caller that starts with less is taken for one that came back, and is then
-//! served after the others.
+//! In an overload, refused callers come back. If a node takes them for new callers, it aims at
+//! a target that has passed, and a slot goes to a late answer instead of one that would have
+//! been in time.
+//!
+//! Callers of one route start with the same time and state how much of it is left, so the
+//! difference to the longest time seen has passed already. A caller that starts with less time
+//! is mistaken for one that came back, and is then served after the others.
 
 use std::time::Duration;
 
-/// Rows: 0.5 KB a service, as many as of [`crate::duration::SERVICE_ROWS`].
+/// Number of rows: 0.5 KB per service, the same number as [`crate::duration::SERVICE_ROWS`].
 const ROWS: usize = 32;
 
-/// Share of the difference to a shorter time by which the longest seen fades
-/// with each call: one that operators shorten is learnt within a thousand calls.
+/// Share of the difference to a shorter time by which the longest time decays with each call,
+/// so that a timeout which operators shorten is learned within a thousand calls.
 const DECAY: f64 = 1.0 / 256.0;
 
-/// Share of the longest time that may be missing on the way, with timers and
-/// queues of connections: 125 ms of 2.5 s.
+/// Share of the longest time that may be spent in transit, in timers and in connection queues:
+/// 125 ms of 2.5 s.
 const TRANSIT_TOLERANCE: f64 = 0.05;
 
-/// The longest times that callers start with, by route.
+/// Longest time that callers start with, by route.
 #[derive(Debug, Clone)]
 pub struct Estimator {
     rows: Box<[Row]>,
@@ -34,7 +34,7 @@
 }
 
 impl Estimator {
-    /// Makes a table that knows nothing.
+    /// Creates an estimator without any samples.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Takes in how much time a caller of `route` has `left`, and gives how long it has waited.
+    /// Records how much time a caller of `route` has `remaining`, and returns how long it has
+    /// waited already.
     pub fn observe(&mut self, route: u64, remaining: Duration) -> Duration {
         let index = usize::try_from(route % self.rows.len() as u64).unwrap_or(0);
         let row = &mut self.rows[index];
--- a/crates/policy/src/fair_share.rs
+++ b/crates/policy/src/fair_share.rs
@@ -1,36 +1,37 @@
-//! Who has had how much lately, in memory that does not grow with the callers.
+//! Recent use of slots by each caller or key, in memory that does not grow with their number.
 //!
-//! *Load pattern:* one caller sends ten times what the others send together.
-//! *Without it* whoever sends most gets most, and a parent's refresh loop
-//! leaves no room for anybody else. *Grounds:* max-min fairness by a bound
-//! that shrinks with recent use. Callers are hashed to a fixed number of
-//! places (stochastic fair queueing, `McKenney` 1990), so a flood of made-up
-//! callers costs no memory; the seed differs from process to process, so two
-//! callers that share a place at one node do not at the next.
+//! One caller may send ten times what all others send together. Without fair shares, whoever
+//! sends most gets most, and a parent's refresh loop leaves no room for anybody else.
+//!
+//! Max-min fairness is approximated by a bound on waiting that shrinks with recent use. Callers
+//! are hashed to a fixed number of cells (stochastic fair queueing, `McKenney` 1990), so a
+//! flood of made-up callers costs no memory. The hash seed differs from process to process, so
+//! two callers that share a cell on one node don't on the next.
 
 use std::time::{Duration, Instant};
 
-/// Places of each of a table's two rows. A caller is in one place of each, and
-/// the lesser use counts (a count-min sketch, Cormode and Muthukrishnan 2005):
-/// with one row, one of 30 callers shares the hot one's place in 6% of tables.
+/// Cells in each of the two rows. A caller has one cell in each row, and the lesser use counts
+/// (a count-min sketch, Cormode and Muthukrishnan 2005). With one row, one of 30 callers shares
+/// the hot caller's cell in 6% of the sketches.
 const CELLS_PER_ROW: usize = 512;
 
-/// Time over which use is forgotten: long against a call, short against the
-/// 3 s in which things are to be normal again after a burst.
+/// Time constant with which use decays: long compared with a call, short compared with the 3 s
+/// within which service must be normal again after a burst.
 const DECAY_TIME: Duration = Duration::from_secs(1);
 
-/// Least factor of the bound, for those who have had many times the fair share.
+/// Minimum factor, for callers that have used many times their fair share.
 const MIN_FACTOR: f64 = 0.25;
 
-/// Times the fair share that is within the ordinary, and so many calls beyond:
-/// callers with a few calls a second go over it by chance half of the time.
+/// Multiple of the fair share up to which use counts as ordinary; the same multiple of the
+/// call's own cost is allowed on top, as callers with a few calls a second exceed their share
+/// by chance half of the time.
 const TOLERANCE: f64 = 2.0;
 
-/// A caller's place in a table.
+/// Cells of one caller or key in a sketch.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Cells([u16; 2]);
 
-/// What each caller of a class has had lately.
+/// Count-min sketch of the recent use by each caller or key of a tier.
 #[derive(Debug, Clone)]
 pub struct UsageSketch {
     seed: u64,
@@ -62,7 +63,7 @@
 }
 
 impl UsageSketch {
-    /// Makes an empty table; `seed` spreads the callers.
+    /// Creates an empty sketch; `seed` varies the hash.
     #[must_use]
     pub fn new(now: Instant, seed: u64) -> Self {
         let unused = Usage {
@@ -81,9 +82,9 @@
         }
     }
 
-    /// Gives the caller's place.
+    /// Returns the caller's cells.
     pub(crate) fn cells(&self, caller: u64) -> Cells {
-        // The finalizer of SplitMix64 spreads neighbouring hashes.
+        // The finalizer of SplitMix64 spreads adjacent hashes.
         let mut mixed = caller ^ self.seed;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -94,7 +95,7 @@
         }))
     }
 
-    /// Takes in that the caller asks for work, whether or not it gets any; gives its place.
+    /// Records that the caller asks for work, whether or not it gets any; returns its cells.
     pub fn record_request(&mut self, now: Instant, caller: u64) -> Cells {
         let cells = self.cells(caller);
         if now.saturating_duration_since(self.epoch_start) >= DECAY_TIME {
@@ -111,7 +112,7 @@
         cells
     }
 
-    /// Takes in work given to the caller, in slot-seconds; negative to correct a guess.
+    /// Charges work to the caller, in slot-seconds; a negative amount corrects an estimate.
     pub fn charge(&mut self, now: Instant, cells: Cells, work: f64) {
         for (row, index) in self.rows.iter_mut().zip(cells.0) {
             row[usize::from(index)].add(now, work);
@@ -119,13 +120,13 @@
         self.total.add(now, work);
     }
 
-    /// Gives the factor by which the caller's bound on waiting is scaled, for a
-    /// call of so many slot-seconds.
+    /// Returns the factor by which the caller's bound on waiting is scaled, for a call of so
+    /// many slot-seconds.
     ///
-    /// At a full queue the bound decides who gets in. One who has had more than
-    /// the fair share finds it full earlier, and leaves room above for those
-    /// who have had less, so that use evens out without quotas: with nobody
-    /// else about, anyone may use all there is.
+    /// When the queue is full, the bound decides which calls are admitted. A caller that has
+    /// used more than its fair share finds the queue full earlier, which leaves room for those
+    /// that have used less, so use evens out without quotas. If there are no other callers, one
+    /// may use the whole capacity.
     #[must_use]
     pub fn wait_factor(&self, now: Instant, cells: Cells, cost: f64) -> f64 {
         let active = f64::from(self.active.max(self.previous_active).max(1));
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -1,77 +1,77 @@
-//! How many calls a backend server runs at once without harm.
+//! Concurrency limit of a backend server, adapted to what it can run without harm.
 //!
-//! *Load pattern:* a backend server says that it has six slots and has three,
-//! or has six and half of its processor is taken away. *Without it* the calls
-//! beyond queue inside the backend server, out of reach of class, fair share
-//! and deadline. *Grounds:* additive increase and multiplicative decrease
-//! converge to a fair and full use (Chiu and Jain, 1989); the latency signal
-//! is a ratio to the same route's own under light load, in the manner of TCP
-//! Vegas and Netflix's concurrency limits. The slots told are a hint that is
-//! used as the upper bound: a backend server is never given more than it
-//! asked for.
+//! A backend server may advertise six slots and have three, or lose half of its CPU. Without an
+//! adaptive limit, the excess calls queue inside the backend server, where class, fair share
+//! and deadline have no effect.
+//!
+//! Additive increase and multiplicative decrease converge to a fair and full use of the
+//! capacity (Chiu and Jain, 1989). The latency signal is the ratio to the duration of the same
+//! route under light load, as in TCP Vegas and Netflix's concurrency limits. The advertised
+//! slots are an upper bound: a backend server never gets more calls than it asked for.
 
 use std::time::{Duration, Instant};
 
-/// How a call at the backend server ended, as far as load goes.
+/// How a call at the backend server ended, for the purposes of load control.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The call was answered.
     Done,
-    /// The backend server refused it for load.
+    /// The backend server refused the call because of load.
     Shed,
-    /// It failed, or was given up on: its duration says nothing.
+    /// The call failed or was given up; its duration carries no information.
     Failed,
 }
 
-/// Slots assumed when a backend server tells none: the size of today's.
+/// Slots assumed when a backend server advertises none: the size of today's servers.
 const DEFAULT_SLOTS: u16 = 6;
 
-/// Samples under load that make a verdict on the limit. With service times
-/// that vary as much as their mean, the mean of 96 is off by 10%.
+/// Samples under load per evaluation of the limit. With service times that vary as much as
+/// their mean, the mean of 96 samples is off by 10%.
 const WINDOW_SAMPLES: u32 = 96;
 
-/// Stretch (duration over the one under light load) from which the limit is cut:
-/// 1.6 is more than four deviations of a window's mean.
+/// Slowdown (duration over the duration under light load) above which the limit is cut: 1.6 is
+/// more than four standard deviations of a window's mean.
 const MAX_SLOWDOWN: f64 = 1.6;
 
-/// Deepest cut in one step.
+/// Lower bound of the factor by which one step cuts the limit.
 const MIN_CUT_FACTOR: f64 = 0.5;
 
-/// Share of the former rate of calls that must be left for a cut to be upheld.
-/// A cut to what there really is loses nothing, one by mistake a third or more.
+/// Share of the former call rate that must remain for a cut to be kept. A cut to the real
+/// capacity loses nothing, a mistaken one a third or more.
 const MIN_KEPT_RATE: f64 = 0.8;
 
-/// Time for which a cut that was not upheld is not tried again: half a second
-/// at two thirds of the capacity each time.
+/// Time for which a cut is not tried again after it was reverted: each trial costs half a
+/// second at two thirds of the capacity.
 const REVERTED_CUT_PAUSE: Duration = Duration::from_secs(10);
 
-/// Between raises by one: slow up.
+/// Time between increases by one, so that the limit rises slowly.
 const RAISE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Calls under light load that a probe asks for, with half of the limit.
+/// Calls under light load that a probe collects, at half of the limit.
 const PROBE_CALLS: u32 = 64;
 
-/// Longest probe, for a backend server whose calls take long.
+/// Maximum duration of a probe, for backend servers whose calls take long.
 const MAX_PROBE_TIME: Duration = Duration::from_secs(1);
 
-/// Time without the end of any call after which a probe is over. Less than the
-/// patience of the shortest queue (0.3 s for a first look-up), so that a probe
-/// behind long calls makes others wait but refuses none.
+/// Time without the end of any call after which a probe is over. It is less than the queue time
+/// limit of the shortest queue (0.3 s for a first look-up), so that a probe behind long calls
+/// makes others wait but refuses none.
 const PROBE_STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time without any call under light load after which a probe is made. Under
-/// lasting overload there would be nothing to compare with; 64 calls of 30 ms
-/// at half speed, every 30 s, cost 1% of the capacity.
+/// Time without any call under light load after which a probe starts. Under lasting overload
+/// there would be no baseline to compare with; 64 calls of 30 ms at half speed, every 30 s,
+/// cost 1% of the capacity.
 const PROBE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Share of calls refused under light load from which refusals say nothing of
-/// concurrency: one in ten, where a full backend server has none.
+/// Share of calls refused under light load from which refusals no longer count as a sign of
+/// excess concurrency: one in ten, where a backend server that is merely full refuses none
+/// under light load.
 const MAX_LIGHT_SHED_SHARE: f64 = 0.1;
 
-/// Weight of a call under light load in that share: some ten calls.
+/// Weight of one call in the share refused under light load, which spans some ten calls.
 const SHED_WEIGHT: f64 = 0.1;
 
-/// A concurrency limit that is found from what is seen.
+/// Concurrency limit that adapts to measured latencies and refusals.
 #[derive(Debug, Clone)]
 pub struct ConcurrencyLimit {
     advertised: f64,
@@ -80,12 +80,12 @@
     probe: Option<Probe>,
     light_load_at: Instant,
     window: Window,
-    /// Stretch that is known not to come from concurrency.
+    /// Slowdown that is known not to be caused by concurrency.
     baseline: f64,
     baseline_until: Instant,
-    /// What things were before a cut that is on trial.
+    /// State before a cut that is still being evaluated.
     pending_cut: Option<PendingCut>,
-    /// Share of the calls under light load that were refused lately.
+    /// Recent share of the calls under light load that were refused.
     light_shed_share: f64,
 }
 
@@ -125,7 +125,8 @@
 }
 
 impl ConcurrencyLimit {
-    /// Starts with a probe at half of the slots told: the first calls show the speed under light load.
+    /// Starts with a probe at half of the advertised slots, as the first calls show the speed
+    /// under light load.
     #[must_use]
     pub fn new(now: Instant, advertised: u16) -> Self {
         let advertised = f64::from(if advertised == 0 {
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Takes in how many slots the backend server says it has.
+    /// Updates the number of slots that the backend server advertises.
     pub fn set_advertised(&mut self, advertised: u16) {
         self.advertised = f64::from(if advertised == 0 {
             DEFAULT_SLOTS
@@ -157,7 +158,7 @@
         self.current = self.current.min(self.advertised);
     }
 
-    /// Gives how many calls may run at once; at least one.
+    /// Returns the number of calls that may run at once; at least one.
     #[must_use]
     pub fn slots(&self) -> f64 {
         if self.probe.is_some() {
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Gives half of the slots, but no less than two: in a probe of one slot a
-    /// single long call would keep all others out.
+    /// Returns half of the limit, but at least two slots where it has them: in a probe of one
+    /// slot, a single long call would keep out all others.
     fn half_limit(&self) -> f64 {
         (self.current / 2.0)
             .floor()
@@ -177,26 +178,26 @@
 
     /// Ends a probe whose time is up.
     ///
-    /// Calls that stream for minutes don't end, so that a probe which looked at
-    /// the time only when a call ends would keep the other slots closed.
+    /// Calls that stream for minutes don't end, so a probe that checked its time only at the
+    /// end of a call would keep the other slots closed.
     pub(crate) fn end_probe(&mut self, now: Instant) {
         if self.probe.is_some_and(|probe| now >= probe.ends_at()) {
             self.probe = None;
         }
     }
 
-    /// Gives when a probe is over at the latest.
+    /// Returns when the current probe ends at the latest.
     pub(crate) fn probe_ends_at(&self) -> Option<Instant> {
         self.probe.map(|probe| probe.ends_at())
     }
 
-    /// Tells whether `running` calls are few for this backend server.
+    /// Returns whether `running` calls count as light load for this backend server.
     #[must_use]
     pub fn is_light(&self, running: u32) -> bool {
         f64::from(running) <= self.half_limit()
     }
 
-    /// Takes in the end of a call that started as the `running`th.
+    /// Records the end of a call; `running` calls were running once it had started.
     pub fn record(&mut self, now: Instant, running: u32, outcome: Outcome, slowdown: Option<f64>) {
         match outcome {
             Outcome::Shed => self.record_shed(now, running),
@@ -210,13 +211,12 @@
         }
     }
 
-    /// Takes in that the backend server refused a call for load.
+    /// Records that the backend server refused a call because of load.
     ///
-    /// *Load pattern:* a backend server that refuses half of its calls however
-    /// few it runs. *Without it* each refusal cuts the limit, down to one call
-    /// at a time, and a service whose backend servers are all so serves a sixth
-    /// of what they would take. What is refused under light load as well is no
-    /// matter of concurrency.
+    /// A backend server may refuse half of its calls no matter how few it runs. If each refusal
+    /// cut the limit, it would fall to one call at a time, and a service whose backend servers
+    /// all behave like this would serve a sixth of what they would accept. Refusals that also
+    /// occur under light load aren't caused by concurrency.
     fn record_shed(&mut self, now: Instant, running: u32) {
         if self.is_light(running) {
             self.record_light_shed(true);
@@ -230,7 +230,7 @@
         self.light_shed_share += SHED_WEIGHT * (sample - self.light_shed_share);
     }
 
-    /// Cuts to just under the concurrency that was refused.
+    /// Cuts the limit to just below the concurrency that was refused.
     fn cut_below(&mut self, now: Instant, running: u32) {
         let refused = f64::from(running).min(self.current);
         self.current = (refused - 1.0).max(self.current * MIN_CUT_FACTOR).max(1.0);
@@ -244,7 +244,7 @@
             self.probe = Some(Probe::start(now));
             self.light_load_at = now;
         }
-        // Calls from before a cut were slowed by what it has ended.
+        // Calls that started before a cut were slowed down by load that the cut has removed.
         if (f64::from(running) - self.current.floor()).abs() > 0.5 {
             return;
         }
@@ -257,7 +257,7 @@
             }
         }
         let raise_due = now.saturating_duration_since(self.raised_at) >= RAISE_INTERVAL;
-        // Not while a cut is on trial: what is judged then must be the cut.
+        // Not while a cut is being evaluated, so that only the effect of the cut is measured.
         if raise_due && self.pending_cut.is_none() && self.current < self.advertised {
             self.current = (self.current + 1.0).min(self.advertised);
             self.raised_at = now;
@@ -282,8 +282,8 @@
         let age = now.saturating_duration_since(since).as_secs_f64();
         let rate = f64::from(self.window.count) / age.max(1e-3);
         self.window = Window::default();
-        // Fewer calls get done: it was not the concurrency that made them slow
-        // but chance, or the work itself, and the cut only loses capacity.
+        // The call rate fell, so concurrency wasn't the cause of the slowdown but chance or the
+        // work itself, and the cut only loses capacity.
         if let Some(pending_cut) = self.pending_cut.take()
             && rate < pending_cut.rate * MIN_KEPT_RATE
         {
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,46 +1,48 @@
-//! Calls that wait for a slot: whose turn it is, and who has waited too long.
+//! Calls that wait for a slot: which one is next, and which have waited too long.
 //!
-//! *Load pattern:* more calls than slots, of three classes, long jobs among
-//! short ones, some with little time left. *Without it* the order is that of
-//! arrival: a commit waits behind a hundred refreshes, a look-up behind a job
-//! of seconds, and calls are run whose callers have given up. *Grounds:*
-//! stride scheduling (Waldspurger, 1995) between the classes, and within a
-//! class between short and long calls; within those the earliest deadline goes
-//! first. Callers get their fair shares at the entrance (see [`crate::fair_share`]),
-//! not by the order of the queue: with a round robin of callers here, fresh
-//! callers overtook those that waited, waits could not be foretold, and at ten
-//! times the capacity 1.4% of the refused had waited first.
+//! More calls may wait than there are slots, of three classes, with long jobs among short calls
+//! and some calls with little time left. If they ran in order of arrival, a commit would wait
+//! behind a hundred refreshes and a look-up behind a job of seconds, and calls would run whose
+//! callers have given up.
+//!
+//! Tiers share the slots by stride scheduling (Waldspurger, 1995), and so do short and long
+//! calls within a tier; within each of these lanes the earliest deadline goes first. Fairness
+//! between callers is enforced at admission (see [`crate::fair_share`]), not by the order of
+//! the queue. With a round robin of callers here, new callers overtook waiting ones, waits
+//! could not be predicted, and at ten times the capacity 1.4% of the refused calls had waited
+//! first.
 
 use crate::fair_share::Cells;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// What a waiting call is worth: its class, while its answer can be in time.
+/// Scheduling tier of a waiting call: its class while its answer can be in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tier {
     /// Commits.
     Commit,
-    /// Calls that a running commit or look-up waits for, unless they are commits.
+    /// Calls, except commits, that a running commit or look-up waits for.
     Nested,
-    /// Calls that a running refresh waits for, unless they are commits.
+    /// Calls, except commits, that a running refresh waits for.
     NestedRefresh,
     /// Look-ups.
     Lookup,
     /// Refreshes.
     Refresh,
-    /// Calls of any class whose answer comes later than it is worth most.
+    /// Calls of any class that are past their latency target.
     Overdue,
 }
 
 impl Tier {
-    /// Tells whether its calls are worth most until a target; for the others late is better than lost.
+    /// Returns whether calls of the tier must start in time for their latency target; for the
+    /// others, late is better than lost.
     pub(crate) fn uses_target(self) -> bool {
         matches!(self, Self::Lookup | Self::Refresh)
     }
 }
 
-/// The tiers, first the one that goes first between equals.
+/// The tiers; when several are equally due, the first listed goes first.
 pub const TIERS: [Tier; 6] = [
     Tier::Commit,
     Tier::Nested,
@@ -50,31 +52,32 @@
     Tier::Overdue,
 ];
 
-/// Shares of the tiers when all of them wait.
+/// Weights of the tiers when all of them have waiting calls.
+///
+/// As long as commits alone fit, all of them must get in, up to nine tenths of the capacity.
+/// What they leave goes to look-ups and refreshes at four to one, and no tier is ever starved.
 ///
-/// Commits that alone fit must all get in, up to nine tenths of the capacity;
-/// what they leave goes to look-ups and refreshes at four to one, and none of
-/// them ever gets nothing.
-/// Nested calls of refreshes get as much as fresh look-ups: with all of it, a service
-/// that has one backend server left ran 761 of them within 14 s and not one claim
-/// release. Those of commits and look-ups get three times as much: each that is
-/// turned away wastes what its parent has had of another service, and they are short
-/// beside the work of their own service.
-/// What is late already gets next to nothing while others are still in time.
+/// Nested calls of refreshes get as much as fresh look-ups. When they got everything, a service
+/// that had one backend server left ran 761 of them within 14 s and not one claim release.
+/// Nested calls of commits and look-ups get three times as much: each refusal wastes what the
+/// parent has used of another service, and they are short compared with the other work of the
+/// service that runs them.
+///
+/// Overdue calls get next to nothing while other calls are still in time.
 const WEIGHTS: [f64; TIERS.len()] = [90.0, 24.0, 8.0, 8.0, 2.0, 0.05];
 
-/// Lanes: a short and a long one for each tier.
+/// Number of lanes: a short and a long one for each tier.
 pub(crate) const LANES: usize = 2 * TIERS.len();
 
-/// Waiting calls of a lane up to which those that go before another are
-/// counted; beyond, all are taken to, and a burst costs no time that grows
-/// with its square.
+/// Lane length up to which the work ahead of a call is summed exactly. In a longer lane all of
+/// the work counts, so that the time spent in a burst doesn't grow quadratically.
 const EXACT_SUM_MAX: usize = 64;
 
-/// Stale places kept in a lane beyond the live ones before they are swept.
+/// Stale heap items that a lane may keep beyond the number of live ones before they are
+/// removed.
 const MAX_STALE_ENTRIES: usize = 64;
 
-/// Names a waiting call.
+/// Handle of a waiting call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     index: u32,
@@ -84,19 +87,19 @@
 /// A waiting call.
 #[derive(Debug, Clone, Copy)]
 pub struct Entry {
-    /// What it is worth.
+    /// Scheduling tier.
     pub tier: Tier,
-    /// Its caller's place among the shares.
+    /// Cells of the caller in the usage sketch.
     pub caller: Cells,
-    /// The place of what it is about.
+    /// Cells of the call's key in the usage sketch.
     pub key: Cells,
-    /// Its route.
+    /// Route.
     pub route: u64,
-    /// Whether it is expected to take many times as long as the typical call.
+    /// Whether the call is expected to take many times as long as the typical call.
     pub long: bool,
-    /// Slot-seconds that it is expected to take.
+    /// Expected slot-seconds.
     pub cost: f64,
-    /// When it is given up if it has not started.
+    /// When the call is given up if it has not started.
     pub start_by: Instant,
 }
 
@@ -119,7 +122,7 @@
 
 #[derive(Debug, Default)]
 struct Lane {
-    /// Earliest deadline first; calls that were taken out stay until they come up.
+    /// Earliest deadline first; removed calls stay until they reach the top.
     heap: BinaryHeap<Reverse<(Instant, Key)>>,
     pass: u64,
     waiting: usize,
@@ -127,25 +130,25 @@
 }
 
 impl Queue {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Gives how many calls wait.
+    /// Returns the number of waiting calls.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Tells whether none waits.
+    /// Returns whether no call waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 
-    /// Tells whether a call of this kind waits.
+    /// Returns whether a call of any tier waits that is long, or short, as asked.
     #[must_use]
     pub fn has_kind(&self, long: bool) -> bool {
         TIERS
@@ -153,13 +156,13 @@
             .any(|tier| self.lanes[lane_index(*tier, long)].waiting > 0)
     }
 
-    /// Tells whether a call of this class and kind waits.
+    /// Returns whether a call of this tier waits that is long, or short, as asked.
     #[must_use]
     pub fn has_lane(&self, tier: Tier, long: bool) -> bool {
         self.lanes[lane_index(tier, long)].waiting > 0
     }
 
-    /// Tells whether a call of this class waits.
+    /// Returns whether a call of this tier waits.
     #[must_use]
     pub fn has_tier(&self, tier: Tier) -> bool {
         [false, true]
@@ -167,7 +170,8 @@
             .any(|long| self.lanes[lane_index(tier, *long)].waiting > 0)
     }
 
-    /// Takes out a call whose answer comes late while fresh ones wait, which go before it.
+    /// Removes an overdue call if any call is waiting that can still be in time, as those go
+    /// first.
     pub fn pop_overdue(&mut self) -> Option<(Key, Entry)> {
         if !self.has_timely() {
             return None;
@@ -178,7 +182,7 @@
         Some((key, entry))
     }
 
-    /// Tells whether a call waits whose answer can still be in time.
+    /// Returns whether a call waits that can still be answered in time.
     #[must_use]
     pub fn has_timely(&self) -> bool {
         TIERS
@@ -186,25 +190,22 @@
             .any(|tier| *tier != Tier::Overdue && self.has_tier(*tier))
     }
 
-    /// Gives the slot-seconds that a call which is to start by `start_by` has to
-    /// wait for: those of its lane that go before it, and what its class has
-    /// had ahead of its turn.
+    /// Returns the slot-seconds of work ahead of a call that must start by `start_by`: the
+    /// calls of its lane that go first, and what its tier has used ahead of its turn.
     #[must_use]
     pub fn work_ahead(&self, tier: Tier, long: bool, start_by: Instant) -> f64 {
-        let tier_rank = tier_index(tier);
+        let index = tier_index(tier);
         let next_pass = TIERS
             .iter()
             .filter(|other| **other != tier && self.has_tier(**other))
             .map(|other| self.passes[tier_index(*other)])
             .min();
-        let ahead = next_pass.map_or(0, |next_pass| {
-            self.passes[tier_rank].saturating_sub(next_pass)
-        });
-        let ahead = Duration::from_nanos(ahead).as_secs_f64() * WEIGHTS[tier_rank];
+        let ahead = next_pass.map_or(0, |next_pass| self.passes[index].saturating_sub(next_pass));
+        let ahead = Duration::from_nanos(ahead).as_secs_f64() * WEIGHTS[index];
         ahead + self.lane_work_ahead(lane_index(tier, long), start_by)
     }
 
-    /// Gives the slot-seconds of a lane that are to start by `start_by`.
+    /// Returns the slot-seconds of the calls in a lane that must start by `start_by`.
     fn lane_work_ahead(&self, lane: usize, start_by: Instant) -> f64 {
         let lane = &self.lanes[lane];
         if lane.waiting > EXACT_SUM_MAX {
@@ -217,16 +218,16 @@
             .sum()
     }
 
-    /// Gives the share of the slots that a lane has at least, beside those that wait now.
+    /// Returns the minimum share of the slots that a lane gets, given the tiers that wait now.
     #[must_use]
     pub fn min_share(&self, tier: Tier, long: bool) -> f64 {
         let sibling = self.lanes[lane_index(tier, !long)].waiting > 0;
-        let long = if sibling { 0.5 } else { 1.0 };
+        let lane_share = if sibling { 0.5 } else { 1.0 };
         let others = TIERS.iter().filter(|other| **other != tier);
         let others = others.filter(|other| self.has_tier(**other));
         let other_weights: f64 = others.map(|other| WEIGHTS[tier_index(*other)]).sum();
         let own = WEIGHTS[tier_index(tier)];
-        long * own / (own + other_weights)
+        lane_share * own / (own + other_weights)
     }
 
     /// Adds a call.
@@ -242,19 +243,19 @@
         key
     }
 
-    /// Takes the call whose turn it is; a long one only if `long` is.
+    /// Removes the call that is next; long calls are considered only if `long` is set.
     pub fn pop(&mut self, long: bool) -> Option<(Key, Entry)> {
         let (tier, long) = self.choose_lane(long)?;
-        let tier_rank = tier_index(tier);
+        let index = tier_index(tier);
         let (_, key) = self.first_live(lane_index(tier, long))?;
         let entry = self.remove(key)?;
-        self.virtual_time = self.passes[tier_rank];
-        self.passes[tier_rank] += nanos(entry.cost / WEIGHTS[tier_rank]);
+        self.virtual_time = self.passes[index];
+        self.passes[index] += nanos(entry.cost / WEIGHTS[index]);
         self.lanes[lane_index(tier, long)].pass += nanos(entry.cost);
         Some((key, entry))
     }
 
-    /// Takes a call out, as its caller no longer waits for it.
+    /// Removes a call, for instance because its caller no longer waits for it.
     pub fn remove(&mut self, key: Key) -> Option<Entry> {
         let slot = self.slab.get_mut(key.index as usize)?;
         let entry = slot.entry.filter(|_| slot.generation == key.generation)?;
@@ -263,7 +264,7 @@
         self.free_indices.push(key.index);
         let lane = &mut self.lanes[lane_index(entry.tier, entry.long)];
         lane.waiting -= 1;
-        // An empty lane is exactly empty: sums of floats would drift.
+        // Resets an empty lane to exactly zero, as floating-point errors would accumulate.
         lane.work = if lane.waiting == 0 {
             0.0
         } else {
@@ -274,7 +275,7 @@
         Some(entry)
     }
 
-    /// Takes out a call that has waited too long.
+    /// Removes a call that has waited too long.
     pub fn expire(&mut self, now: Instant) -> Option<(Key, Entry)> {
         let (at, key) = self.earliest()?;
         if at > now {
@@ -284,7 +285,7 @@
         Some((key, entry))
     }
 
-    /// Gives when [`Queue::expire`] is next worth a call.
+    /// Returns when [`Queue::expire`] should next be called.
     pub fn wake_at(&mut self) -> Option<Instant> {
         self.earliest().map(|(at, _)| at)
     }
@@ -293,7 +294,7 @@
         (0..LANES).filter_map(|lane| self.first_live(lane)).min()
     }
 
-    /// Gives the first live call of a lane.
+    /// Returns the first live call of a lane, dropping stale items before it.
     fn first_live(&mut self, lane: usize) -> Option<(Instant, Key)> {
         while let Some(Reverse((at, key))) = self.lanes[lane].heap.peek().copied() {
             if is_live(&self.slab, key) {
@@ -304,8 +305,8 @@
         None
     }
 
-    /// A class or lane that begins to wait starts at the present: it is owed
-    /// nothing for the time in which it asked for nothing.
+    /// Starts a tier at the current virtual time when its first call arrives: neither tiers nor
+    /// lanes get credit for the time in which they had none.
     fn activate_tier(&mut self, tier: Tier) {
         if !self.has_tier(tier) {
             let pass = &mut self.passes[tier_index(tier)];
@@ -324,15 +325,15 @@
     fn choose_lane(&self, long: bool) -> Option<(Tier, bool)> {
         let mut best = None;
         for tier in TIERS {
-            let Some(long) = self.choose_long(tier, long) else {
+            let Some(is_long) = self.choose_long(tier, long) else {
                 continue;
             };
             let pass = self.passes[tier_index(tier)];
             if best.is_none_or(|(least, _, _)| pass < least) {
-                best = Some((pass, tier, long));
+                best = Some((pass, tier, is_long));
             }
         }
-        best.map(|(_, tier, long)| (tier, long))
+        best.map(|(_, tier, is_long)| (tier, is_long))
     }
 
     fn choose_long(&self, tier: Tier, long: bool) -> Option<bool> {
@@ -365,8 +366,8 @@
         }
     }
 
-    /// Drops stale places: without it, calls withdrawn from the middle would
-    /// pile up until their deadlines come to the front.
+    /// Removes stale heap items: calls withdrawn from the middle would otherwise accumulate
+    /// until their deadlines reach the top.
     fn drop_stale(&mut self, lane: usize) {
         let lane = &mut self.lanes[lane];
         if lane.heap.len() > 2 * lane.waiting + MAX_STALE_ENTRIES {
--- a/crates/policy/src/retry_quota.rs
+++ b/crates/policy/src/retry_quota.rs
@@ -1,41 +1,41 @@
-//! A node's part of the repeats that the whole fleet may send to a service.
+//! One node's part of the retries that the whole fleet may send to a service.
 //!
-//! *Load pattern:* backend servers of a service shed half of their calls, and
-//! each of 68 nodes repeats within a budget of its own. *Without it* every node
-//! starts with ten repeats saved up, 680 in all, and sends them at once to a
-//! service that is in trouble. *Grounds:* operators bound the fleet as a whole,
-//! by a share of the requests and a number on top in any span of some seconds.
-//! The share needs no agreement, as shares of parts add up; of the number each
-//! node has an equal part. A node doesn't know what its former process spent,
-//! so that a new one earns its part over a whole span. Nodes are counted by
-//! their highest number of late: one that is cut off sees few others, and would
-//! take the whole number for itself.
+//! When backend servers of a service shed half of their calls and each of 68 nodes retries
+//! within a budget of its own, every node starts with ten retries saved up, 680 in all, and
+//! sends them at once to a service that is in trouble.
+//!
+//! Operators therefore limit the fleet as a whole, by a share of the requests plus a fixed
+//! number of extra retries in any window of some seconds. The share needs no coordination, as
+//! the shares of the nodes add up; the extra retries are divided equally among the nodes. A
+//! node doesn't know what its previous process has spent, so a new process earns its part over
+//! a whole window. The node count used is the highest one seen recently: a node that is cut off
+//! sees few others and would otherwise take all of the extra retries.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Parts that a span is counted in; what is just over one old may count on for that long.
+/// Buckets per window; one that has just left the window may still count for its own length.
 const BUCKETS: u32 = 20;
 
-/// Share of the number on top that is used: nodes that have just joined are not
-/// yet known to all, and spans are counted in parts.
+/// Share of the extra retries that is used: nodes that have just joined aren't known to all
+/// others yet, and windows are counted in buckets.
 const SAFETY_FACTOR: f64 = 0.8;
 
-/// Time for which the highest number of nodes counts.
+/// Time for which the highest node count is used.
 const NODE_COUNT_MEMORY: Duration = Duration::from_mins(1);
 
-/// What the fleet as a whole may repeat.
+/// Limits on the retries of the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetLimits {
-    /// Repeats as a share of the requests.
+    /// Retries as a share of the requests.
     pub share: f64,
-    /// Repeats on top of that.
+    /// Retries in addition to that share.
     pub extra: f64,
-    /// Span in which both are counted.
+    /// Window in which both are counted.
     pub window: Duration,
 }
 
-/// What one node has sent to a service within a span.
+/// What one node has sent to a service within a window.
 #[derive(Debug, Clone)]
 pub struct RetryQuota {
     limits: FleetLimits,
@@ -53,7 +53,7 @@
 }
 
 impl RetryQuota {
-    /// Starts with nothing earned.
+    /// Creates a quota that has earned no extra retries yet.
     #[must_use]
     pub fn new(now: Instant, limits: FleetLimits) -> Self {
         Self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes in how many nodes there are, as this one sees it.
+    /// Updates the number of nodes, as this node sees it.
     pub fn set_node_count(&mut self, now: Instant, nodes: usize) {
         let nodes = f64::from(u32::try_from(nodes).unwrap_or(u32::MAX)).max(1.0);
         let is_stale = now.saturating_duration_since(self.node_count_at) > NODE_COUNT_MEMORY;
@@ -75,17 +75,17 @@
         }
     }
 
-    /// Counts a request of a caller's.
+    /// Counts a request from a caller.
     pub fn record_request(&mut self, now: Instant) {
         self.bucket(now).requests += 1;
     }
 
-    /// Counts a repeat that nobody asks about: a call made by a run that was itself a repeat.
+    /// Counts a retry without checking the quota: a call made by a run that was itself a retry.
     pub fn record_retry(&mut self, now: Instant) {
         self.bucket(now).retries += 1;
     }
 
-    /// Counts a repeat, if there is one left.
+    /// Counts a retry and returns true, if the quota allows one.
     pub fn spend(&mut self, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.started).as_secs_f64();
         let earned = (age / self.limits.window.as_secs_f64()).min(1.0);
@@ -103,7 +103,7 @@
         true
     }
 
-    /// Gives the part of the present, and drops those that are over a span old.
+    /// Returns the current bucket, after dropping those that have left the window.
     fn bucket(&mut self, now: Instant) -> &mut Bucket {
         let length = self.limits.window / BUCKETS;
         let is_expired = |bucket: &Bucket| {
--- a/crates/policy/tests/body_scheduler.rs
+++ b/crates/policy/tests/body_scheduler.rs
@@ -1,4 +1,5 @@
-//! Bodies that come in over one link, in virtual time, judged by what the callers receive.
+//! Tests of the bodies that come in over one link, in virtual time, judged by what the callers
+//! receive.
 
 use clock::{Clock, Manual};
 use config::Class;
@@ -9,22 +10,23 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// What the link carries, in bytes a second: 8.4 Mbit/s.
+/// Capacity of the link in bytes per second: 8.4 Mbit/s.
 const RATE: f64 = 1_050_000.0;
 
-/// Bytes of bodies that a VM holds.
+/// Maximum bytes of bodies that a VM holds.
 const MAX_HELD: u64 = 8 << 20;
 
-/// Step of the replay.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(1);
 
-/// From a request for a piece to its sender's link: the way and a sender that wakes late.
+/// Time from giving a credit to its bytes at the sender's link: the round trip and a sender
+/// that wakes late.
 const ANSWER: Duration = Duration::from_millis(5);
 
-/// How long an upload runs once its body is there.
+/// How long an upload runs once its body has arrived.
 const RUN: Duration = Duration::from_millis(110);
 
-/// Time within which an upload's answer is worth most, and its deadline.
+/// Latency target and deadline of an upload.
 const UPLOAD: (Duration, Duration) = (Duration::from_millis(600), Duration::from_secs(2));
 
 /// Deadline of a check, whose request and answer are small.
@@ -33,18 +35,18 @@
 /// How long a check runs.
 const CHECK_RUN: Duration = Duration::from_millis(22);
 
-/// Bytes of a check.
+/// Length of a check in bytes.
 const CHECK_BYTES: f64 = 600.0;
 
-/// Share of the link that checks and uploads ask for.
+/// Offered load: uploads as a share of the link, and checks.
 struct Load {
     uploads: f64,
     checks_per_second: f64,
-    /// Bytes of an upload, each way around the mean.
+    /// Mean length of an upload in bytes; lengths vary around it in both directions.
     mean: f64,
 }
 
-/// What callers received.
+/// What the callers received.
 #[derive(Debug, Default)]
 struct Report {
     checks: u32,
@@ -61,16 +63,16 @@
         f64::from(self.checks_in_time) / f64::from(self.checks)
     }
 
-    /// Gives the share of the link that carried uploads answered in time.
+    /// Returns the share of the link that carried uploads answered in time.
     fn link_share(&self) -> f64 {
         self.uploads_whole / (RATE * self.seconds)
     }
 }
 
-/// What stands in the link, first come, first served.
+/// Traffic queued at the link, first in, first out.
 enum Parcel {
     Check { sent: Instant },
-    Piece { key: Key, bytes: f64 },
+    Chunk { key: Key, bytes: f64 },
     Whole { sent: Instant, bytes: f64 },
 }
 
@@ -81,8 +83,8 @@
     received: f64,
 }
 
-/// Plays a minute; without the intake, senders send bodies at once.
-fn simulate(seed: u64, load: &Load, scheduled: bool, advertised: Option<f64>) -> Report {
+/// Simulates one minute; if not `with_scheduling`, senders send their bodies at once.
+fn simulate(seed: u64, load: &Load, with_scheduling: bool, advertised: Option<f64>) -> Report {
     let clock = Manual::new();
     let start = clock.now();
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -106,7 +108,7 @@
         if rng.random_bool(upload_chance) {
             report.uploads += 1;
             let length = load.mean * rng.random_range(0.5..1.5);
-            if scheduled {
+            if with_scheduling {
                 match scheduler.offer(now, &upload_offer(now, length), &mut rng) {
                     Ok(key) => uploads.push(Upload {
                         key,
@@ -136,7 +138,7 @@
         in_transit.retain(|(at, key, bytes)| {
             if *at <= now {
                 let (key, bytes) = (*key, *bytes);
-                link.push_back((Parcel::Piece { key, bytes }, bytes));
+                link.push_back((Parcel::Chunk { key, bytes }, bytes));
             }
             *at > now
         });
@@ -155,7 +157,7 @@
                 Parcel::Whole { sent, bytes } => {
                     note_upload(&mut report, now, *sent, *bytes);
                 }
-                Parcel::Piece { key, bytes } => {
+                Parcel::Chunk { key, bytes } => {
                     let (key, bytes) = (*key, *bytes);
                     #[expect(
                         clippy::cast_possible_truncation,
@@ -217,10 +219,9 @@
     }
 }
 
-// Visitors' photographs are 1.3 times what the link of the VM that files them
-// carries. Sign-ins, whose watch-list checks go over the same link, failed one
-// after the other, and so did nearly all photographs. Cause: all senders sent
-// their bodies at once, and seconds of them stood in front of the link.
+// Uploads offer 1.3 times what the link carries, beside small checks with short deadlines.
+// Without scheduling, all senders send their bodies at once, seconds of them queue in front of
+// the link, and nearly all checks and uploads fail.
 #[test]
 fn saturated_link() {
     let load = Load {
@@ -239,8 +240,8 @@
     }
 }
 
-// The same with a link that carries less than its VM was told, as one that is
-// squeezed, and with nothing told at all.
+// The same with a link that carries less than its VM advertises, as when it is throttled, and
+// with nothing advertised at all.
 #[test]
 fn slower_than_advertised() {
     let load = Load {
@@ -256,7 +257,7 @@
     }
 }
 
-// Nothing presses: each body is asked for at once, and none is refused.
+// On an idle link, each body gets credit at once and none is refused.
 #[test]
 fn idle_link() {
     let load = Load {
@@ -270,9 +271,8 @@
     assert_eq!(report.uploads - report.uploads_in_time, 0);
 }
 
-// A VM that was sending a photograph loses power. All uploads to the same
-// backend server stood still until their deadlines. Cause: what had been asked
-// of it and never came kept the others from being asked.
+// When a sender loses power, the credit that it doesn't use must not block uploads from other
+// senders to the same backend server until their deadlines.
 #[test]
 fn unresponsive_sender() {
     let clock = Manual::new();
@@ -309,8 +309,8 @@
     assert!(credited.contains(&live), "{credited:?}");
 }
 
-// A body that takes longer than its caller waits is refused before any of it is
-// sent, and so is one that has waited until it can't be whole in time any more.
+// A body that takes longer than its caller waits is refused before any of it is sent, and so is
+// one that has waited until it can't be complete in time any more.
 #[test]
 fn too_late() {
     let clock = Manual::new();
@@ -337,9 +337,9 @@
     assert_eq!(refused_waiting, Some((waits, Reason::Deadline)));
 }
 
-// Photographs come faster than slots get free. Their bodies must not all be here
-// first: a VM of 160 MB has died of less. What is over the bound is asked for as
-// others are done with.
+// Uploads arrive faster than slots become free. Their bodies must not all arrive first: a VM of
+// 160 MB has run out of memory with less. Bodies beyond the limit get credit as others are
+// released.
 #[test]
 fn max_held_bytes() {
     let clock = Manual::new();
--- a/crates/policy/tests/elapsed.rs
+++ b/crates/policy/tests/elapsed.rs
@@ -1,4 +1,4 @@
-//! How long callers have waited, from the time that they have left.
+//! Tests of how long callers have waited, estimated from the time that they have left.
 
 use policy::elapsed::Estimator;
 use std::time::Duration;
@@ -9,9 +9,8 @@
     Duration::from_millis(ms)
 }
 
-// A fitter's look-up is refused and comes back 0.9 s later. The node must not
-// aim at the target of a fresh one. Cause: a request says how much time is
-// left, not when its caller began to wait.
+// A look-up that is refused and comes back 0.9 s later must not get the target of a new one: a
+// request states how much time is left, not when its caller began to wait.
 #[test]
 fn returning_caller() {
     let mut estimator = Estimator::new();
@@ -21,8 +20,8 @@
     assert_eq!(estimator.observe(ROUTE, ms(2_500)), ms(0));
 }
 
-// Operators shorten the time of a route's callers. They must count as fresh
-// again soon, or all of them would go behind other routes for ever.
+// When operators shorten the timeout of a route's callers, these must soon count as new again,
+// or all of them would stay behind other routes for ever.
 #[test]
 fn shortened_timeout() {
     let mut estimator = Estimator::new();
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -1,10 +1,11 @@
-//! What refusals of a backend server say of its slots.
+//! Tests of how refusals by a backend server change its concurrency limit.
 
 use policy::limit::{ConcurrencyLimit, Outcome};
 use std::time::{Duration, Instant};
 
-/// Ends `calls` calls that were started as the limit allows, one each 10 ms;
-/// `sheds` tells of each, by its number and the calls that run, whether it is refused.
+/// Ends `calls` calls, one every 10 ms, that were started as the limit allows, and returns the
+/// lowest limit in the second half. `is_shed` decides for each call, by its number and the
+/// number of running calls, whether it is refused.
 fn min_slots_after<F>(calls: u32, is_shed: F) -> f64
 where
     F: Fn(u32, u32) -> bool,
@@ -14,7 +15,7 @@
     let mut min_slots = f64::MAX;
     for call in 0..calls {
         now += Duration::from_millis(10);
-        // As many run as may, then one after the other ends.
+        // As many calls run as the limit allows, then they end one after the other.
         let max_running = (1..=6).take_while(|count| f64::from(*count) <= limit.slots());
         let max_running = max_running.last().unwrap_or(1);
         let running = 1 + call % max_running;
@@ -31,9 +32,9 @@
     min_slots
 }
 
-// A service is half as fast as it could be, and its callers are turned away:
-// each of its backend servers refuses every other call, also when it runs one
-// alone. Cause: each refusal was taken for a sign of too many calls at once.
+// Backend servers that refuse every other call, even when they run only one, must keep their
+// limit: if each refusal counted as a sign of excess concurrency, the service would run at half
+// of its speed.
 #[test]
 fn refusals_at_any_load() {
     assert!(min_slots_after(2_000, |call, _| call.is_multiple_of(2)) >= 5.0);
--- a/crates/policy/tests/retry_quota.rs
+++ b/crates/policy/tests/retry_quota.rs
@@ -1,4 +1,4 @@
-//! What all nodes together may repeat.
+//! Tests of the fleet-wide limit on retries.
 
 use clock::{Clock, Manual};
 use policy::retry::RetryBudget;
@@ -16,10 +16,10 @@
 /// Requests of one node in each tenth of a second.
 const RATE: usize = 1;
 
-/// Most repeats of the fleet in any span, and most that the bounds allow there.
+/// Returns the most retries of the fleet in any window, and the most that the limits allow.
 ///
-/// Every request is refused by the backend server, and `repeat` tells whether a
-/// node may send it again.
+/// Every request is refused by the backend server; `retry` returns whether a node may send it
+/// again.
 fn worst_window<F>(mut retry: F) -> (usize, usize)
 where
     F: FnMut(&Manual, usize) -> bool,
@@ -36,9 +36,9 @@
     (windows.max().unwrap_or(0), allowed)
 }
 
-// The backend servers of a service shed all calls. Each of 68 nodes had ten
-// repeats saved up, and they came at once on a service in trouble. Cause: each
-// node had a budget of its own, and nobody added them up.
+// Guards against a retry storm when the backend servers of a service shed all calls: with
+// independent budgets, each of 68 nodes has ten retries saved up, and all of them arrive at
+// once.
 #[test]
 fn fleet_limit() {
     let start = Manual::new().now();
@@ -71,8 +71,7 @@
     );
 }
 
-// A node is cut off with none but itself in sight, while the others go on. It
-// must not take the whole fleet's extra repeats for its own.
+// A node that is cut off from all others must not use the extra retries of the whole fleet.
 #[test]
 fn partitioned_node() {
     let clock = Manual::new();
@@ -84,8 +83,8 @@
     assert!(retries <= 3, "{retries}");
 }
 
-// A node is killed and started again after each repeat. What its former
-// processes have sent still counts, and the new one can't know of it.
+// A node that is killed and restarted after each retry must not exceed its part, although the
+// new process doesn't know what the previous ones have sent.
 #[test]
 fn restarted_node() {
     let clock = Manual::new();
