--- a/crates/fleet/tests/rollouts.rs
+++ b/crates/fleet/tests/rollouts.rs
@@ -56,7 +56,10 @@
     });
     let took = run_with_calls(&mut world, 12, 0, Stage::Completed);
     assert!(took.is_some(), "{:?}", world.stage(0, SERVICE));
-    assert_eq!((world.platform.verdicts, world.stopped_versions), (1, 0));
+    assert_eq!(
+        (world.platform.outcome_writes, world.stopped_versions),
+        (1, 0)
+    );
 }
 
 /// A bad version must be rolled back at all nodes within two seconds.
@@ -67,7 +70,7 @@
     world.run(S);
     let took = run_with_calls(&mut world, 3, 30, Stage::RolledBack);
     assert!(took.is_some_and(|took| took <= 2), "{took:?}");
-    assert_eq!(world.platform.verdicts, 1);
+    assert_eq!(world.platform.outcome_writes, 1);
 }
 
 /// Partitioned zones must all stop a bad version, which they learn through the platform.
@@ -93,7 +96,7 @@
     assert!(run_with_calls(&mut world, 3, 30, Stage::Stopped).is_some());
     world.platform.is_down = false;
     assert!(run_with_calls(&mut world, 3, 30, Stage::RolledBack).is_some());
-    assert_eq!(world.platform.verdicts, 1);
+    assert_eq!(world.platform.outcome_writes, 1);
 }
 
 /// A good version must not be completed while the platform is down, or the old endpoints would live
@@ -172,7 +175,7 @@
     }
     let took = run_with_calls(&mut world, 24, failed_percent, end);
     assert!(took.is_some(), "{}", world.describe());
-    assert_eq!(world.platform.verdicts, 1);
+    assert_eq!(world.platform.outcome_writes, 1);
 }
 
 /// A roll-out must cost each node at most 2,048 bytes per second, less than half of its control
@@ -209,11 +212,11 @@
         world.run(S);
     }
     assert_eq!(world.stage(0, SERVICE), Some(Stage::Stopped));
-    assert_eq!(world.platform.verdicts, 0);
+    assert_eq!(world.platform.outcome_writes, 0);
     world.partitions.clear();
     world.platform.unreachable_zones.clear();
     world.run_until(10 * S, "to roll back", |world| {
         all_at(world, Stage::RolledBack)
     });
-    assert_eq!(world.platform.verdicts, 1);
+    assert_eq!(world.platform.outcome_writes, 1);
 }
--- a/crates/fleet/tests/world/platform.rs
+++ b/crates/fleet/tests/world/platform.rs
@@ -39,7 +39,7 @@
     pub crash_writes: u64,
     rollouts: BTreeMap<String, Rollout>,
     /// Verdicts that were written.
-    pub verdicts: u64,
+    pub outcome_writes: u64,
     /// Followers that read crashes: one a zone.
     crash_readers: BTreeSet<usize>,
     /// Revisions of all leases as each VM last read them.
@@ -123,7 +123,7 @@
         let stands = self.rollouts.get_mut(rollout.service.as_str())?;
         if stands.target == rollout.target && !stands.stage.is_final() {
             stands.stage = rollout.stage;
-            self.verdicts += u64::from(rollout.stage.is_final());
+            self.outcome_writes += u64::from(rollout.stage.is_final());
         }
         let stands = stands.clone();
         Some((stands, self.reachable_followers().collect()))
