--- a/crates/fleet/src/heartbeat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Signs of life, and the sums of status that they carry.
+//! Heartbeats, and the aggregated status that they carry.
 
 use crate::link::{Link, LinkKey, Role};
 use crate::node::Node;
@@ -8,8 +8,8 @@
 use std::time::Instant;
 use wire::control::{Beat, Frame, Status};
 
-/// Beats in a row with other endpoints before the tables are compared: news
-/// under way make sums differ for a moment.
+/// Consecutive heartbeats with a different checksum of the endpoints after which the tables are
+/// compared: updates in flight make checksums differ for a moment.
 const MISMATCH_LIMIT: u8 = 3;
 
 impl Node {
@@ -47,30 +47,30 @@
     }
 
     pub(crate) fn on_heartbeat(&mut self, now: Instant, key: LinkKey, beat: &Beat) {
-        let is_other = beat.endpoints != self.table.checksum();
+        let differs = beat.endpoints != self.table.checksum();
         let own = self.settings.local.node.clone();
         let Some(link) = self.links.get_mut(&key) else {
             return;
         };
         link.record_heartbeat(beat, now);
-        link.mismatches = if is_other { link.mismatches + 1 } else { 0 };
-        let is_caller = match link.role {
+        link.mismatches = if differs { link.mismatches + 1 } else { 0 };
+        let is_initiator = match link.role {
             Role::Parent => true,
             Role::RootPeer => link.peer.as_ref().is_some_and(|peer| own < peer.node),
             _ => false,
         };
-        let is_due = is_caller && link.mismatches >= MISMATCH_LIMIT;
+        let is_due = is_initiator && link.mismatches >= MISMATCH_LIMIT;
         if link.mismatches >= MISMATCH_LIMIT {
             link.mismatches = 0;
         }
         if is_due {
-            self.send_sums(key, false);
+            self.send_checksums(key, false);
         }
         self.on_version_source(key, beat.version, beat.is_ready);
         self.on_peer_version(now, key, beat.version);
     }
 
-    /// Gives what the peer of a link is to be told.
+    /// Returns the status to send over a link.
     fn status_for(&self, key: LinkKey) -> Option<Status> {
         let link = self.links.get(&key)?;
         match link.role {
@@ -95,63 +95,64 @@
         status::single_node(self.version(), refusal)
     }
 
-    fn statuses_from<F>(&self, is_wanted: F) -> Vec<(&SmolStr, &Status)>
+    fn statuses_from<F>(&self, is_included: F) -> Vec<(&SmolStr, &Status)>
     where
         F: Fn(&Link) -> bool,
     {
-        let links = self.links.values().filter(|link| is_wanted(link));
+        let links = self.links.values().filter(|link| is_included(link));
         links
             .filter_map(|link| Some((&link.peer.as_ref()?.node, link.status.as_ref()?)))
             .collect()
     }
 
-    fn sum_with(&self, own: &Status, told: Vec<(&SmolStr, &Status)>) -> Status {
+    fn aggregate_with(&self, own: &Status, reports: Vec<(&SmolStr, &Status)>) -> Status {
         let own = (&self.settings.local.node, own);
-        status::aggregate(std::iter::once(own).chain(told).collect::<Vec<_>>())
+        status::aggregate(std::iter::once(own).chain(reports).collect::<Vec<_>>())
     }
 
-    /// Sums up this node and all below it.
+    /// Aggregates the status of this node and all nodes below it.
     pub(crate) fn subtree_status(&self) -> Status {
         let children = self.statuses_from(|link| link.role == Role::Child);
-        self.sum_with(&self.own_status(), children)
+        self.aggregate_with(&self.own_status(), children)
     }
 
-    /// Sums up the own zone, on a root.
+    /// Aggregates the status of this zone, on a root.
     fn zone_status(&self) -> Status {
         let zone = &self.settings.local.zone;
         let roots = self.statuses_from(|link| {
             link.role == Role::RootPeer && link.peer.as_ref().is_some_and(|peer| peer.zone == *zone)
         });
-        self.sum_with(&self.subtree_status(), roots)
+        self.aggregate_with(&self.subtree_status(), roots)
     }
 
-    /// Sums up the fleet: a root from what other roots tell, the others by what comes down.
+    /// Returns the status of the fleet: aggregated from the other roots' reports on a root, else as
+    /// last sent by the parent.
     pub(crate) fn fleet_status(&self) -> Status {
         if !self.lease.is_root() {
             let parents = self.statuses_from(|link| link.role == Role::Parent);
             return match parents.first() {
-                Some((_, told)) => Status::clone(told),
+                Some((_, status)) => Status::clone(status),
                 None => self.subtree_status(),
             };
         }
         let own_zone = &self.settings.local.zone;
-        // Several roots of a zone tell of the same nodes: the fullest sum counts.
+        // Several roots of a zone report the same nodes; the report with the most nodes is used.
         let mut zones: BTreeMap<&SmolStr, (&SmolStr, &Status)> = BTreeMap::new();
         for link in self
             .links
             .values()
             .filter(|link| link.role == Role::RootPeer)
         {
-            let (Some(peer), Some(told)) = (&link.peer, &link.status) else {
+            let (Some(peer), Some(status)) = (&link.peer, &link.status) else {
                 continue;
             };
             let known = zones
                 .get(&peer.zone)
                 .map_or(0, |(_, old)| status::node_count(old));
-            if peer.zone != *own_zone && status::node_count(told) > known {
-                zones.insert(&peer.zone, (&peer.node, told));
+            if peer.zone != *own_zone && status::node_count(status) > known {
+                zones.insert(&peer.zone, (&peer.node, status));
             }
         }
-        self.sum_with(&self.zone_status(), zones.into_values().collect())
+        self.aggregate_with(&self.zone_status(), zones.into_values().collect())
     }
 }
--- a/crates/fleet/src/leaky_bucket.rs
+++ b/crates/fleet/src/leaky_bucket.rs
@@ -1,8 +1,8 @@
-//! A leaky bucket, which says how long to wait when it is full.
+//! A leaky bucket that returns how long to wait when it is full.
 
 use std::time::{Duration, Instant};
 
-/// A leaky bucket of work, kept as the time at which the work will be done.
+/// A leaky bucket of work. Its level is stored as the time at which it will have drained.
 #[derive(Debug, Clone)]
 pub struct LeakyBucket {
     capacity: Duration,
@@ -10,7 +10,7 @@
 }
 
 impl LeakyBucket {
-    /// Makes an empty bucket that holds `capacity` work.
+    /// Creates an empty bucket that holds up to `capacity` of work.
     #[must_use]
     pub fn new(capacity: Duration) -> Self {
         Self {
@@ -19,11 +19,11 @@
         }
     }
 
-    /// Takes work in, if there is room; into an empty one, however much it is.
+    /// Adds work if it fits. An empty bucket accepts any amount.
     ///
     /// # Errors
     ///
-    /// Gives the time until there is room.
+    /// Returns the time until the work fits, if the bucket is too full.
     pub fn admit(&mut self, now: Instant, work: Duration) -> Result<(), Duration> {
         let begins_at = self.drained_at.map_or(now, |at| at.max(now));
         let done_at = begins_at + work;
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,54 +1,55 @@
-//! The leases of a zone's root relays.
+//! The leases of a zone's roots.
 //!
-//! Only roots read and watch the platform, so that its load grows with zones
-//! and not with nodes. A lease saves work and carries no correctness: two
-//! holders of one lease both hand on the same numbered versions. It may thus
-//! be taken from a holder that can't be reached, without waiting for its end.
+//! Only roots read and watch the platform, so that its load grows with the number of zones and
+//! not of nodes. A lease limits load; correctness doesn't depend on it: two holders of one lease
+//! both distribute the same numbered versions. A lease may thus be taken from a holder that can't
+//! be reached, without waiting until it expires.
 
 use crate::event::{PlatformRequest, RootLease};
 use smol_str::SmolStr;
 use std::time::{Duration, Instant};
 use wire::control::Peer;
 
-/// Roots of a zone: two may be lost at once. 15 zones make 45.
+/// Number of roots of a zone: two may be lost at once. 15 zones have 45 roots.
 pub const ROOTS_PER_ZONE: u8 = 3;
 
-/// Time that a lease runs for.
+/// Time after which a lease expires unless it is renewed.
 pub const LEASE_DURATION: Duration = Duration::from_secs(10);
 
-/// Time between renewals: two may fail. 45 roots write 15 times a second.
+/// Time between renewals: two in a row may fail. 45 roots write 15 times a second.
 const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time between a root's readings of all leases: 45 roots read 9 times a second.
+/// Time between a root's reads of all leases: 45 roots read 9 times a second.
 const READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Wait after a nomination before the leases are read again.
+/// Time from a nomination to the next read of the leases.
 const NOMINATION_READ_DELAY: Duration = Duration::from_secs(1);
 
-/// Time between the readings of a new root that has met no other yet. After a
-/// restart of all, whoever is to call it mostly is no root itself at its first
-/// reading, and the next one came 5 s later: all VMs then waited 2 s for the
-/// endpoints that others know, and served only by their own meanwhile.
+/// Time between the reads of a new root that isn't linked to any other root yet.
+///
+/// After a restart of all VMs, the node that is to dial a root is mostly not a root itself when it
+/// first reads the leases. With the next read 5 s later, all VMs waited 2 s for the endpoints that
+/// other nodes know, and until then served only by their own.
 const INITIAL_READ_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time that a root of a higher zone leaves the call to the lower ones.
+/// Time for which a root of a higher zone waits for roots of lower zones to dial it.
 const CROSS_ZONE_DIAL_DELAY: Duration = Duration::from_secs(7);
 
-/// Whether a lease is held.
+/// State of this node's own lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     None,
-    Asked {
+    Requested {
         slot: u8,
     },
     Held {
         slot: u8,
     },
-    /// Root without a lease, as the platform gives out none.
+    /// Root without a lease, while the platform can't grant one.
     Acting,
 }
 
-/// The own lease, if any, and what was read of the others.
+/// This node's lease, if any, and all leases as last read.
 #[derive(Debug)]
 pub struct LeaseClient {
     state: State,
@@ -57,14 +58,13 @@
     read_at: Instant,
     leases: Vec<RootLease>,
     was_vacant: bool,
-    /// Whether the next reading is to be of what stands now: one for
-    /// safety's sake may be seconds old, which the platform gives for a tenth
-    /// of the price.
+    /// Whether the next read must be up to date. A periodic one may be seconds old, which costs
+    /// the platform a tenth as much.
     wants_exact_read: bool,
 }
 
 impl LeaseClient {
-    /// Makes one that holds nothing.
+    /// Creates a client that holds no lease.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -78,13 +78,13 @@
         }
     }
 
-    /// Tells whether this node is a root.
+    /// Returns whether this node is a root.
     #[must_use]
     pub fn is_root(&self) -> bool {
         matches!(self.state, State::Held { .. } | State::Acting)
     }
 
-    /// Tells whether this node is a root without a lease.
+    /// Returns whether this node is a root without a lease.
     #[must_use]
     pub fn is_acting(&self) -> bool {
         self.state == State::Acting
@@ -95,40 +95,40 @@
         self.state = State::Acting;
     }
 
-    /// Ceases to be a root without a lease.
+    /// Stops being a root without a lease.
     pub fn stop_acting(&mut self) {
         if self.state == State::Acting {
             self.state = State::None;
         }
     }
 
-    /// Gives the lease held.
+    /// Returns the slot of the lease held.
     #[must_use]
     pub fn slot(&self) -> Option<u8> {
         match self.state {
             State::Held { slot } => Some(slot),
-            State::None | State::Asked { .. } | State::Acting => None,
+            State::None | State::Requested { .. } | State::Acting => None,
         }
     }
 
-    /// Gives all leases as last read.
+    /// Returns all leases as last read.
     #[must_use]
     pub fn leases(&self) -> &[RootLease] {
         &self.leases
     }
 
-    /// Asks for a lease, unless one is held or asked for.
+    /// Returns the request for a lease, unless one is already held or requested.
     ///
-    /// `is_forced` when the holder can't be reached.
+    /// `is_forced` takes the lease from a holder that can't be reached.
     pub fn request(&mut self, slot: u8, is_forced: bool) -> Option<PlatformRequest> {
         if self.state != State::None || slot >= ROOTS_PER_ZONE {
             return None;
         }
-        self.state = State::Asked { slot };
+        self.state = State::Requested { slot };
         Some(PlatformRequest::AcquireLease { slot, is_forced })
     }
 
-    /// Notes that a lease was granted; tells whether this node thereby became a root.
+    /// Records that a lease was granted. Returns whether this makes the node a root.
     pub fn on_granted(&mut self, slot: u8, now: Instant) -> bool {
         let is_new = !self.is_root();
         self.state = State::Held { slot };
@@ -141,31 +141,31 @@
         is_new
     }
 
-    /// Notes that a lease is another's; tells whether this node thereby ceased to be a root.
+    /// Records that another node holds a lease. Returns whether this node was a root by it.
     pub fn on_lost(&mut self, slot: u8) -> bool {
         let was_held = self.state == State::Held { slot };
-        if was_held || self.state == (State::Asked { slot }) {
+        if was_held || self.state == (State::Requested { slot }) {
             self.state = State::None;
         }
         was_held
     }
 
-    /// Notes that the platform did not answer.
+    /// Records that the platform did not answer the request for a lease.
     ///
-    /// A holder goes on as root: nobody can take over while the platform is
-    /// out, and its zone needs the links to other zones.
+    /// A holder remains a root: no other node can take over during an outage of the platform, and
+    /// the zone needs the links to other zones.
     pub fn on_failed(&mut self, slot: u8) {
-        if self.state == (State::Asked { slot }) {
+        if self.state == (State::Requested { slot }) {
             self.state = State::None;
         }
     }
 
-    /// Notes the leases of all roots.
-    pub fn set_leases(&mut self, seats: Vec<RootLease>) {
-        self.leases = seats;
+    /// Stores the leases of all roots as read.
+    pub fn set_leases(&mut self, leases: Vec<RootLease>) {
+        self.leases = leases;
     }
 
-    /// Gives what a root asks of the platform by now.
+    /// Returns the requests to the platform that are due on a root with a lease.
     pub fn due_requests(&mut self, now: Instant) -> Vec<PlatformRequest> {
         let mut requests = Vec::new();
         let State::Held { slot } = self.state else {
@@ -183,17 +183,17 @@
         requests
     }
 
-    /// Gives when something is due.
+    /// Returns when the next request is due.
     #[must_use]
     pub fn deadline(&self) -> Option<Instant> {
         let has_lease = matches!(self.state, State::Held { .. });
         has_lease.then(|| self.renew_at.min(self.read_at))
     }
 
-    /// Gives the lease to nominate a child for, if one is free.
+    /// Returns the slot of a vacant lease to nominate a child for.
     ///
-    /// The zone's lowest root acts at once and the others only when the lease
-    /// is still free at their next reading: the lowest may have no child.
+    /// The root with the zone's lowest slot nominates at once. The others do so only if the lease
+    /// is still vacant at their next read: the lowest one may have no child.
     pub fn vacant_slot(&mut self, zone: &str) -> Option<u8> {
         let own = self.slot()?;
         let is_live = |slot: u8| {
@@ -201,103 +201,110 @@
                 || self
                     .leases
                     .iter()
-                    .any(|seat| seat.holder.zone == zone && seat.slot == slot && seat.is_live)
+                    .any(|lease| lease.holder.zone == zone && lease.slot == slot && lease.is_live)
         };
-        let vacancy = (0..ROOTS_PER_ZONE).find(|slot| !is_live(*slot));
+        let vacant = (0..ROOTS_PER_ZONE).find(|slot| !is_live(*slot));
         let is_lowest = !(0..own).any(is_live);
-        let was_vacant = std::mem::replace(&mut self.was_vacant, vacancy.is_some());
-        vacancy.filter(|_| is_lowest || was_vacant)
+        let was_vacant = std::mem::replace(&mut self.was_vacant, vacant.is_some());
+        vacant.filter(|_| is_lowest || was_vacant)
     }
 
-    /// Notes that a child was nominated: the leases are to be read again soon.
+    /// Records that a child was nominated, and schedules a read of the leases.
     pub fn on_nominated(&mut self, now: Instant) {
         self.read_at = self.read_at.min(now + NOMINATION_READ_DELAY);
         self.wants_exact_read = true;
     }
 
-    /// Notes that no other root was met yet: the leases are to be read again at once.
+    /// Schedules a read of the leases soon, while no other root is linked yet.
     pub fn read_soon(&mut self, now: Instant) {
         self.read_at = self.read_at.min(now + INITIAL_READ_INTERVAL);
         self.wants_exact_read = true;
     }
 
-    /// Gives the lease that a node without any root should take.
+    /// Returns the slot of the lease that a node without a path to a root should claim.
     ///
-    /// `is_unreached` tells which holders could not be reached. A zone where
-    /// even one root may answer needs no new one from here: its roots nominate.
-    /// A lease of this node's former process is taken up again: after the
-    /// restart of a whole zone all holders can be reached, and none is a root.
-    /// So is one whose holder had this node's address: that VM is gone, and
-    /// whoever looks for it finds this node, which is no root. Left to run out,
-    /// it kept a zone that was restarted whole without configuration for 10 s.
-    pub fn slot_to_claim<F>(&self, own: &Peer, is_unreached: F) -> Option<u8>
+    /// `is_unreachable` returns whether a holder could not be reached. A zone in which at least one
+    /// root may answer needs none from here: its roots nominate others. A lease of this node's
+    /// former process is claimed again: after the restart of a whole zone all holders can be
+    /// reached, but none of them is a root. The same goes for a lease whose holder had this node's
+    /// address: that VM is gone, and nodes that dial it reach this node, which is not a root. Left
+    /// to expire, such a lease kept a zone in which all VMs had restarted without configuration
+    /// for 10 s.
+    pub fn slot_to_claim<F>(&self, local: &Peer, is_unreachable: F) -> Option<u8>
     where
         F: Fn(&Peer) -> bool,
     {
-        let is_former = |holder: &Peer| holder.node == own.node || holder.address == own.address;
-        let mine = self
+        let is_former =
+            |holder: &Peer| holder.node == local.node || holder.address == local.address;
+        let zone_leases = self
             .leases
             .iter()
-            .filter(|seat| seat.holder.zone == own.zone);
-        let former = mine.clone().find(|seat| is_former(&seat.holder));
+            .filter(|lease| lease.holder.zone == local.zone);
+        let former = zone_leases.clone().find(|lease| is_former(&lease.holder));
         if let Some(former) = former {
             return Some(former.slot);
         }
-        let is_usable = |seat: &&RootLease| seat.is_live && !is_unreached(&seat.holder);
-        mine.clone().find(is_usable).is_none().then(|| {
-            // Any lease will do; different nodes try different ones.
-            let hash = crate::endpoints::stable_hash(own.node.as_bytes());
+        let is_usable = |lease: &&RootLease| lease.is_live && !is_unreachable(&lease.holder);
+        zone_leases.clone().find(is_usable).is_none().then(|| {
+            // Any slot is suitable; the hash spreads the nodes over the slots.
+            let hash = crate::endpoints::stable_hash(local.node.as_bytes());
             let slot = crate::endpoints::index_for_hash(hash, ROOTS_PER_ZONE.into());
             u8::try_from(slot).unwrap_or_default()
         })
     }
 
-    /// Tells whether no lease of the own zone that goes before this one is held.
-    pub(crate) fn has_lowest_slot(&self, own: &Peer) -> bool {
+    /// Returns whether no other root of this zone holds a lower slot.
+    pub(crate) fn has_lowest_slot(&self, local: &Peer) -> bool {
         let slot = self.slot().unwrap_or(ROOTS_PER_ZONE);
         let mut others = self
             .leases
             .iter()
-            .filter(|seat| seat.is_live && seat.slot < slot);
-        !others.any(|seat| seat.holder.zone == own.zone && seat.holder.node != own.node)
+            .filter(|lease| lease.is_live && lease.slot < slot);
+        !others.any(|lease| lease.holder.zone == local.zone && lease.holder.node != local.node)
     }
 
-    /// Gives the roots to link to: those of the own zone and one of each other zone.
+    /// Returns the roots to dial: those of this zone and one of each other zone.
     ///
-    /// The lower zone and the lower name call first, so that two roots don't
-    /// call each other at once. Only a zone's lowest root calls other zones:
-    /// with all three calling, links between 45 roots cost each some 1.6 KB a second.
-    /// One that has met none yet (`is_new`) waits for no call.
-    pub fn roots_to_dial<F>(&self, own: &Peer, is_new: bool, now: Instant, is_met: F) -> Vec<Peer>
+    /// The node with the lower zone and name dials, so that two roots don't dial each other at the
+    /// same time. Only the root with a zone's lowest slot dials other zones: if all three did, the
+    /// links between 45 roots would cost each root some 1.6 KB a second. A root that isn't linked
+    /// to any other yet (`is_new`) doesn't wait to be dialled.
+    pub fn roots_to_dial<F>(
+        &self,
+        local: &Peer,
+        is_new: bool,
+        now: Instant,
+        is_linked: F,
+    ) -> Vec<Peer>
     where
         F: Fn(&Peer) -> bool,
     {
-        let is_patient = now >= self.root_since + CROSS_ZONE_DIAL_DELAY;
-        let is_lowest = self.has_lowest_slot(own);
-        let mut seats: Vec<_> = self.leases.iter().filter(|seat| seat.is_live).collect();
-        seats.sort_by_cached_key(|seat| {
-            let pair = format!("{} {}", own.node, seat.holder.node);
+        let may_dial_lower = now >= self.root_since + CROSS_ZONE_DIAL_DELAY;
+        let is_lowest = self.has_lowest_slot(local);
+        let mut leases: Vec<_> = self.leases.iter().filter(|lease| lease.is_live).collect();
+        leases.sort_by_cached_key(|lease| {
+            let pair = format!("{} {}", local.node, lease.holder.node);
             (
-                seat.holder.zone.clone(),
+                lease.holder.zone.clone(),
                 crate::endpoints::stable_hash(pair.as_bytes()),
             )
         });
         let mut wanted: Vec<Peer> = Vec::new();
-        let mut served: Option<&SmolStr> = None;
-        for holder in seats.into_iter().map(|seat| &seat.holder) {
-            let is_own_zone = holder.zone == own.zone;
-            let is_higher = (&holder.zone, &holder.node) > (&own.zone, &own.node);
-            let is_callee = if is_own_zone || is_new {
+        let mut done_zone: Option<&SmolStr> = None;
+        for holder in leases.into_iter().map(|lease| &lease.holder) {
+            let is_own_zone = holder.zone == local.zone;
+            let is_higher = (&holder.zone, &holder.node) > (&local.zone, &local.node);
+            let is_ours_to_dial = if is_own_zone || is_new {
                 is_higher || is_new
             } else {
-                is_lowest && (is_higher || is_patient)
+                is_lowest && (is_higher || may_dial_lower)
             };
-            let is_served = !is_own_zone && served == Some(&holder.zone);
-            if !is_callee || is_served || holder.node == own.node {
+            let is_zone_done = !is_own_zone && done_zone == Some(&holder.zone);
+            if !is_ours_to_dial || is_zone_done || holder.node == local.node {
                 continue;
             }
-            served = Some(&holder.zone);
-            if !is_met(holder) {
+            done_zone = Some(&holder.zone);
+            if !is_linked(holder) {
                 wanted.push(holder.clone());
             }
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,27 +1,26 @@
-//! Decisions about distribution: roots, relays, endpoints and status, without a network.
+//! Distribution of configuration, endpoints and status among the nodes of a fleet, without I/O.
 //!
-//! [`Node`] is the state machine of one node. It takes [`Event`]s (the time, a
-//! frame from a peer, an answer of the platform, the own backend server's
-//! announcement) and gives [`Action`]s (connect, send, close, ask the
-//! platform, serve by a new view). It opens no socket and reads no clock, so
-//! that tests run fleets of them in one thread.
+//! [`Node`] is the state machine of one node. It takes [`Event`]s (a timer, a frame from a peer, a
+//! response of the platform, an announcement of the local backend server) and returns [`Action`]s
+//! (connect, send, close, query the platform, install a new view). It opens no socket and reads no
+//! clock, so that tests run whole fleets in one thread.
 //!
-//! A version's way: a [`lease`] follows the platform and pushes each step to
-//! its children; every [`children`] applies it by its [`replica`] and pushes it
-//! on. Nodes find their [`parent`] among those named to them, serve once the
-//! [`bootstrap`] gate is open, and sum up their [`status`] for their parent.
-//! [`endpoints`] flow both ways over the same links; the [`departure`] guard
-//! says when silence means that one has gone. So does what is known of requests that crash
-//! backend servers, and how far roll-outs of versions have come.
+//! The nodes of each availability zone form trees. The roots, which hold a [`lease`], watch the
+//! platform and push each step of the configuration to their [`children`]; every node applies it to
+//! its [`replica`] and pushes it on. A node selects its [`parent`] among known candidates, serves
+//! once the [`bootstrap`] gate is open, and reports the aggregated [`status`] of its subtree to its
+//! parent. [`endpoints`] are exchanged in both directions over the same links, as are records of
+//! requests that crash backend servers and the progress of roll-outs. The [`departure`] guard
+//! decides when a silent node counts as gone.
 //!
 //! ```
 //! use fleet::{Action, Event, Node, PlatformRequest, Settings};
 //! use std::time::{Duration, Instant};
 //! use wire::control::Peer;
 //!
-//! let own = Peer { node: "vm-1".into(), zone: "a".into(), address: ([127, 0, 0, 1], 7001).into() };
+//! let local = Peer { node: "vm-1".into(), zone: "a".into(), address: ([127, 0, 0, 1], 7001).into() };
 //! let settings = Settings {
-//!     local: own,
+//!     local,
 //!     region: "north".into(),
 //!     incarnation: 1,
 //!     started_ms: 1,
--- a/crates/fleet/src/link.rs
+++ b/crates/fleet/src/link.rs
@@ -1,81 +1,84 @@
-//! One link to another node, and whether it still lives.
+//! A link to another node and the detection of dead links.
 
 use config::Version;
 use std::time::{Duration, Instant};
 use wire::control::{Beat, Part, Peer, Status};
 
-/// Time between signs of life: 27 bytes a second each way.
+/// Time between heartbeats: 27 bytes a second in each direction.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A peer that said nothing for so long is lost: three beats and a half, so
-/// that two may be late, and a new parent is found well within 6 s.
+/// Time without any frame from the peer after which a link counts as dead.
+///
+/// 3.5 heartbeats: two may be late, and a new parent is still found well within 6 s.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// A peer that hasn't heard us for so long is lost; one beat more, as what it
-/// heard comes back with its next beat.
+/// Time without a new echo of this node's heartbeats after which a link counts as dead.
+///
+/// One heartbeat longer than [`SILENCE_TIMEOUT`], because the echo comes with the peer's next
+/// heartbeat.
 pub const ECHO_TIMEOUT: Duration = Duration::from_millis(4_500);
 
-/// Longest wait for a connection or for the answer to the first frame.
+/// Longest wait for the connection or for the reply to the handshake frame.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest wait for the connection alone, to a parent in the own zone.
+/// Longest wait for the connection alone, to a candidate parent in the same zone.
 ///
-/// A VM without power answers nothing, and its name stands in leases and lists
-/// for some seconds more: after a restart of all, a node would spend most of its time
-/// on one. A VM of a tenth of a core that starts up itself answers within a fraction
-/// of this.
+/// A VM that has lost power doesn't answer, and leases and endpoint lists name it for some
+/// seconds more. After a restart of all VMs, a node would spend most of its time waiting for one
+/// of these. A VM with a tenth of a core that is itself starting up answers within a fraction of
+/// this timeout.
 const SAME_ZONE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Names a link of this process.
+/// Identifies a link of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkKey(pub u64);
 
-/// What a link that is being opened is for.
+/// Why a link is opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// To find a parent.
+    /// To join the tree as a child of the peer.
     Join,
-    /// To reach another root.
+    /// To link to another root.
     Meet,
-    /// To hear what another node holds.
+    /// To query the version that the peer holds.
     Ask,
 }
 
-/// What the peer is to this node.
+/// The state of a link, and the peer's relation to this node once it is established.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Being connected, or waits for the answer to its first frame.
+    /// Dialled by this node; connecting, or waiting for the reply to the handshake frame.
     Dialled(Purpose),
-    /// Accepted; its first frame will tell.
+    /// Accepted by this node; waiting for the peer's handshake frame.
     Accepted,
-    /// The parent.
+    /// The peer is this node's parent.
     Parent,
-    /// A child.
+    /// The peer is a child of this node.
     Child,
-    /// Another root.
+    /// Both nodes are roots.
     RootPeer,
 }
 
 /// One link to another node.
 #[derive(Debug)]
 pub(crate) struct Link {
-    /// Who is at the other end, once known.
+    /// The node at the other end, once known.
     pub(crate) peer: Option<Peer>,
-    /// What the peer is to this node.
+    /// State of the link, and the peer's relation to this node.
     pub(crate) role: Role,
-    /// Version that the peer holds or was sent.
+    /// Highest version that the peer is known to hold or was sent.
     pub(crate) version: Version,
-    /// Children that the peer would still take.
+    /// Number of further children that the peer accepts.
     pub(crate) child_capacity: u8,
-    /// What the peer's part of the fleet holds.
+    /// Latest status of the peer's part of the fleet.
     pub(crate) status: Option<Status>,
-    /// What it was told last.
+    /// Status last sent to the peer.
     pub(crate) sent_status: Option<Status>,
-    /// What the peer's part of the fleet has counted of roll-outs.
+    /// Latest roll-out tallies of the peer's part of the fleet.
     pub(crate) tallies: Vec<Part>,
-    /// What it was told of them last.
+    /// Roll-out tallies last sent to the peer.
     pub(crate) sent_tallies: Vec<Part>,
-    /// Beats in a row that showed other endpoints than ours.
+    /// Consecutive heartbeats whose endpoint checksum differed from this node's.
     pub(crate) mismatches: u8,
     opened_at: Instant,
     last_heard: Instant,
@@ -106,29 +109,29 @@
         }
     }
 
-    /// Gives the link its role once both ends know it.
+    /// Sets the role once the handshake is complete.
     pub(crate) fn establish(&mut self, role: Role, now: Instant) {
         self.role = role;
         self.last_heard = now;
         self.echoed_at = now;
     }
 
-    /// Tells whether news flow over the link.
+    /// Returns whether the handshake is complete, so that updates are exchanged.
     pub(crate) fn is_established(&self) -> bool {
         matches!(self.role, Role::Parent | Role::Child | Role::RootPeer)
     }
 
-    /// Gives when something last came from the peer.
+    /// Returns when the last frame arrived from the peer.
     pub(crate) fn last_heard(&self) -> Instant {
         self.last_heard
     }
 
-    /// Notes that something came from the peer.
+    /// Records that a frame arrived from the peer.
     pub(crate) fn mark_heard(&mut self, now: Instant) {
         self.last_heard = now;
     }
 
-    /// Notes a beat of the peer's.
+    /// Records a heartbeat of the peer.
     pub(crate) fn record_heartbeat(&mut self, beat: &Beat, now: Instant) {
         self.received_count = beat.count;
         self.child_capacity = beat.room;
@@ -141,18 +144,19 @@
         }
     }
 
-    /// Gives the counters of the next beat: its own and the peer's.
+    /// Returns the counters of the next heartbeat: its own number, and as echo the number of the
+    /// peer's last one.
     pub(crate) fn next_heartbeat_counts(&mut self) -> (u32, u32) {
         self.sent_count += 1;
         (self.sent_count, self.received_count)
     }
 
-    /// Gives when the link is lost unless something comes before.
+    /// Returns when the link counts as dead unless the peer is heard from before.
     ///
-    /// Guards against a connection that goes silent because something between
-    /// the ends has lost track of it: no error shows, and the node would hold
-    /// yesterday's configuration for good. The echo covers the case in which
-    /// only our own direction is dead: the peer's beats still come then.
+    /// Guards against a connection that goes silent because a device in between has dropped its
+    /// state: neither end sees an error, and the node would keep an outdated configuration
+    /// forever. The echo covers the case in which only the direction towards the peer is dead:
+    /// the peer's heartbeats still arrive then.
     pub(crate) fn deadline(&self) -> Instant {
         if self.is_established() {
             (self.last_heard + SILENCE_TIMEOUT).min(self.echoed_at + ECHO_TIMEOUT)
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,4 +1,4 @@
-//! The state machine of one node: events in, actions out.
+//! The state machine of one node, which turns events into actions.
 
 use crate::bootstrap::ReadinessGate;
 use crate::crashes::{CrashState, Origin};
@@ -24,40 +24,40 @@
 use std::time::{Duration, Instant};
 use wire::control::{Frame, Peer, Status};
 
-/// Time between looks for endpoints to expire.
+/// Time between checks for endpoints that have expired.
 const EXPIRY_INTERVAL: Duration = Duration::from_mins(1);
 
-/// What a node knows of itself.
+/// Identity and settings of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Name, availability zone, and where it listens for other nodes.
+    /// Name and availability zone of this node, and the address at which it listens for others.
     pub local: Peer,
     /// Region of the availability zone.
     pub region: SmolStr,
-    /// Random number of this process.
+    /// Random number that identifies this process.
     pub incarnation: u64,
     /// Start of this process, in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// Nodes to ask when the platform doesn't answer.
+    /// Addresses of nodes to ask when the platform doesn't answer.
     pub seeds: Vec<SocketAddr>,
-    /// Whether roots read operators' roll-outs.
+    /// Whether roots read the operators' roll-outs from the platform.
     pub follows_rollouts: bool,
-    /// Whether every version is sent whole, which is a baseline to measure patches against.
+    /// Whether every version is sent as a full configuration, as a baseline to measure patches against.
     pub sends_full: bool,
 }
 
 /// Events counted since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Views made.
+    /// Views built.
     pub views: u64,
     /// Versions applied.
     pub versions: u64,
     /// Versions that could not be applied.
     pub refusals: u64,
-    /// Parents taken.
+    /// Times that the node joined a parent.
     pub parents: u64,
-    /// Nodes declared gone.
+    /// Nodes that this node declared gone.
     pub departures: u64,
 }
 
@@ -73,7 +73,7 @@
     pub(crate) guard: DepartureGuard,
     pub(crate) lease: LeaseClient,
     pub(crate) candidates: Candidates,
-    /// Names from the root down to this node; empty without a root.
+    /// Names of the nodes from the root down to this one; empty without a path to a root.
     pub(crate) path: Vec<SmolStr>,
     pub(crate) join_limiter: LeakyBucket,
     pub(crate) search: search::ParentSearch,
@@ -95,7 +95,7 @@
 }
 
 impl Node {
-    /// Makes the state machine of a process that starts at `now`.
+    /// Creates the state machine of a process that starts at `now`.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -103,7 +103,7 @@
         for address in &settings.seeds {
             candidates.add(*address, Source::Seed, now);
         }
-        // A herd that restarts together must not beat and read in step.
+        // Nodes that restart together must not send heartbeats and announcements in lockstep.
         let heartbeat_at = now + HEARTBEAT_INTERVAL.mul_f64(rng.random::<f64>());
         let reannounce_at = now + crate::endpoints::REFRESH_INTERVAL.mul_f64(rng.random::<f64>());
         let search = search::ParentSearch::new(now, &mut rng);
@@ -138,23 +138,23 @@
         }
     }
 
-    /// Names a link that a peer has opened.
+    /// Registers a link that a peer has opened, and returns its key.
     pub fn accept(&mut self, peer: Peer, now: Instant) -> LinkKey {
         self.add_link(Role::Accepted, Some(peer), now)
     }
 
-    /// Takes an event and gives what is to be done.
+    /// Handles an event and returns the resulting actions.
     ///
     /// # Panics
     ///
-    /// When the version held has fallen, which would be a fault of this module.
+    /// If the version held has decreased, which would be a bug in this crate.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let before = self.version();
         match event {
             Event::Connected { link, peer } => self.on_connected(now, link, peer),
             Event::Closed { link } => self.drop_link(now, link, false),
             Event::Frame { link, frame } => self.on_frame(now, link, frame),
-            Event::Platform(answer) => self.on_answer(now, answer),
+            Event::Platform(response) => self.on_platform_response(now, response),
             Event::BackendAnnounced(backend) => self.announce(now, &backend),
             Event::LocalCrashes(list) => self.on_crashes(now, Origin::Local, &list),
             Event::LocalTallies(tallies) => self.on_local_tallies(tallies),
@@ -162,11 +162,14 @@
             Event::Wake => {}
         }
         self.run_due(now);
-        assert!(self.version() >= before, "a node's version never falls");
+        assert!(
+            self.version() >= before,
+            "the version held must not decrease"
+        );
         std::mem::take(&mut self.actions)
     }
 
-    /// Gives when [`Event::Wake`] is due at the latest.
+    /// Returns when [`Event::Wake`] is due at the latest.
     #[must_use]
     pub fn next_wake(&self, now: Instant) -> Instant {
         let others = [
@@ -186,55 +189,57 @@
         first.map_or(self.heartbeat_at, |first| first.min(self.heartbeat_at))
     }
 
-    /// Gives the version held.
+    /// Returns the version held.
     #[must_use]
     pub fn version(&self) -> Version {
         self.replica.version()
     }
 
-    /// Tells whether the process holds enough to serve.
+    /// Returns whether the process holds enough to serve.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.gate.is_open() && self.is_synced && self.initial_reads.is_done()
     }
 
-    /// Tells whether this node is a root.
+    /// Returns whether this node is a root.
     #[must_use]
     pub fn is_root(&self) -> bool {
         self.lease.is_root()
     }
 
-    /// Gives the names from the root down to this node; empty without a root.
+    /// Returns the names of the nodes from the root down to this one.
+    ///
+    /// The path is empty if there is none to a root.
     #[must_use]
     pub fn path(&self) -> &[SmolStr] {
         &self.path
     }
 
-    /// Gives the configuration and what could not be applied.
+    /// Returns the configuration replica, with any version that could not be applied.
     #[must_use]
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// Gives all endpoints known.
+    /// Returns all known endpoints.
     #[must_use]
     pub fn endpoints(&self) -> &EndpointTable {
         &self.table
     }
 
-    /// Gives what was counted.
+    /// Returns the event counters.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Counts the links over which news flow, by role: parent, children, other roots.
+    /// Returns the number of links with a role: parent, child or other root.
     #[must_use]
     pub fn count_links(&self, role: Role) -> usize {
         self.links.values().filter(|link| link.role == role).count()
     }
 
-    /// Gives what the fleet holds, as far as this node was told.
+    /// Returns the status of the fleet, as far as it was reported to this node.
     #[must_use]
     pub fn fleet(&self) -> Status {
         self.fleet_status()
@@ -298,7 +303,7 @@
             Frame::Want { after, whole } => self.on_want(key, after, whole),
             Frame::Chunk(chunk) => self.on_chunk(now, key, &chunk),
             Frame::Endpoints(list) => self.on_endpoints(now, key, &list),
-            Frame::Sums { sums, is_reply } => self.on_sums(key, &sums, is_reply),
+            Frame::Sums { sums, is_reply } => self.on_checksums(key, &sums, is_reply),
             Frame::Path(path) => self.on_path(now, key, path),
             Frame::Nominate { slot } => self.on_nominate(key, slot),
             Frame::Crashes(list) => self.on_crashes(now, Origin::Link(key), &list),
@@ -310,7 +315,7 @@
                 self.add_hints(now, parents);
                 self.drop_link(now, key, true);
             }
-            // Said only before a link is settled; a second one is a fault of the peer's.
+            // Valid only during the handshake; a later one is a bug in the peer.
             Frame::Join { .. }
             | Frame::Meet { .. }
             | Frame::Ask
@@ -319,11 +324,11 @@
         }
     }
 
-    fn on_answer(&mut self, now: Instant, answer: PlatformResponse) {
-        let answers = !matches!(answer, PlatformResponse::Failed(_));
-        self.record_platform_response(now, answers);
-        match answer {
-            PlatformResponse::Leases(seats) => self.on_leases(now, seats),
+    fn on_platform_response(&mut self, now: Instant, response: PlatformResponse) {
+        let has_responded = !matches!(response, PlatformResponse::Failed(_));
+        self.record_platform_response(now, has_responded);
+        match response {
+            PlatformResponse::Leases(leases) => self.on_leases(now, leases),
             PlatformResponse::LeaseGranted { slot } => self.on_lease_granted(now, slot),
             PlatformResponse::LeaseLost { slot } => self.on_lease_lost(now, slot),
             PlatformResponse::Failed(request) => self.on_request_failed(now, request),
@@ -377,11 +382,11 @@
         Some(closed)
     }
 
-    pub(crate) fn find_links<F>(&self, is_wanted: F) -> Vec<LinkKey>
+    pub(crate) fn find_links<F>(&self, matches: F) -> Vec<LinkKey>
     where
         F: Fn(&Link) -> bool,
     {
-        let links = self.links.iter().filter(|(_, link)| is_wanted(link));
+        let links = self.links.iter().filter(|(_, link)| matches(link));
         links.map(|(key, _)| *key).collect()
     }
 
@@ -389,7 +394,7 @@
         !self.path.is_empty()
     }
 
-    pub(crate) fn jitter(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.rng.random::<f64>())
+    pub(crate) fn jitter(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.rng.random::<f64>())
     }
 }
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -1,8 +1,8 @@
-//! The configuration of a node, and what it can give to others.
+//! A node's replica of the configuration, and the frames that bring peers up to date.
 //!
-//! A step is applied only to the version before it; what doesn't fit is
-//! fetched, first as a range of steps, then whole. The last steps are kept so
-//! that neighbours that missed a few get just these.
+//! A step is applied only to its base version. What is missing is fetched, first as a range of
+//! steps, then as a full configuration. The latest steps are retained, so that neighbours that
+//! missed a few are sent only those.
 
 use config::{Digest, Error, Held, Mesh, Patch, Version};
 use smol_str::{SmolStr, ToSmolStr};
@@ -11,26 +11,27 @@
 use std::sync::Arc;
 use wire::control::{Chunk, Frame, MAX_CHUNKS};
 
-/// Steps kept for neighbours that are behind: 25 minutes at 3,700 a day.
+/// Most steps retained for neighbours that are behind: 25 minutes at 3,700 versions a day.
 const MAX_RETAINED_STEPS: usize = 64;
 
-/// Changes kept in all steps together: about 1 MB at the largest.
+/// Most changes in all retained steps together: about 1 MB at the largest.
 const MAX_RETAINED_CHANGES: usize = 2_000;
 
-/// Longest step that is sent as one: at 46 bytes a route, 100 are 4.6 kB. A
-/// longer one goes as a whole configuration, which is compressed: 6 bytes a route.
+/// Most changes of a step that is sent as a step: at 46 bytes a route, 100 are 4.6 kB.
+///
+/// In place of a longer one, the full configuration is sent, which is compressed: 6 bytes a route.
 const MAX_STEP_CHANGES: usize = 100;
 
-/// A step from one version to the next.
+/// The step from one version to a later one.
 #[derive(Debug, Clone)]
 pub struct Step {
-    /// The version before it.
+    /// The version that the patch applies to.
     pub base: Version,
-    /// The version after it.
+    /// The version that results.
     pub version: Version,
-    /// What changes.
+    /// The changes.
     pub patch: Arc<Patch>,
-    /// Digest of the whole after it.
+    /// Digest of the resulting configuration.
     pub digest: Digest,
 }
 
@@ -45,22 +46,22 @@
     }
 }
 
-/// What became of a version that was offered.
+/// The result of applying a version, or a part of one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is held now.
+    /// The version is applied.
     Applied,
-    /// It is not news.
+    /// The version is not higher than the one held.
     Stale,
-    /// Versions before it are missing.
+    /// Earlier versions or chunks are missing.
     Gap,
-    /// It can't be applied; nothing of it was.
+    /// The version can't be applied; the one held is unchanged.
     Refused,
-    /// More chunks must come.
+    /// More chunks are needed.
     Partial,
 }
 
-/// Chunks of a whole configuration that is coming in.
+/// A full configuration of which some chunks have been received.
 #[derive(Debug)]
 struct Assembly {
     version: Version,
@@ -69,7 +70,7 @@
     bytes: Vec<u8>,
 }
 
-/// The configuration of a node.
+/// A node's replica of the configuration.
 #[derive(Debug, Default)]
 pub struct Replica {
     held: Held,
@@ -77,30 +78,32 @@
     retained_changes: usize,
     refused: Option<(Version, SmolStr)>,
     assembly: Option<Assembly>,
-    /// What is held, cut up for others, once one has asked for it.
+    /// The configuration held, as chunks; made when a peer first needs them.
     chunks: OnceCell<Vec<Chunk>>,
 }
 
 impl Replica {
-    /// Gives what is held.
+    /// Returns the configuration held, with its version and digest.
     #[must_use]
     pub fn held(&self) -> &Held {
         &self.held
     }
 
-    /// Gives the number of the version held.
+    /// Returns the version held.
     #[must_use]
     pub fn version(&self) -> Version {
         self.held.version()
     }
 
-    /// Gives the version above the held one that could not be applied, and why.
+    /// Returns the version above the one held that could not be applied, with the reason.
     #[must_use]
     pub fn refused(&self) -> Option<&(Version, SmolStr)> {
         self.refused.as_ref()
     }
 
-    /// Notes that a version can't be read; gives false when that is known, or no matter any more.
+    /// Records that a version is invalid.
+    ///
+    /// Returns false if this is already recorded, or if the version is not above the one held.
     pub fn refuse(&mut self, version: Version, reason: SmolStr) -> bool {
         let known = self.refused.as_ref().map(|(at, _)| *at);
         if version <= self.version() || known >= Some(version) {
@@ -110,35 +113,35 @@
         true
     }
 
-    /// Takes a step, if it is the next one.
+    /// Applies a step if its base is the version held.
     pub fn apply_step(&mut self, step: Step) -> ApplyOutcome {
         let result = self
             .held
             .step(step.base, step.version, &step.patch, step.digest);
-        let taken = self.record_outcome(step.version, result);
-        if taken == ApplyOutcome::Applied {
+        let outcome = self.record_outcome(step.version, result);
+        if outcome == ApplyOutcome::Applied {
             self.retain(step);
         }
-        taken
+        outcome
     }
 
-    /// Takes the newest configuration, whole, and gives the step that leads to it.
+    /// Applies the newest configuration, given as a whole, and returns the step that leads to it.
     ///
-    /// Whoever reads a source of whole versions makes the step, so that the
-    /// nodes below get what changed: a version of 350 routes is some 40 kB,
-    /// and most change a few.
+    /// The node that reads from a source of whole versions computes the step, so that the nodes
+    /// below it are sent only the changes: a version of 350 routes is some 40 kB, and most
+    /// versions change a few routes.
     pub fn apply_newest(&mut self, version: Version, mesh: Mesh) -> (ApplyOutcome, Option<Step>) {
         if version <= self.version() {
             return (ApplyOutcome::Stale, None);
         }
         let base = self.held.clone();
         let result = self.held.adopt(version, mesh);
-        let taken = self.record_outcome(version, result);
-        if taken != ApplyOutcome::Applied {
-            return (taken, None);
+        let outcome = self.record_outcome(version, result);
+        if outcome != ApplyOutcome::Applied {
+            return (outcome, None);
         }
         if base.version() == Version::ZERO {
-            return (taken, None);
+            return (outcome, None);
         }
         let step = Step {
             base: base.version(),
@@ -147,22 +150,24 @@
             digest: self.held.digest(),
         };
         self.retain(step.clone());
-        (taken, Some(step))
+        (outcome, Some(step))
     }
 
-    /// Takes a whole configuration, if it is a higher version.
+    /// Applies a full configuration if its version is higher than the one held.
     pub fn apply_full(&mut self, version: Version, mesh: Mesh, digest: Digest) -> ApplyOutcome {
         let result = self.held.replace(version, mesh, digest);
-        let taken = self.record_outcome(version, result);
-        if taken == ApplyOutcome::Applied {
-            // The steps kept don't lead up to this version.
+        let outcome = self.record_outcome(version, result);
+        if outcome == ApplyOutcome::Applied {
+            // The retained steps don't lead to this version.
             self.steps.clear();
             self.retained_changes = 0;
         }
-        taken
+        outcome
     }
 
-    /// Takes a part of a whole configuration; parts come in order over one link.
+    /// Adds a chunk of a full configuration, and applies it once it is complete.
+    ///
+    /// The chunks of one configuration arrive in order over one link.
     pub fn apply_chunk(&mut self, chunk: &Chunk) -> ApplyOutcome {
         if chunk.version <= self.version() {
             return ApplyOutcome::Stale;
@@ -192,19 +197,22 @@
     }
 
     fn finish_assembly(&mut self) -> ApplyOutcome {
-        let Some(whole) = self.assembly.take() else {
+        let Some(assembly) = self.assembly.take() else {
             return ApplyOutcome::Gap;
         };
-        match wire::control::join(&whole.bytes) {
-            Ok(mesh) => self.apply_full(whole.version, mesh, whole.digest),
+        match wire::control::join(&assembly.bytes) {
+            Ok(mesh) => self.apply_full(assembly.version, mesh, assembly.digest),
             Err(error) => {
-                self.refused = Some((whole.version, error.to_smolstr()));
+                self.refused = Some((assembly.version, error.to_smolstr()));
                 ApplyOutcome::Refused
             }
         }
     }
 
-    /// Gives the frames that lead from version `after` to the one held: steps, or the whole.
+    /// Returns the frames that lead from version `after` to the one held: steps, or the
+    /// full configuration.
+    ///
+    /// `whole` requests the full configuration in any case.
     #[must_use]
     pub fn frames_after(&self, after: Version, whole: bool) -> Vec<Frame> {
         if after >= self.version() {
@@ -222,8 +230,8 @@
         }
         let held = &self.held;
         let chunks = self.chunks.get_or_init(|| {
-            let cut = wire::control::split(held.version(), held.digest(), held.mesh());
-            cut.unwrap_or_else(|error| {
+            let split = wire::control::split(held.version(), held.digest(), held.mesh());
+            split.unwrap_or_else(|error| {
                 log::warn!(version = held.version().0, error:%; "version_too_long");
                 Vec::new()
             })
--- a/crates/fleet/src/sync.rs
+++ b/crates/fleet/src/sync.rs
@@ -1,9 +1,9 @@
-//! News of configuration and endpoints over the links.
+//! Distribution of configuration and endpoint updates over the links.
 //!
-//! Steps are pushed down the tree at once. Between roots only the number is
-//! told, since each gets the step from the platform; one that still lacks it
-//! after a moment asks. Endpoints go to all neighbours but the one they came
-//! from, gathered for a moment.
+//! Steps are pushed down the tree at once. Roots send each other only the version number, since
+//! each gets the step from the platform; a root that still lacks it after a short delay requests
+//! it. Endpoint updates are batched for a short time, and sent to all neighbours but the one that
+//! they came from.
 
 use crate::endpoints::MergeOutcome;
 use crate::event::{Action, Backend, PlatformRequest};
@@ -17,36 +17,39 @@
 use std::time::{Duration, Instant};
 use wire::control::{BUCKETS, Chunk, Frame, MAX_ENDPOINTS};
 
-/// Longest wait of a root for the endpoints that other roots know: meeting one
-/// takes two reads of the leases, and the leases of a zone that is down stay
-/// live for some seconds.
+/// Longest wait of a root for the endpoints that other roots know.
+///
+/// Linking to another root takes two reads of the leases, and the leases of a zone that is down
+/// stay live for some seconds.
 const ROOT_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for a step to come by itself, before it is asked for.
+/// Time for a missing step to arrive by itself, before it is requested.
 const REQUEST_DELAY: Duration = Duration::from_millis(150);
 
-/// Bounds of the time between further questions: the whole is long.
+/// Bounds of the time between repeated requests: a full configuration takes long to send.
 const REQUEST_RETRY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_mins(1));
 
-/// Time that news of endpoints are gathered for: six hops then take 120 ms.
+/// Time for which endpoint updates are batched: six hops then take 120 ms.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
 
-/// Time between views made for endpoints alone: one of 14,000 takes a few
-/// milliseconds to make, which must not be spent for each of a burst.
+/// Delay of a view built for endpoint updates alone, and so the time between such views.
+///
+/// A view of 14,000 endpoints takes a few milliseconds to build, which must not be spent for each
+/// update of a burst.
 const VIEW_DELAY: Duration = Duration::from_millis(50);
 
-/// News that wait to be sent, asked for, or served by.
+/// Updates that wait to be sent, requested or put into a view.
 #[derive(Debug)]
 pub(crate) struct SyncState {
-    /// Nodes with news and the link they came by; several links count as none.
+    /// Nodes whose endpoints have changed, with the link that the last update came from, if any.
     changed_nodes: BTreeMap<SmolStr, Option<LinkKey>>,
     flush_at: Option<Instant>,
     view_at: Option<Instant>,
     request_at: Option<Instant>,
     request_wait: Duration,
-    /// When a root takes what it has for all endpoints.
+    /// When a root stops waiting for the endpoints that other roots know.
     sync_deadline: Option<Instant>,
-    /// Highest version that the platform told of.
+    /// Highest version that the platform has reported.
     pub(crate) platform_head: Version,
 }
 
@@ -77,7 +80,7 @@
 }
 
 impl Node {
-    /// Notes what a peer holds or was sent, and helps whoever is behind.
+    /// Records the version that a peer holds, and requests or sends what one of the two lacks.
     pub(crate) fn on_peer_version(&mut self, now: Instant, key: LinkKey, version: Version) {
         let held = self.version();
         let Some(link) = self.links.get_mut(&key) else {
@@ -95,8 +98,9 @@
     pub(crate) fn on_version_source(&mut self, key: LinkKey, version: Version, is_ready: bool) {
         let peer = self.links.get(&key).and_then(|link| link.peer.as_ref());
         if let Some(peer) = peer.filter(|_| is_ready) {
-            let is_near = peer.zone == self.settings.local.zone;
-            self.gate.record_peer_version(&peer.node, version, is_near);
+            let is_same_zone = peer.zone == self.settings.local.zone;
+            self.gate
+                .record_peer_version(&peer.node, version, is_same_zone);
         }
     }
 
@@ -108,7 +112,7 @@
         let whole = whole || self.settings.sends_full;
         let frames = self.replica.frames_after(after, whole);
         if frames.len() > 1 {
-            // The peer then knows how far it goes, and makes one view at the end.
+            // The heartbeat announces the final version, so that the peer builds one view at the end.
             self.send_heartbeat(key);
         }
         for frame in frames {
@@ -126,14 +130,14 @@
 
     pub(crate) fn on_step(&mut self, now: Instant, key: LinkKey, step: &Step) {
         self.note_peer_version(key, step.version);
-        let taken = self.replica.apply_step(step.clone());
-        self.finish_step(now, taken, step);
+        let outcome = self.replica.apply_step(step.clone());
+        self.finish_step(now, outcome, step);
     }
 
     pub(crate) fn on_chunk(&mut self, now: Instant, key: LinkKey, chunk: &Chunk) {
         self.note_peer_version(key, chunk.version);
-        let taken = self.replica.apply_chunk(chunk);
-        self.handle_outcome(now, taken);
+        let outcome = self.replica.apply_chunk(chunk);
+        self.handle_outcome(now, outcome);
     }
 
     fn note_peer_version(&mut self, key: LinkKey, version: Version) {
@@ -142,21 +146,21 @@
         }
     }
 
-    /// Goes on after a step; one that only this node can't apply still goes to its children.
-    pub(crate) fn finish_step(&mut self, now: Instant, taken: ApplyOutcome, step: &Step) {
-        let is_stuck = taken == ApplyOutcome::Gap && self.replica.refused().is_some();
-        if taken == ApplyOutcome::Refused || is_stuck {
+    /// Handles the outcome of a step. One that this node can't apply is still sent to its children.
+    pub(crate) fn finish_step(&mut self, now: Instant, outcome: ApplyOutcome, step: &Step) {
+        let is_stuck = outcome == ApplyOutcome::Gap && self.replica.refused().is_some();
+        if outcome == ApplyOutcome::Refused || is_stuck {
             let behind = |link: &Link| link.role == Role::Child && link.version < step.version;
             for child in self.find_links(behind) {
                 self.note_peer_version(child, step.version);
                 self.send(child, step.frame());
             }
         }
-        self.handle_outcome(now, taken);
+        self.handle_outcome(now, outcome);
     }
 
-    pub(crate) fn handle_outcome(&mut self, now: Instant, taken: ApplyOutcome) {
-        match taken {
+    pub(crate) fn handle_outcome(&mut self, now: Instant, outcome: ApplyOutcome) {
+        match outcome {
             ApplyOutcome::Applied => self.propagate_version(now),
             ApplyOutcome::Gap => self.schedule_request(now),
             ApplyOutcome::Refused => {
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Hands a version on that has just been applied, and serves by it.
+    /// Sends on a version that has just been applied, and schedules a view of it.
     fn propagate_version(&mut self, now: Instant) {
         self.counters.versions += 1;
         self.sync.request_wait = REQUEST_RETRY.0;
@@ -187,7 +191,7 @@
         let links = self.links.values().filter(|link| link.is_established());
         let highest = links.map(|link| link.version).max();
         if self.sync.platform_head.max(highest.unwrap_or_default()) > held {
-            // On the way to a higher version, which replaces this one at once.
+            // A higher version exists and will replace this one shortly.
             self.sync.view_at.get_or_insert(now + VIEW_DELAY);
         } else {
             self.sync.view_at = Some(now);
@@ -208,10 +212,10 @@
         }
     }
 
-    /// Notes that a node has news, for all links but the one they came by.
+    /// Schedules an endpoint update for all links but the one that it came from.
     ///
-    /// A mere refresh makes no new view: at 14,000 endpoints these come all the
-    /// time, and a view of them takes milliseconds to make.
+    /// A refresh without changes causes no new view: with 14,000 endpoints, refreshes arrive all
+    /// the time, and a view takes milliseconds to build.
     fn propagate_endpoint(
         &mut self,
         now: Instant,
@@ -229,10 +233,11 @@
         }
     }
 
-    /// Speaks up when others say of this node what it didn't say itself.
+    /// Refutes an announcement about this node that it didn't make itself.
     fn refute(&mut self, now: Instant, endpoint: &Endpoint) {
         let Some(own) = &mut self.local_endpoint else {
-            // A former process of this VM; its place is taken once the backend server is here.
+            // Made by a former process of this VM. It is superseded once the backend server
+            // announces itself.
             let merged = self.table.merge(&Arc::new(endpoint.clone()), now);
             self.propagate_endpoint(now, &endpoint.node, merged, None);
             return;
@@ -270,7 +275,7 @@
         self.reannounce(now);
     }
 
-    /// Announces the own endpoint again, under a new number.
+    /// Announces this node's endpoint again, under a new sequence number.
     pub(crate) fn reannounce(&mut self, now: Instant) {
         let Some(own) = &mut self.local_endpoint else {
             return;
@@ -281,7 +286,7 @@
         self.propagate_endpoint(now, &endpoint.node, merged, None);
     }
 
-    /// Announces that the own endpoint is gone.
+    /// Announces that this node's endpoint is gone.
     pub(crate) fn withdraw(&mut self, now: Instant) {
         if let Some(own) = &mut self.local_endpoint {
             own.state = State::Gone;
@@ -306,12 +311,12 @@
         }
     }
 
-    pub(crate) fn send_sums(&mut self, key: LinkKey, is_reply: bool) {
+    pub(crate) fn send_checksums(&mut self, key: LinkKey, is_reply: bool) {
         let sums = self.table.bucket_checksums().to_vec();
         self.send(key, Frame::Sums { sums, is_reply });
     }
 
-    pub(crate) fn on_sums(&mut self, key: LinkKey, sums: &[u64], is_reply: bool) {
+    pub(crate) fn on_checksums(&mut self, key: LinkKey, sums: &[u64], is_reply: bool) {
         if sums.len() != BUCKETS {
             return;
         }
@@ -321,7 +326,7 @@
         if is_reply {
             self.set_synced();
         } else {
-            self.send_sums(key, true);
+            self.send_checksums(key, true);
         }
     }
 
@@ -330,18 +335,19 @@
         self.sync.sync_deadline = None;
     }
 
-    /// Serves without the endpoints of others, at once if no other root is known.
+    /// Limits the wait for the endpoints that other roots know; ends it at once if no other root
+    /// is known.
     ///
-    /// Guards against a restarted root that serves by the platform's version
-    /// with its own endpoint alone: until it met another root, callers at its
-    /// VM were told that no service but its own had an endpoint.
+    /// Guards against a restarted root that serves by the platform's version with no endpoint but
+    /// its own: until it was linked to another root, callers at its VM were told that no service
+    /// but its own had an endpoint.
     pub(crate) fn sync_without_roots(&mut self, now: Instant) {
         let own = &self.settings.local.node;
-        let mut seats = self.lease.leases().iter();
+        let mut leases = self.lease.leases().iter();
         if self.is_synced {
             return;
         }
-        if seats.any(|seat| seat.is_live && seat.holder.node != *own) {
+        if leases.any(|lease| lease.is_live && lease.holder.node != *own) {
             self.sync
                 .sync_deadline
                 .get_or_insert(now + ROOT_SYNC_TIMEOUT);
@@ -403,7 +409,7 @@
         }
     }
 
-    /// Asks the neighbour that holds the highest version for what is missing here.
+    /// Requests the missing versions from the neighbour with the highest version.
     fn request_missing(&mut self, now: Instant) {
         self.sync.request_at = None;
         let after = self.version();
@@ -423,10 +429,10 @@
     }
 }
 
-/// Makes `own` newer than what others know of this node.
+/// Ranks `own` above what other nodes know of this node.
 ///
-/// A clock that was set back between two processes would else leave the dead
-/// process's word standing for good.
+/// Without this, if the clock was set back between two processes, the dead process's announcement
+/// would prevail forever.
 fn supersede(own: &mut Endpoint, known: &Endpoint) {
     if known.incarnation == own.incarnation {
         own.sequence = own.sequence.max(known.sequence);
--- a/crates/fleet/src/tree.rs
+++ b/crates/fleet/src/tree.rs
@@ -1,7 +1,8 @@
-//! A node's place in its zone's tree: parents and paths, no cycles.
+//! A node's position in its zone's distribution tree: its parent, its path, and cycle prevention.
 //!
-//! Paths from the root are carried down. A node never joins below itself: it
-//! refuses a parent whose path names it, and leaves one whose path comes to.
+//! Each node sends its path from the root down to its children. A node never joins below itself:
+//! it refuses a parent whose path contains it, and leaves a parent whose path changes to contain
+//! it.
 
 use crate::children;
 use crate::event::{Action, PlatformRequest};
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Takes the answer to this node's first frame.
+    /// Handles the reply to this node's handshake frame.
     pub(crate) fn on_handshake_reply(
         &mut self,
         now: Instant,
@@ -96,7 +97,7 @@
             ) if self.lease.is_root() => {
                 self.on_version_source(key, version, is_ready);
                 self.establish_link(now, key, Role::RootPeer, version);
-                self.send_sums(key, false);
+                self.send_checksums(key, false);
             }
             (
                 Frame::Refuse {
@@ -118,7 +119,7 @@
     fn on_refused(&mut self, now: Instant, key: LinkKey, wait: Duration) {
         self.close(key);
         if let Some(address) = self.search.finish_dial(key) {
-            // Half as much again, so that those refused together don't come back together.
+            // Up to half as much again, so that nodes refused together don't retry together.
             let wait = wait + self.jitter(wait / 2);
             self.candidates.postpone(address, now + wait);
             self.search.continue_after_attempt(true, now);
@@ -143,20 +144,20 @@
         self.counters.parents += 1;
         self.establish_link(now, key, Role::Parent, version);
         self.set_path(path);
-        self.send_sums(key, false);
+        self.send_checksums(key, false);
         if std::mem::take(&mut self.search.was_parent_lost) {
-            // The former parent may live and count this node as lost.
+            // The former parent may still run, and count this node as lost.
             self.reannounce(now);
         }
     }
 
-    /// Asks another node than the parent what it holds, before this process serves.
+    /// Queries a node other than the parent for its version, before this process serves.
     pub(crate) fn query_version_source(&mut self, now: Instant) {
         let parents = self.find_links(|link| link.role == Role::Parent);
         let parent = parents.first().and_then(|key| self.links.get(key));
         let parent = parent.and_then(|link| link.peer.as_ref().map(|peer| peer.address));
-        let witness = self.candidates.pick_version_source(parent);
-        if let Some(address) = witness.filter(|address| self.is_eligible_parent(*address)) {
+        let source = self.candidates.pick_version_source(parent);
+        if let Some(address) = source.filter(|address| self.is_eligible_parent(*address)) {
             self.dial(address, Purpose::Ask, now);
         }
     }
@@ -184,11 +185,14 @@
         self.set_path(path);
     }
 
-    /// Sets the path of the parent, empty for none, and tells the children.
+    /// Sets the path from the parent's path (empty for none), and sends it to the children.
     pub(crate) fn set_path(&mut self, mut path: Vec<SmolStr>) {
         if !path.is_empty() {
             let own = &self.settings.local.node;
-            assert!(!path.contains(own), "no node is below itself");
+            assert!(
+                !path.contains(own),
+                "the path of the parent must not contain this node"
+            );
             path.push(own.clone());
         }
         self.propagate_path(path);
@@ -204,7 +208,7 @@
         }
     }
 
-    /// Forgets a link that ended; `is_clean` when it ended on purpose.
+    /// Drops a link; `is_clean` if it was closed on purpose, not lost.
     pub(crate) fn drop_link(&mut self, now: Instant, key: LinkKey, is_clean: bool) {
         let Some(link) = self.close(key) else {
             return;
