--- a/crates/fleet/tests/converge.rs
+++ b/crates/fleet/tests/converge.rs
@@ -1,4 +1,4 @@
-//! Versions reach every node, in a quiet fleet and under each fault.
+//! Versions reach every node, in an idle fleet and under each kind of fault.
 
 mod world;
 
@@ -23,14 +23,14 @@
     let bytes = world.bytes;
     world.run(60 * S);
     let calls = world.platform.calls - before;
-    // Nine roots, a renewal each 3 s and a reading each 5 s.
+    // Nine roots, each with a renewal every 3 s and a read every 5 s.
     assert!(calls <= 9 * (20 + 12), "{calls} calls in a minute");
     let bytes = (world.bytes - bytes) / 60 / 60;
     assert!(bytes < 200, "{bytes} idle bytes a second a node");
 }
 
 fn started(zones: usize, per_zone: usize, seed: u64) -> World {
-    // Without seeds: the zones must come back by themselves.
+    // Without seeds, so that zones must recover by themselves.
     let mut world = World::start(zones, per_zone, seed, false);
     world.run(15 * S);
     let version = world.propose();
@@ -40,14 +40,13 @@
 
 fn roots(world: &World, zone: usize) -> Vec<usize> {
     let holders = world.platform.roots(&zone_name(zone), world.now);
-    let find = |holder: &fleet::Peer| world.vms.iter().position(|vm| vm.own == *holder);
+    let find = |holder: &fleet::Peer| world.vms.iter().position(|vm| vm.peer == *holder);
     holders.iter().filter_map(find).collect()
 }
 
-// A rack with all three roots of a zone goes. The zone's nodes hold on to
-// what they have, yet an operator's next version would not come. Cause:
-// everybody's way to the platform went through the three. It is to be in
-// force within 2 s all the same, long before there are new roots.
+// A rack that hosts all three roots of a zone fails. The zone's nodes keep the configuration that
+// they hold, but the next version would not reach them, because their only paths to the platform
+// went through these roots. It must be in force within 2 s, long before there are new roots.
 #[test]
 fn roots_killed() {
     for is_vm in [false, true] {
@@ -61,46 +60,49 @@
     }
 }
 
-// A zone loses the platform, but not the other zones: its shops must still
-// switch routes with the others.
+// A zone can't reach the platform, but reaches the other zones: its nodes must still switch routes
+// together with the others.
 #[test]
 fn platform_cut_from_zone() {
     let mut world = started(3, 10, 3);
     for root in roots(&world, 1) {
-        world.platform.silent_followers.insert(root);
+        world.platform.silent_watchers.insert(root);
     }
     let version = world.propose();
     world.run_until(S, "through other zones", |world| world.all_serve(version));
 }
 
-// A zone is cut from all others and, with them, from the platform's news. It
-// serves on, its list of endpoints stays whole, and after the cut it catches
-// up in one step.
+// A zone is partitioned from all others and gets no updates from the platform. It continues to
+// serve, its list of endpoints stays complete, and after the partition it catches up in one step.
 #[test]
 fn zone_partitioned() {
     let mut world = started(3, 10, 4);
     let cut = roots(&world, 2);
     world.partition(2, 0);
     world.partition(2, 1);
-    world.platform.silent_followers.extend(&cut);
+    world.platform.silent_watchers.extend(&cut);
     let mut version = world.propose();
     for _ in 0..99 {
         version = world.propose();
     }
     world.run(60 * S);
     for vm in 0..world.vms.len() {
-        assert_eq!(world.serving_count(vm), 30, "a cut empties no list");
+        assert_eq!(
+            world.serving_count(vm),
+            30,
+            "a partition removes no endpoints"
+        );
         assert_eq!(world.vms[vm].served < version, vm % 3 == 2);
     }
     world.partitions.clear();
-    world.platform.silent_followers.clear();
+    world.platform.silent_watchers.clear();
     let follow = world.propose();
     world.run_until(6 * S, "after the cut", |world| world.all_serve(follow));
     let behind = &world.vms[2].installed;
     assert!(behind.len() <= 4, "caught up in steps: {behind:?}");
 }
 
-// All VMs of a zone restart in the same second and ask for parents at once.
+// All VMs of a zone restart in the same second and look for parents at once.
 #[test]
 fn herd_restart() {
     let mut world = started(3, 60, 5);
@@ -118,13 +120,16 @@
         world.spawn(*vm);
     }
     let version = world.propose();
-    world.run_until(6 * S, "herd", |world| world.all_serve(version));
+    world.run_until(6 * S, "a restart of a zone", |world| {
+        world.all_serve(version)
+    });
     let calls = world.platform.calls - calls;
     assert!(calls < 400, "{calls} calls for 60 processes in 8 s");
 }
 
-// The platform is out for an hour, and operators' versions wait. Nodes serve
-// on; when it comes back nobody storms it, and the next version reaches all.
+// During a long outage of the platform (here 600 s), versions of the operators wait and nodes
+// continue to serve. When it ends, the nodes must not overload the platform, and the next version
+// reaches all of them.
 #[test]
 fn platform_out() {
     let mut world = started(3, 10, 6);
@@ -140,9 +145,9 @@
     world.run_until(S, "after the outage", |world| world.all_serve(version));
 }
 
-// A root is stopped (SIGSTOP) until its lease has lapsed and is another's.
-// It wakes and still thinks that it holds it, with yesterday's version. Its
-// former children must not follow it back, and it must step down.
+// A root is stopped (SIGSTOP) until its lease has expired and another node holds it. When resumed,
+// it still acts as the holder, with an outdated version. Its former children must not go back to
+// that version, and it must stop being a root.
 #[test]
 fn root_frozen() {
     let mut world = started(2, 12, 7);
@@ -155,17 +160,17 @@
     });
     assert!(!roots(&world, 0).contains(&frozen));
     world.unfreeze(frozen);
-    world.run_until(6 * S, "thawed", |world| world.all_serve(version));
+    world.run_until(6 * S, "resumed", |world| world.all_serve(version));
     let node = world.vms[frozen].node.as_ref().expect("runs");
     assert!(
         !node.is_root(),
-        "a root whose lease is another's steps down"
+        "a node whose lease was taken over is no root"
     );
 }
 
-// Something between a child and its parent has lost track of their
-// connection: nothing comes any more, and no error shows. The child would
-// hold yesterday's version for good.
+// A device between a child and its parent has dropped the state of their connection: no frame
+// arrives any more, and neither end sees an error. The child would keep an outdated version
+// forever.
 #[test]
 fn link_silent() {
     let mut world = started(2, 12, 8);
@@ -182,10 +187,9 @@
     world.run_until(6 * S, "silent links", |world| world.all_serve(version));
 }
 
-// A connection is dead one way only: a child hears its parent's beats, but the
-// parent hears nothing and gives the child up, and the child isn't told. It
-// would go on hearing nothing new until it gave up the parent in turn; the
-// echo in the beats shows it earlier that it isn't heard.
+// A connection is dead in one direction only: a child gets its parent's heartbeats, but the parent
+// gets nothing and drops the child, which isn't told. The child would get no updates until it
+// dropped the parent in turn. The echo in the heartbeats tells it earlier that its own are lost.
 #[test]
 fn link_one_way() {
     let mut world = started(2, 12, 10);
@@ -198,27 +202,27 @@
     }
     world.run(3_700 * MS);
     let version = world.propose();
-    world.run_until(2 * S, "mute links", |world| world.all_serve(version));
+    world.run_until(2 * S, "one-way links", |world| world.all_serve(version));
 }
 
-// The platform's answers to renewals are lost after the writes took effect.
-// Roots must not give up leases that they hold, nor others take them.
+// The platform's responses to renewals are lost after the writes took effect. Roots must not give
+// up the leases that they hold, and other nodes must not take them.
 #[test]
 fn renewal_answer_lost() {
     let mut world = started(2, 8, 9);
     let before = roots(&world, 0);
-    world.platform.loses_answers = true;
+    world.platform.drops_responses = true;
     world.run(30 * S);
-    world.platform.loses_answers = false;
+    world.platform.drops_responses = false;
     world.run(10 * S);
-    assert_eq!(roots(&world, 0), before, "a lost answer costs no lease");
+    assert_eq!(roots(&world, 0), before, "a lost response costs no lease");
     let version = world.propose();
-    world.run_until(S, "after lost answers", |world| world.all_serve(version));
+    world.run_until(S, "after lost responses", |world| world.all_serve(version));
 }
 
-// The platform is out, and one after the other all VMs of a zone are restarted.
-// Callers at each are refused until the outage ends. Cause: a new process has
-// nobody to ask, and once the zone's roots are gone no other may take a lease.
+// During an outage of the platform, all VMs of a zone are restarted one after the other. Without
+// acting roots, callers at each would be refused until the outage ends: a new process has no node
+// to ask, and once the zone's roots are gone no other node can take a lease.
 #[test]
 fn restarts_without_platform() {
     let mut world = started(3, 4, 11);
@@ -240,8 +244,8 @@
     world.run_until(20 * S, "roots", |world| roots(world, 1).len() == 3);
 }
 
-// All roots of a zone die while the platform is out. The zone's list of
-// endpoints stands still: it doesn't learn of what leaves or comes elsewhere.
+// All roots of a zone fail during an outage of the platform. Without acting roots, the zone's list
+// of endpoints would become stale: it gets no updates of nodes that join or leave in other zones.
 #[test]
 fn roots_killed_without_platform() {
     let mut world = started(3, 8, 12);
@@ -257,16 +261,15 @@
         .collect();
     let before: Vec<_> = living.iter().map(|vm| world.serving_count(*vm)).collect();
     world.set_backend(0, config::State::Leaving);
-    world.run_until(2 * S, "news from another zone", |world| {
+    world.run_until(2 * S, "an update from another zone", |world| {
         let now = living.iter().map(|vm| world.serving_count(*vm));
         now.zip(&before).all(|(now, before)| now + 1 == *before)
     });
 }
 
-// All VMs lose power in the same second and come back. Calls are refused for
-// two seconds more than it takes to start, as each VM serves only by its own
-// backend server. Cause: each had read the leases before the others were roots
-// again, and read them next 5 s later.
+// All VMs lose power in the same second and start again. Calls were refused for two seconds longer
+// than the start takes, as each VM served only by its own backend server: each had read the leases
+// before the others were roots again, and read them again only 5 s later.
 #[test]
 fn all_restarted() {
     let mut world = started(3, 3, 13);
--- a/crates/fleet/tests/randomised.rs
+++ b/crates/fleet/tests/randomised.rs
@@ -1,7 +1,8 @@
-//! Long runs of kills, cuts, freezes, outages and races, at pinned seeds.
+//! Long runs of kills, partitions, freezes, outages and races, with fixed seeds.
 //!
-//! The world checks every view that a VM serves by: never below the one
-//! before, also over restarts, and whole; views check themselves to be closed.
+//! The world checks every view that a VM serves by: its version is never lower than the one
+//! before, also across restarts, and its configuration is complete. A view checks by itself that it
+//! has no dangling references.
 
 mod world;
 
@@ -13,7 +14,7 @@
 const NODES: usize = 36;
 const STEPS: usize = 250;
 
-/// One random event.
+/// Injects one random fault or ends one.
 fn inject_fault(world: &mut World) {
     let vm = world.random_index(NODES);
     match world.random_index(18) {
@@ -31,7 +32,7 @@
         10 => world.drop_incoming(vm),
         11 => world.platform.is_down = true,
         12 => {
-            world.platform.loses_answers = !world.platform.loses_answers;
+            world.platform.drops_responses = !world.platform.drops_responses;
             world.restore_platform();
         }
         13 => {
@@ -57,12 +58,12 @@
     }
 }
 
-/// Ends all faults and starts all processes.
+/// Ends all faults and starts all processes that are down.
 fn end_faults(world: &mut World) {
     world.network_faults = NetworkFaults::default();
     world.partitions.clear();
-    world.platform.loses_answers = false;
-    world.platform.silent_followers.clear();
+    world.platform.drops_responses = false;
+    world.platform.silent_watchers.clear();
     world.platform.unreachable_zones.clear();
     world.restore_platform();
     for vm in 0..NODES {
@@ -102,7 +103,7 @@
     }
     end_faults(&mut world);
     let version = world.propose();
-    world.run_until(30 * S, "healed", |world| {
+    world.run_until(30 * S, "faults ended", |world| {
         world.all_serve(version) && world.all_rooted()
     });
     world.run_until(30 * S, "endpoints", |world| {
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A few dozen state machines in one thread, joined by links that may fail, on virtual time.
+//! A simulation of a few dozen nodes in one thread, with virtual time and links that may fail.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod platform;
@@ -26,7 +26,7 @@
 pub const MS: Duration = Duration::from_millis(1);
 pub const S: Duration = Duration::from_secs(1);
 
-/// What comes to a process.
+/// An input to the process of a VM.
 #[derive(Debug)]
 enum Input {
     Dialled { from: usize, from_key: LinkKey },
@@ -34,11 +34,11 @@
     Refused { key: LinkKey },
     Closed { conn: usize },
     Frame { conn: usize, frame: Box<Frame> },
-    Answer(PlatformResponse),
+    Platform(PlatformResponse),
     Crashes(Vec<Crash>),
     Report(Rollout),
     Tally(SmolStr, Tally),
-    Own,
+    BackendChanged,
     Wake,
 }
 
@@ -68,25 +68,25 @@
     }
 }
 
-/// A VM: its process, if it runs, and what the VM served by.
+/// A VM: its process, if it runs, and the views that it served by.
 #[derive(Debug)]
 pub struct Vm {
-    pub own: Peer,
+    pub peer: Peer,
     pub service: String,
     pub node: Option<Node>,
     pub incarnation: u64,
     pub view: Option<Arc<View>>,
-    /// Highest version that the VM ever served by, over all its processes.
+    /// Highest version that the VM ever served by, across all its processes.
     pub served: Version,
-    /// When it began to serve by each version.
+    /// When the VM began to serve by each version.
     pub installed: BTreeMap<Version, Duration>,
     frozen_inputs: Option<VecDeque<(u64, Input)>>,
-    /// What the process knows of crashes.
+    /// Crashes that the process knows of.
     crash_history: CrashHistory,
-    /// What its calls follow.
+    /// Roll-outs that its calls follow.
     pub rollouts: Vec<Rollout>,
     pub backend: State,
-    /// How far the VM's time of day is behind.
+    /// How far the VM's wall clock is behind.
     clock_offset: Duration,
     wake_at: Duration,
 }
@@ -94,16 +94,16 @@
 #[derive(Debug)]
 struct Connection {
     ends: [(usize, u64, Option<LinkKey>); 2],
-    /// Earliest arrival at each end, to keep frames in order.
+    /// Latest arrival so far at each end, to keep frames in order.
     last_arrival: [Duration; 2],
-    /// Whether frames towards each end vanish.
+    /// Whether frames towards each end are dropped.
     is_silent: [bool; 2],
-    /// Whether neither end learns that the other has closed.
+    /// Whether neither end learns that the other has closed the connection.
     drops_close: bool,
     is_open: bool,
 }
 
-/// How badly the network treats news.
+/// Probabilities of network faults that hit updates of configuration and endpoints.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NetworkFaults {
     pub drop: f64,
@@ -116,18 +116,18 @@
     pub platform: Platform,
     pub now: Duration,
     pub network_faults: NetworkFaults,
-    /// Zones that can't reach each other.
+    /// Pairs of zones that can't reach each other.
     pub partitions: BTreeSet<(String, String)>,
     pub bytes: u64,
-    /// Those of news of crashes.
+    /// Bytes of frames with crashes.
     pub crash_report_bytes: u64,
-    /// Those of roll-outs.
+    /// Bytes of frames with roll-outs and tallies.
     pub rollout_bytes: u64,
-    /// Versions that a node took out for a fault.
+    /// Number of times that a node stopped the roll-out of a version.
     pub stopped_versions: u64,
-    /// Reports on roll-outs that were tried to write.
+    /// Number of attempts to write the state of a roll-out to the platform.
     pub report_attempts: u64,
-    /// Whether processes are started with seeds.
+    /// Whether processes start with seeds in their settings.
     pub has_seeds: bool,
     start: Instant,
     rng: SmallRng,
@@ -144,7 +144,7 @@
         Self::start(zones, per_zone, seed, true)
     }
 
-    /// Starts three zones of `per_zone` nodes, and waits until all serve.
+    /// Starts three zones of `per_zone` nodes and waits until all serve.
     pub fn serving_nodes(per_zone: usize) -> Self {
         let mut world = Self::new(3, per_zone, 7);
         let version = world.propose();
@@ -155,7 +155,7 @@
         world
     }
 
-    /// Ends the processes of some VMs at once, and starts them a second later.
+    /// Kills the processes of some VMs at once and starts them again a second later.
     pub fn restart(&mut self, vms: &[usize]) {
         for vm in vms {
             self.kill(*vm, false);
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Runs until all of `vms` serve, and checks `is_fit` at the first millisecond of each.
+    /// Runs until all of `vms` serve, and checks `is_fit` in the millisecond in which each becomes
+    /// ready.
     pub fn check_when_ready<F>(&mut self, vms: &[usize], is_fit: F)
     where
         F: Fn(&Self, usize) -> bool,
@@ -183,7 +184,7 @@
         assert!(waiting.is_empty(), "{waiting:?} don't serve after 5 s");
     }
 
-    /// As [`World::new`], with seeds in the settings or none.
+    /// As [`World::new`], with or without seeds in the settings.
     pub fn start(zones: usize, per_zone: usize, seed: u64, has_seeds: bool) -> Self {
         let mut world = Self {
             vms: Vec::new(),
@@ -209,7 +210,7 @@
             let address = SocketAddr::from(([127, 0, 0, 1], u16::try_from(index + 1).unwrap()));
             world.by_address.insert(address, index);
             world.vms.push(Vm {
-                own: Peer {
+                peer: Peer {
                     node: format!("vm-{index}").into(),
                     zone: zone_name(index % zones).into(),
                     address,
@@ -242,18 +243,18 @@
         self.rng.random_range(0..count)
     }
 
-    /// Starts a VM's process anew.
+    /// Starts a new process on a VM.
     pub fn spawn(&mut self, vm: usize) {
         let now = self.instant();
-        // One of another zone, two of the own (zones take turns).
+        // One in another zone and two in the VM's own (zones alternate).
         let seeds = [vm + 7, vm + 3, vm + 9].map(|other| other % self.vms.len());
         let seeds = seeds.into_iter().filter(|_| self.has_seeds);
-        let seeds = seeds.map(|other| self.vms[other].own.address).collect();
+        let seeds = seeds.map(|other| self.vms[other].peer.address).collect();
         let seed = self.rng.random();
         let slot = &mut self.vms[vm];
         slot.incarnation += 1;
         let settings = Settings {
-            local: slot.own.clone(),
+            local: slot.peer.clone(),
             region: "north".into(),
             incarnation: slot.incarnation,
             started_ms: u64::try_from(self.now.saturating_sub(slot.clock_offset).as_millis())
@@ -269,14 +270,14 @@
         slot.rollouts.clear();
         slot.backend = State::Serving;
         slot.wake_at = Duration::MAX;
-        self.schedule(vm, Duration::ZERO, Input::Own);
+        self.schedule(vm, Duration::ZERO, Input::BackendChanged);
     }
 
-    /// Ends a VM's process; with `is_vm` the whole VM vanishes, and nobody is told.
+    /// Kills a VM's process; with `is_vm` the whole VM goes down, and no peer sees its links close.
     pub fn kill(&mut self, vm: usize, is_vm: bool) {
         self.vms[vm].node = None;
         self.vms[vm].frozen_inputs = None;
-        self.platform.unfollow(vm);
+        self.platform.unwatch(vm);
         for conn in 0..self.connections.len() {
             let ends = self.connections[conn].ends.map(|end| end.0);
             if self.connections[conn].is_open && ends.contains(&vm) {
@@ -294,21 +295,21 @@
     }
 
     pub fn unfreeze(&mut self, vm: usize) {
-        let Some(kept) = self.vms[vm].frozen_inputs.take() else {
+        let Some(inputs) = self.vms[vm].frozen_inputs.take() else {
             return;
         };
-        for (incarnation, input) in kept {
+        for (incarnation, input) in inputs {
             self.schedule_for(vm, incarnation, Duration::ZERO, input);
         }
         self.schedule(vm, Duration::ZERO, Input::Wake);
     }
 
-    /// Sets a VM's time of day back.
+    /// Sets a VM's wall clock back.
     pub fn set_clock_back(&mut self, vm: usize, by: Duration) {
         self.vms[vm].clock_offset = by;
     }
 
-    /// Makes all links of a VM silent towards it; new ones work.
+    /// Drops all that comes to a VM over its present links; new links work.
     pub fn drop_incoming(&mut self, vm: usize) {
         for conn in &mut self.connections {
             for side in 0..2 {
@@ -319,7 +320,8 @@
         }
     }
 
-    /// Loses all that a VM sends over its links, and the news that they were closed; what comes to it still comes.
+    /// Drops all that a VM sends over its present links, and the closing of these; what comes to it
+    /// still arrives.
     pub fn drop_outgoing(&mut self, vm: usize) {
         for conn in &mut self.connections {
             for side in 0..2 {
@@ -331,22 +333,22 @@
         }
     }
 
-    /// Makes a VM's backend server leave or come back.
+    /// Changes the state of a VM's backend server.
     pub fn set_backend(&mut self, vm: usize, state: State) {
         self.vms[vm].backend = state;
-        self.schedule(vm, Duration::ZERO, Input::Own);
+        self.schedule(vm, Duration::ZERO, Input::BackendChanged);
     }
 
-    /// Stops a VM's process in order.
+    /// Shuts a VM's process down gracefully.
     pub fn leave(&mut self, vm: usize) {
         let now = self.instant();
         if let Some(node) = &mut self.vms[vm].node {
             let actions = node.handle(now, Event::Leave);
             self.run_actions(vm, actions);
         }
-        // The process ends once what was sent is out.
+        // The process ends once its last frames are sent.
         self.vms[vm].node = None;
-        self.platform.unfollow(vm);
+        self.platform.unwatch(vm);
     }
 
     pub fn partition(&mut self, a: usize, b: usize) {
@@ -362,11 +364,11 @@
     }
 
     fn is_partitioned(&self, one: usize, other: usize) -> bool {
-        let zone = |vm: usize| self.vms[vm].own.zone.to_string();
+        let zone = |vm: usize| self.vms[vm].peer.zone.to_string();
         self.partitions.contains(&(zone(one), zone(other)))
     }
 
-    /// Accepts a version that adds a service and a route to it.
+    /// Publishes a version that adds a service and a route to it.
     pub fn propose(&mut self) -> Version {
         let number = self.platform.head().0 + 1;
         let service = |name: String| Change::PutService {
@@ -397,28 +399,28 @@
         self.accept(Patch::from(changes))
     }
 
-    /// Accepts a patch, and tells the followers.
+    /// Publishes a patch and sends it to the watchers.
     pub fn accept(&mut self, patch: Patch) -> Version {
         let version = self.platform.accept(patch);
-        self.feed_followers();
+        self.notify_watchers();
         version
     }
 
-    /// Ends an outage: followers catch up.
+    /// Ends an outage of the platform; watchers catch up.
     pub fn restore_platform(&mut self) {
         self.platform.is_down = false;
-        self.feed_followers();
+        self.notify_watchers();
     }
 
-    fn feed_followers(&mut self) {
-        for (vm, answers) in self.platform.take_updates() {
-            for answer in answers {
-                self.schedule(vm, MS, Input::Answer(answer));
+    fn notify_watchers(&mut self) {
+        for (vm, responses) in self.platform.take_updates() {
+            for response in responses {
+                self.schedule(vm, MS, Input::Platform(response));
             }
         }
     }
 
-    /// Runs for a time.
+    /// Runs the simulation for a duration.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(Reverse(due)) = self.queue.peek() {
@@ -434,7 +436,7 @@
         self.now = end;
     }
 
-    /// Runs until `is_done`, or fails after `limit`; gives the time it took.
+    /// Runs until `is_done`, or fails after `limit`; returns the time that it took.
     pub fn run_until<F>(&mut self, limit: Duration, what: &str, is_done: F) -> Duration
     where
         F: Fn(&Self) -> bool,
@@ -451,7 +453,7 @@
         self.now.saturating_sub(begun)
     }
 
-    /// Tells whether all running processes serve by `version`.
+    /// Returns whether all running processes serve by `version` or a later one.
     pub fn all_serve(&self, version: Version) -> bool {
         self.vms
             .iter()
@@ -463,7 +465,7 @@
             })
     }
 
-    /// Tells whether all running processes have a way to a root.
+    /// Returns whether all running processes have a path to a root.
     pub fn all_rooted(&self) -> bool {
         self.vms
             .iter()
@@ -471,7 +473,7 @@
             .all(|node| !node.path().is_empty())
     }
 
-    /// Counts the endpoints that take new work in a VM's view.
+    /// Returns the number of endpoints in a VM's view that take new work.
     pub fn serving_count(&self, vm: usize) -> usize {
         let view = self.vms[vm].view.as_ref();
         view.map_or(0, |view| {
@@ -485,8 +487,8 @@
             let node = vm.node.as_ref();
             format!(
                 "{} {} served {} held {:?} path {:?} ready {:?} endpoints {} frozen {}",
-                vm.own.node,
-                vm.own.zone,
+                vm.peer.node,
+                vm.peer.zone,
                 vm.served,
                 node.map(Node::version),
                 node.map(Node::path),
@@ -532,8 +534,8 @@
             }
             return;
         }
-        if let Some(kept) = &mut self.vms[vm].frozen_inputs {
-            kept.push_back((incarnation, input));
+        if let Some(inputs) = &mut self.vms[vm].frozen_inputs {
+            inputs.push_back((incarnation, input));
             return;
         }
         let now = self.instant();
@@ -542,12 +544,12 @@
         }
         let event = match input {
             Input::Dialled { from, from_key } => {
-                self.connect(vm, from, from_key);
+                self.accept_connection(vm, from, from_key);
                 return;
             }
             Input::Connected { key, to } => Event::Connected {
                 link: key,
-                peer: self.vms[to].own.clone(),
+                peer: self.vms[to].peer.clone(),
             },
             Input::Refused { key } => Event::Closed { link: key },
             Input::Closed { conn } => match self.key_at(conn, vm) {
@@ -561,14 +563,14 @@
                 },
                 None => return,
             },
-            Input::Answer(answer) => Event::Platform(answer),
+            Input::Platform(response) => Event::Platform(response),
             Input::Crashes(list) => Event::LocalCrashes(list),
             Input::Tally(service, tally) => Event::LocalTallies(vec![(service, tally)]),
             Input::Report(rollout) => {
-                self.report(vm, rollout);
+                self.write_rollout(vm, rollout);
                 return;
             }
-            Input::Own => Event::BackendAnnounced(Backend {
+            Input::BackendChanged => Event::BackendAnnounced(Backend {
                 service: self.vms[vm].service.clone().into(),
                 version: "".into(),
                 slots: 6,
@@ -591,7 +593,7 @@
         let Some(node) = &self.vms[vm].node else {
             return;
         };
-        // A process that asks to be woken in the past would spin.
+        // A node that asks for a wake-up in the past would loop at one time.
         let next = node.next_wake(now).max(now + Duration::from_micros(100));
         let at = next - self.start;
         if at < self.vms[vm].wake_at {
@@ -600,10 +602,10 @@
         }
     }
 
-    /// The callee accepts: both ends learn of the link.
-    fn connect(&mut self, vm: usize, from: usize, from_key: LinkKey) {
+    /// Accepts a connection on a VM and notifies both ends.
+    fn accept_connection(&mut self, vm: usize, from: usize, from_key: LinkKey) {
         let now = self.instant();
-        let peer = self.vms[from].own.clone();
+        let peer = self.vms[from].peer.clone();
         let Some(node) = &mut self.vms[vm].node else {
             return;
         };
@@ -659,8 +661,8 @@
     fn run_actions(&mut self, vm: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Connect { link, address } => self.dial(vm, link, address),
-                Action::Send { link, frame } => self.send(vm, link, &frame),
+                Action::Connect { link, address } => self.connect_to(vm, link, address),
+                Action::Send { link, frame } => self.send_frame(vm, link, &frame),
                 Action::Close { link } => {
                     let key = (vm, self.vms[vm].incarnation, link);
                     if let Some(conn) = self.by_key.remove(&key)
@@ -670,79 +672,80 @@
                     }
                 }
                 Action::QueryPlatform(request) => self.ask_platform(vm, request),
-                Action::InstallView(view) => self.install(vm, view),
+                Action::InstallView(view) => self.install_view(vm, view),
                 Action::UpdateQuarantine(list) => self.record_crashes(vm, &list),
                 Action::WriteCrashes { slot, list } => self.write_crashes(vm, slot, list),
-                Action::ApplyRollouts(list) => self.follow_rollouts(vm, list),
-                Action::WriteRollout(rollout) => self.report(vm, rollout),
+                Action::ApplyRollouts(list) => self.apply_rollouts(vm, list),
+                Action::WriteRollout(rollout) => self.write_rollout(vm, rollout),
                 Action::RolloutStopped { .. } => self.stopped_versions += 1,
             }
         }
     }
 
-    fn follow_rollouts(&mut self, vm: usize, list: Vec<Rollout>) {
+    fn apply_rollouts(&mut self, vm: usize, list: Vec<Rollout>) {
         for rollout in &list {
             let was_final = self.vms[vm].rollouts.iter().any(|known| {
                 known.target == rollout.target
                     && known.stage.is_final()
                     && known.stage != rollout.stage
             });
-            assert!(!was_final, "a verdict stands for good: {rollout:?}");
+            assert!(!was_final, "an outcome is final: {rollout:?}");
         }
         self.vms[vm].rollouts = list;
     }
 
-    fn report(&mut self, vm: usize, rollout: Rollout) {
+    fn write_rollout(&mut self, vm: usize, rollout: Rollout) {
         self.report_attempts += 1;
-        let zone = self.vms[vm].own.zone.to_string();
-        let Some((stands, readers)) = self.platform.report(&zone, &rollout) else {
-            // Tried again until it stands.
+        let zone = self.vms[vm].peer.zone.to_string();
+        let Some((current, readers)) = self.platform.report(&zone, &rollout) else {
+            // Retried until it is written.
             let incarnation = self.vms[vm].incarnation;
             self.schedule_for(vm, incarnation, 300 * MS, Input::Report(rollout));
             return;
         };
-        let answer = PlatformResponse::Rollouts(vec![stands]);
+        let response = PlatformResponse::Rollouts(vec![current]);
         for reader in readers.into_iter().chain([vm]) {
-            self.schedule(reader, 3 * MS, Input::Answer(answer.clone()));
+            self.schedule(reader, 3 * MS, Input::Platform(response.clone()));
         }
     }
 
-    /// Has operators order a version.
+    /// Starts the roll-out of a version, as operators do.
     pub fn order_rollout(&mut self, service: &str, target: &str, duration: Duration) {
         let readers = self.platform.order_rollout(service, target, duration);
         for reader in readers {
-            let answer = PlatformResponse::Rollouts(self.platform.rollouts());
-            self.schedule(reader, 3 * MS, Input::Answer(answer));
+            let response = PlatformResponse::Rollouts(self.platform.rollouts());
+            self.schedule(reader, 3 * MS, Input::Platform(response));
         }
     }
 
-    /// Has the platform come back from a copy that lacks all verdicts and crashes.
+    /// Restores the platform from a copy that lacks all outcomes of roll-outs and all crashes.
     pub fn restore_from_copy(&mut self) {
         for reader in self.platform.lose_recent_writes() {
-            self.schedule(reader, 3 * MS, Input::Answer(PlatformResponse::Restored));
-            let answer = PlatformResponse::Rollouts(self.platform.rollouts());
-            self.schedule(reader, 4 * MS, Input::Answer(answer));
+            self.schedule(reader, 3 * MS, Input::Platform(PlatformResponse::Restored));
+            let response = PlatformResponse::Rollouts(self.platform.rollouts());
+            self.schedule(reader, 4 * MS, Input::Platform(response));
         }
     }
 
-    /// Gives how far a VM's calls take a roll-out to have come.
+    /// Returns the stage of a roll-out that a VM's calls follow.
     pub fn stage(&self, vm: usize, service: &str) -> Option<Stage> {
         let known = self.vms[vm].rollouts.iter();
         let mut known = known.filter(|rollout| rollout.service == service);
         known.next().map(|rollout| rollout.stage)
     }
 
-    /// Has a VM's outbound proxy tell what it has counted.
+    /// Reports a tally of a VM's outbound proxy to its node.
     pub fn report_tally(&mut self, vm: usize, service: &str, tally: Tally) {
         self.schedule(vm, Duration::ZERO, Input::Tally(service.into(), tally));
     }
 
-    /// Has a VM's backend server crash under a request; `id` names the crash.
+    /// Simulates a crash of a VM's backend server while it handles a request; `id` identifies the
+    /// crash.
     pub fn crash(&mut self, vm: usize, request: Digest, id: u64) {
         let crash = Crash {
             id,
             request,
-            node: self.vms[vm].own.node.clone(),
+            node: self.vms[vm].peer.node.clone(),
             service: self.vms[vm].service.clone().into(),
             method: "GET".into(),
             path: "/s0/deadly".into(),
@@ -754,27 +757,27 @@
         self.schedule(vm, Duration::ZERO, Input::Crashes(vec![crash]));
     }
 
-    /// Has a VM's backend server answer a request.
+    /// Simulates that a VM's backend server answers a request.
     pub fn answer(&mut self, vm: usize, request: Digest) {
         let now = self.instant();
         let cleared = self.vms[vm].crash_history.clear(now, request);
         self.schedule(vm, Duration::ZERO, Input::Crashes(cleared));
     }
 
-    /// Tells how a request stands at a VM.
+    /// Returns the status of a request on a VM.
     pub fn request_status(&self, vm: usize, request: Digest) -> RequestStatus {
         self.vms[vm].crash_history.status(self.instant(), request)
     }
 
-    /// Tells whether all running processes stand so to a request.
-    pub fn all_request_status<F>(&self, request: Digest, is_it: F) -> bool
+    /// Returns whether the status of a request matches on all running processes.
+    pub fn all_request_status<F>(&self, request: Digest, matches: F) -> bool
     where
         F: Fn(RequestStatus) -> bool,
     {
         let running =
             |vm: &usize| self.vms[*vm].node.is_some() && self.vms[*vm].frozen_inputs.is_none();
         let mut vms = (0..self.vms.len()).filter(running);
-        vms.all(|vm| is_it(self.request_status(vm, request)))
+        vms.all(|vm| matches(self.request_status(vm, request)))
     }
 
     fn record_crashes(&mut self, vm: usize, list: &[Crash]) {
@@ -785,18 +788,18 @@
     }
 
     fn write_crashes(&mut self, vm: usize, slot: u8, list: Vec<Crash>) {
-        let zone = self.vms[vm].own.zone.to_string();
+        let zone = self.vms[vm].peer.zone.to_string();
         for reader in self.platform.write_crashes(&zone, slot, list) {
             let crashes = self.platform.crashes();
             self.schedule(
                 reader,
                 3 * MS,
-                Input::Answer(PlatformResponse::Crashes(crashes)),
+                Input::Platform(PlatformResponse::Crashes(crashes)),
             );
         }
     }
 
-    fn dial(&mut self, vm: usize, link: LinkKey, address: SocketAddr) {
+    fn connect_to(&mut self, vm: usize, link: LinkKey, address: SocketAddr) {
         let Some(to) = self.by_address.get(&address).copied() else {
             return;
         };
@@ -818,7 +821,7 @@
         );
     }
 
-    fn send(&mut self, vm: usize, link: LinkKey, frame: &Frame) {
+    fn send_frame(&mut self, vm: usize, link: LinkKey, frame: &Frame) {
         let key = (vm, self.vms[vm].incarnation, link);
         let Some(conn) = self.by_key.get(&key).copied() else {
             return;
@@ -836,17 +839,17 @@
         if !self.connections[conn].is_open || self.connections[conn].is_silent[side] {
             return;
         }
-        let is_news = matches!(
+        let is_update = matches!(
             frame,
             Frame::Step { .. } | Frame::Endpoints(_) | Frame::Chunk(_)
         );
         let mut copies = 1;
         let mut wait = self.latency();
-        if is_news {
-            let roll: f64 = self.rng.random();
-            if roll < self.network_faults.drop {
+        if is_update {
+            let sample: f64 = self.rng.random();
+            if sample < self.network_faults.drop {
                 copies = 0;
-            } else if roll < self.network_faults.drop + self.network_faults.duplicate {
+            } else if sample < self.network_faults.drop + self.network_faults.duplicate {
                 copies = 2;
             }
             if self.rng.random::<f64>() < self.network_faults.delay {
@@ -856,7 +859,7 @@
         let (to, incarnation, _) = self.connections[conn].ends[side];
         for copy in 0..copies {
             let late = wait + copy * 30 * MS;
-            let at = if is_news && self.network_faults.delay > 0.0 {
+            let at = if is_update && self.network_faults.delay > 0.0 {
                 self.now + late
             } else {
                 let at = (self.now + late).max(self.connections[conn].last_arrival[side]);
@@ -874,21 +877,21 @@
     }
 
     fn ask_platform(&mut self, vm: usize, request: PlatformRequest) {
-        let own = self.vms[vm].own.clone();
-        let answers = self.platform.handle(vm, &own, request, self.now);
-        for (wait, answer) in answers {
-            self.schedule(vm, wait, Input::Answer(answer));
+        let peer = self.vms[vm].peer.clone();
+        let responses = self.platform.handle(vm, &peer, request, self.now);
+        for (wait, response) in responses {
+            self.schedule(vm, wait, Input::Platform(response));
         }
     }
 
-    /// Checks what must hold of every view that a VM serves by.
-    fn install(&mut self, vm: usize, view: Arc<View>) {
+    /// Installs a view on a VM and checks the invariants of all views.
+    fn install_view(&mut self, vm: usize, view: Arc<View>) {
         let now = self.now;
         let slot = &mut self.vms[vm];
         assert!(
             view.version() >= slot.served,
-            "{} went back from {} to {}",
-            slot.own.node,
+            "{}: the version in force went back from {} to {}",
+            slot.peer.node,
             slot.served,
             view.version()
         );
@@ -896,7 +899,7 @@
         assert_eq!(
             Some(view.digest()),
             digest,
-            "a version is whole or not at all"
+            "the view holds exactly the published version"
         );
         slot.served = view.version();
         slot.installed.entry(view.version()).or_insert(now);
--- a/crates/fleet/tests/world/platform.rs
+++ b/crates/fleet/tests/world/platform.rs
@@ -1,4 +1,5 @@
-//! The platform: versions and leases, with outages, lost answers and silent watches.
+//! A simulated platform: versions, leases and roll-outs, with outages, lost responses and silent
+//! watches.
 
 use call::Crash;
 use config::rollout::{Place, Stage};
@@ -21,28 +22,28 @@
 #[derive(Debug, Default)]
 pub struct Platform {
     pub is_down: bool,
-    /// Whether answers to writes are lost after the write took effect.
-    pub loses_answers: bool,
+    /// Whether responses to writes are lost after the write took effect.
+    pub drops_responses: bool,
     /// Zones that can't reach the platform.
     pub unreachable_zones: BTreeSet<String>,
-    /// Followers that get nothing more, and aren't told.
-    pub silent_followers: BTreeSet<usize>,
+    /// Watchers that get no more updates, and no error either.
+    pub silent_watchers: BTreeSet<usize>,
     pub calls: u64,
     history: Vec<(Arc<Patch>, Arc<Mesh>, Digest)>,
     held: Held,
     leases: BTreeMap<(String, u8), Lease>,
-    /// Who follows, in which zone, and what it was sent.
-    followers: BTreeMap<usize, (String, Version)>,
+    /// Watchers, each with its zone and the last version that was sent to it.
+    watchers: BTreeMap<usize, (String, Version)>,
     writes: u64,
-    /// Crashes as the holders of leases wrote them.
+    /// Crashes as written by the holders of leases.
     written_crashes: BTreeMap<(String, u8), Vec<Crash>>,
     pub crash_writes: u64,
     rollouts: BTreeMap<String, Rollout>,
-    /// Verdicts that were written.
+    /// Number of outcomes of roll-outs (completed or rolled back) written.
     pub outcome_writes: u64,
-    /// Followers that read crashes: one a zone.
+    /// Watchers that read crashes: one in each zone.
     crash_readers: BTreeSet<usize>,
-    /// Revisions of all leases as each VM last read them.
+    /// Revisions of all leases as last read by each VM.
     seen_revisions: BTreeMap<usize, BTreeMap<(String, u8), u64>>,
 }
 
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Holders of leases of a zone that have time left.
+    /// Returns the holders of a zone's leases that have not expired.
     pub fn roots(&self, zone: &str, now: Duration) -> Vec<Peer> {
         let live = self
             .leases
@@ -82,7 +83,7 @@
         version
     }
 
-    /// Takes what the holder of a lease writes; gives those whom it reaches at once.
+    /// Stores the crashes that the holder of a lease writes; returns the watchers to notify.
     pub fn write_crashes(&mut self, zone: &str, slot: u8, list: Vec<Crash>) -> Vec<usize> {
         self.calls += 1;
         if self.is_down || self.unreachable_zones.contains(zone) {
@@ -90,13 +91,13 @@
         }
         self.crash_writes += 1;
         self.written_crashes.insert((zone.to_owned(), slot), list);
-        let readers = self.reachable_followers();
+        let readers = self.reachable_watchers();
         readers
             .filter(|vm| self.crash_readers.contains(vm))
             .collect()
     }
 
-    /// Takes an operator's order; gives those whom it reaches at once.
+    /// Stores a roll-out that an operator orders; returns the watchers to notify.
     pub fn order_rollout(&mut self, service: &str, target: &str, duration: Duration) -> Vec<usize> {
         self.writes += 1;
         let rollout = Rollout {
@@ -111,109 +112,110 @@
             stage: Stage::Canary,
         };
         self.rollouts.insert(service.to_owned(), rollout);
-        self.reachable_followers().collect()
+        self.reachable_watchers().collect()
     }
 
-    /// Takes a report; gives what stands then and whom it reaches, if the platform answers.
+    /// Stores the stage of a roll-out; returns the roll-out as it is then and the watchers to
+    /// notify, if the platform responds.
     pub fn report(&mut self, zone: &str, rollout: &Rollout) -> Option<(Rollout, Vec<usize>)> {
         self.calls += 1;
         if self.is_down || self.unreachable_zones.contains(zone) {
             return None;
         }
-        let stands = self.rollouts.get_mut(rollout.service.as_str())?;
-        if stands.target == rollout.target && !stands.stage.is_final() {
-            stands.stage = rollout.stage;
+        let current = self.rollouts.get_mut(rollout.service.as_str())?;
+        if current.target == rollout.target && !current.stage.is_final() {
+            current.stage = rollout.stage;
             self.outcome_writes += u64::from(rollout.stage.is_final());
         }
-        let stands = stands.clone();
-        Some((stands, self.reachable_followers().collect()))
+        let current = current.clone();
+        Some((current, self.reachable_watchers().collect()))
     }
 
-    /// Loses all verdicts and what was written of crashes, as a copy from before would.
+    /// Removes all outcomes of roll-outs and all crashes, as a restore from an older copy does.
     pub fn lose_recent_writes(&mut self) -> Vec<usize> {
         for rollout in self.rollouts.values_mut() {
             rollout.stage = Stage::Canary;
             rollout.place.era += 1;
         }
         self.written_crashes.clear();
-        self.reachable_followers().collect()
+        self.reachable_watchers().collect()
     }
 
     pub fn rollouts(&self) -> Vec<Rollout> {
         self.rollouts.values().cloned().collect()
     }
 
-    /// Gives the followers that the platform reaches.
-    fn reachable_followers(&self) -> impl Iterator<Item = usize> {
-        let followers = self.followers.iter();
-        let reached = followers.filter(|(vm, (zone, _))| {
-            !self.silent_followers.contains(vm) && !self.unreachable_zones.contains(zone)
+    /// Returns the watchers that the platform can reach.
+    fn reachable_watchers(&self) -> impl Iterator<Item = usize> {
+        let watchers = self.watchers.iter();
+        let reached = watchers.filter(|(vm, (zone, _))| {
+            !self.silent_watchers.contains(vm) && !self.unreachable_zones.contains(zone)
         });
         reached.map(|(vm, _)| *vm)
     }
 
-    /// Gives all that was written of crashes.
+    /// Returns all crashes that were written.
     pub fn crashes(&self) -> Vec<Crash> {
         self.written_crashes.values().flatten().cloned().collect()
     }
 
-    pub fn unfollow(&mut self, vm: usize) {
-        self.followers.remove(&vm);
-        self.silent_followers.remove(&vm);
+    pub fn unwatch(&mut self, vm: usize) {
+        self.watchers.remove(&vm);
+        self.silent_watchers.remove(&vm);
         self.crash_readers.remove(&vm);
     }
 
-    /// Gives each follower what it has not got yet.
+    /// Returns the versions that each watcher has not been sent yet, and marks them as sent.
     pub fn take_updates(&mut self) -> Vec<(usize, Vec<PlatformResponse>)> {
         if self.is_down {
             return Vec::new();
         }
         let head = self.head();
         let mut all = Vec::new();
-        let mut followers = std::mem::take(&mut self.followers);
-        for (vm, (zone, at)) in &mut followers {
-            if !self.silent_followers.contains(vm) && !self.unreachable_zones.contains(zone) {
+        let mut watchers = std::mem::take(&mut self.watchers);
+        for (vm, (zone, at)) in &mut watchers {
+            if !self.silent_watchers.contains(vm) && !self.unreachable_zones.contains(zone) {
                 all.push((*vm, self.steps_after(*at)));
                 *at = head;
             }
         }
-        self.followers = followers;
+        self.watchers = watchers;
         all
     }
 
     fn steps_after(&self, at: Version) -> Vec<PlatformResponse> {
-        let mut answers = vec![PlatformResponse::LatestVersion(self.head())];
+        let mut responses = vec![PlatformResponse::LatestVersion(self.head())];
         for (number, (patch, _, digest)) in (1..).zip(&self.history) {
             if number > at.0 {
-                answers.push(PlatformResponse::Step {
+                responses.push(PlatformResponse::Step {
                     version: Version(number),
                     patch: Arc::clone(patch),
                     digest: *digest,
                 });
             }
         }
-        answers
+        responses
     }
 
     pub fn handle(
         &mut self,
         vm: usize,
-        own: &Peer,
+        peer: &Peer,
         request: PlatformRequest,
         now: Duration,
     ) -> Vec<(Duration, PlatformResponse)> {
         self.calls += 1;
-        let zone = own.zone.to_string();
+        let zone = peer.zone.to_string();
         if self.is_down || self.unreachable_zones.contains(&zone) {
             return match request {
                 PlatformRequest::Watch { after, .. } => {
-                    self.followers.insert(vm, (zone, after));
+                    self.watchers.insert(vm, (zone, after));
                     Vec::new()
                 }
                 _ => vec![(TIMEOUT, PlatformResponse::Failed(request))],
             };
         }
-        let answer = match request {
+        let response = match request {
             PlatformRequest::Leases { .. } => {
                 let revisions = self.leases.iter();
                 let revisions = revisions.map(|(key, lease)| (key.clone(), lease.revision));
@@ -221,30 +223,30 @@
                 PlatformResponse::Leases(self.list_leases(now))
             }
             PlatformRequest::AcquireLease { slot, is_forced } => {
-                let key = (own.zone.to_string(), slot);
+                let key = (peer.zone.to_string(), slot);
                 let seen = self
                     .seen_revisions
                     .get(&vm)
                     .and_then(|seen| seen.get(&key))
                     .copied();
-                self.take_lease(own, slot, seen.filter(|_| is_forced), now)
+                self.take_lease(peer, slot, seen.filter(|_| is_forced), now)
             }
             PlatformRequest::LatestVersion { .. } => PlatformResponse::LatestVersion(self.head()),
-            PlatformRequest::RenewLease { slot } => self.renew_lease(own, slot, now),
+            PlatformRequest::RenewLease { slot } => self.renew_lease(peer, slot, now),
             PlatformRequest::ReleaseLease { slot } => {
-                let key = (own.zone.to_string(), slot);
+                let key = (peer.zone.to_string(), slot);
                 if self
                     .leases
                     .get(&key)
-                    .is_some_and(|lease| lease.holder == *own)
+                    .is_some_and(|lease| lease.holder == *peer)
                 {
                     self.leases.remove(&key);
                 }
                 return Vec::new();
             }
             PlatformRequest::Watch { after, is_first } => {
-                self.followers.insert(vm, (zone, self.head()));
-                self.silent_followers.remove(&vm);
+                self.watchers.insert(vm, (zone, self.head()));
+                self.silent_watchers.remove(&vm);
                 let mut steps = self.steps_after(after);
                 if is_first {
                     self.crash_readers.insert(vm);
@@ -260,60 +262,60 @@
                 return steps.into_iter().map(|step| (3 * MS, step)).collect();
             }
             PlatformRequest::Unwatch => {
-                self.unfollow(vm);
+                self.unwatch(vm);
                 return Vec::new();
             }
         };
-        if self.loses_answers && !matches!(request, PlatformRequest::Leases { .. }) {
+        if self.drops_responses && !matches!(request, PlatformRequest::Leases { .. }) {
             return vec![(TIMEOUT, PlatformResponse::Failed(request))];
         }
-        vec![(3 * MS, answer)]
+        vec![(3 * MS, response)]
     }
 
     fn list_leases(&self, now: Duration) -> Vec<RootLease> {
-        let seats = self.leases.iter().map(|((_, slot), lease)| RootLease {
+        let leases = self.leases.iter().map(|((_, slot), lease)| RootLease {
             slot: *slot,
             holder: lease.holder.clone(),
             is_live: lease.until > now,
         });
-        seats.collect()
+        leases.collect()
     }
 
-    /// A lease with time left is taken only as it was `seen`.
+    /// Takes a lease; one that has not expired is taken only if its revision is the one `seen`.
     fn take_lease(
         &mut self,
-        own: &Peer,
+        peer: &Peer,
         slot: u8,
         seen: Option<u64>,
         now: Duration,
     ) -> PlatformResponse {
-        let key = (own.zone.to_string(), slot);
+        let key = (peer.zone.to_string(), slot);
         let is_held = self.leases.get(&key).is_some_and(|lease| {
-            lease.until > now && lease.holder != *own && Some(lease.revision) != seen
+            lease.until > now && lease.holder != *peer && Some(lease.revision) != seen
         });
         if is_held {
             return PlatformResponse::LeaseLost { slot };
         }
-        self.grant_lease(key, own, now)
+        self.grant_lease(key, peer, now)
     }
 
-    fn renew_lease(&mut self, own: &Peer, slot: u8, now: Duration) -> PlatformResponse {
-        let key = (own.zone.to_string(), slot);
+    fn renew_lease(&mut self, peer: &Peer, slot: u8, now: Duration) -> PlatformResponse {
+        let key = (peer.zone.to_string(), slot);
         if self
             .leases
             .get(&key)
-            .is_some_and(|lease| lease.holder != *own)
+            .is_some_and(|lease| lease.holder != *peer)
         {
             return PlatformResponse::LeaseLost { slot };
         }
-        self.grant_lease(key, own, now)
+        self.grant_lease(key, peer, now)
     }
 
-    fn grant_lease(&mut self, key: (String, u8), own: &Peer, now: Duration) -> PlatformResponse {
+    fn grant_lease(&mut self, key: (String, u8), peer: &Peer, now: Duration) -> PlatformResponse {
         let slot = key.1;
         self.writes += 1;
         let lease = Lease {
-            holder: own.clone(),
+            holder: peer.clone(),
             until: now + fleet::lease::LEASE_DURATION,
             revision: self.writes,
         };
