--- a/crates/policy/src/in_flight.rs
+++ b/crates/policy/src/in_flight.rs
@@ -1,189 +1,197 @@
-//! Which requests were in flight at a backend server as its process ended.
+//! Tracks the calls in flight at a backend server, to find which request crashed it.
 //!
-//! *Load pattern:* a backend server ends in the midst of several calls, one of which
-//! may be to blame. *Without it* nobody could tell a request that crashes servers
-//! from those that it takes down. A call that left without an answer a moment before
-//! counts as well: its caller may have been less patient than the crash took.
+//! *Load pattern:* the process of a backend server ends while it runs several calls,
+//! any of which may be the cause. *Without it* a request that crashes servers cannot
+//! be told from the requests that fail with them. A call that ended without an
+//! answer shortly before the crash is a suspect as well: its caller may have given
+//! up before the process ended.
 
 use call::Digest;
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// How long a call that left without an answer still counts.
-const LINGER: Duration = Duration::from_millis(500);
+/// How long a call that ended without an answer remains a suspect.
+const UNANSWERED_WINDOW: Duration = Duration::from_millis(500);
 
-/// Calls that have left and still count, at most.
-const MAX_LEFT: usize = 256;
+/// Maximum number of ended calls without an answer that are tracked.
+const MAX_UNANSWERED: usize = 256;
 
-/// Requests that one crash brings under suspicion, at most.
+/// Maximum number of suspects per crash.
 const MAX_SUSPECTS: usize = 64;
 
-/// How long an answer speaks for a request: a path that many ask for has had one
-/// moments before any crash that it is in.
-const ANSWERED: Duration = Duration::from_secs(10);
+/// How long an answer exonerates a request. A frequently requested path has been answered
+/// moments before any crash that it happens to be in flight at.
+const ANSWER_WINDOW: Duration = Duration::from_secs(10);
 
-/// Answers that are remembered, at most.
-const MAX_ANSWERED: usize = 256;
+/// Maximum number of recent answers that are tracked.
+const MAX_ANSWERS: usize = 256;
 
-/// Names a call that is in flight.
+/// Identifies a tracked call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key(u64);
 
-/// A request, as far as evidence against it tells.
+/// The properties of a request that identify it as a suspect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Names it through all its repeats.
+    /// Digest of its content; equal for all its repeats.
     pub digest: Digest,
-    /// Its method.
+    /// HTTP method.
     pub method: SmolStr,
-    /// Its path, without the query.
+    /// Path, without the query.
     pub path: SmolStr,
-    /// Whether a backend server ended while it ran before.
+    /// Whether a backend server has crashed before while it ran.
     pub is_suspect: bool,
 }
 
-/// What a call came to at the backend server.
+/// Outcome of a call at the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its answer came whole.
+    /// A complete answer was received.
     Answered,
-    /// The backend server never began with it.
+    /// The backend server never started it.
     NotRun,
-    /// It has no answer: it broke off, or nobody waited any more.
+    /// There is no answer: the call was cut off or its caller gave up.
     Unanswered,
 }
 
-/// A request that was in flight at a backend server as it ended.
+/// A request that was in flight at a backend server when its process ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspect {
-    /// The request.
+    /// The suspected request.
     pub request: Request,
-    /// Whether no other request is as likely to blame.
+    /// Whether no other request is as likely to be the cause.
     pub is_alone: bool,
 }
 
-/// The calls that are in flight at the backend server of this VM.
+/// The calls in flight at the backend server of this VM.
 #[derive(Debug, Default)]
 pub struct Table {
-    runs: BTreeMap<Key, Run>,
+    calls: BTreeMap<Key, Call>,
     next: u64,
-    /// Requests that were answered, and when.
-    answered: VecDeque<(Instant, Digest)>,
+    /// Recently answered requests, oldest first.
+    answers: VecDeque<(Instant, Digest)>,
 }
 
 #[derive(Debug)]
-struct Run {
-    /// Process that it was given to.
+struct Call {
+    /// Process that the call was sent to.
     process: u64,
     request: Request,
-    /// When it left without an answer.
-    left: Option<Instant>,
+    /// When the call ended, if it did so without an answer.
+    ended_at: Option<Instant>,
 }
 
 impl Table {
-    /// Counts a call as given to a process.
+    /// Registers a call that is sent to a process.
     pub fn start(&mut self, now: Instant, process: u64, request: Request) -> Key {
-        self.drop_old(now);
+        self.prune(now);
         let key = Key(self.next);
         self.next += 1;
-        let run = Run {
+        let call = Call {
             process,
             request,
-            left: None,
+            ended_at: None,
         };
-        self.runs.insert(key, run);
+        self.calls.insert(key, call);
         key
     }
 
-    /// Takes in what a call came to.
+    /// Records the outcome of a call.
     pub fn finish(&mut self, now: Instant, key: Key, outcome: Outcome) {
         match outcome {
             Outcome::Answered => {
-                if let Some(run) = self.runs.remove(&key) {
-                    self.note_answer(now, run.request.digest);
+                if let Some(call) = self.calls.remove(&key) {
+                    self.record_answer(now, call.request.digest);
                 }
             }
-            Outcome::NotRun => drop(self.runs.remove(&key)),
+            Outcome::NotRun => drop(self.calls.remove(&key)),
             Outcome::Unanswered => {
-                if let Some(run) = self.runs.get_mut(&key) {
-                    run.left = Some(now);
+                if let Some(call) = self.calls.get_mut(&key) {
+                    call.ended_at = Some(now);
                 }
             }
         }
     }
 
-    /// Tells whether a call left a process without an answer a moment ago.
+    /// Returns whether a call to a process has just ended without an answer.
     #[must_use]
     pub fn has_unanswered(&self, now: Instant, process: u64) -> bool {
-        let mut runs = self.runs.values();
-        runs.any(|run| run.process == process && run.left.is_some() && run.counts(now))
+        let mut calls = self.calls.values();
+        calls
+            .any(|call| call.process == process && call.ended_at.is_some() && call.is_relevant(now))
     }
 
-    /// Takes out the calls of a process that has ended; gives the requests, each once, and
-    /// those first that are the likeliest to blame.
+    /// Removes the calls of a process that has ended and returns their requests without
+    /// duplicates, the likeliest causes first.
     pub fn take_suspects(&mut self, now: Instant, process: u64) -> Vec<Suspect> {
-        let ended = self.runs.extract_if(.., |_, run| run.process == process);
-        let mut ended: Vec<_> = ended.map(|(_, run)| run).collect();
-        ended.retain(|run| run.counts(now) && !self.is_answered(now, run.request.digest));
-        ended.sort_by_key(|run| (!run.request.is_suspect, run.since_left(now)));
+        let calls = self.calls.extract_if(.., |_, call| call.process == process);
+        let mut calls: Vec<_> = calls.map(|(_, call)| call).collect();
+        calls.retain(|call| call.is_relevant(now) && !self.was_answered(now, call.request.digest));
+        calls.sort_by_key(|call| (!call.request.is_suspect, call.since_ended(now)));
         let mut requests: Vec<Request> = Vec::new();
-        for run in ended {
+        for call in calls {
             let mut known = requests.iter();
-            if known.all(|one| one.digest != run.request.digest) {
-                requests.push(run.request);
+            if known.all(|request| request.digest != call.request.digest) {
+                requests.push(call.request);
             }
         }
-        let suspects = requests.iter().filter(|one| one.is_suspect).count();
+        let known_suspects = requests.iter().filter(|request| request.is_suspect).count();
         let count = requests.len();
-        let is_alone = |one: &Request| count == 1 || one.is_suspect && suspects == 1;
-        let found = requests
+        let is_alone = |request: &Request| count == 1 || request.is_suspect && known_suspects == 1;
+        let suspects = requests
             .into_iter()
             .take(MAX_SUSPECTS)
             .map(|request| Suspect {
                 is_alone: is_alone(&request),
                 request,
             });
-        found.collect()
+        suspects.collect()
     }
 
-    /// Tells whether a request was answered of late.
-    fn is_answered(&self, now: Instant, digest: Digest) -> bool {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < ANSWERED;
-        let mut answers = self.answered.iter();
-        answers.any(|(at, one)| *one == digest && is_recent(*at))
+    /// Returns whether a request was answered within the last [`ANSWER_WINDOW`].
+    fn was_answered(&self, now: Instant, digest: Digest) -> bool {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < ANSWER_WINDOW;
+        let mut answers = self.answers.iter();
+        answers.any(|(at, answered)| *answered == digest && is_recent(*at))
     }
 
-    fn note_answer(&mut self, now: Instant, digest: Digest) {
-        if self.answered.len() == MAX_ANSWERED {
-            self.answered.pop_front();
+    fn record_answer(&mut self, now: Instant, digest: Digest) {
+        if self.answers.len() == MAX_ANSWERS {
+            self.answers.pop_front();
         }
-        self.answered.push_back((now, digest));
+        self.answers.push_back((now, digest));
     }
 
-    fn drop_old(&mut self, now: Instant) {
-        self.runs.retain(|_, run| run.counts(now));
-        let left: Vec<_> = self
-            .runs
+    /// Drops ended calls that are no longer relevant, and the oldest ones above
+    /// [`MAX_UNANSWERED`].
+    fn prune(&mut self, now: Instant) {
+        self.calls.retain(|_, call| call.is_relevant(now));
+        let ended: Vec<_> = self
+            .calls
             .iter()
-            .filter(|(_, run)| run.left.is_some())
+            .filter(|(_, call)| call.ended_at.is_some())
             .map(|(key, _)| *key)
             .collect();
-        for key in left.iter().take(left.len().saturating_sub(MAX_LEFT)) {
-            self.runs.remove(key);
+        for key in ended
+            .iter()
+            .take(ended.len().saturating_sub(MAX_UNANSWERED))
+        {
+            self.calls.remove(key);
         }
     }
 }
 
-impl Run {
-    /// Gives how long ago it left; nought for one that is still there.
-    fn since_left(&self, now: Instant) -> Duration {
-        self.left
-            .map_or(Duration::ZERO, |left| now.saturating_duration_since(left))
+impl Call {
+    /// Returns the time since the call ended without an answer; zero if it is in flight.
+    fn since_ended(&self, now: Instant) -> Duration {
+        self.ended_at
+            .map_or(Duration::ZERO, |ended| now.saturating_duration_since(ended))
     }
 
-    fn counts(&self, now: Instant) -> bool {
-        let counts = |left: Instant| now.saturating_duration_since(left) < LINGER;
-        self.left.is_none_or(counts)
+    /// Returns whether the call is in flight or ended within the last [`UNANSWERED_WINDOW`].
+    fn is_relevant(&self, now: Instant) -> bool {
+        let is_recent = |ended: Instant| now.saturating_duration_since(ended) < UNANSWERED_WINDOW;
+        self.ended_at.is_none_or(is_recent)
     }
 }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,54 +1,57 @@
-//! Which requests are refused because they crash the backend servers that run them.
+//! Quarantine of requests that crash the backend servers that run them.
 //!
-//! *Load pattern:* a request ends each process that runs it, and comes again, at
-//! any node. *Without it* each repeat and each retry takes one more backend server
-//! of the service down; ejecting hosts and bounding retries punish all other
-//! requests and let this one through, as it is fresh to everybody. *Grounds:* such a
-//! "query of death" (Google's SRE book, "Addressing Cascading Failures") is known by
-//! its content alone, so that what it did has to be remembered with that, by all
-//! nodes. Three crashes hold it; what merely ran beside it is cleared by its first
-//! answer, and held only if a process ended with no other suspect on it.
+//! *Load pattern:* a request crashes every process that runs it, and is sent again,
+//! through any node. *Without it* each repeat and each retry takes down one more
+//! backend server of the service. Outlier ejection and retry budgets do not help:
+//! they penalize all other requests and let this one through, since every node sees
+//! it for the first time. *Rationale:* such a "query of death" (Google's SRE book,
+//! "Addressing Cascading Failures") can be recognized only by its content, so all
+//! nodes record crashes under a digest of the request. A request is held after three
+//! crashes. A request that merely ran at the same time is cleared by its first
+//! answer, and is held only if at least one process crashed with no other request
+//! as likely to be the cause.
 //!
-//! The state is a set of crashes, each of which may be cleared later, so that nodes
-//! may merge what they know in any order and any number of times.
+//! The state is a set of crash records, each of which may later be marked as
+//! cleared. Merging is commutative and idempotent, so nodes may exchange records in
+//! any order and any number of times.
 
 use call::{Crash, Digest};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Crashes that hold a request.
+/// Number of crashes after which a request is held.
 pub const HOLD_THRESHOLD: usize = 3;
 
 /// How long a request is held after its last crash.
 pub const HOLD_TIME: Duration = Duration::from_mins(10);
 
-/// How long after that one more crash holds it again.
-const RELAPSE: Duration = Duration::from_mins(50);
+/// How long after the hold a single further crash holds the request again.
+const PROBATION: Duration = Duration::from_mins(50);
 
-/// How long a crash is remembered.
-pub const RETENTION: Duration = HOLD_TIME.saturating_add(RELAPSE);
+/// How long a crash record is kept.
+pub const RETENTION: Duration = HOLD_TIME.saturating_add(PROBATION);
 
-/// Requests that are remembered; those with the fewest crashes make room.
+/// Maximum number of requests tracked; those with the fewest crashes are evicted first.
 pub const MAX_REQUESTS: usize = 512;
 
-/// Crashes of one request that are remembered; the newest ones.
+/// Maximum number of crash records kept per request; the oldest are evicted first.
 pub const MAX_CRASHES_PER_REQUEST: usize = 8;
 
-/// How a request stands.
+/// Quarantine status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// Nothing speaks against it.
+    /// No crash is attributed to it.
     Clear,
-    /// A backend server ended while it ran.
+    /// A backend server crashed while it ran.
     Suspect,
-    /// It is not to be run.
+    /// It must not be run.
     Held {
-        /// Until it may be tried again.
+        /// Remaining time of the hold.
         wait: Duration,
     },
 }
 
-/// What is known of requests that crashed backend servers.
+/// Crash records by request.
 #[derive(Debug, Default)]
 pub struct CrashHistory {
     requests: HashMap<Digest, Vec<Record>>,
@@ -57,15 +60,16 @@
 #[derive(Debug, Clone)]
 struct Record {
     crash: Crash,
-    /// When it is forgotten.
-    until: Instant,
+    /// When the record expires.
+    expires_at: Instant,
 }
 
-/// What makes one request more worth remembering than another.
+/// Eviction order of requests: uncleared crashes, then the latest expiry. The lowest is evicted
+/// first.
 type Rank = (usize, Option<Instant>);
 
 impl CrashHistory {
-    /// Takes a crash in; tells whether it is news.
+    /// Merges a crash record; returns whether it changed the history.
     pub fn merge(&mut self, now: Instant, crash: &Crash) -> bool {
         let age = Duration::from_millis(crash.age_ms.into());
         let Some(left) = RETENTION.checked_sub(age).filter(|left| !left.is_zero()) else {
@@ -79,7 +83,7 @@
         }
         let record = Record {
             crash: crash.clone(),
-            until: now + left,
+            expires_at: now + left,
         };
         if !self.requests.contains_key(&crash.request) && !self.make_room(&record) {
             return false;
@@ -87,8 +91,8 @@
         let records = self.requests.entry(crash.request).or_default();
         records.push(record);
         if records.len() > MAX_CRASHES_PER_REQUEST {
-            // All nodes drop the same one.
-            let order = |index: &usize| (records[*index].until, records[*index].crash.id);
+            // A total order, so that all nodes evict the same record.
+            let order = |index: &usize| (records[*index].expires_at, records[*index].crash.id);
             let oldest = (0..records.len()).min_by_key(order);
             let dropped = oldest.map(|index| records.remove(index));
             return dropped.is_none_or(|dropped| dropped.crash.id != crash.id);
@@ -96,82 +100,86 @@
         true
     }
 
-    /// Takes in that a request was answered; gives the crashes that no longer speak against it.
+    /// Records that a request was answered; returns the crash records that this cleared.
     pub fn clear(&mut self, now: Instant, request: Digest) -> Vec<Crash> {
         let records = self.requests.get_mut(&request).into_iter().flatten();
-        let open = records.filter(|record| !record.crash.is_cleared);
-        open.map(|record| {
-            record.crash.is_cleared = true;
-            record.tell(now)
-        })
-        .collect()
+        let uncleared = records.filter(|record| !record.crash.is_cleared);
+        uncleared
+            .map(|record| {
+                record.crash.is_cleared = true;
+                record.to_crash(now)
+            })
+            .collect()
     }
 
-    /// Tells how a request stands.
+    /// Returns the status of a request.
     #[must_use]
     pub fn status(&self, now: Instant, request: Digest) -> RequestStatus {
         let records = self.requests.get(&request).map_or(&[][..], Vec::as_slice);
-        let open = || records.iter().filter(|record| record.is_open(now));
-        let Some(last) = open().map(|record| record.until).max() else {
+        let active = || records.iter().filter(|record| record.is_active(now));
+        let Some(last) = active().map(|record| record.expires_at).max() else {
             return RequestStatus::Clear;
         };
-        let is_to_blame = open().any(|record| record.crash.is_alone);
-        let wait = last.saturating_duration_since(now).saturating_sub(RELAPSE);
-        if open().count() >= HOLD_THRESHOLD && is_to_blame && !wait.is_zero() {
+        let is_sole_suspect = active().any(|record| record.crash.is_alone);
+        let wait = last
+            .saturating_duration_since(now)
+            .saturating_sub(PROBATION);
+        if active().count() >= HOLD_THRESHOLD && is_sole_suspect && !wait.is_zero() {
             RequestStatus::Held { wait }
         } else {
             RequestStatus::Suspect
         }
     }
 
-    /// Gives all crashes that are remembered, those of the worst requests first.
+    /// Returns all crash records, those of the requests with the most uncleared crashes first.
     #[must_use]
     pub fn list(&self, now: Instant) -> Vec<Crash> {
         let mut requests: Vec<_> = self.requests.values().collect();
         requests.sort_by_key(|records| std::cmp::Reverse(rank_of(records)));
         let records = requests.into_iter().flatten();
-        let living = records.filter(|record| record.until > now);
-        living.map(|record| record.tell(now)).collect()
+        let unexpired = records.filter(|record| record.expires_at > now);
+        unexpired.map(|record| record.to_crash(now)).collect()
     }
 
-    /// Counts the requests that are held.
+    /// Returns the number of held requests.
     #[must_use]
     pub fn count_held(&self, now: Instant) -> usize {
         let requests = self.requests.keys();
-        let held =
-            requests.filter(|one| matches!(self.status(now, **one), RequestStatus::Held { .. }));
+        let held = requests
+            .filter(|request| matches!(self.status(now, **request), RequestStatus::Held { .. }));
         held.count()
     }
 
-    /// Counts the requests that are remembered.
+    /// Returns the number of tracked requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Tells whether nothing is remembered.
+    /// Returns whether no crash is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Forgets what is too old.
+    /// Drops expired crash records.
     pub fn expire(&mut self, now: Instant) {
         self.requests.retain(|_, records| {
-            records.retain(|record| record.until > now);
+            records.retain(|record| record.expires_at > now);
             !records.is_empty()
         });
     }
 
-    /// Makes room for a request that is not known yet; tells whether there is some.
+    /// Evicts a request in favour of a new one if the history is full and the new one ranks
+    /// higher; returns whether there is room.
     fn make_room(&mut self, record: &Record) -> bool {
         if self.requests.len() < MAX_REQUESTS {
             return true;
         }
         let ranks = self.requests.iter();
-        let least = ranks.map(|(request, records)| (rank_of(records), *request));
-        let least = least.min_by_key(|(rank, _)| *rank);
-        let Some((rank, request)) = least else {
+        let lowest = ranks.map(|(request, records)| (rank_of(records), *request));
+        let lowest = lowest.min_by_key(|(rank, _)| *rank);
+        let Some((rank, request)) = lowest else {
             return true;
         };
         if rank >= rank_of(std::slice::from_ref(record)) {
@@ -183,11 +191,11 @@
 }
 
 impl Record {
-    fn is_open(&self, now: Instant) -> bool {
-        !self.crash.is_cleared && self.until > now
+    fn is_active(&self, now: Instant) -> bool {
+        !self.crash.is_cleared && self.expires_at > now
     }
 
-    /// Takes in what another node says of the same crash; tells whether it is news.
+    /// Merges another node's record of the same crash; returns whether it changed anything.
     fn merge(&mut self, crash: &Crash) -> bool {
         let before = (self.crash.is_alone, self.crash.is_cleared);
         self.crash.is_alone |= crash.is_alone;
@@ -195,9 +203,9 @@
         before != (self.crash.is_alone, self.crash.is_cleared)
     }
 
-    /// Gives the crash with its age now.
-    fn tell(&self, now: Instant) -> Crash {
-        let left = self.until.saturating_duration_since(now);
+    /// Returns the crash with its current age.
+    fn to_crash(&self, now: Instant) -> Crash {
+        let left = self.expires_at.saturating_duration_since(now);
         let age = RETENTION.saturating_sub(left).as_millis();
         Crash {
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
@@ -211,7 +219,7 @@
 }
 
 fn rank_of(records: &[Record]) -> Rank {
-    let open = records.iter().filter(|record| !record.crash.is_cleared);
-    let last = records.iter().map(|record| record.until).max();
-    (open.count(), last)
+    let uncleared = records.iter().filter(|record| !record.crash.is_cleared);
+    let last = records.iter().map(|record| record.expires_at).max();
+    (uncleared.count(), last)
 }
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -1,107 +1,110 @@
-//! Whether a new version of a service may take over, and which calls try it.
+//! Canary analysis: which calls go to a new version of a service, and whether it replaces the old.
 //!
-//! *Load pattern:* operators bring a version in that fails a part of its calls, or runs several
-//! times slower: at once, some seconds after a good start, on one kind of call alone, or only
-//! under load. *Without it* placement gives the new endpoints as much as all others, and thousands
-//! of calls fail before anybody looks. *Grounds:* each outbound proxy sends a fixed share of its
-//! own calls to the version under trial, so that the sum over the fleet keeps to the share with no
-//! message at all. That share goes to so few endpoints that each is as busy as those of the
-//! version that serves: an idle one would hide what shows under load only. What the calls come to
-//! is compared with the version that serves, kind by kind in the same seconds, by Wald's
+//! *Load pattern:* operators roll out a version that fails some of its calls, or is several times
+//! slower: at once, after some good seconds, for one kind of call only, or only under load.
+//! *Without it* load balancing gives the new endpoints the same share as all others, and thousands
+//! of calls fail before an operator notices. *Rationale:* each outbound proxy sends a fixed share
+//! of its own calls to the new version, so the fleet as a whole keeps to that share without any
+//! coordination. The share goes to so few endpoints that each is as busy as those of the old
+//! version: an idle endpoint would hide faults that appear only under load. The results are
+//! compared with those of the old version, by kind of call and over the same seconds, using Wald's
 //! sequential probability ratio test ("Sequential Tests of Statistical Hypotheses", 1945), so that
-//! a burst, a slow zone or a worse old version tells nothing against the new one.
+//! a burst, a slow zone or a faulty old version does not count against the new one.
 
 use crate::balance::Track;
 use config::rollout::{Counts, KINDS, Rollout, Stage, Tally};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Share of a roll-out's time for which the new version is only tried.
-const TRIAL_PART: f64 = 0.5;
+/// Fraction of a roll-out's duration that the canary stage lasts.
+const CANARY_FRACTION: f64 = 0.5;
 
-/// Share of a roll-out's time for which both versions then take calls alike.
-const BOTH_PART: f64 = 0.06;
+/// Fraction of a roll-out's duration for which both versions then take calls equally.
+const BOTH_FRACTION: f64 = 0.06;
 
-/// Least time for which they do.
-const MIN_BOTH: Duration = Duration::from_millis(600);
+/// Minimum duration of that stage.
+const MIN_BOTH_TIME: Duration = Duration::from_millis(600);
 
-/// Least time between the last call to the old version and its end: news that it takes none
-/// cross a few links.
-const MIN_WHOLE: Duration = Duration::from_millis(1_200);
+/// Minimum time between the change to the new version alone and completion: the change crosses
+/// several links before all nodes stop sending calls to the old version.
+const MIN_WHOLE_TIME: Duration = Duration::from_millis(1_200);
 
-/// Time for which no call must have run at the old version before its end.
-const QUIET: Duration = Duration::from_millis(500);
+/// Time for which no call may have been pending at the old version before completion.
+const IDLE_TIME: Duration = Duration::from_millis(500);
 
-/// Longest wait for the calls that run at the old version; those that nobody ends by then have
-/// lost their callers.
-const MAX_WHOLE: Duration = Duration::from_secs(4);
+/// Maximum wait for the calls pending at the old version; the callers of those that have not ended
+/// by then are gone.
+const MAX_WHOLE_TIME: Duration = Duration::from_secs(4);
 
-/// Calls that the new version must have ended before it may take over.
-const MIN_TRIED: u32 = 30;
+/// Minimum number of calls that the new version must have finished to pass the canary stage.
+const MIN_CANARY_CALLS: u32 = 30;
 
-/// Ratio of likelihoods at which a version counts as bad, as a logarithm: one good version in
-/// 100,000 looks so by chance at a given look.
-const BAD: f64 = 11.5;
+/// Log-likelihood ratio from which a version counts as bad: at a given evaluation, one good version
+/// in 100,000 reaches it by chance.
+const BAD_LOG_RATIO: f64 = 11.5;
 
-/// Failures that no version is free of, as a share.
-const USUAL_FAILED: f64 = 0.02;
+/// Failure rate that any version is assumed to have.
+const MIN_FAILURE_RATE: f64 = 0.02;
 
-/// Share of failures on top of those of the old version that makes a bad one.
-const EXTRA_FAILED: f64 = 0.12;
+/// Failure rate above that of the old version at which the new one is bad.
+const EXCESS_FAILURE_RATE: f64 = 0.12;
 
-/// Slow calls that no version is free of, as a share: backend servers of one service differ.
-const USUAL_SLOW: f64 = 0.04;
+/// Rate of slow calls that any version is assumed to have: backend servers of one service differ.
+const MIN_SLOW_RATE: f64 = 0.04;
 
-/// Share of slow calls on top of those of the old version that makes a bad one.
-const EXTRA_SLOW: f64 = 0.3;
+/// Rate of slow calls above that of the old version at which the new one is bad.
+const EXCESS_SLOW_RATE: f64 = 0.3;
 
-/// Calls of the old version from which its own share counts.
-const ENOUGH: u32 = 20;
+/// Minimum number of calls to the old version for its own rates to be used.
+const MIN_BASELINE_CALLS: u32 = 20;
 
-/// Time between two looks that are remembered.
-const STEP: Duration = Duration::from_millis(500);
+/// Minimum time between two snapshots of the tally.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Looks remembered: a version that turns bad after a long good time is found by its last
-/// seconds.
-const LOOKS: usize = 8;
+/// Number of snapshots kept. They allow the last seconds to be evaluated on their own, which
+/// finds a version that turns bad after a long good time.
+const MAX_SNAPSHOTS: usize = 8;
 
-/// Times its usual duration from which a call counts as slow.
+/// Multiple of its usual duration above which a call counts as slow.
 pub const SLOW_FACTOR: f64 = 3.0;
 
-/// Part of the allowed share that is used: retries and calls of nodes that hear late add to it.
-const SAFE_PART: f64 = 0.7;
+/// Fraction of the allowed share that is used: retries, and calls of nodes that learn late of a
+/// change, add to it.
+const SHARE_MARGIN: f64 = 0.7;
 
-/// Gives the share of calls that try a new version, of that which may reach a bad one.
+/// Returns the share of calls to send to a new version, given the share that may reach a bad one.
 #[must_use]
 pub fn trial_share(allowed: f64) -> f64 {
-    SAFE_PART * allowed
+    SHARE_MARGIN * allowed
 }
 
-/// Draws the calls that try a new version: a fixed share, whatever their number.
+/// Selects the calls that go to a new version: a fixed share, whatever the number of calls.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sampler {
     credit: f64,
 }
 
 impl Sampler {
-    /// Starts at a random place, so that many proxies with few calls each keep to the share too.
+    /// Creates a sampler with an initial credit, which is random so that many proxies with few
+    /// calls each also keep to the share.
     #[must_use]
-    pub fn new(start: f64) -> Self {
-        Self { credit: start }
+    pub fn new(credit: f64) -> Self {
+        Self { credit }
     }
 
-    /// Tells whether the next call is one of them.
+    /// Returns whether the next call is selected.
     pub fn sample(&mut self, share: f64) -> bool {
         self.credit += share;
-        let is_drawn = self.credit >= 1.0;
-        if is_drawn {
+        let is_selected = self.credit >= 1.0;
+        if is_selected {
             self.credit -= 1.0;
         }
-        is_drawn
+        is_selected
     }
 }
 
-/// Gives the number of endpoints that a trial goes to, of so many of the old and the new version.
+/// Returns the number of endpoints of the new version that take part in the trial, given the
+/// number of endpoints of each version.
 #[must_use]
 pub fn trial_endpoint_count(share: f64, old: usize, new: usize) -> usize {
     #[expect(
@@ -114,19 +117,19 @@
     wanted.clamp(1, new.max(1))
 }
 
-/// An endpoint of a service of which a version is brought in.
+/// An endpoint of a service during a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Whether it is of that version.
+    /// Whether it runs the new version.
     pub is_new: bool,
-    /// Whether the trial goes to it.
+    /// Whether it takes part in the trial.
     pub is_in_trial: bool,
 }
 
-/// Tells which calls an endpoint takes; `has_old` when there are endpoints of other versions.
+/// Returns which calls an endpoint takes; `has_old` tells whether other versions have endpoints.
 ///
-/// Without any of these the service has nothing else to run on, be it that the version which
-/// runs was ordered once more, or that all others have gone.
+/// If they have none, the endpoints of the new version take all calls, as the service has no
+/// others: the running version was rolled out again, or all other endpoints are gone.
 #[must_use]
 pub fn track_of(stage: Stage, endpoint: Endpoint, has_old: bool) -> Track {
     if !has_old {
@@ -140,19 +143,19 @@
     }
 }
 
-/// Why a version counts as bad.
+/// Reason for which a roll-out is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
-    /// It fails calls that the old one doesn't.
+    /// The new version fails more calls than the old one.
     Failures,
-    /// It takes several times as long.
+    /// The new version is several times slower than the old one.
     Slowness,
-    /// Its time is over before it was known to be good.
+    /// The roll-out's duration passed before the new version was known to be good.
     Overdue,
 }
 
 impl StopReason {
-    /// Names it in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -163,147 +166,153 @@
     }
 }
 
-/// What is to become of a roll-out.
+/// Next step of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It stays as it is.
+    /// It remains at its stage.
     Remain,
-    /// It goes on to this stage.
+    /// It advances to this stage.
     Advance(Stage),
-    /// The new version is to get nothing more.
+    /// The new version gets no more calls.
     Stop(StopReason),
 }
 
-/// Follows one roll-out by what the whole fleet has counted.
+/// Evaluates one roll-out by the call counts of the whole fleet.
 #[derive(Debug, Clone)]
 pub struct Evaluator {
-    /// Counts some seconds back, the oldest first.
-    looks: VecDeque<(Instant, Tally)>,
-    now: Tally,
+    /// Tallies of the last seconds, oldest first.
+    snapshots: VecDeque<(Instant, Tally)>,
+    latest: Tally,
     stage: Stage,
-    since: Instant,
-    /// Since when nothing has run at the old version.
-    quiet_since: Option<Instant>,
+    stage_since: Instant,
+    /// Since when no call has been pending at the old version.
+    idle_since: Option<Instant>,
 }
 
 impl Evaluator {
-    /// Begins to follow one.
+    /// Creates an evaluator for a roll-out in the canary stage.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
-            looks: VecDeque::new(),
-            now: Tally::default(),
+            snapshots: VecDeque::new(),
+            latest: Tally::default(),
             stage: Stage::Canary,
-            since: now,
-            quiet_since: None,
+            stage_since: now,
+            idle_since: None,
         }
     }
 
-    /// Takes in what the fleet has counted.
+    /// Updates the evaluator with the fleet's current tally.
     pub fn observe(&mut self, now: Instant, tally: &Tally) {
-        let last = self.looks.back().map(|(at, _)| *at);
-        if last.is_none_or(|at| now >= at + STEP) {
-            if self.looks.len() >= LOOKS {
-                self.looks.pop_front();
+        let last = self.snapshots.back().map(|(at, _)| *at);
+        if last.is_none_or(|at| now >= at + SNAPSHOT_INTERVAL) {
+            if self.snapshots.len() >= MAX_SNAPSHOTS {
+                self.snapshots.pop_front();
             }
-            self.looks.push_back((now, self.now));
+            self.snapshots.push_back((now, self.latest));
         }
-        self.now = *tally;
+        self.latest = *tally;
         if tally.pending > 0 {
-            self.quiet_since = None;
+            self.idle_since = None;
         } else {
-            self.quiet_since.get_or_insert(now);
+            self.idle_since.get_or_insert(now);
         }
     }
 
-    /// Tells what is to become of a roll-out that stands so.
+    /// Decides on the next step of the roll-out, given its current state.
     pub fn decide(&mut self, now: Instant, rollout: &Rollout) -> Decision {
         if rollout.stage != self.stage {
             self.stage = rollout.stage;
-            self.since = now;
+            self.stage_since = now;
         }
         if self.stage >= Stage::Stopped {
             return Decision::Remain;
         }
-        if let Some(fault) = self.find_fault() {
-            return Decision::Stop(fault);
+        if let Some(reason) = self.find_regression() {
+            return Decision::Stop(reason);
         }
         let age = Duration::from_millis(rollout.age_ms.into());
         let duration = Duration::from_millis(rollout.duration_ms.into());
-        let stood = now.saturating_duration_since(self.since);
+        let stage_time = now.saturating_duration_since(self.stage_since);
         match self.stage {
             Stage::Canary if age >= duration => Decision::Stop(StopReason::Overdue),
-            Stage::Canary if age >= duration.mul_f64(TRIAL_PART) && self.is_tried() => {
+            Stage::Canary
+                if age >= duration.mul_f64(CANARY_FRACTION) && self.has_enough_calls() =>
+            {
                 Decision::Advance(Stage::Both)
             }
-            Stage::Both if stood >= MIN_BOTH.max(duration.mul_f64(BOTH_PART)) => {
+            Stage::Both if stage_time >= MIN_BOTH_TIME.max(duration.mul_f64(BOTH_FRACTION)) => {
                 Decision::Advance(Stage::Whole)
             }
-            Stage::Whole if self.is_handed_over(now, stood) => Decision::Advance(Stage::Completed),
+            Stage::Whole if self.is_old_drained(now, stage_time) => {
+                Decision::Advance(Stage::Completed)
+            }
             _ => Decision::Remain,
         }
     }
 
-    fn is_tried(&self) -> bool {
-        self.now.tried() >= MIN_TRIED
+    fn has_enough_calls(&self) -> bool {
+        self.latest.tried() >= MIN_CANARY_CALLS
     }
 
-    fn is_handed_over(&self, now: Instant, stood: Duration) -> bool {
-        let quiet = self.quiet_since;
-        let is_quiet = quiet.is_some_and(|since| now.saturating_duration_since(since) >= QUIET);
-        stood >= MAX_WHOLE || (stood >= MIN_WHOLE && is_quiet)
+    fn is_old_drained(&self, now: Instant, stage_time: Duration) -> bool {
+        let idle = self.idle_since;
+        let is_idle = idle.is_some_and(|since| now.saturating_duration_since(since) >= IDLE_TIME);
+        stage_time >= MAX_WHOLE_TIME || (stage_time >= MIN_WHOLE_TIME && is_idle)
     }
 
-    /// Compares both versions kind by kind, over all the time and over its last seconds.
-    fn find_fault(&self) -> Option<StopReason> {
+    /// Compares both versions by kind of call, over the whole roll-out and over its last seconds.
+    fn find_regression(&self) -> Option<StopReason> {
         let from = self
-            .looks
+            .snapshots
             .front()
             .map_or_else(Tally::default, |(_, tally)| *tally);
         let spans = [Tally::default(), from];
         let mut kinds = (0..KINDS).flat_map(|kind| spans.iter().map(move |from| (kind, from)));
         kinds.find_map(|(kind, from)| {
-            let trial = self.now.trial[kind].since(&from.trial[kind]);
-            let stable = self.now.stable[kind].since(&from.stable[kind]);
+            let trial = self.latest.trial[kind].since(&from.trial[kind]);
+            let stable = self.latest.stable[kind].since(&from.stable[kind]);
             compare(&trial, &stable)
         })
     }
 }
 
 fn compare(trial: &Counts, stable: &Counts) -> Option<StopReason> {
-    let failed = Test {
-        usual: share(stable.failed, stable.ended).max(USUAL_FAILED),
-        extra: EXTRA_FAILED,
+    let failures = RatioTest {
+        baseline: rate(stable.failed, stable.ended).max(MIN_FAILURE_RATE),
+        excess: EXCESS_FAILURE_RATE,
     };
-    if failed.weigh(trial.failed, trial.ended) >= BAD {
+    if failures.log_ratio(trial.failed, trial.ended) >= BAD_LOG_RATIO {
         return Some(StopReason::Failures);
     }
-    let slow = Test {
-        usual: share(stable.slow, stable.ended).max(USUAL_SLOW),
-        extra: EXTRA_SLOW,
+    let slow_calls = RatioTest {
+        baseline: rate(stable.slow, stable.ended).max(MIN_SLOW_RATE),
+        excess: EXCESS_SLOW_RATE,
     };
-    (slow.weigh(trial.slow, trial.ended) >= BAD).then_some(StopReason::Slowness)
+    (slow_calls.log_ratio(trial.slow, trial.ended) >= BAD_LOG_RATIO).then_some(StopReason::Slowness)
 }
 
-fn share(part: u32, whole: u32) -> f64 {
-    if whole < ENOUGH {
+fn rate(bad: u32, ended: u32) -> f64 {
+    if ended < MIN_BASELINE_CALLS {
         return 0.0;
     }
-    f64::from(part) / f64::from(whole)
+    f64::from(bad) / f64::from(ended)
 }
 
-/// A choice between two shares of bad calls.
-struct Test {
-    usual: f64,
-    extra: f64,
+/// A sequential probability ratio test between two rates of bad calls.
+struct RatioTest {
+    /// Rate under the hypothesis that the new version is as good as the old one.
+    baseline: f64,
+    /// Amount by which the rate is higher under the hypothesis that the new version is bad.
+    excess: f64,
 }
 
-impl Test {
-    /// Gives the logarithm of how much likelier the calls are with the higher share.
-    fn weigh(&self, bad: u32, ended: u32) -> f64 {
-        let usual = self.usual.min(0.9);
-        let higher = (usual + self.extra).min(0.98);
+impl RatioTest {
+    /// Returns the logarithm of the likelihood ratio of the higher rate to the baseline.
+    fn log_ratio(&self, bad: u32, ended: u32) -> f64 {
+        let baseline = self.baseline.min(0.9);
+        let higher = (baseline + self.excess).min(0.98);
         let good = f64::from(ended.saturating_sub(bad));
-        f64::from(bad) * (higher / usual).ln() + good * ((1.0 - higher) / (1.0 - usual)).ln()
+        f64::from(bad) * (higher / baseline).ln() + good * ((1.0 - higher) / (1.0 - baseline)).ln()
     }
 }
