--- a/crates/policy/tests/in_flight.rs
+++ b/crates/policy/tests/in_flight.rs
@@ -1,4 +1,4 @@
-//! Which requests were in flight at a backend server as it ended.
+//! Which requests are suspected when the process of a backend server ends.
 
 use call::Digest;
 use clock::{Clock, Manual};
@@ -27,122 +27,132 @@
         }
     }
 
-    fn enter(&mut self, path: &str, is_suspect: bool) -> Key {
+    fn start(&mut self, path: &str, is_suspect: bool) -> Key {
         let now = self.clock.now();
         self.table.start(now, 1, request(path, is_suspect))
     }
 
-    fn leave(&mut self, key: Key, outcome: Outcome) {
+    fn finish(&mut self, key: Key, outcome: Outcome) {
         self.table.finish(self.clock.now(), key, outcome);
     }
 
-    /// Ends the process; gives the paths with whether they are alone to blame.
-    fn end(&mut self) -> Vec<(String, bool)> {
-        let found = self.table.take_suspects(self.clock.now(), 1).into_iter();
-        let tell = |found: Suspect| (found.request.path.to_string(), found.is_alone);
-        found.map(tell).collect()
+    /// Ends the process; returns the path of each suspect and whether it is the only one likely.
+    fn crash(&mut self) -> Vec<(String, bool)> {
+        let suspects = self.table.take_suspects(self.clock.now(), 1).into_iter();
+        let summary = |suspect: Suspect| (suspect.request.path.to_string(), suspect.is_alone);
+        suspects.map(summary).collect()
     }
 }
 
-fn paths(found: &[(&str, bool)]) -> Vec<(String, bool)> {
-    let own = found
+fn expected(suspects: &[(&str, bool)]) -> Vec<(String, bool)> {
+    let owned = suspects
         .iter()
-        .map(|(path, alone)| ((*path).to_owned(), *alone));
-    own.collect()
+        .map(|(path, is_alone)| ((*path).to_owned(), *is_alone));
+    owned.collect()
 }
 
-/// A request that ends a server alone must be found, whoever else has left it before.
+/// The only request in flight at a crash is the only suspect: calls that were answered or never
+/// started before are not suspected.
 #[test]
-fn alone() {
+fn sole_suspect() {
     let mut server = Server::new();
-    let before = server.enter("/before", false);
-    server.leave(before, Outcome::Answered);
-    let refused = server.enter("/refused", false);
-    server.leave(refused, Outcome::NotRun);
-    server.enter("/deadly", false);
-    assert_eq!(server.end(), paths(&[("/deadly", true)]));
-    assert!(server.end().is_empty(), "a process ends once");
+    let before = server.start("/before", false);
+    server.finish(before, Outcome::Answered);
+    let refused = server.start("/refused", false);
+    server.finish(refused, Outcome::NotRun);
+    server.start("/deadly", false);
+    assert_eq!(server.crash(), expected(&[("/deadly", true)]));
+    assert!(
+        server.crash().is_empty(),
+        "the calls of a process are taken once"
+    );
 }
 
-/// Copies of one request must not hide each other.
+/// Two calls with the same request are one suspect; otherwise neither would count as the only
+/// likely cause.
 #[test]
-fn copies() {
+fn duplicate_calls() {
     let mut server = Server::new();
-    server.enter("/deadly", false);
-    server.enter("/deadly", true);
-    assert_eq!(server.end(), paths(&[("/deadly", true)]));
+    server.start("/deadly", false);
+    server.start("/deadly", true);
+    assert_eq!(server.crash(), expected(&[("/deadly", true)]));
 }
 
-/// An innocent request beside a suspect must not be blamed as much as that one.
+/// A request that was in flight together with a known suspect is a less likely cause.
 #[test]
-fn beside_suspect() {
+fn with_known_suspect() {
     let mut server = Server::new();
-    server.enter("/innocent", false);
-    server.enter("/deadly", true);
-    let found = server.end();
-    assert_eq!(found, paths(&[("/deadly", true), ("/innocent", false)]));
+    server.start("/innocent", false);
+    server.start("/deadly", true);
+    let suspects = server.crash();
+    assert_eq!(
+        suspects,
+        expected(&[("/deadly", true), ("/innocent", false)])
+    );
 }
 
-/// Two that nothing is known of must not be blamed alone.
+/// Of two requests without earlier crashes, neither is the only likely cause.
 #[test]
-fn two_fresh() {
+fn two_unknown() {
     let mut server = Server::new();
-    server.enter("/a", false);
-    server.enter("/b", false);
-    assert_eq!(server.end(), paths(&[("/a", false), ("/b", false)]));
+    server.start("/a", false);
+    server.start("/b", false);
+    assert_eq!(server.crash(), expected(&[("/a", false), ("/b", false)]));
 }
 
-/// A caller that gives up just before the crash must not take the evidence with it; one that
-/// left long before is none.
+/// A call whose caller gave up just before the crash is still a suspect; one that ended long
+/// before is not.
 #[test]
-fn gone_before() {
+fn cancelled_before_crash() {
     let mut server = Server::new();
-    let long_gone = server.enter("/long-gone", false);
-    server.leave(long_gone, Outcome::Unanswered);
+    let long_ended = server.start("/long-gone", false);
+    server.finish(long_ended, Outcome::Unanswered);
     server.clock.advance(Duration::from_secs(2));
-    let gone = server.enter("/deadly", false);
-    server.leave(gone, Outcome::Unanswered);
+    let cancelled = server.start("/deadly", false);
+    server.finish(cancelled, Outcome::Unanswered);
     assert!(server.table.has_unanswered(server.clock.now(), 1));
     server.clock.advance(Duration::from_millis(300));
-    assert_eq!(server.end(), paths(&[("/deadly", true)]));
+    assert_eq!(server.crash(), expected(&[("/deadly", true)]));
     assert!(!server.table.has_unanswered(server.clock.now(), 1));
 }
 
-/// A path that all ask for is on each server that ends, and must not be suspected for it.
+/// A frequently requested path is in flight at every crash, but its recent answers show that it is
+/// not the cause.
 #[test]
 fn hot_path() {
     let mut server = Server::new();
-    let answered = server.enter("/hot", false);
-    server.leave(answered, Outcome::Answered);
+    let answered = server.start("/hot", false);
+    server.finish(answered, Outcome::Answered);
     server.clock.advance(Duration::from_secs(1));
-    server.enter("/hot", false);
-    server.enter("/other", false);
-    assert_eq!(server.end(), paths(&[("/other", true)]));
+    server.start("/hot", false);
+    server.start("/other", false);
+    assert_eq!(server.crash(), expected(&[("/other", true)]));
 }
 
-/// One crash must not fill all memories with those that left long before the one to blame.
+/// The number of suspects per crash is bounded, and calls that ended earlier do not displace the
+/// call in flight.
 #[test]
-fn many_gone() {
+fn many_cancelled() {
     let mut server = Server::new();
     for number in 0..100 {
-        let gone = server.enter(&format!("/gone/{number}"), false);
-        server.leave(gone, Outcome::Unanswered);
+        let cancelled = server.start(&format!("/gone/{number}"), false);
+        server.finish(cancelled, Outcome::Unanswered);
         server.clock.advance(Duration::from_millis(1));
     }
-    server.enter("/deadly", false);
-    let found = server.end();
-    assert_eq!(found[0].0, "/deadly");
-    assert_eq!(found.len(), 64);
+    server.start("/deadly", false);
+    let suspects = server.crash();
+    assert_eq!(suspects[0].0, "/deadly");
+    assert_eq!(suspects.len(), 64);
 }
 
-/// The calls of the process that follows must not count for the one before.
+/// The calls of the next process are not suspected of the crash of the previous one.
 #[test]
 fn next_process() {
     let mut server = Server::new();
-    server.enter("/deadly", false);
+    server.start("/deadly", false);
     let now = server.clock.now();
     server.table.start(now, 2, request("/next", false));
-    assert_eq!(server.end(), paths(&[("/deadly", true)]));
+    assert_eq!(server.crash(), expected(&[("/deadly", true)]));
     let next = server.table.take_suspects(now, 2);
     assert_eq!(next.len(), 1);
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What is held, what is cleared, and that all nodes come to the same.
+//! Which requests are held and cleared, and that the histories of all nodes converge.
 
 use call::{Crash, Digest};
 use clock::{Clock, Manual};
@@ -27,145 +27,157 @@
     }
 }
 
-fn is_held(ledger: &CrashHistory, now: Instant, number: usize) -> bool {
+fn is_held(history: &CrashHistory, now: Instant, number: usize) -> bool {
     matches!(
-        ledger.status(now, request(number)),
+        history.status(now, request(number)),
         RequestStatus::Held { .. }
     )
 }
 
-/// A request must be refused once it has crashed three servers, and not before.
+/// A request is held from its third crash on, and not before.
 #[test]
 fn third_crash() {
     let now = Manual::new().now();
-    let mut ledger = CrashHistory::default();
-    assert_eq!(ledger.status(now, request(1)), RequestStatus::Clear);
+    let mut history = CrashHistory::default();
+    assert_eq!(history.status(now, request(1)), RequestStatus::Clear);
     for id in 0..3 {
-        assert!(!is_held(&ledger, now, 1));
-        assert!(ledger.merge(now, &crash(id, 1, true)));
-        assert_ne!(ledger.status(now, request(1)), RequestStatus::Clear);
+        assert!(!is_held(&history, now, 1));
+        assert!(history.merge(now, &crash(id, 1, true)));
+        assert_ne!(history.status(now, request(1)), RequestStatus::Clear);
     }
-    let standing = ledger.status(now, request(1));
-    assert_eq!(standing, RequestStatus::Held { wait: HOLD_TIME });
-    assert_eq!(ledger.status(now, request(2)), RequestStatus::Clear);
-    assert_eq!(ledger.count_held(now), 1);
+    let status = history.status(now, request(1));
+    assert_eq!(status, RequestStatus::Held { wait: HOLD_TIME });
+    assert_eq!(history.status(now, request(2)), RequestStatus::Clear);
+    assert_eq!(history.count_held(now), 1);
 }
 
-/// One crash that three nodes tell of must not count three times.
+/// A crash that is reported repeatedly counts once.
 #[test]
-fn told_again() {
+fn repeated_report() {
     let now = Manual::new().now();
-    let mut ledger = CrashHistory::default();
-    assert!(ledger.merge(now, &crash(7, 1, true)));
+    let mut history = CrashHistory::default();
+    assert!(history.merge(now, &crash(7, 1, true)));
     for _ in 0..5 {
-        assert!(!ledger.merge(now, &crash(7, 1, true)));
+        assert!(!history.merge(now, &crash(7, 1, true)));
     }
-    assert!(!is_held(&ledger, now, 1));
+    assert!(!is_held(&history, now, 1));
 }
 
-/// What ran beside a deadly request at each crash must not be held with it.
+/// A request that ran at the same time as a suspect at each crash is not held.
 #[test]
-fn beside_it() {
+fn never_sole_suspect() {
     let now = Manual::new().now();
-    let mut ledger = CrashHistory::default();
+    let mut history = CrashHistory::default();
     for id in 0..8 {
-        ledger.merge(now, &crash(id, 1, false));
+        history.merge(now, &crash(id, 1, false));
     }
-    assert_eq!(ledger.status(now, request(1)), RequestStatus::Suspect);
+    assert_eq!(history.status(now, request(1)), RequestStatus::Suspect);
 }
 
-/// A request that is answered anywhere must be run again as before, also where the answer is
-/// heard of before the crash.
+/// A request that was answered on any node is cleared on all nodes, also on one that learns of the
+/// answer before it learns of the crash.
 #[test]
-fn answered() {
+fn cleared_by_answer() {
     let now = Manual::new().now();
-    let mut here = CrashHistory::default();
-    let mut there = CrashHistory::default();
+    let mut local = CrashHistory::default();
+    let mut remote = CrashHistory::default();
     for id in 0..3 {
-        here.merge(now, &crash(id, 1, true));
+        local.merge(now, &crash(id, 1, true));
     }
-    assert!(is_held(&here, now, 1));
-    let cleared = here.clear(now, request(1));
+    assert!(is_held(&local, now, 1));
+    let cleared = local.clear(now, request(1));
     assert_eq!(cleared.len(), 3);
-    assert_eq!(here.status(now, request(1)), RequestStatus::Clear);
-    for one in &cleared {
-        assert!(there.merge(now, one));
+    assert_eq!(local.status(now, request(1)), RequestStatus::Clear);
+    for crash in &cleared {
+        assert!(remote.merge(now, crash));
     }
     for id in 0..3 {
-        assert!(!there.merge(now, &crash(id, 1, true)));
+        assert!(!remote.merge(now, &crash(id, 1, true)));
     }
-    assert_eq!(there.status(now, request(1)), RequestStatus::Clear);
-    assert!(here.clear(now, request(1)).is_empty());
+    assert_eq!(remote.status(now, request(1)), RequestStatus::Clear);
+    assert!(local.clear(now, request(1)).is_empty());
 }
 
-/// A hold must end, and one further crash renews it; an hour later nothing is known.
+/// A hold expires, a single further crash renews it, and after another hour the request is
+/// forgotten.
 #[test]
-fn hold_ends() {
+fn hold_expires() {
     let clock = Manual::new();
-    let mut ledger = CrashHistory::default();
+    let mut history = CrashHistory::default();
     for id in 0..3 {
-        ledger.merge(clock.now(), &crash(id, 1, true));
+        history.merge(clock.now(), &crash(id, 1, true));
     }
     clock.advance(HOLD_TIME);
     assert_eq!(
-        ledger.status(clock.now(), request(1)),
+        history.status(clock.now(), request(1)),
         RequestStatus::Suspect
     );
-    ledger.merge(clock.now(), &crash(3, 1, true));
-    assert!(is_held(&ledger, clock.now(), 1));
+    history.merge(clock.now(), &crash(3, 1, true));
+    assert!(is_held(&history, clock.now(), 1));
     clock.advance(RETENTION);
-    assert_eq!(ledger.status(clock.now(), request(1)), RequestStatus::Clear);
-    ledger.expire(clock.now());
-    assert!(ledger.is_empty());
+    assert_eq!(
+        history.status(clock.now(), request(1)),
+        RequestStatus::Clear
+    );
+    history.expire(clock.now());
+    assert!(history.is_empty());
 }
 
-/// A crash that is told late must not be held against a request for longer.
+/// A crash that is reported late expires no later than one that is reported at once.
 #[test]
-fn old_news() {
+fn late_report() {
     let now = Manual::new().now();
-    let mut ledger = CrashHistory::default();
+    let mut history = CrashHistory::default();
     let aged = |id: u64, age: Duration| Crash {
         age_ms: u32::try_from(age.as_millis()).unwrap(),
         ..crash(id, 1, true)
     };
-    assert!(!ledger.merge(now, &aged(0, RETENTION)));
+    assert!(!history.merge(now, &aged(0, RETENTION)));
     for id in 1..4 {
-        assert!(ledger.merge(now, &aged(id, HOLD_TIME / 2)));
+        assert!(history.merge(now, &aged(id, HOLD_TIME / 2)));
     }
-    let standing = ledger.status(now, request(1));
+    let status = history.status(now, request(1));
     assert_eq!(
-        standing,
+        status,
         RequestStatus::Held {
             wait: HOLD_TIME / 2
         }
     );
-    assert!(ledger.list(now).iter().all(|one| one.age_ms == 300_000));
+    assert!(
+        history
+            .list(now)
+            .iter()
+            .all(|crash| crash.age_ms == 300_000)
+    );
 }
 
-/// A flood of requests that crash servers must not push out one that is held.
+/// Many other crashing requests do not evict one that is held.
 #[test]
-fn flood() {
+fn held_not_evicted() {
     let clock = Manual::new();
-    let mut ledger = CrashHistory::default();
+    let mut history = CrashHistory::default();
     for id in 0..3 {
-        ledger.merge(clock.now(), &crash(id, 0, true));
+        history.merge(clock.now(), &crash(id, 0, true));
     }
     for number in 1..5 * MAX_REQUESTS {
         clock.advance(Duration::from_millis(1));
-        ledger.merge(clock.now(), &crash(100 + number as u64, number, true));
+        history.merge(clock.now(), &crash(100 + number as u64, number, true));
     }
-    assert_eq!(ledger.len(), MAX_REQUESTS);
-    assert!(is_held(&ledger, clock.now(), 0));
+    assert_eq!(history.len(), MAX_REQUESTS);
+    assert!(is_held(&history, clock.now(), 0));
     let newest = 5 * MAX_REQUESTS - 1;
     assert_eq!(
-        ledger.status(clock.now(), request(newest)),
+        history.status(clock.now(), request(newest)),
         RequestStatus::Suspect
     );
     for id in 0..1_000 {
-        ledger.merge(clock.now(), &crash(10_000 + id, 0, true));
+        history.merge(clock.now(), &crash(10_000 + id, 0, true));
     }
-    let kept = ledger.list(clock.now());
-    let kept = kept.iter().filter(|one| one.request == request(0)).count();
+    let kept = history.list(clock.now());
+    let kept = kept
+        .iter()
+        .filter(|crash| crash.request == request(0))
+        .count();
     assert_eq!(kept, MAX_CRASHES_PER_REQUEST);
 }
 
@@ -180,7 +192,7 @@
         node: usize,
         number: usize,
     },
-    Tell {
+    Send {
         from: usize,
         to: usize,
     },
@@ -189,32 +201,32 @@
     },
 }
 
-/// Nodes of the model.
+/// Number of nodes in the randomised test.
 const NODES: usize = 4;
 
-fn draw_step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     let node = 0..NODES;
     let number = 0..3usize;
     prop_oneof![
         4 => (node.clone(), number.clone(), any::<bool>())
             .prop_map(|(node, number, is_alone)| Step::Crash { node, number, is_alone }),
         1 => (node.clone(), number).prop_map(|(node, number)| Step::Answer { node, number }),
-        4 => (node.clone(), node.clone()).prop_map(|(from, to)| Step::Tell { from, to }),
+        4 => (node.clone(), node.clone()).prop_map(|(from, to)| Step::Send { from, to }),
         1 => node.prop_map(|node| Step::Restart { node }),
     ]
 }
 
-fn sorted(ledger: &CrashHistory, now: Instant) -> Vec<Crash> {
-    let mut list = ledger.list(now);
-    list.sort_by_key(|one| (one.id, one.request));
+fn sorted(history: &CrashHistory, now: Instant) -> Vec<Crash> {
+    let mut list = history.list(now);
+    list.sort_by_key(|crash| (crash.id, crash.request));
     list
 }
 
 proptest! {
-    /// Nodes that tell each other all they know, in any order and any number of times, must
-    /// come to the same, and to no more crashes than there were.
+    /// Nodes that exchange their records in any order and any number of times converge to the same
+    /// history, and hold no request that crashed fewer than [`HOLD_THRESHOLD`] servers.
     #[test]
-    fn same_everywhere(steps in proptest::collection::vec(draw_step(), 0..60)) {
+    fn nodes_converge(steps in proptest::collection::vec(any_step(), 0..60)) {
         let now = Manual::new().now();
         let mut nodes: Vec<CrashHistory> = (0..NODES).map(|_| CrashHistory::default()).collect();
         let mut crashes = [0; 3];
@@ -225,24 +237,24 @@
                     nodes[node].merge(now, &crash(id, number, is_alone));
                 }
                 Step::Answer { node, number } => drop(nodes[node].clear(now, request(number))),
-                Step::Tell { from, to } => {
-                    for one in nodes[from].list(now) {
-                        nodes[to].merge(now, &one);
+                Step::Send { from, to } => {
+                    for crash in nodes[from].list(now) {
+                        nodes[to].merge(now, &crash);
                     }
                 }
                 Step::Restart { node } => nodes[node] = CrashHistory::default(),
             }
         }
-        // Two rounds bring all that is left to all nodes, the last one backwards.
+        // Two rounds bring all remaining records to all nodes; the last crash in reverse order.
         for round in 0..2 {
             for from in 0..NODES {
-                let mut told = nodes[from].list(now);
+                let mut sent = nodes[from].list(now);
                 if round == 1 {
-                    told.reverse();
+                    sent.reverse();
                 }
                 for to in (0..NODES).rev() {
-                    for one in &told {
-                        nodes[to].merge(now, one);
+                    for crash in &sent {
+                        nodes[to].merge(now, crash);
                     }
                 }
             }
@@ -256,23 +268,23 @@
     }
 }
 
-/// Steps of the fleet that is looked at exhaustively.
+/// Number of steps in the exhaustive test.
 const DEPTH: usize = 5;
 
-/// Nodes of that fleet.
-const FEW: usize = 2;
+/// Number of nodes in the exhaustive test.
+const EXHAUSTIVE_NODES: usize = 2;
 
-/// A fleet after some steps: what its nodes know, and how often the request crashed a server.
+/// State of a fleet: the crash records of its nodes, and how often the request crashed a server.
 #[derive(Clone)]
 struct Fleet {
     nodes: Vec<Vec<Crash>>,
     crashes: usize,
 }
 
-/// What may happen next to a fleet.
+/// Returns the possible next steps of a fleet.
 fn list_steps() -> Vec<Step> {
     let mut steps = Vec::new();
-    for node in 0..FEW {
+    for node in 0..EXHAUSTIVE_NODES {
         for is_alone in [false, true] {
             steps.push(Step::Crash {
                 node,
@@ -282,42 +294,42 @@
         }
         steps.push(Step::Answer { node, number: 0 });
         steps.push(Step::Restart { node });
-        let others = (0..FEW).filter(|to| *to != node);
-        steps.extend(others.map(|to| Step::Tell { from: node, to }));
+        let others = (0..EXHAUSTIVE_NODES).filter(|to| *to != node);
+        steps.extend(others.map(|to| Step::Send { from: node, to }));
     }
     steps
 }
 
-fn ledger_of(known: &[Crash], now: Instant) -> CrashHistory {
-    let mut ledger = CrashHistory::default();
-    for one in known {
-        ledger.merge(now, one);
+fn history_of(records: &[Crash], now: Instant) -> CrashHistory {
+    let mut history = CrashHistory::default();
+    for crash in records {
+        history.merge(now, crash);
     }
-    ledger
+    history
 }
 
-fn step(fleet: &Fleet, step: &Step, id: u64, now: Instant) -> Fleet {
+fn apply(fleet: &Fleet, step: &Step, id: u64, now: Instant) -> Fleet {
     let mut next = fleet.clone();
-    let change = |known: &mut Vec<Crash>, change: &dyn Fn(&mut CrashHistory)| {
-        let mut ledger = ledger_of(known, now);
-        change(&mut ledger);
-        *known = ledger.list(now);
+    let change = |records: &mut Vec<Crash>, change: &dyn Fn(&mut CrashHistory)| {
+        let mut history = history_of(records, now);
+        change(&mut history);
+        *records = history.list(now);
     };
     match *step {
         Step::Crash { node, is_alone, .. } => {
             next.crashes += 1;
-            change(&mut next.nodes[node], &|ledger| {
-                ledger.merge(now, &crash(id, 0, is_alone));
+            change(&mut next.nodes[node], &|history| {
+                history.merge(now, &crash(id, 0, is_alone));
             });
         }
-        Step::Answer { node, .. } => change(&mut next.nodes[node], &|ledger| {
-            ledger.clear(now, request(0));
+        Step::Answer { node, .. } => change(&mut next.nodes[node], &|history| {
+            history.clear(now, request(0));
         }),
-        Step::Tell { from, to } => {
-            let told = fleet.nodes[from].clone();
-            change(&mut next.nodes[to], &|ledger| {
-                for one in &told {
-                    ledger.merge(now, one);
+        Step::Send { from, to } => {
+            let sent = fleet.nodes[from].clone();
+            change(&mut next.nodes[to], &|history| {
+                for crash in &sent {
+                    history.merge(now, crash);
                 }
             });
         }
@@ -326,30 +338,30 @@
     next
 }
 
-/// In every order of a few crashes, answers, losses and restarts, no node may hold a request
-/// that crashed fewer than three servers, nor one that it has just seen answered.
+/// In every order of a few crashes, answers, messages and restarts, no node holds a request that
+/// crashed fewer than three servers, nor one that it has just answered.
 #[test]
 fn every_order() {
     let now = Manual::new().now();
     let steps = list_steps();
     let mut fleets = vec![Fleet {
-        nodes: vec![Vec::new(); FEW],
+        nodes: vec![Vec::new(); EXHAUSTIVE_NODES],
         crashes: 0,
     }];
     let mut held = 0;
     for depth in 0..DEPTH {
         let mut next = Vec::new();
         for fleet in &fleets {
-            for one in &steps {
-                let after = step(fleet, one, depth as u64, now);
-                for known in &after.nodes {
-                    let is_held = is_held(&ledger_of(known, now), now, 0);
+            for step in &steps {
+                let after = apply(fleet, step, depth as u64, now);
+                for records in &after.nodes {
+                    let is_held = is_held(&history_of(records, now), now, 0);
                     held += usize::from(is_held);
-                    assert!(!is_held || after.crashes >= HOLD_THRESHOLD, "{one:?}");
+                    assert!(!is_held || after.crashes >= HOLD_THRESHOLD, "{step:?}");
                 }
-                if let Step::Answer { node, .. } = *one {
-                    let ledger = ledger_of(&after.nodes[node], now);
-                    assert_eq!(ledger.status(now, request(0)), RequestStatus::Clear);
+                if let Step::Answer { node, .. } = *step {
+                    let history = history_of(&after.nodes[node], now);
+                    assert_eq!(history.status(now, request(0)), RequestStatus::Clear);
                 }
                 next.push(after);
             }
