--- a/crates/policy/tests/load/same_figures.rs
+++ b/crates/policy/tests/load/herding.rs
@@ -2,13 +2,13 @@
 use crate::sim::run;
 use config::Class;
 
-// Fifty outbound proxies see the same backend servers in the same state, one of
-// which stalls now and then. If all of them went for the best of the moment,
-// they would push it over together, then the next one.
+// Fifty outbound proxies see the same load figures of the same backend servers, one
+// of which stalls for a second. If all proxies chose the currently least loaded
+// server, they would overload it together, then the next one.
 #[test]
 fn no_oscillation() {
     let mut servers = vec![Server::default(); 4];
-    servers[0].slow = |now| if (4.0..5.0).contains(&now) { 5.0 } else { 1.0 };
+    servers[0].slowdown = |now| if (4.0..5.0).contains(&now) { 5.0 } else { 1.0 };
     let scenario = Scenario {
         flows: Flow::new(Class::Lookup, 0.7 * CAPACITY).split(0..40),
         servers,
@@ -29,5 +29,5 @@
     }
     println!("worst {worst:.3}");
     assert!(worst < 0.35);
-    assert!(policy.share(0..40, 10.0..15.0) >= 0.995);
+    assert!(policy.answered_share(0..40, 10.0..15.0) >= 0.995);
 }
--- a/crates/policy/tests/load/long_jobs.rs
+++ b/crates/policy/tests/load/long_jobs.rs
@@ -3,8 +3,8 @@
 use config::Class;
 use yare::parameterized;
 
-// Reports that take a second run beside look-ups of ten milliseconds. Once
-// each slot has a report in it, a fitter's look-up waits for a second.
+// Calls of one second run beside look-ups of ten milliseconds. Once each slot is
+// occupied by a long call, a look-up waits for up to a second.
 #[parameterized(
     some = { 0.3, 0.99, 0.99, 0.1, 1.0 },
     many = { 0.6, 0.9, 0.95, 0.15, 4.0 },
@@ -31,14 +31,14 @@
     let policy = run(&scenario, System::Policy);
     let baseline = run(&scenario, System::Baseline);
     for (name, report) in [("policy", &policy), ("baseline", &baseline)] {
-        let short = report.share(0..30, 5.0..19.0);
-        let long = report.share(30..40, 5.0..15.0);
+        let short = report.answered_share(0..30, 5.0..19.0);
+        let long = report.answered_share(30..40, 5.0..15.0);
         let p99 = report.p99(0..30, 5.0..19.0);
-        let work = report.worked / (20.0 * 24.0);
+        let work = report.busy_seconds / (20.0 * 24.0);
         println!("{name} {jobs}: short {short:.3} p99 {p99:.3} long {long:.3} work {work:.3}");
     }
-    assert!(policy.share(0..30, 5.0..19.0) >= least_short);
-    assert!(policy.share(30..40, 5.0..15.0) >= least_long);
+    assert!(policy.answered_share(0..30, 5.0..19.0) >= least_short);
+    assert!(policy.answered_share(30..40, 5.0..15.0) >= least_long);
     assert!(policy.p99(0..30, 5.0..19.0) <= most_p99);
     assert!(baseline.p99(0..30, 5.0..19.0) > gain * policy.p99(0..30, 5.0..19.0));
 }
--- a/crates/policy/tests/load/main.rs
+++ b/crates/policy/tests/load/main.rs
@@ -1,20 +1,20 @@
-//! Load patterns in virtual time, judged by what the callers receive.
+//! Load patterns simulated in virtual time and measured by what the callers receive.
 
 mod burst;
-mod fewer_slots;
 mod gray_failure;
+mod herding;
 mod hot_caller;
 mod hot_key;
-mod in_time;
 mod large_fleet;
+mod latency_target;
 mod long_jobs;
 mod nested;
+mod overstated_slots;
 mod report;
 mod retry_storm;
-mod same_figures;
 mod scenario;
 mod sim;
 mod slow_server;
 mod sustained_overload;
 mod uneven_zone;
-mod zone_return;
+mod zone_recovery;
--- a/crates/policy/tests/load/nested.rs
+++ b/crates/policy/tests/load/nested.rs
@@ -3,21 +3,21 @@
 use crate::sim::run;
 use config::Class;
 
-/// Seconds that count: the first two fill the queues and teach the durations.
+/// Measured interval: the first two seconds fill the queues and train the duration estimates.
 const STEADY: std::ops::Range<f64> = 2.0..10.0;
 
-/// A service that is busy with work of its own, and is asked for coverage checks
-/// by backend servers that hold a slot elsewhere while they wait.
-fn claims(nested: Option<Class>, checks: f64) -> Scenario {
+/// A service that is at capacity with direct calls, and receives nested calls (checks)
+/// from backend servers that hold a slot elsewhere while they wait.
+fn mixed(nested: Option<Class>, checks: f64) -> Scenario {
     let mut checks = Flow::new(Class::Refresh, CAPACITY * checks);
     checks.target = Some(0.2);
     checks.timeout = 0.6;
     checks.nested = nested;
-    let mut releases = Flow::new(Class::Lookup, CAPACITY);
-    releases.target = Some(0.3);
-    releases.timeout = 1.5;
+    let mut direct_calls = Flow::new(Class::Lookup, CAPACITY);
+    direct_calls.target = Some(0.3);
+    direct_calls.timeout = 1.5;
     let mut flows = vec![checks];
-    flows.extend(releases.split(1..100));
+    flows.extend(direct_calls.split(1..100));
     Scenario {
         flows,
         ..Scenario::default()
@@ -28,51 +28,48 @@
     report.answered(0..1, STEADY) / (CAPACITY * 0.3 * 8.0)
 }
 
-// Fitters look up gearbox histories, and the service of records asks the one
-// of claims for each. Claims is at its limit with its own work, whose rank is
-// higher. A third of the checks are turned away, and each of them fails a
-// look-up that has run for a third of a second. Cause: the checks stand in the
-// queue like calls that nobody waits for yet.
+// A service is at capacity with direct calls of a higher class than the nested
+// calls that it receives. If nested calls are queued like any others, a third of
+// them are refused, and each refusal fails a parent call that has already run for
+// a third of a second.
 #[test]
-fn parents_kept() {
-    let (fresh, nested) = (
-        run(&claims(None, 0.3), System::Policy),
-        run(&claims(Some(Class::Refresh), 0.3), System::Policy),
+fn parents_survive() {
+    let (as_direct, as_nested) = (
+        run(&mixed(None, 0.3), System::Policy),
+        run(&mixed(Some(Class::Refresh), 0.3), System::Policy),
     );
-    let own = nested.answered(1..100, STEADY) / (CAPACITY * 8.0);
+    let direct = as_nested.answered(1..100, STEADY) / (CAPACITY * 8.0);
     println!(
-        "checks answered: as fresh {:.3} as nested {:.3}; own work {own:.3}",
-        answered(&fresh),
-        answered(&nested)
+        "checks answered: as direct {:.3} as nested {:.3}; direct calls {direct:.3}",
+        answered(&as_direct),
+        answered(&as_nested)
     );
-    assert!(answered(&fresh) < 0.7);
-    assert!(answered(&nested) > 0.97);
-    // What is left of the slots still goes to the service's own work.
-    assert!(own > 0.6, "{own}");
+    assert!(answered(&as_direct) < 0.7);
+    assert!(answered(&as_nested) > 0.97);
+    // The remaining slots still go to the direct calls.
+    assert!(direct > 0.6, "{direct}");
 }
 
-// One slow backend server of claims is left. For a quarter of a minute it ran 761
-// coverage checks and not a single release, which customers wait for as well.
-// Cause: the checks of running look-ups went before everything, and alone they
-// were as many as it could run.
+// When nested calls had absolute priority and alone exceeded the capacity, direct
+// calls were starved: the one slow backend server left ran 761 nested calls and no
+// direct one in 15 s, although callers waited for both.
 #[test]
-fn own_work_kept() {
-    let crowded = run(&claims(Some(Class::Refresh), 1.2), System::Policy);
-    let own = crowded.answered(1..100, STEADY) / (CAPACITY * 8.0);
+fn direct_calls_not_starved() {
+    let crowded = run(&mixed(Some(Class::Refresh), 1.2), System::Policy);
+    let direct = crowded.answered(1..100, STEADY) / (CAPACITY * 8.0);
     let checks = crowded.answered(0..1, STEADY) / (CAPACITY * 8.0);
-    println!("checks {checks:.3} of the capacity, own work {own:.3}");
-    assert!(own > 0.35 && checks > 0.35);
+    println!("checks {checks:.3} of the capacity, direct calls {direct:.3}");
+    assert!(direct > 0.35 && checks > 0.35);
 }
 
-// Visitors sign in, and the service of badges asks the one of evidence to check
-// each against the watch-list. One backend server of evidence is left, busy with
-// photographs: four in ten checks were turned away, each with a sign-in that had
-// run already. Cause: a check got no more of the slots than a photograph, whatever
-// waited for it.
+// The class of the parent call counts. When a nested call had no larger share of
+// the slots than a direct one, whatever the class of its parent, four in ten nested
+// calls were refused at the one backend server left, and each refusal failed a
+// parent call that had already run.
 #[test]
-fn parents_of_worth_kept() {
-    let refresh = run(&claims(Some(Class::Refresh), 0.8), System::Policy);
-    let lookup = run(&claims(Some(Class::Lookup), 0.8), System::Policy);
+fn higher_class_parents_survive() {
+    let refresh = run(&mixed(Some(Class::Refresh), 0.8), System::Policy);
+    let lookup = run(&mixed(Some(Class::Lookup), 0.8), System::Policy);
     let share = |report: &Report| report.answered(0..1, STEADY) / (CAPACITY * 0.8 * 8.0);
     println!(
         "for refreshes {:.3}, for look-ups {:.3}",
@@ -81,6 +78,6 @@
     );
     assert!(share(&refresh) < 0.8);
     assert!(share(&lookup) > 0.85);
-    let own = lookup.answered(1..100, STEADY) / (CAPACITY * 8.0);
-    assert!(own > 0.15, "{own}");
+    let direct = lookup.answered(1..100, STEADY) / (CAPACITY * 8.0);
+    assert!(direct > 0.15, "{direct}");
 }
--- a/crates/policy/tests/load/fewer_slots.rs
+++ b/crates/policy/tests/load/overstated_slots.rs
@@ -2,15 +2,15 @@
 use crate::sim::run;
 use config::Class;
 
-/// Runs over which the limits are averaged: how far one of them is cut varies
-/// with the seed, between 4.1 and 5.3 for the first server.
+/// Number of runs over which the limits are averaged: the limit of the first server
+/// varies with the seed, between 4.1 and 5.3.
 const SEEDS: u32 = 8;
 
-// A backend server says that it has six slots and runs three calls at once;
-// the others queue inside it, behind its inbound proxy's back: a commit that
-// the proxy lets pass first stands there behind refreshes.
+// A backend server advertises six slots but runs only three calls at once. The
+// others wait in a queue inside the server, which its inbound proxy does not see:
+// a commit that the proxy admits first waits there behind calls of lower classes.
 #[test]
-fn limit_found() {
+fn limit_converges() {
     let mut servers = vec![Server::default(); 4];
     servers[0].slots = 3;
     servers[1].slots = 2;
@@ -26,17 +26,17 @@
             ..Scenario::default()
         };
         let policy = run(&scenario, System::Policy);
-        let commits = policy.share(0..20, 10.0..59.0);
+        let commits = policy.answered_share(0..20, 10.0..59.0);
         assert!(commits >= 0.99, "seed {seed}: {commits}");
-        for (server, sum) in mean.iter_mut().enumerate() {
-            *sum += policy.mean_slots(server) / f64::from(SEEDS);
+        for (server, mean) in mean.iter_mut().enumerate() {
+            *mean += policy.mean_limit(server) / f64::from(SEEDS);
         }
         if seed == 1 {
             let baseline = run(&scenario, System::Baseline);
-            assert!(baseline.share(0..20, 10.0..59.0) < 0.1);
+            assert!(baseline.answered_share(0..20, 10.0..59.0) < 0.1);
         }
     }
-    println!("slots {mean:.2?}");
+    println!("limits {mean:.2?}");
     assert!(mean[0] < 5.0 && mean[1] < 5.0);
     assert!(mean[2] > 5.0 && mean[3] > 5.0);
 }
--- a/crates/policy/tests/load/report.rs
+++ b/crates/policy/tests/load/report.rs
@@ -1,12 +1,12 @@
-//! What the callers of a run received.
+//! Results of a simulated run, as seen by its callers.
 
 use std::ops::Range;
 
-/// An answer or refusal as its caller saw it.
+/// A call or its result, as its caller saw it.
 #[derive(Debug, Clone, Copy)]
 struct Event {
     flow: usize,
-    born: f64,
+    started: f64,
     ended: f64,
     kind: Kind,
 }
@@ -16,22 +16,22 @@
     Offered,
     Answered,
     Refused,
-    RanOut,
+    TimedOut,
 }
 
-/// What the callers of a run received.
+/// Results of a simulated run, as seen by its callers.
 #[derive(Debug)]
 pub struct Report {
     events: Vec<Event>,
-    /// Retry-After of the refusals, in seconds.
+    /// `Retry-After` of the refusals, in seconds.
     pub retry_afters: Vec<f64>,
-    /// Tries sent: when, to which backend server, and whether to another zone.
-    sends: Vec<(f64, usize, bool)>,
-    /// Limits found for each backend server in the second half of the run.
-    pub slots: Vec<Vec<f64>>,
-    /// Seconds that all backend servers have worked.
-    pub worked: f64,
-    /// Second copies sent.
+    /// Attempts sent: when, to which backend server, and whether to another zone.
+    attempts: Vec<(f64, usize, bool)>,
+    /// Concurrency limits of each backend server, sampled in the second half of the run.
+    pub limits: Vec<Vec<f64>>,
+    /// Total busy time of all backend servers, in seconds.
+    pub busy_seconds: f64,
+    /// Number of hedges sent.
     pub hedges: u32,
     flows: usize,
 }
@@ -41,121 +41,128 @@
         Self {
             events: Vec::new(),
             retry_afters: Vec::new(),
-            sends: Vec::new(),
-            slots: vec![Vec::new(); servers],
-            worked: 0.0,
+            attempts: Vec::new(),
+            limits: vec![Vec::new(); servers],
+            busy_seconds: 0.0,
             hedges: 0,
             flows,
         }
     }
 
-    fn add(&mut self, flow: usize, born: f64, ended: f64, kind: Kind) {
+    fn add(&mut self, flow: usize, started: f64, ended: f64, kind: Kind) {
         self.events.push(Event {
             flow,
-            born,
+            started,
             ended,
             kind,
         });
     }
 
-    pub fn offer(&mut self, flow: usize, now: f64) {
+    pub fn record_call(&mut self, flow: usize, now: f64) {
         self.add(flow, now, now, Kind::Offered);
     }
 
-    pub fn answer(&mut self, flow: usize, born: f64, now: f64) {
-        self.add(flow, born, now, Kind::Answered);
+    pub fn record_answer(&mut self, flow: usize, started: f64, now: f64) {
+        self.add(flow, started, now, Kind::Answered);
     }
 
-    pub fn refuse(&mut self, flow: usize, born: f64, now: f64, retry_after: f64) {
+    pub fn record_refusal(&mut self, flow: usize, started: f64, now: f64, retry_after: f64) {
         self.retry_afters.push(retry_after);
-        self.add(flow, born, now, Kind::Refused);
+        self.add(flow, started, now, Kind::Refused);
     }
 
-    pub fn run_out(&mut self, flow: usize, born: f64, now: f64) {
-        self.add(flow, born, now, Kind::RanOut);
+    pub fn record_timeout(&mut self, flow: usize, started: f64, now: f64) {
+        self.add(flow, started, now, Kind::TimedOut);
     }
 
-    pub fn send(&mut self, now: f64, server: usize, far: bool) {
-        self.sends.push((now, server, far));
+    pub fn record_attempt(&mut self, now: f64, server: usize, is_remote: bool) {
+        self.attempts.push((now, server, is_remote));
     }
 
-    /// Counts the answers of `flows` to calls born in `span` that came within so many seconds.
-    pub fn within(&self, flows: Range<usize>, span: Range<f64>, seconds: f64) -> f64 {
+    /// Returns the number of calls of `flows`, started in `span`, that were answered within
+    /// `seconds`.
+    pub fn answered_within(&self, flows: Range<usize>, span: Range<f64>, seconds: f64) -> f64 {
         let events = self.events.iter();
         let timely = events.filter(|event| {
             event.kind == Kind::Answered
                 && flows.contains(&event.flow)
-                && span.contains(&event.born)
-                && event.ended - event.born <= seconds
+                && span.contains(&event.started)
+                && event.ended - event.started <= seconds
         });
         f64::from(u32::try_from(timely.count()).unwrap_or(u32::MAX))
     }
 
-    /// Gives the mean limit found for a backend server.
-    pub fn mean_slots(&self, server: usize) -> f64 {
-        self.slots[server].iter().sum::<f64>() / count(&self.slots[server])
+    /// Returns the mean concurrency limit of a backend server.
+    pub fn mean_limit(&self, server: usize) -> f64 {
+        self.limits[server].iter().sum::<f64>() / count(&self.limits[server])
     }
 
-    /// Gives how many tries went to a backend server in `span`.
+    /// Returns the number of attempts sent to a backend server in `span`.
     pub fn sent(&self, server: usize, span: Range<f64>) -> f64 {
-        let sends = self.sends.iter();
-        let there = sends.filter(|send| send.1 == server && span.contains(&send.0));
-        there.map(|_| 1.0).sum()
-    }
-
-    /// Gives the share of the tries in `span` that went to another zone.
-    pub fn far(&self, span: Range<f64>) -> f64 {
-        let sends = self.sends.iter().filter(|send| span.contains(&send.0));
-        let (far, all) = sends.fold((0.0, 0.0), |(far, all), send| {
-            (far + f64::from(u8::from(send.2)), all + 1.0)
+        let attempts = self.attempts.iter();
+        let matching = attempts.filter(|attempt| attempt.1 == server && span.contains(&attempt.0));
+        matching.map(|_| 1.0).sum()
+    }
+
+    /// Returns the share of the attempts in `span` that went to another zone.
+    pub fn remote_share(&self, span: Range<f64>) -> f64 {
+        let attempts = self
+            .attempts
+            .iter()
+            .filter(|attempt| span.contains(&attempt.0));
+        let (remote, all) = attempts.fold((0.0, 0.0), |(remote, all), attempt| {
+            (remote + f64::from(u8::from(attempt.2)), all + 1.0)
         });
-        far / all
+        remote / all
     }
 
-    fn select(&self, flows: &Range<usize>, span: &Range<f64>, kind: Kind) -> Vec<f64> {
-        let chosen = self.events.iter().filter(|event| {
-            event.kind == kind && flows.contains(&event.flow) && span.contains(&event.born)
+    /// Returns the time from start to end of the matching events, in seconds.
+    fn durations(&self, flows: &Range<usize>, span: &Range<f64>, kind: Kind) -> Vec<f64> {
+        let matching = self.events.iter().filter(|event| {
+            event.kind == kind && flows.contains(&event.flow) && span.contains(&event.started)
         });
-        chosen.map(|event| event.ended - event.born).collect()
+        matching.map(|event| event.ended - event.started).collect()
     }
 
-    /// Gives the number of all flows.
-    pub fn all(&self) -> Range<usize> {
+    /// Returns the indices of all flows.
+    pub fn all_flows(&self) -> Range<usize> {
         0..self.flows
     }
 
-    /// Gives how many calls of `flows`, born in `span`, were answered in time.
+    /// Returns the number of calls of `flows`, started in `span`, that were answered before their
+    /// deadline.
     pub fn answered(&self, flows: Range<usize>, span: Range<f64>) -> f64 {
-        count(&self.select(&flows, &span, Kind::Answered))
+        count(&self.durations(&flows, &span, Kind::Answered))
     }
 
-    /// Gives the share of the calls of `flows`, born in `span`, that were answered in time.
-    pub fn share(&self, flows: Range<usize>, span: Range<f64>) -> f64 {
-        let offered = count(&self.select(&flows, &span, Kind::Offered));
+    /// Returns the share of the calls of `flows`, started in `span`, that were answered before their
+    /// deadline.
+    pub fn answered_share(&self, flows: Range<usize>, span: Range<f64>) -> f64 {
+        let offered = count(&self.durations(&flows, &span, Kind::Offered));
         self.answered(flows, span) / offered.max(1.0)
     }
 
-    /// Gives the 99th percentile of the time to an answer, in seconds.
+    /// Returns the 99th percentile of the time to an answer, in seconds.
     pub fn p99(&self, flows: Range<usize>, span: Range<f64>) -> f64 {
-        percentile(self.select(&flows, &span, Kind::Answered), 0.99)
+        percentile(self.durations(&flows, &span, Kind::Answered), 0.99)
     }
 
-    /// Gives the median of the time to an answer, in seconds.
+    /// Returns the median time to an answer, in seconds.
     pub fn p50(&self, flows: Range<usize>, span: Range<f64>) -> f64 {
-        percentile(self.select(&flows, &span, Kind::Answered), 0.5)
+        percentile(self.durations(&flows, &span, Kind::Answered), 0.5)
     }
 
-    /// Gives the 99th percentile of the time to a refusal, in seconds.
+    /// Returns the 99th percentile of the time to a refusal, in seconds.
     pub fn refusal_p99(&self) -> f64 {
         percentile(
-            self.select(&self.all(), &(0.0..f64::MAX), Kind::Refused),
+            self.durations(&self.all_flows(), &(0.0..f64::MAX), Kind::Refused),
             0.99,
         )
     }
 
-    /// Gives how many calls ran into their deadlines.
-    pub fn ran_out(&self) -> f64 {
-        count(&self.select(&self.all(), &(0.0..f64::MAX), Kind::RanOut))
+    /// Returns the number of calls whose deadline passed.
+    pub fn timed_out(&self) -> f64 {
+        count(&self.durations(&self.all_flows(), &(0.0..f64::MAX), Kind::TimedOut))
     }
 }
 
@@ -163,15 +170,15 @@
     f64::from(u32::try_from(events.len()).expect("a run is short"))
 }
 
-fn percentile(mut values: Vec<f64>, share: f64) -> f64 {
+fn percentile(mut values: Vec<f64>, quantile: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let wanted = share * count(&values);
+    let rank = quantile * count(&values);
     let mut seen = 0.0;
     values
         .into_iter()
         .find(|_| {
             seen += 1.0;
-            seen >= wanted
+            seen >= rank
         })
         .unwrap_or(f64::NAN)
 }
--- a/crates/policy/tests/load/scenario.rs
+++ b/crates/policy/tests/load/scenario.rs
@@ -1,57 +1,58 @@
-//! What a run is made of: callers, backend servers and what stands between.
+//! Description of a simulated run: callers, proxies and backend servers.
 
 use config::Class;
 use std::ops::Range;
 
-/// Mean service time in seconds, where a test needs no other.
+/// Default mean service time, in seconds.
 pub const MEAN: f64 = 0.030;
 
-/// Calls a second that four backend servers of six slots serve.
+/// Calls per second that four backend servers of six slots serve at the default service time.
 pub const CAPACITY: f64 = 24.0 / MEAN;
 
-/// What stands between callers and backend servers.
+/// The kind of proxies between callers and backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum System {
     /// The modules under test.
     Policy,
-    /// Round robin, first come first served without bound, three retries.
+    /// Round robin, an unbounded first-come, first-served queue, three retries.
     Baseline,
 }
 
-/// What a caller that comes back is taken for.
+/// How the time that a caller has waited before a retry counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Comeback {
-    /// Its time begins anew.
-    Fresh,
-    /// It has been waiting since it first came, and nobody knows.
-    Unknown,
-    /// The same, and it is known.
-    Known,
+pub enum CallerRetry {
+    /// Not at all: a retry is a new call.
+    NewCall,
+    /// The caller has waited since its first call, but the nodes do not know it.
+    Unmarked,
+    /// The caller has waited since its first call, and the nodes know it.
+    Marked,
 }
 
-/// Calls of one caller along one route.
+/// Calls of one caller to one route.
 #[derive(Debug, Clone)]
 pub struct Flow {
     pub caller: u32,
     pub class: Class,
     pub route: u32,
     pub key: u32,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// Seconds at which it begins and ends.
+    /// Start and end, in seconds.
     pub span: (f64, f64),
-    /// Mean service time in seconds; exponential.
+    /// Mean service time, in seconds.
     pub mean: f64,
-    /// Seconds until nobody waits any more.
+    /// Time from a call to its deadline, in seconds.
     pub timeout: f64,
-    /// Seconds within which an answer is worth most, if callers say so.
+    /// Latency target in seconds, if the callers state one.
     pub target: Option<f64>,
-    /// Whether a call that runs elsewhere waits for them.
+    /// Class of the running calls elsewhere that wait for these, if they are nested.
     pub nested: Option<Class>,
 }
 
 impl Flow {
-    /// Calls at `rate` a second that take 30 ms and may take a second.
+    /// Creates a flow of `rate` calls per second with a mean service time of 30 ms and a timeout of
+    /// one second.
     pub fn new(class: Class, rate: f64) -> Self {
         let route = match class {
             Class::Commit => 1,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Splits the rate evenly among callers, each with a key of its own.
+    /// Splits the rate evenly among callers, each with its own key.
     pub fn split(&self, callers: Range<u32>) -> Vec<Self> {
         let rate = self.rate / f64::from(callers.end - callers.start);
         let of_caller = |caller| Self {
@@ -89,33 +90,35 @@
 #[derive(Debug, Clone)]
 pub struct Server {
     pub zone: u32,
-    pub told: u16,
+    /// Slots that it advertises.
+    pub advertised_slots: u16,
+    /// Calls that it runs at once.
     pub slots: usize,
-    /// Factor on service times at a second.
-    pub slow: fn(f64) -> f64,
-    /// Whether a call that starts at a second is broken off at once.
-    pub broken: fn(f64) -> bool,
-    /// Whether it is without power at a second: what reaches it is lost.
-    pub dark: fn(f64) -> bool,
-    /// Seconds between which it is in the outbound proxies' views.
-    pub seen: (f64, f64),
+    /// Factor on the service time of a call that starts at the given second.
+    pub slowdown: fn(f64) -> f64,
+    /// Whether a call that starts at the given second fails at once.
+    pub is_failing: fn(f64) -> bool,
+    /// Whether it has no power at the given second, so that what is sent to it is lost.
+    pub is_dead: fn(f64) -> bool,
+    /// Interval, in seconds, in which it is in the views of the outbound proxies.
+    pub in_view: (f64, f64),
 }
 
 impl Default for Server {
     fn default() -> Self {
         Self {
             zone: 0,
-            told: 6,
+            advertised_slots: 6,
             slots: 6,
-            slow: |_| 1.0,
-            broken: |_| false,
-            dark: |_| false,
-            seen: (0.0, f64::MAX),
+            slowdown: |_| 1.0,
+            is_failing: |_| false,
+            is_dead: |_| false,
+            in_view: (0.0, f64::MAX),
         }
     }
 }
 
-/// A whole run.
+/// A simulated run.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub seed: u64,
@@ -124,18 +127,18 @@
     pub servers: Vec<Server>,
     /// Availability zone of each outbound proxy.
     pub proxies: Vec<u32>,
-    /// How often callers themselves come back after a refusal or failure.
-    pub returns: u32,
-    /// What a caller that comes back is taken for.
-    pub comeback: Comeback,
-    /// Baseline only: seconds after which a try counts as lost and is repeated.
-    pub try_timeout: f64,
-    /// Whether late calls get a second copy.
+    /// How often callers themselves retry after a refusal or failure.
+    pub caller_retries: u32,
+    /// How the time that a caller has waited before a retry counts.
+    pub caller_retry: CallerRetry,
+    /// Baseline only: time after which an attempt counts as lost and is repeated, in seconds.
+    pub attempt_timeout: f64,
+    /// Whether late calls are hedged.
     pub hedge: bool,
-    /// Whether backend servers are asked before a call is sent.
-    pub asks: bool,
-    /// Whether durations vary by half of their mean at most, in place of exponentially.
-    pub steady: bool,
+    /// Whether load probes are sent to backend servers before a call.
+    pub probes: bool,
+    /// Whether service times are uniform within half of their mean, instead of exponential.
+    pub uniform: bool,
 }
 
 impl Default for Scenario {
@@ -146,12 +149,12 @@
             flows: Vec::new(),
             servers: vec![Server::default(); 4],
             proxies: vec![0; 4],
-            returns: 0,
-            comeback: Comeback::Fresh,
-            try_timeout: f64::MAX,
+            caller_retries: 0,
+            caller_retry: CallerRetry::NewCall,
+            attempt_timeout: f64::MAX,
             hedge: false,
-            asks: true,
-            steady: false,
+            probes: true,
+            uniform: false,
         }
     }
 }
--- a/crates/policy/tests/load/sim.rs
+++ b/crates/policy/tests/load/sim.rs
@@ -2,7 +2,7 @@
 //! with their backend servers, all in virtual time and from one seed.
 
 use crate::report::Report;
-use crate::scenario::{Comeback, Scenario, Server, System};
+use crate::scenario::{CallerRetry, Scenario, Server, System};
 use config::Class;
 use policy::admission::{self, Admission};
 use policy::balance::{self, Balancer, Candidate, Distance, Identity};
@@ -144,7 +144,7 @@
     };
     for (index, server) in (0..).zip(&scenario.servers) {
         sim.inbound.push(Inbound {
-            admission: Admission::new(start, server.told, scenario.seed + index),
+            admission: Admission::new(start, server.advertised_slots, scenario.seed + index),
             waiting: HashMap::new(),
             inside: VecDeque::new(),
             running: 0,
@@ -224,7 +224,8 @@
     fn sync(&mut self) {
         let now = self.at(self.now);
         for (outbound, zone) in self.outbound.iter_mut().zip(&self.scenario.proxies) {
-            let seen = |server: &Server| server.seen.0 <= self.now && self.now < server.seen.1;
+            let seen =
+                |server: &Server| server.in_view.0 <= self.now && self.now < server.in_view.1;
             let candidates = (0..).zip(&self.scenario.servers);
             let candidates = candidates.filter(|(_, server)| seen(server));
             outbound.balance.sync(
@@ -239,7 +240,7 @@
                     } else {
                         Distance::Region
                     },
-                    slots: server.told,
+                    slots: server.advertised_slots,
                     process: 0,
                     warm_up: None,
                     track: policy::balance::Track::Stable,
@@ -247,7 +248,7 @@
             );
         }
         if self.now > self.scenario.seconds / 2.0 {
-            for (slots, inbound) in self.report.slots.iter_mut().zip(&self.inbound) {
+            for (slots, inbound) in self.report.limits.iter_mut().zip(&self.inbound) {
                 slots.push(inbound.admission.slots());
             }
         }
@@ -280,7 +281,7 @@
     }
 
     fn begin(&mut self, flow: usize) {
-        self.report.offer(flow, self.now);
+        self.report.record_call(flow, self.now);
         let call = self.add_call(flow, 0, self.now, self.now);
         if self.scenario.hedge && self.system == System::Policy {
             let repeatable = self.scenario.flows[flow].class != Class::Commit;
@@ -296,7 +297,7 @@
     /// Asks backend servers about a call before it is sent, where the policy does.
     fn survey(&mut self, call: usize) {
         self.calls[call].seen.clear();
-        if self.system == System::Baseline || !self.scenario.asks {
+        if self.system == System::Baseline || !self.scenario.probes {
             self.send(call);
             return;
         }
@@ -339,7 +340,7 @@
             let one = self.calls[call].seen[index];
             let identity = self.outbound[proxy].balance.identity(one.key);
             let server = identity.and_then(|known| usize::try_from(known.incarnation).ok());
-            let is_lit = |server: &usize| !(self.scenario.servers[*server].dark)(self.now);
+            let is_lit = |server: &usize| !(self.scenario.servers[*server].is_dead)(self.now);
             let Some(server) = server.filter(is_lit).filter(|_| one.estimate.is_none()) else {
                 continue;
             };
@@ -369,11 +370,12 @@
             self.scenario.proxies[self.calls[call].proxy],
             self.scenario.servers[server].zone,
         ];
-        self.report.send(self.now, server, zones[0] != zones[1]);
+        self.report
+            .record_attempt(self.now, server, zones[0] != zones[1]);
         self.schedule(self.now + WIRE, Event::Reach(attempt));
-        if self.system == System::Baseline && self.scenario.try_timeout < f64::MAX {
+        if self.system == System::Baseline && self.scenario.attempt_timeout < f64::MAX {
             self.schedule(
-                self.now + self.scenario.try_timeout,
+                self.now + self.scenario.attempt_timeout,
                 Event::TryLost(attempt),
             );
         }
@@ -382,9 +384,9 @@
     /// Gives until when an answer is worth most, as far as the nodes know.
     fn target_of(&self, call: usize) -> Option<Instant> {
         let call = &self.calls[call];
-        let from = match self.scenario.comeback {
-            Comeback::Unknown => call.born,
-            Comeback::Fresh | Comeback::Known => call.first,
+        let from = match self.scenario.caller_retry {
+            CallerRetry::Unmarked => call.born,
+            CallerRetry::NewCall | CallerRetry::Marked => call.first,
         };
         let target = self.scenario.flows[call.flow].target?;
         Some(self.at(from + target))
@@ -406,7 +408,8 @@
         let outbound = &mut self.outbound[self.calls[call].proxy];
         match self.system {
             System::Baseline => {
-                let seen = |server: &Server| server.seen.0 <= self.now && self.now < server.seen.1;
+                let seen =
+                    |server: &Server| server.in_view.0 <= self.now && self.now < server.in_view.1;
                 for _ in 0..self.scenario.servers.len() {
                     outbound.turn += 1;
                     let server = outbound.turn % self.scenario.servers.len();
@@ -447,7 +450,7 @@
 
     fn reach(&mut self, attempt: usize) {
         let server = self.attempts[attempt].server;
-        if (self.scenario.servers[server].dark)(self.now) {
+        if (self.scenario.servers[server].is_dead)(self.now) {
             return;
         }
         if self.system == System::Baseline {
@@ -476,7 +479,7 @@
     /// The call reaches the backend server, which queues what is beyond its slots.
     fn enter(&mut self, attempt: usize, server: usize) {
         let spec = &self.scenario.servers[server];
-        if (spec.broken)(self.now) {
+        if (spec.is_failing)(self.now) {
             self.finish(attempt, server, Ending::Broken);
             return;
         }
@@ -487,19 +490,19 @@
         self.inbound[server].running += 1;
         let call = &self.calls[self.attempts[attempt].call];
         let (mean, deadline) = (self.scenario.flows[call.flow].mean, call.deadline);
-        let work = if self.scenario.steady {
+        let work = if self.scenario.uniform {
             mean * self.rng.random_range(0.5..1.5)
         } else {
             self.exponential(mean)
         };
-        let took = work * (spec.slow)(self.now);
+        let took = work * (spec.slowdown)(self.now);
         let end = self.now + took;
         // A deadline that is passed on ends the work; the baseline passes none.
         let end = match self.system {
             System::Policy => end.min(deadline),
             System::Baseline => end,
         };
-        self.report.worked += end - self.now;
+        self.report.busy_seconds += end - self.now;
         self.schedule(end, Event::End(attempt, server));
     }
 
@@ -616,7 +619,7 @@
         if ending == Ending::Answered {
             self.calls[call].open = false;
             let (flow, first) = (self.calls[call].flow, self.calls[call].first);
-            self.report.answer(flow, first, self.now);
+            self.report.record_answer(flow, first, self.now);
         } else {
             self.fail(call, ending, told);
         }
@@ -657,16 +660,17 @@
             returns,
             ..
         } = self.calls[call];
-        self.report.refuse(flow, born, self.now, retry_after);
+        self.report
+            .record_refusal(flow, born, self.now, retry_after);
         // A caller that comes back is a new call of the same flow.
         let back = self.now + retry_after;
-        let first = match self.scenario.comeback {
-            Comeback::Fresh => back,
-            Comeback::Unknown | Comeback::Known => first,
+        let first = match self.scenario.caller_retry {
+            CallerRetry::NewCall => back,
+            CallerRetry::Unmarked | CallerRetry::Marked => first,
         };
         let end = first + self.scenario.flows[flow].timeout;
         let is_over = end >= self.scenario.seconds || back >= end;
-        if returns < self.scenario.returns && !is_over {
+        if returns < self.scenario.caller_retries && !is_over {
             self.add_call(flow, returns + 1, back, first);
         }
     }
@@ -733,7 +737,7 @@
         } = self.calls[call];
         if open {
             self.calls[call].open = false;
-            self.report.run_out(flow, born, self.now);
+            self.report.record_timeout(flow, born, self.now);
         }
     }
 }
--- a/crates/policy/tests/load/slow_server.rs
+++ b/crates/policy/tests/load/slow_server.rs
@@ -3,9 +3,9 @@
 use config::Class;
 use yare::parameterized;
 
-fn scenario(load: f64, slow: fn(f64) -> f64) -> Scenario {
+fn scenario(load: f64, slowdown: fn(f64) -> f64) -> Scenario {
     let mut servers = vec![Server::default(); 4];
-    servers[0].slow = slow;
+    servers[0].slowdown = slowdown;
     let mut flows = Flow::new(Class::Commit, 0.1 * load * CAPACITY).split(0..20);
     flows.extend(Flow::new(Class::Lookup, 0.9 * load * CAPACITY).split(20..60));
     Scenario {
@@ -17,35 +17,35 @@
     }
 }
 
-// One of four backend servers becomes ten times slower and goes on to report
-// that it is well. Round robin sends it a quarter of all calls.
+// One of four backend servers becomes ten times slower but keeps reporting that it
+// is healthy. Round robin still sends it a quarter of all calls.
 #[parameterized(quiet = { 0.1 }, usual = { 0.4 }, busy = { 0.6 })]
-fn tail_stays(load: f64) {
-    let slow: fn(f64) -> f64 = |now| if now < 3.0 { 1.0 } else { 10.0 };
+fn tail_latency_holds(load: f64) {
+    let slowdown: fn(f64) -> f64 = |now| if now < 3.0 { 1.0 } else { 10.0 };
     let healthy = run(&scenario(load, |_| 1.0), System::Policy);
-    let policy = run(&scenario(load, slow), System::Policy);
-    let baseline = run(&scenario(load, slow), System::Baseline);
+    let policy = run(&scenario(load, slowdown), System::Policy);
+    let baseline = run(&scenario(load, slowdown), System::Baseline);
     for (name, report) in [
         ("healthy", &healthy),
         ("policy", &policy),
         ("baseline", &baseline),
     ] {
         let p99 = report.p99(0..60, 4.0..19.0);
-        let good = report.share(0..60, 3.0..19.0);
+        let good = report.answered_share(0..60, 3.0..19.0);
         let (sent, hedges) = (report.sent(0, 4.0..19.0), report.hedges);
         println!("{name} {load}: p99 {p99:.3} good {good:.3} sent {sent} hedges {hedges}");
     }
     assert!(policy.p99(0..60, 4.0..19.0) <= 1.5 * healthy.p99(0..60, 4.0..19.0));
-    assert!(policy.share(0..60, 3.0..19.0) >= 0.99);
-    assert!(baseline.share(0..60, 3.0..19.0) < 0.97);
+    assert!(policy.answered_share(0..60, 3.0..19.0) >= 0.99);
+    assert!(baseline.answered_share(0..60, 3.0..19.0) < 0.97);
 }
 
-// The slow one is well again: it must get its share back, or each passing
-// trouble would cost a backend server for good.
+// A slow backend server that recovers gets its share of the calls back; otherwise
+// each transient slowdown would permanently cost a backend server.
 #[test]
-fn comes_back() {
-    let slow: fn(f64) -> f64 = |now| if (3.0..5.0).contains(&now) { 10.0 } else { 1.0 };
-    let report = run(&scenario(0.4, slow), System::Policy);
+fn share_recovers() {
+    let slowdown: fn(f64) -> f64 = |now| if (3.0..5.0).contains(&now) { 10.0 } else { 1.0 };
+    let report = run(&scenario(0.4, slowdown), System::Policy);
     let share =
         report.sent(0, 17.0..20.0) / (0..4).map(|s| report.sent(s, 17.0..20.0)).sum::<f64>();
     println!("share {share:.3}");
--- a/crates/policy/tests/load/sustained_overload.rs
+++ b/crates/policy/tests/load/sustained_overload.rs
@@ -4,12 +4,12 @@
 use config::Class;
 use yare::parameterized;
 
-/// Seconds that count: the first two fill the queues and teach the durations.
+/// Measured interval: the first two seconds fill the queues and train the duration estimates.
 const STEADY: std::ops::Range<f64> = 2.0..10.0;
 
-/// A fifth commits, half look-ups, the rest refreshes, each from 50 callers.
-fn mixed(times: f64) -> Scenario {
-    let flow = |class, share: f64| Flow::new(class, CAPACITY * times * share);
+/// A fifth commits, half look-ups and the rest refreshes, from 50 callers each.
+fn mixed(load: f64) -> Scenario {
+    let flow = |class, share: f64| Flow::new(class, CAPACITY * load * share);
     let mut flows = flow(Class::Commit, 0.2).split(0..50);
     flows.extend(flow(Class::Lookup, 0.5).split(50..100));
     flows.extend(flow(Class::Refresh, 0.3).split(100..150));
@@ -20,22 +20,24 @@
 }
 
 fn goodput(report: &Report) -> f64 {
-    report.answered(report.all(), STEADY) / (CAPACITY * 8.0)
+    report.answered(report.all_flows(), STEADY) / (CAPACITY * 8.0)
 }
 
-fn show(name: &str, times: f64, report: &Report) {
+fn show(name: &str, load: f64, report: &Report) {
     let classes = [0..50, 50..100, 100..150];
-    let shares = classes.clone().map(|flows| report.share(flows, STEADY));
+    let shares = classes
+        .clone()
+        .map(|flows| report.answered_share(flows, STEADY));
     let p99s = classes.map(|flows| report.p99(flows, STEADY));
     let (good, refusal) = (goodput(report), report.refusal_p99());
     println!(
-        "{name} {times}: goodput {good:.3} shares {shares:.3?} p99 {p99s:.3?} refusal {refusal:.4}"
+        "{name} {load}: goodput {good:.3} shares {shares:.3?} p99 {p99s:.3?} refusal {refusal:.4}"
     );
 }
 
-// Board refreshes, look-ups and bookings come at many times what the backend
-// servers can do. In first come, first served the queue grows until each
-// answer comes after its deadline: all slots are busy, and nobody is served.
+// The load is up to ten load the capacity. A first-come, first-served queue grows
+// until each answer comes after its deadline: all slots are busy, and no call is
+// answered in time.
 #[parameterized(
     half = { 0.5, 0.48, 0.999 },
     full = { 1.0, 0.92, 0.999 },
@@ -43,17 +45,17 @@
     fourfold = { 4.0, 0.95, 0.99 },
     tenfold = { 10.0, 0.95, 0.40 },
 )]
-fn goodput_holds(times: f64, least_goodput: f64, least_commits: f64) {
-    let policy = run(&mixed(times), System::Policy);
-    let baseline = run(&mixed(times), System::Baseline);
-    show("policy", times, &policy);
-    show("baseline", times, &baseline);
+fn goodput_holds(load: f64, least_goodput: f64, least_commits: f64) {
+    let policy = run(&mixed(load), System::Policy);
+    let baseline = run(&mixed(load), System::Baseline);
+    show("policy", load, &policy);
+    show("baseline", load, &baseline);
     assert!(goodput(&policy) >= least_goodput);
-    assert!(policy.share(0..50, STEADY) >= least_commits);
-    assert!(policy.ran_out() <= 0.001 * policy.answered(policy.all(), STEADY));
-    if times > 1.0 {
+    assert!(policy.answered_share(0..50, STEADY) >= least_commits);
+    assert!(policy.timed_out() <= 0.001 * policy.answered(policy.all_flows(), STEADY));
+    if load > 1.0 {
         assert!(goodput(&baseline) < 0.1);
-        // Two tries of one millisecond of wire each: refusals don't wait.
+        // Two attempts with a network round trip of 1 ms each: refusals do not wait in a queue.
         assert!(policy.refusal_p99() <= 0.005);
         // No class is starved.
         assert!(policy.answered(100..150, STEADY) > 40.0);
