--- a/crates/policy/tests/load/sim.rs
+++ b/crates/policy/tests/load/sim.rs
@@ -1,5 +1,5 @@
-//! A small discrete-event harness: callers, outbound proxies, inbound proxies
-//! with their backend servers, all in virtual time and from one seed.
+//! Discrete-event simulation of callers, outbound proxies, and inbound proxies with
+//! their backend servers, in virtual time and determined by one seed.
 
 use crate::report::Report;
 use crate::scenario::{CallerRetry, Scenario, Server, System};
@@ -17,72 +17,73 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Seconds that a frame takes between two nodes of one region.
-const WIRE: f64 = 0.0005;
+/// One-way delay between two nodes of a region, in seconds.
+const NETWORK_DELAY: f64 = 0.0005;
 
-/// Seconds between two looks at the views.
-const SYNC: f64 = 0.1;
+/// Interval at which the outbound proxies update their views, in seconds.
+const SYNC_INTERVAL: f64 = 0.1;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ending {
+enum AttemptResult {
     Answered,
-    Broken,
+    Failed,
     Full,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    Arrive(usize),
-    Send(usize),
-    Look(usize),
-    Seen(usize),
-    Reach(usize),
-    End(usize, usize),
-    Wake(usize),
-    Return(usize, Ending, f64),
-    TryLost(usize),
+    CallArrives(usize),
+    StartAttempt(usize),
+    ProbesArrive(usize),
+    ProbeReplies(usize),
+    AttemptArrives(usize),
+    WorkEnds(usize, usize),
+    AdmissionTimer(usize),
+    /// With the load figure of an answer, or the retry-after time of a refusal.
+    Reply(usize, AttemptResult, f64),
+    AttemptTimeout(usize),
     HedgeDue(usize),
     Deadline(usize),
     Sync,
 }
 
-/// A caller's call, over all its tries.
+/// A call, over all its attempts.
 struct Call {
     flow: usize,
     proxy: usize,
-    /// When its caller first came.
-    first: f64,
-    born: f64,
+    /// When its caller first made it; earlier than `started` for a caller's retry.
+    first_started: f64,
+    started: f64,
     deadline: f64,
-    open: bool,
-    tries: u8,
-    returns: u32,
+    is_open: bool,
+    attempts: u8,
+    caller_retries: u32,
     tried: Vec<balance::Key>,
-    /// Those that are asked about it, and what they have told.
-    seen: Vec<ProbeResult>,
-    hedged: Option<usize>,
+    /// The probed backend servers and their replies.
+    probes: Vec<ProbeResult>,
+    hedge: Option<usize>,
 }
 
-/// One try at one backend server.
+/// One attempt of a call at one backend server.
 struct Attempt {
     call: usize,
     server: usize,
     key: Option<balance::Key>,
-    sent: f64,
+    sent_at: f64,
     ticket: Option<admission::Ticket>,
-    first: bool,
+    is_first: bool,
 }
 
-/// What a call asks of a backend server, but for those that it has been to.
+/// Arguments for picking a backend server, except those tried before.
 #[derive(Clone, Copy)]
-struct Asked {
+struct CallArgs {
     repeatable: bool,
     route: u64,
     target: Option<Instant>,
 }
 
-impl Asked {
-    fn lend(self, tried: &[balance::Key]) -> balance::PickArgs<'_> {
+impl CallArgs {
+    fn with_tried(self, tried: &[balance::Key]) -> balance::PickArgs<'_> {
         balance::PickArgs {
             tried,
             repeatable: self.repeatable,
@@ -95,17 +96,17 @@
 struct Inbound {
     admission: Admission,
     waiting: HashMap<queue::Key, usize>,
-    /// Calls that the backend server itself keeps waiting.
-    inside: VecDeque<usize>,
+    /// Calls that wait in a queue inside the backend server.
+    server_queue: VecDeque<usize>,
     running: usize,
-    woken: Option<Instant>,
+    wake_at: Option<Instant>,
 }
 
 struct Outbound {
     balance: Balancer,
     budget: RetryBudget,
     hedge: HedgePolicy,
-    turn: usize,
+    round_robin: usize,
 }
 
 struct Sim<'a> {
@@ -113,7 +114,7 @@
     system: System,
     start: Instant,
     now: f64,
-    order: u64,
+    sequence: u64,
     events: BinaryHeap<Reverse<(u64, u64)>>,
     payloads: HashMap<u64, Event>,
     rng: SmallRng,
@@ -124,7 +125,7 @@
     report: Report,
 }
 
-/// Runs a scenario and tells what the callers received.
+/// Runs a scenario and returns the results as seen by its callers.
 pub fn run(scenario: &Scenario, system: System) -> Report {
     let start = Instant::now();
     let mut sim = Sim {
@@ -132,7 +133,7 @@
         system,
         start,
         now: 0.0,
-        order: 0,
+        sequence: 0,
         events: BinaryHeap::new(),
         payloads: HashMap::new(),
         rng: SmallRng::seed_from_u64(scenario.seed),
@@ -146,26 +147,26 @@
         sim.inbound.push(Inbound {
             admission: Admission::new(start, server.advertised_slots, scenario.seed + index),
             waiting: HashMap::new(),
-            inside: VecDeque::new(),
+            server_queue: VecDeque::new(),
             running: 0,
-            woken: None,
+            wake_at: None,
         });
     }
-    for turn in 0..scenario.proxies.len() {
+    for round_robin in 0..scenario.proxies.len() {
         sim.outbound.push(Outbound {
             balance: Balancer::new(),
             budget: RetryBudget::new(start, 10),
             hedge: HedgePolicy::new(start),
-            turn,
+            round_robin,
         });
     }
-    sim.sync();
+    sim.sync_views();
     for flow in 0..scenario.flows.len() {
         sim.schedule_arrival(flow, scenario.flows[flow].span.0);
     }
-    while let Some(Reverse((at, order))) = sim.events.pop() {
+    while let Some(Reverse((at, sequence))) = sim.events.pop() {
         sim.now = nanos_to_seconds(at);
-        let event = sim.payloads.remove(&order).expect("scheduled once");
+        let event = sim.payloads.remove(&sequence).expect("scheduled once");
         sim.handle(event);
     }
     sim.report
@@ -181,11 +182,11 @@
     }
 
     fn schedule(&mut self, at: f64, event: Event) {
-        self.order += 1;
+        self.sequence += 1;
         let nanos = Duration::from_secs_f64(at.max(self.now)).as_nanos();
         let nanos = u64::try_from(nanos).expect("a run is short");
-        self.events.push(Reverse((nanos, self.order)));
-        self.payloads.insert(self.order, event);
+        self.events.push(Reverse((nanos, self.sequence)));
+        self.payloads.insert(self.sequence, event);
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
@@ -197,37 +198,37 @@
         let (rate, end) = (spec.rate, spec.span.1.min(self.scenario.seconds));
         let at = after + self.exponential(1.0 / rate);
         if at < end {
-            self.schedule(at, Event::Arrive(flow));
+            self.schedule(at, Event::CallArrives(flow));
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive(flow) => {
+            Event::CallArrives(flow) => {
                 self.schedule_arrival(flow, self.now);
-                self.begin(flow);
+                self.start_call(flow);
             }
-            Event::Send(call) => self.survey(call),
-            Event::Look(call) => self.look(call),
-            Event::Seen(call) => self.survey_further(call),
-            Event::Reach(attempt) => self.reach(attempt),
-            Event::End(attempt, server) => self.end(attempt, server),
-            Event::Wake(server) => self.settle(server),
-            Event::Return(attempt, ending, hint) => self.come_back(attempt, ending, hint),
-            Event::TryLost(attempt) => self.lose_try(attempt),
+            Event::StartAttempt(call) => self.probe(call),
+            Event::ProbesArrive(call) => self.answer_probes(call),
+            Event::ProbeReplies(call) => self.probe_further(call),
+            Event::AttemptArrives(attempt) => self.deliver(attempt),
+            Event::WorkEnds(attempt, server) => self.finish_work(attempt, server),
+            Event::AdmissionTimer(server) => self.poll_admission(server),
+            Event::Reply(attempt, result, value) => self.handle_reply(attempt, result, value),
+            Event::AttemptTimeout(attempt) => self.handle_attempt_timeout(attempt),
             Event::HedgeDue(call) => self.send_hedge(call),
-            Event::Deadline(call) => self.pass_deadline(call),
-            Event::Sync => self.sync(),
+            Event::Deadline(call) => self.handle_deadline(call),
+            Event::Sync => self.sync_views(),
         }
     }
 
-    fn sync(&mut self) {
+    fn sync_views(&mut self) {
         let now = self.at(self.now);
         for (outbound, zone) in self.outbound.iter_mut().zip(&self.scenario.proxies) {
-            let seen =
+            let is_in_view =
                 |server: &Server| server.in_view.0 <= self.now && self.now < server.in_view.1;
             let candidates = (0..).zip(&self.scenario.servers);
-            let candidates = candidates.filter(|(_, server)| seen(server));
+            let candidates = candidates.filter(|(_, server)| is_in_view(server));
             outbound.balance.sync(
                 now,
                 candidates.map(|(index, server): (u64, &Server)| Candidate {
@@ -248,39 +249,45 @@
             );
         }
         if self.now > self.scenario.seconds / 2.0 {
-            for (slots, inbound) in self.report.limits.iter_mut().zip(&self.inbound) {
-                slots.push(inbound.admission.slots());
+            for (limits, inbound) in self.report.limits.iter_mut().zip(&self.inbound) {
+                limits.push(inbound.admission.slots());
             }
         }
-        if self.now + SYNC < self.scenario.seconds {
-            self.schedule(self.now + SYNC, Event::Sync);
+        if self.now + SYNC_INTERVAL < self.scenario.seconds {
+            self.schedule(self.now + SYNC_INTERVAL, Event::Sync);
         }
     }
 
-    /// Adds a call that its caller makes at `born`, who first came at `first`.
-    fn add_call(&mut self, flow: usize, returns: u32, born: f64, first: f64) -> usize {
-        let deadline = first + self.scenario.flows[flow].timeout;
+    /// Adds a call that starts at `started` and that its caller first made at `first_started`.
+    fn add_call(
+        &mut self,
+        flow: usize,
+        caller_retries: u32,
+        started: f64,
+        first_started: f64,
+    ) -> usize {
+        let deadline = first_started + self.scenario.flows[flow].timeout;
         let call = self.calls.len();
         let proxy = self.rng.random_range(0..self.outbound.len());
         self.calls.push(Call {
             flow,
             proxy,
-            first,
-            born,
+            first_started,
+            started,
             deadline,
-            open: true,
-            tries: 0,
-            returns,
+            is_open: true,
+            attempts: 0,
+            caller_retries,
             tried: Vec::new(),
-            seen: Vec::new(),
-            hedged: None,
+            probes: Vec::new(),
+            hedge: None,
         });
-        self.schedule(born, Event::Send(call));
+        self.schedule(started, Event::StartAttempt(call));
         self.schedule(deadline, Event::Deadline(call));
         call
     }
 
-    fn begin(&mut self, flow: usize) {
+    fn start_call(&mut self, flow: usize) {
         self.report.record_call(flow, self.now);
         let call = self.add_call(flow, 0, self.now, self.now);
         if self.scenario.hedge && self.system == System::Policy {
@@ -294,76 +301,80 @@
         }
     }
 
-    /// Asks backend servers about a call before it is sent, where the policy does.
-    fn survey(&mut self, call: usize) {
-        self.calls[call].seen.clear();
+    /// Sends load probes before an attempt, or starts the attempt if there is nothing to probe.
+    fn probe(&mut self, call: usize) {
+        self.calls[call].probes.clear();
         if self.system == System::Baseline || !self.scenario.probes {
-            self.send(call);
+            self.start_attempt(call);
             return;
         }
         let now = self.at(self.now);
-        let (ask, proxy) = (self.ask_of(call, now), self.calls[call].proxy);
-        let ask = ask.lend(&self.calls[call].tried);
+        let (args, proxy) = (self.args_of(call, now), self.calls[call].proxy);
+        let args = args.with_tried(&self.calls[call].tried);
         let balance = &self.outbound[proxy].balance;
-        let keys = balance.probe_targets(now, &ask, &mut self.rng);
-        self.ask_all(call, keys);
+        let keys = balance.probe_targets(now, &args, &mut self.rng);
+        self.send_probes(call, keys);
     }
 
-    fn survey_further(&mut self, call: usize) {
+    fn probe_further(&mut self, call: usize) {
         let now = self.at(self.now);
-        let (ask, proxy) = (self.ask_of(call, now), self.calls[call].proxy);
-        let ask = ask.lend(&self.calls[call].tried);
+        let (args, proxy) = (self.args_of(call, now), self.calls[call].proxy);
+        let args = args.with_tried(&self.calls[call].tried);
         let balance = &self.outbound[proxy].balance;
-        let keys = balance.further_probe_targets(now, &ask, &self.calls[call].seen, &mut self.rng);
-        self.ask_all(call, keys);
+        let keys =
+            balance.further_probe_targets(now, &args, &self.calls[call].probes, &mut self.rng);
+        self.send_probes(call, keys);
     }
 
-    fn ask_all(&mut self, call: usize, keys: Vec<balance::Key>) {
+    fn send_probes(&mut self, call: usize, keys: Vec<balance::Key>) {
         if keys.is_empty() {
-            self.send(call);
+            self.start_attempt(call);
             return;
         }
-        let unanswered = keys.into_iter().map(|key| ProbeResult {
+        let pending = keys.into_iter().map(|key| ProbeResult {
             key,
             estimate: None,
         });
-        self.calls[call].seen.extend(unanswered);
-        self.schedule(self.now + WIRE, Event::Look(call));
+        self.calls[call].probes.extend(pending);
+        self.schedule(self.now + NETWORK_DELAY, Event::ProbesArrive(call));
     }
 
-    /// The questions reach the inbound proxies.
-    fn look(&mut self, call: usize) {
+    /// The probes reach the inbound proxies, which reply at once.
+    fn answer_probes(&mut self, call: usize) {
         let now = self.at(self.now);
         let request = self.request_of(call);
         let proxy = self.calls[call].proxy;
-        for index in 0..self.calls[call].seen.len() {
-            let one = self.calls[call].seen[index];
-            let identity = self.outbound[proxy].balance.identity(one.key);
+        for index in 0..self.calls[call].probes.len() {
+            let probe = self.calls[call].probes[index];
+            let identity = self.outbound[proxy].balance.identity(probe.key);
             let server = identity.and_then(|known| usize::try_from(known.incarnation).ok());
-            let is_lit = |server: &usize| !(self.scenario.servers[*server].is_dead)(self.now);
-            let Some(server) = server.filter(is_lit).filter(|_| one.estimate.is_none()) else {
+            let has_power = |server: &usize| !(self.scenario.servers[*server].is_dead)(self.now);
+            let Some(server) = server
+                .filter(has_power)
+                .filter(|_| probe.estimate.is_none())
+            else {
                 continue;
             };
-            let outlook = self.inbound[server].admission.estimate(now, &request);
-            self.calls[call].seen[index].estimate = Some(outlook);
+            let estimate = self.inbound[server].admission.estimate(now, &request);
+            self.calls[call].probes[index].estimate = Some(estimate);
         }
-        self.schedule(self.now + WIRE, Event::Seen(call));
+        self.schedule(self.now + NETWORK_DELAY, Event::ProbeReplies(call));
     }
 
-    fn send(&mut self, call: usize) {
-        let first = self.calls[call].tries == 0;
-        self.calls[call].tries += 1;
-        let Some((server, key)) = self.choose(call) else {
-            self.fail(call, Ending::Broken, 0.0);
+    fn start_attempt(&mut self, call: usize) {
+        let is_first = self.calls[call].attempts == 0;
+        self.calls[call].attempts += 1;
+        let Some((server, key)) = self.choose_server(call) else {
+            self.handle_failure(call, AttemptResult::Failed, 0.0);
             return;
         };
         self.attempts.push(Attempt {
             call,
             server,
             key,
-            sent: self.now,
+            sent_at: self.now,
             ticket: None,
-            first,
+            is_first,
         });
         let attempt = self.attempts.len() - 1;
         let zones = [
@@ -372,59 +383,59 @@
         ];
         self.report
             .record_attempt(self.now, server, zones[0] != zones[1]);
-        self.schedule(self.now + WIRE, Event::Reach(attempt));
+        self.schedule(self.now + NETWORK_DELAY, Event::AttemptArrives(attempt));
         if self.system == System::Baseline && self.scenario.attempt_timeout < f64::MAX {
             self.schedule(
                 self.now + self.scenario.attempt_timeout,
-                Event::TryLost(attempt),
+                Event::AttemptTimeout(attempt),
             );
         }
     }
 
-    /// Gives until when an answer is worth most, as far as the nodes know.
+    /// Returns the time of the latency target, as far as the nodes know.
     fn target_of(&self, call: usize) -> Option<Instant> {
         let call = &self.calls[call];
         let from = match self.scenario.caller_retry {
-            CallerRetry::Unmarked => call.born,
-            CallerRetry::NewCall | CallerRetry::Marked => call.first,
+            CallerRetry::Unmarked => call.started,
+            CallerRetry::NewCall | CallerRetry::Marked => call.first_started,
         };
         let target = self.scenario.flows[call.flow].target?;
         Some(self.at(from + target))
     }
 
-    /// Gives what a call asks of a backend server.
-    fn ask_of(&self, call: usize, now: Instant) -> Asked {
+    /// Returns the arguments for picking a backend server for a call.
+    fn args_of(&self, call: usize, now: Instant) -> CallArgs {
         let flow = &self.scenario.flows[self.calls[call].flow];
-        Asked {
+        CallArgs {
             repeatable: flow.class != Class::Commit,
             route: policy::hash(&format!("route-{}", flow.route)),
             target: self.target_of(call).filter(|target| *target > now),
         }
     }
 
-    fn choose(&mut self, call: usize) -> Option<(usize, Option<balance::Key>)> {
+    fn choose_server(&mut self, call: usize) -> Option<(usize, Option<balance::Key>)> {
         let now = self.at(self.now);
-        let asked = self.ask_of(call, now);
+        let args = self.args_of(call, now);
         let outbound = &mut self.outbound[self.calls[call].proxy];
         match self.system {
             System::Baseline => {
-                let seen =
+                let is_in_view =
                     |server: &Server| server.in_view.0 <= self.now && self.now < server.in_view.1;
                 for _ in 0..self.scenario.servers.len() {
-                    outbound.turn += 1;
-                    let server = outbound.turn % self.scenario.servers.len();
-                    if seen(&self.scenario.servers[server]) {
+                    outbound.round_robin += 1;
+                    let server = outbound.round_robin % self.scenario.servers.len();
+                    if is_in_view(&self.scenario.servers[server]) {
                         return Some((server, None));
                     }
                 }
                 None
             }
             System::Policy => {
-                let ask = asked.lend(&self.calls[call].tried);
-                let seen = &self.calls[call].seen;
+                let args = args.with_tried(&self.calls[call].tried);
+                let probes = &self.calls[call].probes;
                 let key = outbound
                     .balance
-                    .pick_probed(now, &ask, seen, &mut self.rng)?;
+                    .pick_probed(now, &args, probes, &mut self.rng)?;
                 let identity = outbound.balance.identity(key)?;
                 let server = usize::try_from(identity.incarnation).ok()?;
                 self.calls[call].tried.push(key);
@@ -448,13 +459,13 @@
         }
     }
 
-    fn reach(&mut self, attempt: usize) {
+    fn deliver(&mut self, attempt: usize) {
         let server = self.attempts[attempt].server;
         if (self.scenario.servers[server].is_dead)(self.now) {
             return;
         }
         if self.system == System::Baseline {
-            self.enter(attempt, server);
+            self.start_work(attempt, server);
             return;
         }
         let request = self.request_of(self.attempts[attempt].call);
@@ -463,7 +474,7 @@
         match inbound.admission.offer(now, &request, &mut self.rng) {
             admission::Decision::Run(ticket) => {
                 self.attempts[attempt].ticket = Some(ticket);
-                self.enter(attempt, server);
+                self.start_work(attempt, server);
             }
             admission::Decision::Wait(key) => {
                 inbound.waiting.insert(key, attempt);
@@ -471,20 +482,23 @@
             }
             admission::Decision::Refuse(refusal) => {
                 let wait = refusal.retry_after.as_secs_f64();
-                self.schedule(self.now + WIRE, Event::Return(attempt, Ending::Full, wait));
+                self.schedule(
+                    self.now + NETWORK_DELAY,
+                    Event::Reply(attempt, AttemptResult::Full, wait),
+                );
             }
         }
     }
 
-    /// The call reaches the backend server, which queues what is beyond its slots.
-    fn enter(&mut self, attempt: usize, server: usize) {
+    /// Starts a call at the backend server, which queues it if all slots are busy.
+    fn start_work(&mut self, attempt: usize, server: usize) {
         let spec = &self.scenario.servers[server];
         if (spec.is_failing)(self.now) {
-            self.finish(attempt, server, Ending::Broken);
+            self.reply(attempt, server, AttemptResult::Failed);
             return;
         }
         if self.inbound[server].running >= spec.slots {
-            self.inbound[server].inside.push_back(attempt);
+            self.inbound[server].server_queue.push_back(attempt);
             return;
         }
         self.inbound[server].running += 1;
@@ -495,61 +509,67 @@
         } else {
             self.exponential(mean)
         };
-        let took = work * (spec.slowdown)(self.now);
-        let end = self.now + took;
-        // A deadline that is passed on ends the work; the baseline passes none.
+        let duration = work * (spec.slowdown)(self.now);
+        let end = self.now + duration;
+        // The policy propagates deadlines, which end the work; the baseline does not.
         let end = match self.system {
             System::Policy => end.min(deadline),
             System::Baseline => end,
         };
         self.report.busy_seconds += end - self.now;
-        self.schedule(end, Event::End(attempt, server));
+        self.schedule(end, Event::WorkEnds(attempt, server));
     }
 
-    fn end(&mut self, attempt: usize, server: usize) {
+    fn finish_work(&mut self, attempt: usize, server: usize) {
         self.inbound[server].running -= 1;
-        if let Some(next) = self.inbound[server].inside.pop_front() {
-            self.enter(next, server);
+        if let Some(next) = self.inbound[server].server_queue.pop_front() {
+            self.start_work(next, server);
         }
-        let late = self.now >= self.calls[self.attempts[attempt].call].deadline;
-        let ending = if late && self.system == System::Policy {
-            Ending::Broken
+        let is_late = self.now >= self.calls[self.attempts[attempt].call].deadline;
+        let result = if is_late && self.system == System::Policy {
+            AttemptResult::Failed
         } else {
-            Ending::Answered
+            AttemptResult::Answered
         };
-        self.finish(attempt, server, ending);
+        self.reply(attempt, server, result);
     }
 
-    fn finish(&mut self, attempt: usize, server: usize, ending: Ending) {
+    fn reply(&mut self, attempt: usize, server: usize, result: AttemptResult) {
         let now = self.at(self.now);
         let mut load = 0.0;
         if let Some(ticket) = self.attempts[attempt].ticket.take() {
-            let outcome = match ending {
-                Ending::Answered => limit::Outcome::Done,
-                Ending::Broken | Ending::Full => limit::Outcome::Failed,
+            let outcome = match result {
+                AttemptResult::Answered => limit::Outcome::Done,
+                AttemptResult::Failed | AttemptResult::Full => limit::Outcome::Failed,
             };
             let admission = &mut self.inbound[server].admission;
             admission.finish(now, ticket, outcome);
             load = admission.load();
-            self.settle(server);
+            self.poll_admission(server);
         }
-        self.schedule(self.now + WIRE, Event::Return(attempt, ending, load));
+        self.schedule(
+            self.now + NETWORK_DELAY,
+            Event::Reply(attempt, result, load),
+        );
     }
 
-    /// Acts on what has become of the waiting calls.
-    fn settle(&mut self, server: usize) {
+    /// Starts or refuses waiting calls as the admission control decides.
+    fn poll_admission(&mut self, server: usize) {
         let now = self.at(self.now);
         while let Some(next) = self.inbound[server].admission.next(now, &mut self.rng) {
             match next {
                 admission::Next::Run(key, ticket) => {
                     let attempt = self.inbound[server].waiting.remove(&key).expect("waits");
                     self.attempts[attempt].ticket = Some(ticket);
-                    self.enter(attempt, server);
+                    self.start_work(attempt, server);
                 }
                 admission::Next::Refuse(key, refusal) => {
                     let attempt = self.inbound[server].waiting.remove(&key).expect("waits");
                     let wait = refusal.retry_after.as_secs_f64();
-                    self.schedule(self.now + WIRE, Event::Return(attempt, Ending::Full, wait));
+                    self.schedule(
+                        self.now + NETWORK_DELAY,
+                        Event::Reply(attempt, AttemptResult::Full, wait),
+                    );
                 }
             }
         }
@@ -557,85 +577,85 @@
     }
 
     fn set_wake(&mut self, server: usize) {
-        let wake = self.inbound[server].admission.wake_at();
-        if wake != self.inbound[server].woken {
-            self.inbound[server].woken = wake;
-            if let Some(at) = wake {
+        let wake_at = self.inbound[server].admission.wake_at();
+        if wake_at != self.inbound[server].wake_at {
+            self.inbound[server].wake_at = wake_at;
+            if let Some(at) = wake_at {
                 let at = at.saturating_duration_since(self.start).as_secs_f64();
-                self.schedule(at, Event::Wake(server));
+                self.schedule(at, Event::AdmissionTimer(server));
             }
         }
     }
 
-    fn come_back(&mut self, attempt: usize, ending: Ending, told: f64) {
+    fn handle_reply(&mut self, attempt: usize, result: AttemptResult, value: f64) {
         let now = self.at(self.now);
         let Attempt {
             call,
             key,
-            sent,
-            first,
+            sent_at,
+            is_first,
             ..
         } = self.attempts[attempt];
-        let open = self.calls[call].open;
+        let is_open = self.calls[call].is_open;
         let route = policy::hash(&format!(
             "route-{}",
             self.scenario.flows[self.calls[call].flow].route
         ));
-        let took = Duration::from_secs_f64(self.now - sent);
+        let took = Duration::from_secs_f64(self.now - sent_at);
         let outbound = &mut self.outbound[self.calls[call].proxy];
         if let Some(key) = key {
-            let outcome = match ending {
-                Ending::Answered => balance::Outcome::Answered(Some(balance::LoadReport {
-                    load: told,
+            let outcome = match result {
+                AttemptResult::Answered => balance::Outcome::Answered(Some(balance::LoadReport {
+                    load: value,
                     queue_wait: Duration::ZERO,
                 })),
-                Ending::Broken if !open => balance::Outcome::Cancelled,
-                Ending::Broken => balance::Outcome::Failed,
-                Ending::Full => balance::Outcome::Full,
+                AttemptResult::Failed if !is_open => balance::Outcome::Cancelled,
+                AttemptResult::Failed => balance::Outcome::Failed,
+                AttemptResult::Full => balance::Outcome::Full,
             };
             outbound
                 .balance
                 .finish(now, key, route, took, outcome, &mut self.rng);
         }
-        if ending == Ending::Answered && first {
+        if result == AttemptResult::Answered && is_first {
             outbound.hedge.record_latency(took);
             outbound.budget.record_success();
         }
-        if ending == Ending::Full {
+        if result == AttemptResult::Full {
             outbound.hedge.pause(now);
         }
-        if let Some(hedge) = self.calls[call].hedged
-            && open
-            && ending == Ending::Answered
+        if let Some(hedge) = self.calls[call].hedge
+            && is_open
+            && result == AttemptResult::Answered
         {
             outbound.hedge.record_result(hedge == attempt);
         }
-        if !open {
+        if !is_open {
             return;
         }
-        if self.calls[call].hedged == Some(attempt) && ending == Ending::Answered {
-            self.overtake(call, route);
+        if self.calls[call].hedge == Some(attempt) && result == AttemptResult::Answered {
+            self.cancel_first_attempt(call, route);
         }
-        if ending == Ending::Answered {
-            self.calls[call].open = false;
-            let (flow, first) = (self.calls[call].flow, self.calls[call].first);
-            self.report.record_answer(flow, first, self.now);
+        if result == AttemptResult::Answered {
+            self.calls[call].is_open = false;
+            let (flow, first_started) = (self.calls[call].flow, self.calls[call].first_started);
+            self.report.record_answer(flow, first_started, self.now);
         } else {
-            self.fail(call, ending, told);
+            self.handle_failure(call, result, value);
         }
     }
 
-    /// The copy was first: the other try is cancelled, and nothing more is heard of it.
-    fn overtake(&mut self, call: usize, route: u64) {
+    /// Cancels the first attempt, whose hedge was answered before it; its reply is ignored.
+    fn cancel_first_attempt(&mut self, call: usize, route: u64) {
         let now = self.at(self.now);
         let others = self.attempts.iter_mut().rev();
         let Some(first) = others
-            .filter(|attempt| attempt.call == call && attempt.first)
+            .filter(|attempt| attempt.call == call && attempt.is_first)
             .find(|attempt| attempt.key.is_some())
         else {
             return;
         };
-        let took = Duration::from_secs_f64(self.now - first.sent);
+        let took = Duration::from_secs_f64(self.now - first.sent_at);
         if let Some(key) = first.key.take() {
             let balance = &mut self.outbound[self.calls[call].proxy].balance;
             let outcome = balance::Outcome::HedgeWon;
@@ -643,61 +663,63 @@
         }
     }
 
-    fn fail(&mut self, call: usize, ending: Ending, retry_after: f64) {
-        let again = match self.system {
-            System::Baseline => (self.calls[call].tries <= 3).then_some(0.0),
-            System::Policy => self.decide(call, ending),
+    fn handle_failure(&mut self, call: usize, result: AttemptResult, retry_after: f64) {
+        let delay = match self.system {
+            System::Baseline => (self.calls[call].attempts <= 3).then_some(0.0),
+            System::Policy => self.retry_delay(call, result),
         };
-        if let Some(wait) = again {
-            self.schedule(self.now + wait, Event::Send(call));
+        if let Some(delay) = delay {
+            self.schedule(self.now + delay, Event::StartAttempt(call));
             return;
         }
-        self.calls[call].open = false;
+        self.calls[call].is_open = false;
         let Call {
             flow,
-            born,
-            first,
-            returns,
+            started,
+            first_started,
+            caller_retries,
             ..
         } = self.calls[call];
         self.report
-            .record_refusal(flow, born, self.now, retry_after);
-        // A caller that comes back is a new call of the same flow.
-        let back = self.now + retry_after;
-        let first = match self.scenario.caller_retry {
-            CallerRetry::NewCall => back,
-            CallerRetry::Unmarked | CallerRetry::Marked => first,
+            .record_refusal(flow, started, self.now, retry_after);
+        // A caller's retry is a new call of the same flow.
+        let retry_at = self.now + retry_after;
+        let first_started = match self.scenario.caller_retry {
+            CallerRetry::NewCall => retry_at,
+            CallerRetry::Unmarked | CallerRetry::Marked => first_started,
         };
-        let end = first + self.scenario.flows[flow].timeout;
-        let is_over = end >= self.scenario.seconds || back >= end;
-        if returns < self.scenario.caller_retries && !is_over {
-            self.add_call(flow, returns + 1, back, first);
+        let deadline = first_started + self.scenario.flows[flow].timeout;
+        let is_over = deadline >= self.scenario.seconds || retry_at >= deadline;
+        if caller_retries < self.scenario.caller_retries && !is_over {
+            self.add_call(flow, caller_retries + 1, retry_at, first_started);
         }
     }
 
-    fn decide(&mut self, call: usize, ending: Ending) -> Option<f64> {
+    fn retry_delay(&mut self, call: usize, result: AttemptResult) -> Option<f64> {
         let now = self.at(self.now);
         let deadline = self.at(self.calls[call].deadline);
         let Call {
             flow,
             proxy,
-            tries,
+            attempts,
             ref tried,
             ..
         } = self.calls[call];
         let repeatable = self.scenario.flows[flow].class != Class::Commit;
         let outbound = &mut self.outbound[proxy];
         let route = policy::hash(&format!("route-{}", self.scenario.flows[flow].route));
-        let (verdict, cause) = match ending {
-            Ending::Full => (call::Verdict::NotRun, Cause::Full),
-            Ending::Broken | Ending::Answered => (call::Verdict::MayHaveRun, Cause::Failed),
+        let (verdict, cause) = match result {
+            AttemptResult::Full => (call::Verdict::NotRun, Cause::Full),
+            AttemptResult::Failed | AttemptResult::Answered => {
+                (call::Verdict::MayHaveRun, Cause::Failed)
+            }
         };
-        let tried = FailedAttempt {
+        let failed = FailedAttempt {
             verdict,
             cause,
             repeatable,
-            attempts: tries,
-            dispatched: if cause == Cause::Full { 0 } else { tries },
+            attempts,
+            dispatched: if cause == Cause::Full { 0 } else { attempts },
             crashes: 0,
             max_attempts: 3,
             retried_by_caller: false,
@@ -708,36 +730,39 @@
             deadline,
             expected_duration: outbound.balance.expected_duration(route),
         };
-        match outbound.budget.decide(now, &tried, &mut self.rng) {
+        match outbound.budget.decide(now, &failed, &mut self.rng) {
             Decision::Retry(wait) => Some(wait.as_secs_f64()),
             Decision::GiveUp(_) => None,
         }
     }
 
-    fn lose_try(&mut self, attempt: usize) {
+    fn handle_attempt_timeout(&mut self, attempt: usize) {
         let call = self.attempts[attempt].call;
-        if self.calls[call].open && self.calls[call].tries <= 3 {
-            self.send(call);
+        if self.calls[call].is_open && self.calls[call].attempts <= 3 {
+            self.start_attempt(call);
         }
     }
 
     fn send_hedge(&mut self, call: usize) {
         let now = self.at(self.now);
-        let open = self.calls[call].open && self.calls[call].tries == 1;
-        if open && self.outbound[self.calls[call].proxy].budget.spend(now) {
+        let is_single = self.calls[call].is_open && self.calls[call].attempts == 1;
+        if is_single && self.outbound[self.calls[call].proxy].budget.spend(now) {
             self.report.hedges += 1;
-            self.send(call);
-            self.calls[call].hedged = Some(self.attempts.len() - 1);
+            self.start_attempt(call);
+            self.calls[call].hedge = Some(self.attempts.len() - 1);
         }
     }
 
-    fn pass_deadline(&mut self, call: usize) {
+    fn handle_deadline(&mut self, call: usize) {
         let Call {
-            flow, born, open, ..
+            flow,
+            started,
+            is_open,
+            ..
         } = self.calls[call];
-        if open {
-            self.calls[call].open = false;
-            self.report.record_timeout(flow, born, self.now);
+        if is_open {
+            self.calls[call].is_open = false;
+            self.report.record_timeout(flow, started, self.now);
         }
     }
 }
