--- a/crates/policy/tests/load/large_fleet.rs
+++ b/crates/policy/tests/load/large_fleet.rs
@@ -31,7 +31,7 @@
         ..Server::default()
     });
     let mut flow = Flow::new(Class::Commit, CAPACITY * load);
-    flow.mean = SERVICE_TIME;
+    flow.service_time = SERVICE_TIME;
     flow.timeout = 3.0;
     flow.target = Some(TARGET);
     Scenario {
--- a/crates/policy/tests/load/long_jobs.rs
+++ b/crates/policy/tests/load/long_jobs.rs
@@ -1,4 +1,4 @@
-use crate::scenario::{CAPACITY, Flow, MEAN, Scenario, System};
+use crate::scenario::{CAPACITY, Flow, SERVICE_TIME, Scenario, System};
 use crate::sim::run;
 use config::Class;
 use yare::parameterized;
@@ -12,14 +12,14 @@
 )]
 fn short_calls_pass(jobs: f64, least_short: f64, least_long: f64, most_p99: f64, gain: f64) {
     let lookup = Flow {
-        mean: 0.01,
-        ..Flow::new(Class::Lookup, 0.3 * CAPACITY * MEAN / 0.01)
+        service_time: 0.01,
+        ..Flow::new(Class::Lookup, 0.3 * CAPACITY * SERVICE_TIME / 0.01)
     };
     let job = Flow {
         route: 9,
-        mean: 1.0,
+        service_time: 1.0,
         timeout: 20.0,
-        ..Flow::new(Class::Lookup, jobs * CAPACITY * MEAN)
+        ..Flow::new(Class::Lookup, jobs * CAPACITY * SERVICE_TIME)
     };
     let mut flows = lookup.split(0..30);
     flows.extend(job.split(50..60));
--- a/crates/policy/tests/load/overstated_slots.rs
+++ b/crates/policy/tests/load/overstated_slots.rs
@@ -28,8 +28,8 @@
         let policy = run(&scenario, System::Policy);
         let commits = policy.answered_share(0..20, 10.0..59.0);
         assert!(commits >= 0.99, "seed {seed}: {commits}");
-        for (server, mean) in mean.iter_mut().enumerate() {
-            *mean += policy.mean_limit(server) / f64::from(SEEDS);
+        for (server, sum) in mean.iter_mut().enumerate() {
+            *sum += policy.mean_limit(server) / f64::from(SEEDS);
         }
         if seed == 1 {
             let baseline = run(&scenario, System::Baseline);
--- a/crates/policy/tests/load/scenario.rs
+++ b/crates/policy/tests/load/scenario.rs
@@ -4,10 +4,10 @@
 use std::ops::Range;
 
 /// Default mean service time, in seconds.
-pub const MEAN: f64 = 0.030;
+pub const SERVICE_TIME: f64 = 0.030;
 
 /// Calls per second that four backend servers of six slots serve at the default service time.
-pub const CAPACITY: f64 = 24.0 / MEAN;
+pub const CAPACITY: f64 = 24.0 / SERVICE_TIME;
 
 /// The kind of proxies between callers and backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     /// Start and end, in seconds.
     pub span: (f64, f64),
     /// Mean service time, in seconds.
-    pub mean: f64,
+    pub service_time: f64,
     /// Time from a call to its deadline, in seconds.
     pub timeout: f64,
     /// Latency target in seconds, if the callers state one.
@@ -66,7 +66,7 @@
             key: 1000 * route,
             rate,
             span: (0.0, f64::MAX),
-            mean: MEAN,
+            service_time: SERVICE_TIME,
             timeout: 1.0,
             target: None,
             nested: None,
--- a/crates/policy/tests/load/uneven_zone.rs
+++ b/crates/policy/tests/load/uneven_zone.rs
@@ -1,9 +1,9 @@
-use crate::scenario::{Flow, MEAN, Scenario, Server, System};
+use crate::scenario::{Flow, SERVICE_TIME, Scenario, Server, System};
 use crate::sim::run;
 use config::Class;
 
 /// Latency target in seconds: two and a half mean service times.
-const TARGET: f64 = 2.5 * MEAN;
+const TARGET: f64 = 2.5 * SERVICE_TIME;
 
 /// Three availability zones with one backend server each: the first takes twice as
 /// long as the second, the third two thirds as long.
@@ -14,7 +14,7 @@
         slowdown,
         ..Server::default()
     };
-    let mut flow = Flow::new(Class::Lookup, 0.5 * 18.0 / MEAN);
+    let mut flow = Flow::new(Class::Lookup, 0.5 * 18.0 / SERVICE_TIME);
     flow.target = target;
     Scenario {
         flows: flow.split(0..60),
@@ -35,7 +35,7 @@
         run(&zones(None), System::Policy),
         run(&zones(Some(TARGET)), System::Policy),
     );
-    let offered = 0.5 * 18.0 / MEAN * 14.0;
+    let offered = 0.5 * 18.0 / SERVICE_TIME * 14.0;
     let timely = |report: &crate::report::Report| {
         report.answered_within(report.all_flows(), span.clone(), TARGET) / offered
     };
