--- a/crates/policy/tests/load/gray_failure.rs
+++ b/crates/policy/tests/load/gray_failure.rs
@@ -4,7 +4,7 @@
 
 // One of four backend servers fails each call within a millisecond and reports
 // that it is healthy and idle. A balancer that prefers the fastest and least
-// loaded server prefers it to all others.
+// loaded server sends it more calls than any other.
 #[test]
 fn gets_few_calls() {
     let mut servers = vec![Server::default(); 4];
--- a/crates/policy/tests/load/report.rs
+++ b/crates/policy/tests/load/report.rs
@@ -135,8 +135,8 @@
         count(&self.durations(&flows, &span, Kind::Answered))
     }
 
-    /// Returns the share of the calls of `flows`, started in `span`, that were answered before their
-    /// deadline.
+    /// Returns the share of the calls of `flows`, started in `span`, that were answered before
+    /// their deadline.
     pub fn answered_share(&self, flows: Range<usize>, span: Range<f64>) -> f64 {
         let offered = count(&self.durations(&flows, &span, Kind::Offered));
         self.answered(flows, span) / offered.max(1.0)
--- a/crates/policy/tests/load/uneven_zone.rs
+++ b/crates/policy/tests/load/uneven_zone.rs
@@ -44,7 +44,7 @@
     println!(
         "in time: without target {untargeted_share:.3} with target {targeted_share:.3}, remote {remote:.3}"
     );
-    // About a third of the answers that were late without a target meet it; a quarter must.
+    // About three in ten of the answers that were late without a target meet it; a quarter must.
     assert!(1.0 - targeted_share < 0.75 * (1.0 - untargeted_share));
     // Only calls that the slow zone cannot answer in time go to other zones.
     assert!((0.1..0.5).contains(&remote), "{remote}");
