--- a/crates/call/src/crash.rs
+++ b/crates/call/src/crash.rs
@@ -32,7 +32,7 @@
 
 /// Cuts a path to what is kept of it: no query, and not endlessly long.
 #[must_use]
-pub fn shorten(path: &str) -> SmolStr {
+pub fn truncate_path(path: &str) -> SmolStr {
     let path = path.split('?').next().unwrap_or_default();
     let mut end = path.len().min(MAX_PATH);
     while !path.is_char_boundary(end) {
--- a/crates/call/src/digest.rs
+++ b/crates/call/src/digest.rs
@@ -12,7 +12,7 @@
 ///
 /// As much of a body is held before its call is tried, whoever sends it and in
 /// whatever pieces, so that the digest is the same at every node.
-pub const MAX_BODY: usize = 64 << 10;
+pub const MAX_DIGEST_BODY: usize = 64 << 10;
 
 /// Names a request by what its caller chose of it: method, host, path with query, and body.
 ///
@@ -23,10 +23,10 @@
 pub struct Digest([u8; 16]);
 
 impl Digest {
-    /// Gives the digest of a request, of whose body [`MAX_BODY`] bytes count.
+    /// Gives the digest of a request, of whose body [`MAX_DIGEST_BODY`] bytes count.
     #[must_use]
     pub fn of(method: &str, host: &str, path: &str, body: &[u8]) -> Self {
-        let body = &body[..body.len().min(MAX_BODY)];
+        let body = &body[..body.len().min(MAX_DIGEST_BODY)];
         let mut digest = Sha256::new();
         for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
             // The length keeps "ab" + "c" apart from "a" + "bc".
--- a/crates/call/src/lib.rs
+++ b/crates/call/src/lib.rs
@@ -13,9 +13,9 @@
 mod table;
 mod verdict;
 
-pub use crash::{Crash, shorten};
-pub use digest::{Digest, MAX_BODY};
+pub use crash::{Crash, truncate_path};
+pub use digest::{Digest, MAX_DIGEST_BODY};
 pub use header::Header;
 pub use id::Id;
-pub use table::{Arrival, MAX_OUTCOMES, OUTCOME_RETENTION, Outcome, PEER_RETENTION, Table};
+pub use table::{Arrival, AttemptTable, MAX_OUTCOMES, OUTCOME_RETENTION, Outcome, PEER_RETENTION};
 pub use verdict::Verdict;
--- a/crates/call/src/reserve.rs
+++ b/crates/call/src/reserve.rs
@@ -1,6 +1,6 @@
 //! Reservations of idempotency keys: at most once across callers' own repeats.
 //!
-//! Keys belong to shards. A shard is a [`Table`] that follows from numbered
+//! Keys belong to shards. A shard is a [`KeyTable`] that follows from numbered
 //! records alone, each a batch of [`Entry`]s: whoever applies the same records
 //! comes to the same table, without looking at a clock. A call with a key runs
 //! only after the record with its reservation stands.
@@ -22,7 +22,7 @@
 /// A shard's records come one at a time, so that more shards carry more load,
 /// while the platform's writes are shared by all of them: with 16 shards and
 /// some 120 records a second a shard under full load commits every 130 ms.
-pub const SHARDS: u16 = 16;
+pub const SHARD_COUNT: u16 = 16;
 
 /// Keys that a shard holds. At some 150 bytes each they take 10 MB, a third of
 /// what a node may use for control.
@@ -32,10 +32,10 @@
 ///
 /// Confirmations of a booking or payment are well below; longer ones are not
 /// kept, and a repeat is told that the call ran.
-pub const MAX_ANSWER: usize = 4 << 10;
+pub const MAX_ANSWER_BYTES: usize = 4 << 10;
 
 /// Answers that a shard keeps, in bytes; the oldest make room.
-pub const MAX_ANSWERS: usize = 1 << 20;
+pub const MAX_SHARD_ANSWER_BYTES: usize = 1 << 20;
 
 /// Names a caller's key within its service; a digest, so that it is small and `Copy`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
     /// Gives the shard that the key belongs to.
     #[must_use]
     pub fn shard(self) -> u16 {
-        u16::from_le_bytes([self.0[0], self.0[1]]) % SHARDS
+        u16::from_le_bytes([self.0[0], self.0[1]]) % SHARD_COUNT
     }
 }
 
@@ -219,14 +219,14 @@
 
 /// The keys of a shard.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Table {
+pub struct KeyTable {
     slots: HashMap<Key, Slot>,
     /// Keys whose answers are kept, oldest first.
     answered: VecDeque<Key>,
     answer_bytes: usize,
 }
 
-impl Table {
+impl KeyTable {
     /// Gives the number of keys held.
     #[must_use]
     pub fn len(&self) -> usize {
@@ -241,7 +241,7 @@
 
     /// Tells what is known of a claim, or `None` when it needs a record.
     #[must_use]
-    pub fn look(&self, claim: &Claim) -> Option<Reply> {
+    pub fn find_reply(&self, claim: &Claim) -> Option<Reply> {
         let slot = self.slots.get(&claim.key)?;
         let known = match &slot.state {
             State::Answered(answer) => Reply::Known(Arc::clone(answer)),
@@ -276,7 +276,7 @@
     }
 
     fn reserve(&mut self, claim: &Claim, number: u64) -> Reply {
-        if let Some(reply) = self.look(claim) {
+        if let Some(reply) = self.find_reply(claim) {
             return reply;
         }
         let slot = Slot {
@@ -303,14 +303,14 @@
         let Some(slot) = self.reserved(key, holder) else {
             return;
         };
-        let Some(answer) = answer.filter(|answer| answer.size() <= MAX_ANSWER) else {
+        let Some(answer) = answer.filter(|answer| answer.size() <= MAX_ANSWER_BYTES) else {
             slot.state = State::Ran;
             return;
         };
         slot.state = State::Answered(Arc::clone(answer));
         self.answered.push_back(key);
         self.answer_bytes += answer.size();
-        while self.answer_bytes > MAX_ANSWERS {
+        while self.answer_bytes > MAX_SHARD_ANSWER_BYTES {
             self.forget_answer();
         }
     }
--- a/crates/call/src/table.rs
+++ b/crates/call/src/table.rs
@@ -38,22 +38,22 @@
     /// Its link was voided before it came: it must not run.
     Late,
     /// It, or a later one, has come over this link before: it must not run (again).
-    Repeated,
+    Duplicate,
 }
 
 /// What became of a try that a peer asks about.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Outcome<'a, S> {
     /// It never came, and can't be accepted any more.
-    NeverCame,
+    NeverReceived,
     /// It was still queued, and is withdrawn now.
     Withdrawn(&'a S),
     /// It runs.
     Running(&'a S),
     /// It is over; the call knows how.
-    Over(&'a S),
+    Finished(&'a S),
     /// It came, and the table has forgotten how it ended.
-    Forgotten,
+    Unknown,
 }
 
 /// Links of one peer that are remembered; an older one's tries count as forgotten.
@@ -88,13 +88,13 @@
 
 /// The table of calls, whose parts of the program that run them are `S`.
 #[derive(Debug)]
-pub struct Table<S> {
+pub struct AttemptTable<S> {
     peers: HashMap<u64, Peer>,
     calls: HashMap<Id, Entry<S>>,
     over: VecDeque<(Instant, Id)>,
 }
 
-impl<S> Default for Table<S> {
+impl<S> Default for AttemptTable<S> {
     fn default() -> Self {
         Self {
             peers: HashMap::new(),
@@ -104,7 +104,7 @@
     }
 }
 
-impl<S> Table<S> {
+impl<S> AttemptTable<S> {
     fn peer(&mut self, origin: u64, now: Instant) -> &mut Peer {
         let peer = self.peers.entry(origin).or_insert_with(|| Peer {
             lowest: 0,
@@ -122,20 +122,20 @@
     /// and be read after the sender was told that the call has not run.
     /// Because the links are void before any question about them is answered,
     /// such a request is refused whenever it comes.
-    pub fn open(&mut self, origin: u64, link: u64, now: Instant) {
+    pub fn open_link(&mut self, origin: u64, link: u64, now: Instant) {
         let peer = self.peer(origin, now);
         peer.lowest = peer.lowest.max(link);
     }
 
     /// Takes in a try.
-    pub fn arrive(&mut self, id: Id, link: u64, call: S, now: Instant) -> Arrival {
+    pub fn receive(&mut self, id: Id, link: u64, call: S, now: Instant) -> Arrival {
         let peer = self.peer(id.origin, now);
         if link < peer.lowest {
             return Arrival::Late;
         }
         let highest = peer.highest.entry(link).or_insert(0);
         if id.sequence <= *highest {
-            return Arrival::Repeated;
+            return Arrival::Duplicate;
         }
         *highest = id.sequence;
         if peer.highest.len() > MAX_LINKS
@@ -168,31 +168,31 @@
             entry.stage = Stage::Over;
             self.over.push_back((now, id));
         }
-        self.forget(now);
+        self.expire_outcomes(now);
     }
 
     /// Tells what became of a try that was sent over `link`, which must be void by now.
     ///
     /// A queued one is withdrawn: the peer that asks has a caller who may be
     /// better served elsewhere, and can be told for sure that it has not run.
-    pub fn ask(&mut self, id: Id, link: u64, now: Instant) -> Outcome<'_, S> {
+    pub fn query(&mut self, id: Id, link: u64, now: Instant) -> Outcome<'_, S> {
         let peer = self.peer(id.origin, now);
         if link >= peer.lowest || link < peer.forgotten {
-            return Outcome::Forgotten;
+            return Outcome::Unknown;
         }
         if peer
             .highest
             .get(&link)
             .is_none_or(|&highest| id.sequence > highest)
         {
-            return Outcome::NeverCame;
+            return Outcome::NeverReceived;
         }
         let withdrawn = self.withdraw(id, now);
         match self.calls.get(&id) {
             Some(entry) if withdrawn => Outcome::Withdrawn(&entry.call),
             Some(entry) if entry.stage == Stage::Running => Outcome::Running(&entry.call),
-            Some(entry) => Outcome::Over(&entry.call),
-            None => Outcome::Forgotten,
+            Some(entry) => Outcome::Finished(&entry.call),
+            None => Outcome::Unknown,
         }
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Forgets a try that is over and that its peer will not ask about.
-    pub fn settle(&mut self, id: Id) {
+    pub fn acknowledge(&mut self, id: Id) {
         if self
             .calls
             .get(&id)
@@ -234,7 +234,7 @@
     }
 
     /// Forgets the oldest outcomes that are past their time or too many.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn expire_outcomes(&mut self, now: Instant) {
         while let Some(&(at, id)) = self.over.front() {
             let expired = now.saturating_duration_since(at) > OUTCOME_RETENTION;
             let settled = !self.calls.contains_key(&id);
@@ -247,7 +247,7 @@
     }
 
     /// Forgets the peers from which nothing can come any more.
-    pub fn forget_peers(&mut self, now: Instant) {
+    pub fn expire_peers(&mut self, now: Instant) {
         self.peers
             .retain(|_, peer| now.saturating_duration_since(peer.seen) <= PEER_RETENTION);
     }
--- a/crates/call/tests/digest.rs
+++ b/crates/call/tests/digest.rs
@@ -1,6 +1,6 @@
 //! What names a request through all its repeats.
 
-use call::{Digest, MAX_BODY};
+use call::{Digest, MAX_DIGEST_BODY};
 
 /// Two requests must not share a name because their parts run together.
 #[test]
@@ -20,8 +20,11 @@
 /// A long body must have one name, however much of it a node holds.
 #[test]
 fn long_body() {
-    let body = vec![7; MAX_BODY + 1];
+    let body = vec![7; MAX_DIGEST_BODY + 1];
     let whole = Digest::of("POST", "mesh", "/a", &body);
-    assert_eq!(whole, Digest::of("POST", "mesh", "/a", &body[..MAX_BODY]));
+    assert_eq!(
+        whole,
+        Digest::of("POST", "mesh", "/a", &body[..MAX_DIGEST_BODY])
+    );
     assert_ne!(whole, Digest::of("POST", "mesh", "/a", &body[..8]));
 }
--- a/crates/call/tests/reserve.rs
+++ b/crates/call/tests/reserve.rs
@@ -3,7 +3,8 @@
 use bytes::Bytes;
 use call::Id;
 use call::reserve::{
-    Answer, Claim, Entry, Fingerprint, Holder, Key, MAX_ANSWER, MAX_ANSWERS, Reply, Table,
+    Answer, Claim, Entry, Fingerprint, Holder, Key, KeyTable, MAX_ANSWER_BYTES,
+    MAX_SHARD_ANSWER_BYTES, Reply,
 };
 use std::sync::Arc;
 use yare::parameterized;
@@ -65,7 +66,7 @@
     held = { vec![reserve(FIRST)], Reply::Unsettled },
     asked_again = { vec![reserve(SECOND)], Reply::Granted },
     answered = { vec![reserve(FIRST), complete(FIRST, 3)], Reply::Known(answer(3)) },
-    too_long = { vec![reserve(FIRST), complete(FIRST, MAX_ANSWER + 1)], Reply::Ran },
+    too_long = { vec![reserve(FIRST), complete(FIRST, MAX_ANSWER_BYTES + 1)], Reply::Ran },
     released = { vec![reserve(FIRST), release(FIRST)], Reply::Granted },
     released_by_another = { vec![reserve(FIRST), release(SECOND)], Reply::Unsettled },
     completed_by_another = { vec![reserve(FIRST), complete(SECOND, 3)], Reply::Unsettled },
@@ -78,24 +79,24 @@
     not_expired = { vec![reserve(FIRST), Entry::Expire { through: 0 }], Reply::Unsettled },
 )]
 fn second_claim(before: Vec<Entry>, expected: Reply) {
-    let mut table = Table::default();
+    let mut table = KeyTable::default();
     for (number, entry) in (1..).zip(&before) {
         table.apply(entry, number);
     }
-    let looked = table.look(&claim(SECOND));
+    let looked = table.find_reply(&claim(SECOND));
     assert_eq!(looked.unwrap_or(Reply::Granted), expected);
     assert_eq!(table.apply(&reserve(SECOND), 9), Some(expected));
 }
 
 #[test]
 fn other_request() {
-    let mut table = Table::default();
+    let mut table = KeyTable::default();
     table.apply(&reserve(FIRST), 1);
     let other = Claim {
         fingerprint: Fingerprint::of("POST", "/claims/7/release", b"{\"amount\":2}"),
         ..claim(SECOND)
     };
-    assert_eq!(table.look(&other), Some(Reply::Mismatch));
+    assert_eq!(table.find_reply(&other), Some(Reply::Mismatch));
 }
 
 #[test]
@@ -103,13 +104,13 @@
     assert_ne!(Key::of("ab", "c"), Key::of("a", "bc"));
     let shards = (0..1000).map(|n| Key::of("claims", &n.to_string()).shard());
     let distinct: std::collections::HashSet<_> = shards.collect();
-    assert_eq!(distinct.len(), usize::from(call::reserve::SHARDS));
+    assert_eq!(distinct.len(), usize::from(call::reserve::SHARD_COUNT));
 }
 
 #[test]
 fn answers_bounded() {
-    let mut table = Table::default();
-    let count = 2 * MAX_ANSWERS / MAX_ANSWER;
+    let mut table = KeyTable::default();
+    let count = 2 * MAX_SHARD_ANSWER_BYTES / MAX_ANSWER_BYTES;
     for number in 0..count as u64 {
         let claim = Claim {
             key: Key::of("claims", &number.to_string()),
@@ -119,18 +120,18 @@
         let complete = Entry::Complete {
             key: claim.key,
             holder: FIRST,
-            answer: Some(answer(MAX_ANSWER)),
+            answer: Some(answer(MAX_ANSWER_BYTES)),
         };
         table.apply(&complete, number);
     }
     let replies = (0..count).filter_map(|number| {
-        table.look(&Claim {
+        table.find_reply(&Claim {
             key: Key::of("claims", &number.to_string()),
             ..claim(SECOND)
         })
     });
     let known = replies.filter(|reply| matches!(reply, Reply::Known(_)));
-    assert_eq!(known.count() * MAX_ANSWER, MAX_ANSWERS);
+    assert_eq!(known.count() * MAX_ANSWER_BYTES, MAX_SHARD_ANSWER_BYTES);
     assert_eq!(table.len(), count);
 }
 
@@ -140,7 +141,7 @@
 // not get it: the call runs right now.
 #[test]
 fn late_release_of_former_attempt() {
-    let mut table = Table::default();
+    let mut table = KeyTable::default();
     table.apply(&reserve(SECOND_BEFORE), 1);
     assert_eq!(table.apply(&reserve(SECOND), 2), Some(Reply::Granted));
     table.apply(&release(SECOND_BEFORE), 3);
--- a/crates/call/tests/table.rs
+++ b/crates/call/tests/table.rs
@@ -1,6 +1,6 @@
 //! The table of calls: what it says of a try stays true whatever comes late.
 
-use call::{Arrival, Id, MAX_OUTCOMES, OUTCOME_RETENTION, Outcome, PEER_RETENTION, Table};
+use call::{Arrival, AttemptTable, Id, MAX_OUTCOMES, OUTCOME_RETENTION, Outcome, PEER_RETENTION};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -16,10 +16,10 @@
 }
 
 /// A table with one link, number 1, over which try 1 came.
-fn make_table(now: Instant) -> Table<&'static str> {
-    let mut table = Table::default();
-    table.open(ORIGIN, 1, now);
-    assert_eq!(table.arrive(id(1), 1, "one", now), Arrival::Queued);
+fn make_table(now: Instant) -> AttemptTable<&'static str> {
+    let mut table = AttemptTable::default();
+    table.open_link(ORIGIN, 1, now);
+    assert_eq!(table.receive(id(1), 1, "one", now), Arrival::Queued);
     table
 }
 
@@ -27,11 +27,11 @@
 fn queued_is_withdrawn() {
     let now = Instant::now();
     let mut table = make_table(now);
-    table.open(ORIGIN, 2, now);
-    assert_eq!(table.ask(id(1), 1, now), Outcome::Withdrawn(&"one"));
+    table.open_link(ORIGIN, 2, now);
+    assert_eq!(table.query(id(1), 1, now), Outcome::Withdrawn(&"one"));
     assert!(!table.start(id(1)));
     // Asked again, as the first answer was lost: it is still known.
-    assert_eq!(table.ask(id(1), 1, now), Outcome::Over(&"one"));
+    assert_eq!(table.query(id(1), 1, now), Outcome::Finished(&"one"));
 }
 
 #[test]
@@ -39,11 +39,11 @@
     let now = Instant::now();
     let mut table = make_table(now);
     assert!(table.start(id(1)));
-    table.open(ORIGIN, 2, now);
-    assert_eq!(table.ask(id(1), 1, now), Outcome::Running(&"one"));
+    table.open_link(ORIGIN, 2, now);
+    assert_eq!(table.query(id(1), 1, now), Outcome::Running(&"one"));
     assert!(!table.withdraw(id(1), now));
     table.finish(id(1), now);
-    assert_eq!(table.ask(id(1), 1, now), Outcome::Over(&"one"));
+    assert_eq!(table.query(id(1), 1, now), Outcome::Finished(&"one"));
 }
 
 // A claim's release is sent over a link that goes silent, and the node is told
@@ -52,9 +52,9 @@
 fn late_is_refused() {
     let now = Instant::now();
     let mut table = make_table(now);
-    table.open(ORIGIN, 2, now);
-    assert_eq!(table.ask(id(2), 1, now), Outcome::NeverCame);
-    assert_eq!(table.arrive(id(2), 1, "two", now), Arrival::Late);
+    table.open_link(ORIGIN, 2, now);
+    assert_eq!(table.query(id(2), 1, now), Outcome::NeverReceived);
+    assert_eq!(table.receive(id(2), 1, "two", now), Arrival::Late);
     assert!(!table.start(id(2)));
 }
 
@@ -64,14 +64,14 @@
 fn open_link_says_nothing() {
     let now = Instant::now();
     let mut table = make_table(now);
-    assert_eq!(table.ask(id(2), 1, now), Outcome::Forgotten);
+    assert_eq!(table.query(id(2), 1, now), Outcome::Unknown);
 }
 
 #[test]
 fn repeated_is_refused() {
     let now = Instant::now();
     let mut table = make_table(now);
-    assert_eq!(table.arrive(id(1), 1, "again", now), Arrival::Repeated);
+    assert_eq!(table.receive(id(1), 1, "again", now), Arrival::Duplicate);
     assert_eq!(table.get(id(1)), Some(&"one"));
 }
 
@@ -84,10 +84,10 @@
     assert!(table.start(id(1)));
     table.finish(id(1), now);
     let later = now + OUTCOME_RETENTION + Duration::from_secs(1);
-    table.forget(later);
-    table.open(ORIGIN, 2, later);
-    assert_eq!(table.ask(id(1), 1, later), Outcome::Forgotten);
-    assert_eq!(table.arrive(id(1), 2, "again", later), Arrival::Queued);
+    table.expire_outcomes(later);
+    table.open_link(ORIGIN, 2, later);
+    assert_eq!(table.query(id(1), 1, later), Outcome::Unknown);
+    assert_eq!(table.receive(id(1), 2, "again", later), Arrival::Queued);
 }
 
 // The peer has the answer and says so: nothing of the call is kept.
@@ -95,12 +95,12 @@
 fn settled_is_forgotten() {
     let now = Instant::now();
     let mut table = make_table(now);
-    table.settle(id(1));
+    table.acknowledge(id(1));
     assert!(table.start(id(1)), "one that is not over stays");
     table.finish(id(1), now);
-    table.settle(id(1));
+    table.acknowledge(id(1));
     assert_eq!(table.sizes().0, 0);
-    assert_eq!(table.arrive(id(1), 1, "again", now), Arrival::Repeated);
+    assert_eq!(table.receive(id(1), 1, "again", now), Arrival::Duplicate);
 }
 
 #[test]
@@ -108,13 +108,13 @@
     let now = Instant::now();
     let mut table = make_table(now);
     for sequence in 2..=2 * MAX_OUTCOMES as u64 {
-        assert_eq!(table.arrive(id(sequence), 1, "more", now), Arrival::Queued);
+        assert_eq!(table.receive(id(sequence), 1, "more", now), Arrival::Queued);
         assert!(table.start(id(sequence)));
         table.finish(id(sequence), now);
     }
     // One is still queued.
     assert_eq!(table.sizes(), (MAX_OUTCOMES + 1, 1));
-    table.forget_peers(now + PEER_RETENTION + Duration::from_secs(1));
+    table.expire_peers(now + PEER_RETENTION + Duration::from_secs(1));
     assert_eq!(table.sizes().1, 0);
 }
 
@@ -122,7 +122,7 @@
 struct World {
     rng: SmallRng,
     now: Instant,
-    table: Table<u64>,
+    table: AttemptTable<u64>,
     /// What each link has not delivered yet; a link is opened by its first frame.
     links: HashMap<u64, VecDeque<Option<u64>>>,
     current: u64,
@@ -138,7 +138,7 @@
         let mut world = Self {
             rng: SmallRng::seed_from_u64(seed),
             now: Instant::now(),
-            table: Table::default(),
+            table: AttemptTable::default(),
             links: HashMap::new(),
             current: 0,
             sequence: 0,
@@ -166,10 +166,10 @@
         let oldest = self.current.saturating_sub(2).max(1);
         let link = self.rng.random_range(oldest..=self.current);
         match self.links.get_mut(&link).and_then(VecDeque::pop_front) {
-            Some(None) => self.table.open(ORIGIN, link, self.now),
+            Some(None) => self.table.open_link(ORIGIN, link, self.now),
             Some(Some(sequence)) => {
-                let arrival = self.table.arrive(id(sequence), link, sequence, self.now);
-                assert_ne!(arrival, Arrival::Repeated, "each is sent once");
+                let arrival = self.table.receive(id(sequence), link, sequence, self.now);
+                assert_ne!(arrival, Arrival::Duplicate, "each is sent once");
             }
             None => {}
         }
@@ -200,16 +200,16 @@
         }
         let Some(sequence) = self.draw() else { return };
         let (_, link) = self.sent[usize::try_from(sequence).unwrap() - 1];
-        match self.table.ask(id(sequence), link, self.now) {
-            Outcome::NeverCame | Outcome::Withdrawn(_) => {
+        match self.table.query(id(sequence), link, self.now) {
+            Outcome::NeverReceived | Outcome::Withdrawn(_) => {
                 assert!(
                     !self.started.contains(&sequence),
                     "{sequence} told \"not run\" after its start"
                 );
                 self.told_not_run.insert(sequence);
             }
-            Outcome::Running(found) | Outcome::Over(found) => assert_eq!(*found, sequence),
-            Outcome::Forgotten => {}
+            Outcome::Running(found) | Outcome::Finished(found) => assert_eq!(*found, sequence),
+            Outcome::Unknown => {}
         }
     }
 
@@ -231,8 +231,8 @@
             96..98 => self.reconnect(),
             _ => {
                 self.now += Duration::from_millis(self.rng.random_range(0..4_000));
-                self.table.forget(self.now);
-                self.table.forget_peers(self.now);
+                self.table.expire_outcomes(self.now);
+                self.table.expire_peers(self.now);
             }
         }
     }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -7,13 +7,13 @@
 quick_error! {
     /// What is wrong with a configuration or a change of it.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum Fault {
+    pub enum Violation {
         /// A name is empty, too long or holds a character that names may not hold.
-        Name(name: SmolStr) {
+        InvalidName(name: SmolStr) {
             display("{:?} is no name: 1 to {} letters, digits, '-', '_' or '.'", name, crate::validate::MAX_NAME)
         }
         /// A prefix has the wrong shape.
-        Prefix(prefix: SmolStr) {
+        InvalidPrefix(prefix: SmolStr) {
             display("{:?} is no prefix: a path that starts with '/' and has no empty part, '?', '#' or blank, after a host in lower case if it is for that alone", prefix)
         }
         /// A service that isn't there is to be removed.
@@ -37,19 +37,19 @@
             display("route {:?} names retry rule {:?}, which isn't there", prefix, retry)
         }
         /// A retry rule would repeat calls that may never be repeated.
-        Repeats(prefix: SmolStr, retry: SmolStr) {
+        ForbiddenRepeat(prefix: SmolStr, retry: SmolStr) {
             display("retry rule {:?} repeats calls of route {:?}, which may never be repeated", retry, prefix)
         }
         /// A route has no target, too many, or one twice.
-        Targets(prefix: SmolStr) {
+        InvalidTargets(prefix: SmolStr) {
             display("route {:?} needs 1 to {} targets, each once", prefix, crate::validate::MAX_TARGETS)
         }
         /// A route's shares don't add up.
-        Shares(prefix: SmolStr, sum: u32) {
+        InvalidShares(prefix: SmolStr, sum: u32) {
             display("shares of route {:?} are positive and add up to 100, not {}", prefix, sum)
         }
         /// A figure is out of its range.
-        Range(what: &'static str, low: u32, high: u32) {
+        OutOfRange(what: &'static str, low: u32, high: u32) {
             display("{} must be from {} to {}", what, low, high)
         }
         /// There is too much of something.
@@ -69,12 +69,12 @@
             source(source)
         }
         /// A change can't be applied.
-        Change(line: usize, fault: Fault) {
+        Change(line: usize, fault: Violation) {
             display("line {}: {}", line, fault)
             source(fault)
         }
         /// A whole configuration breaks a rule.
-        Mesh(fault: Fault) {
+        Mesh(fault: Violation) {
             display("{}", fault)
             source(fault)
         }
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -1,6 +1,6 @@
 //! Typed changes from one version to the next.
 
-use crate::error::{Error, Fault};
+use crate::error::{Error, Violation};
 use crate::mesh::{Mesh, Retry, Route, Service};
 use crate::validate;
 use serde::{Deserialize, Serialize};
@@ -126,7 +126,7 @@
     }
 
     /// Finds the last change that touched what `fault` is about.
-    fn blame(&self, fault: Fault) -> Error {
+    fn blame(&self, fault: Violation) -> Error {
         let found = self
             .changes
             .iter()
@@ -139,7 +139,7 @@
 }
 
 /// Checks what a change says for itself.
-fn check_change(change: &Change) -> Result<(), Fault> {
+fn check_change(change: &Change) -> Result<(), Violation> {
     match change {
         Change::PutService { name, service } => {
             validate::check_name(name)?;
@@ -160,7 +160,7 @@
     }
 }
 
-fn apply_change(mesh: &mut Mesh, change: &Change) -> Result<(), Fault> {
+fn apply_change(mesh: &mut Mesh, change: &Change) -> Result<(), Violation> {
     match change {
         Change::PutService { name, service } => {
             mesh.services.insert(name.clone(), service.clone());
@@ -173,35 +173,35 @@
         }
         Change::RemoveService { name } => {
             let removed = mesh.services.remove(name);
-            removed.ok_or_else(|| Fault::NoSuchService(name.clone()))?;
+            removed.ok_or_else(|| Violation::NoSuchService(name.clone()))?;
         }
         Change::RemoveRoute { prefix } => {
             let removed = mesh.routes.remove(prefix);
-            removed.ok_or_else(|| Fault::NoSuchRoute(prefix.clone()))?;
+            removed.ok_or_else(|| Violation::NoSuchRoute(prefix.clone()))?;
         }
         Change::RemoveRetry { name } => {
             let removed = mesh.retries.remove(name);
-            removed.ok_or_else(|| Fault::NoSuchRetry(name.clone()))?;
+            removed.ok_or_else(|| Violation::NoSuchRetry(name.clone()))?;
         }
     }
     validate::check_sizes(mesh)
 }
 
 /// Tells whether `change` brought about `fault`, which only shows in the whole.
-fn is_cause(change: &Change, fault: &Fault) -> bool {
+fn is_cause(change: &Change, fault: &Violation) -> bool {
     match change {
         Change::RemoveService { name } => {
-            matches!(fault, Fault::MissingService(_, gone) if gone == name)
+            matches!(fault, Violation::MissingService(_, gone) if gone == name)
         }
         Change::RemoveRetry { name } => {
-            matches!(fault, Fault::MissingRetry(_, gone) if gone == name)
+            matches!(fault, Violation::MissingRetry(_, gone) if gone == name)
         }
         Change::PutRetry { name, .. } => {
-            matches!(fault, Fault::Repeats(_, retry) if retry == name)
+            matches!(fault, Violation::ForbiddenRepeat(_, retry) if retry == name)
         }
         Change::PutRoute { prefix, .. } => matches!(
             fault,
-            Fault::MissingService(at, _) | Fault::MissingRetry(at, _) | Fault::Repeats(at, _)
+            Violation::MissingService(at, _) | Violation::MissingRetry(at, _) | Violation::ForbiddenRepeat(at, _)
                 if at == prefix
         ),
         Change::PutService { .. } | Change::RemoveRoute { .. } => false,
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 
 /// Kinds of calls that are judged apart: each class, repeatable or not.
-pub const KINDS: usize = 6;
+pub const KIND_COUNT: usize = 6;
 
 /// How far a roll-out has come; it only goes on, to one of the two ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
 /// Revisions of a store that came back from a copy are given out again, so that they
 /// are compared within one era only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place {
+pub struct OrderRevision {
     /// How often the store had come back from a copy.
     pub era: u64,
     /// Revision at which the order was written.
@@ -53,7 +53,8 @@
     /// The version that is to take over.
     pub target: SmolStr,
     /// Which order it is.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub order: OrderRevision,
     /// Time that it may take, in milliseconds.
     pub duration_ms: u32,
     /// Time since the order, in milliseconds, when this is told.
@@ -95,9 +96,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     /// At the new version, by kind.
-    pub trial: [Counts; KINDS],
+    pub trial: [Counts; KIND_COUNT],
     /// At all others, by kind.
-    pub stable: [Counts; KINDS],
+    pub stable: [Counts; KIND_COUNT],
     /// Calls that run at other versions now.
     pub pending: u32,
 }
@@ -116,7 +117,7 @@
 
     /// Counts the calls that the new version has ended.
     #[must_use]
-    pub fn tried(&self) -> u32 {
+    pub fn trial_ended(&self) -> u32 {
         self.trial.iter().map(|counts| counts.ended).sum()
     }
 }
--- a/crates/config/src/validate.rs
+++ b/crates/config/src/validate.rs
@@ -3,7 +3,7 @@
 //! A mesh is checked before it is proposed and again before a node takes it,
 //! so that no view can hold a reference to what isn't there.
 
-use crate::error::Fault;
+use crate::error::Violation;
 use crate::mesh::{Mesh, Objective, Repeat, Retry, Route};
 use smol_str::SmolStr;
 use std::collections::BTreeSet;
@@ -39,7 +39,7 @@
 const PERCENT: u32 = 100;
 
 /// Checks a whole configuration.
-pub(crate) fn check_mesh(mesh: &Mesh) -> Result<(), Fault> {
+pub(crate) fn check_mesh(mesh: &Mesh) -> Result<(), Violation> {
     check_sizes(mesh)?;
     for (name, service) in &mesh.services {
         check_name(name)?;
@@ -57,32 +57,32 @@
 }
 
 /// Checks that no part of a configuration outgrows its limit.
-pub(crate) fn check_sizes(mesh: &Mesh) -> Result<(), Fault> {
+pub(crate) fn check_sizes(mesh: &Mesh) -> Result<(), Violation> {
     check_size("services", mesh.services.len(), MAX_SERVICES)?;
     check_size("routes", mesh.routes.len(), MAX_ROUTES)?;
     check_size("retry rules", mesh.retries.len(), MAX_RETRIES)
 }
 
-pub(crate) fn check_size(what: &'static str, size: usize, limit: usize) -> Result<(), Fault> {
+pub(crate) fn check_size(what: &'static str, size: usize, limit: usize) -> Result<(), Violation> {
     if size > limit {
-        return Err(Fault::TooMany(what, limit));
+        return Err(Violation::TooMany(what, limit));
     }
     Ok(())
 }
 
-pub(crate) fn check_name(name: &SmolStr) -> Result<(), Fault> {
+pub(crate) fn check_name(name: &SmolStr) -> Result<(), Violation> {
     let is_fit = !name.is_empty()
         && name.len() <= MAX_NAME
         && name
             .bytes()
             .all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.'));
     if !is_fit {
-        return Err(Fault::Name(name.clone()));
+        return Err(Violation::InvalidName(name.clone()));
     }
     Ok(())
 }
 
-pub(crate) fn check_prefix(prefix: &SmolStr) -> Result<(), Fault> {
+pub(crate) fn check_prefix(prefix: &SmolStr) -> Result<(), Violation> {
     let path = prefix.find('/').map(|slash| prefix.split_at(slash));
     let is_fit = path.is_some_and(|(host, path)| {
         prefix.len() <= MAX_PREFIX
@@ -93,7 +93,7 @@
                 .all(|byte| byte.is_ascii_graphic() && !matches!(byte, b'?' | b'#'))
     });
     if !is_fit {
-        return Err(Fault::Prefix(prefix.clone()));
+        return Err(Violation::InvalidPrefix(prefix.clone()));
     }
     Ok(())
 }
@@ -104,28 +104,28 @@
         .all(|byte| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'_' | b'.'))
 }
 
-pub(crate) fn check_objective(objective: &Objective) -> Result<(), Fault> {
+pub(crate) fn check_objective(objective: &Objective) -> Result<(), Violation> {
     check_range("availability_ppm", objective.availability_ppm, 1, PPM)?;
     check_range("latency_ppm", objective.latency_ppm, 1, PPM)?;
     check_range("latency_ms", objective.latency_ms, 1, MAX_TIMEOUT_MS)
 }
 
-pub(crate) fn check_retry(retry: &Retry) -> Result<(), Fault> {
+pub(crate) fn check_retry(retry: &Retry) -> Result<(), Violation> {
     check_range("attempts", retry.attempts.into(), 1, MAX_ATTEMPTS)?;
     check_range("budget_percent", retry.budget_percent.into(), 0, PERCENT)
 }
 
 /// Checks what a route needs no other part of the configuration for.
-pub(crate) fn check_targets(prefix: &SmolStr, route: &Route) -> Result<(), Fault> {
+pub(crate) fn check_targets(prefix: &SmolStr, route: &Route) -> Result<(), Violation> {
     let services: BTreeSet<_> = route.targets.iter().map(|target| &target.service).collect();
     let count = route.targets.len();
     if count == 0 || count > MAX_TARGETS || services.len() != count {
-        return Err(Fault::Targets(prefix.clone()));
+        return Err(Violation::InvalidTargets(prefix.clone()));
     }
     let sum = route.targets.iter().map(|target| u32::from(target.percent));
     let sum = sum.sum();
     if sum != PERCENT || route.targets.iter().any(|target| target.percent == 0) {
-        return Err(Fault::Shares(prefix.clone(), sum));
+        return Err(Violation::InvalidShares(prefix.clone(), sum));
     }
     check_range("timeout_ms", route.timeout_ms, 1, MAX_TIMEOUT_MS)?;
     for (what, time) in [("limit_ms", route.limit_ms), ("target_ms", route.target_ms)] {
@@ -134,29 +134,29 @@
     Ok(())
 }
 
-fn check_route(mesh: &Mesh, prefix: &SmolStr, route: &Route) -> Result<(), Fault> {
+fn check_route(mesh: &Mesh, prefix: &SmolStr, route: &Route) -> Result<(), Violation> {
     check_targets(prefix, route)?;
     for target in &route.targets {
         if !mesh.services.contains_key(&target.service) {
             let service = target.service.clone();
-            return Err(Fault::MissingService(prefix.clone(), service));
+            return Err(Violation::MissingService(prefix.clone(), service));
         }
     }
     let Some(name) = &route.retry else {
         return Ok(());
     };
     let Some(retry) = mesh.retries.get(name) else {
-        return Err(Fault::MissingRetry(prefix.clone(), name.clone()));
+        return Err(Violation::MissingRetry(prefix.clone(), name.clone()));
     };
     if route.repeat == Repeat::Never && (retry.repeat_may_have_run || retry.hedge) {
-        return Err(Fault::Repeats(prefix.clone(), name.clone()));
+        return Err(Violation::ForbiddenRepeat(prefix.clone(), name.clone()));
     }
     Ok(())
 }
 
-fn check_range(what: &'static str, value: u32, low: u32, high: u32) -> Result<(), Fault> {
+fn check_range(what: &'static str, value: u32, low: u32, high: u32) -> Result<(), Violation> {
     if !(low..=high).contains(&value) {
-        return Err(Fault::Range(what, low, high));
+        return Err(Violation::OutOfRange(what, low, high));
     }
     Ok(())
 }
--- a/crates/config/src/held.rs
+++ b/crates/config/src/versioned_mesh.rs
@@ -11,13 +11,13 @@
 /// The fields are private, and both ways on compare the numbers first and the
 /// digest last, on a copy aside.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct VersionedMesh {
     version: Version,
     digest: Digest,
     mesh: Arc<Mesh>,
 }
 
-impl Default for Held {
+impl Default for VersionedMesh {
     /// Holds the empty configuration, version zero.
     fn default() -> Self {
         let mesh = Mesh::default();
@@ -29,7 +29,7 @@
     }
 }
 
-impl Held {
+impl VersionedMesh {
     /// Gives the version.
     #[must_use]
     pub fn version(&self) -> Version {
@@ -54,7 +54,7 @@
     ///
     /// Refuses a step from any version but the one held, a patch that can't be
     /// applied, and a result that has another digest; what is held then stays.
-    pub fn step(
+    pub fn apply_patch(
         &mut self,
         base: Version,
         version: Version,
@@ -85,8 +85,8 @@
     ///
     /// # Errors
     ///
-    /// As [`Held::replace`], but for the digest.
-    pub fn adopt(&mut self, version: Version, mesh: Mesh) -> Result<(), Error> {
+    /// As [`VersionedMesh::replace`], but for the digest.
+    pub fn replace_without_digest(&mut self, version: Version, mesh: Mesh) -> Result<(), Error> {
         self.check_newer(version)?;
         validate::check_mesh(&mesh).map_err(Error::Mesh)?;
         let digest = Digest::of(&mesh);
--- a/crates/config/src/view.rs
+++ b/crates/config/src/view.rs
@@ -4,7 +4,8 @@
 //! route whose service is not there.
 
 use crate::{
-    Class, Digest, Endpoint, Held, Mesh, Objective, Repeat, Retry, Route, Service, State, Version,
+    Class, Digest, Endpoint, Mesh, Objective, Repeat, Retry, Route, Service, State, Version,
+    VersionedMesh,
 };
 use smol_str::SmolStr;
 use std::borrow::Cow;
@@ -33,7 +34,7 @@
     /// Its endpoints that take new work.
     pub endpoints: Vec<EndpointKey>,
     /// Whether it has endpoints at all, be it some that take no new work.
-    pub is_known: bool,
+    pub has_endpoints: bool,
 }
 
 /// A route whose services are all in the view.
@@ -91,7 +92,10 @@
 impl Default for View {
     /// Holds the empty configuration and no endpoint.
     fn default() -> Self {
-        Self::join(&Held::default(), std::iter::empty::<Arc<Endpoint>>())
+        Self::join(
+            &VersionedMesh::default(),
+            std::iter::empty::<Arc<Endpoint>>(),
+        )
     }
 }
 
@@ -111,7 +115,7 @@
     /// Endpoints are shared with the caller, so that a new view of 14,000
     /// costs a pointer each.
     #[must_use]
-    pub fn join<I>(held: &Held, endpoints: I) -> Self
+    pub fn join<I>(held: &VersionedMesh, endpoints: I) -> Self
     where
         I: IntoIterator,
         I::Item: Into<Arc<Endpoint>>,
@@ -171,7 +175,7 @@
                 services.push(ServiceEntry {
                     name: name.clone(),
                     service: service.clone(),
-                    is_known: endpoints.is_some(),
+                    has_endpoints: endpoints.is_some(),
                     endpoints: endpoints.unwrap_or_default(),
                 });
             }
@@ -214,8 +218,8 @@
             .iter()
             .map(|target| Some((self.find_service(&target.service)?, target.percent)))
             .collect::<Option<Vec<_>>>()?;
-        let is_known = |key: &ServiceKey| self.service(*key).is_known;
-        if !targets.iter().any(|(key, _)| is_known(key)) {
+        let has_endpoints = |key: &ServiceKey| self.service(*key).has_endpoints;
+        if !targets.iter().any(|(key, _)| has_endpoints(key)) {
             return None;
         }
         let retry = match &route.retry {
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -1,6 +1,6 @@
 //! What a patch may not do, and the line that is named.
 
-use config::{Fault, Mesh, Patch};
+use config::{Mesh, Patch, Violation};
 use yare::parameterized;
 
 const BASE: &str = r#"
@@ -77,7 +77,7 @@
             error,
             Err(config::Error::Change(
                 4097,
-                Fault::TooMany("services", 4096)
+                Violation::TooMany("services", 4096)
             ))
         ),
         "{error:?}"
--- a/crates/config/tests/held.rs
+++ b/crates/config/tests/versioned_mesh.rs
@@ -1,6 +1,6 @@
 //! The held configuration only moves on, whatever comes.
 
-use config::{Change, Digest, Error, Held, Mesh, Patch, Service, Version, diff};
+use config::{Change, Digest, Error, Mesh, Patch, Service, Version, VersionedMesh, diff};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -35,7 +35,7 @@
     let mut runner = TestRunner::new_with_rng(Config::with_cases(256), rng);
     let frames = prop::collection::vec((0..12_usize, any::<bool>(), any::<bool>()), 1..60);
     let verdict = runner.run(&frames, |frames| {
-        let mut held = Held::default();
+        let mut held = VersionedMesh::default();
         for (index, is_snapshot, is_damaged) in frames {
             let (version, patch, mesh) = &history[index];
             let other = Digest::of(&Mesh::default());
@@ -45,7 +45,7 @@
                 held.replace(*version, mesh.clone(), digest).is_ok()
             } else {
                 let base = Version(version.0 - 1);
-                held.step(base, *version, patch, digest).is_ok()
+                held.apply_patch(base, *version, patch, digest).is_ok()
             };
             let is_next = *version == before.version().next();
             let is_newer = *version > before.version();
@@ -64,12 +64,12 @@
 
 #[test]
 fn damaged_step() {
-    let mut held = Held::default();
+    let mut held = VersionedMesh::default();
     let patch = Patch::from(vec![put("claims")]);
     let wrong = Digest::of(&Mesh::default());
-    let error = held.step(Version::ZERO, Version(1), &patch, wrong);
+    let error = held.apply_patch(Version::ZERO, Version(1), &patch, wrong);
     assert!(matches!(error, Err(Error::Mismatch(..))), "{error:?}");
-    assert_eq!(held, Held::default());
+    assert_eq!(held, VersionedMesh::default());
 }
 
 #[test]
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -4,7 +4,7 @@
 //! steps, then as a full configuration. The latest steps are retained, so that neighbours that
 //! missed a few are sent only those.
 
-use config::{Digest, Error, Held, Mesh, Patch, Version};
+use config::{Digest, Error, Mesh, Patch, Version, VersionedMesh};
 use smol_str::{SmolStr, ToSmolStr};
 use std::cell::OnceCell;
 use std::collections::VecDeque;
@@ -73,7 +73,7 @@
 /// A node's replica of the configuration.
 #[derive(Debug, Default)]
 pub struct Replica {
-    held: Held,
+    held: VersionedMesh,
     steps: VecDeque<Step>,
     retained_changes: usize,
     refused: Option<(Version, SmolStr)>,
@@ -85,7 +85,7 @@
 impl Replica {
     /// Returns the configuration held, with its version and digest.
     #[must_use]
-    pub fn held(&self) -> &Held {
+    pub fn held(&self) -> &VersionedMesh {
         &self.held
     }
 
@@ -117,7 +117,7 @@
     pub fn apply_step(&mut self, step: Step) -> ApplyOutcome {
         let result = self
             .held
-            .step(step.base, step.version, &step.patch, step.digest);
+            .apply_patch(step.base, step.version, &step.patch, step.digest);
         let outcome = self.record_outcome(step.version, result);
         if outcome == ApplyOutcome::Applied {
             self.retain(step);
@@ -135,7 +135,7 @@
             return (ApplyOutcome::Stale, None);
         }
         let base = self.held.clone();
-        let result = self.held.adopt(version, mesh);
+        let result = self.held.replace_without_digest(version, mesh);
         let outcome = self.record_outcome(version, result);
         if outcome != ApplyOutcome::Applied {
             return (outcome, None);
--- a/crates/fleet/src/rollouts.rs
+++ b/crates/fleet/src/rollouts.rs
@@ -106,7 +106,7 @@
         }
         let update = Self::new(now, news);
         self.ordered_at = self.ordered_at.min(update.ordered_at);
-        self.rollout.place = known.place.max(news.place);
+        self.rollout.order = known.order.max(news.order);
         if news.stage <= self.rollout.stage {
             return false;
         }
@@ -121,11 +121,11 @@
 /// An order for the same version is newer only if the known one has ended and the store has not
 /// been restored from a backup since: an order written again after a restore is the same order.
 fn is_newer_order(known: &Rollout, news: &Rollout) -> bool {
-    let is_later = news.place > known.place;
+    let is_later = news.order > known.order;
     if known.target != news.target {
         return is_later;
     }
-    let is_repeated = known.stage.is_final() && news.place.era == known.place.era;
+    let is_repeated = known.stage.is_final() && news.order.era == known.order.era;
     is_later && is_repeated && !news.stage.is_final()
 }
 
@@ -401,8 +401,8 @@
             let (Some(peer), Some(part)) = (&link.peer, self.find_part(link, service)) else {
                 continue;
             };
-            let known = zones.get(&peer.zone).map_or(0, |tally| tally.tried());
-            if peer.zone != *own_zone && part.tally.tried() >= known {
+            let known = zones.get(&peer.zone).map_or(0, |tally| tally.trial_ended());
+            if peer.zone != *own_zone && part.tally.trial_ended() >= known {
                 zones.insert(&peer.zone, &part.tally);
             }
         }
--- a/crates/fleet/tests/refusal.rs
+++ b/crates/fleet/tests/refusal.rs
@@ -1,6 +1,8 @@
 //! A version that one node cannot apply is reported and does not block other nodes.
 
-use config::{Change, Class, Digest, Held, Mesh, Patch, Repeat, Route, Service, Target, Version};
+use config::{
+    Change, Class, Digest, Mesh, Patch, Repeat, Route, Service, Target, Version, VersionedMesh,
+};
 use fleet::replica::{ApplyOutcome, Replica, Step};
 use fleet::status;
 use rand::rngs::SmallRng;
@@ -17,13 +19,13 @@
 }
 
 /// Steps 1 to `count`, with what is held after all of them.
-fn steps(count: u64) -> (Vec<Step>, Held) {
-    let mut held = Held::default();
+fn steps(count: u64) -> (Vec<Step>, VersionedMesh) {
+    let mut held = VersionedMesh::default();
     let steps = (1..=count).map(|number| {
         let patch = Arc::new(put(&format!("s{number}")));
         let digest = Digest::of(&patch.apply(held.mesh()).expect("valid"));
         let base = Version(number - 1);
-        held.step(base, Version(number), &patch, digest)
+        held.apply_patch(base, Version(number), &patch, digest)
             .expect("next");
         Step {
             base,
--- a/crates/fleet/tests/world/platform.rs
+++ b/crates/fleet/tests/world/platform.rs
@@ -2,8 +2,8 @@
 //! watches.
 
 use call::Crash;
-use config::rollout::{Place, Stage};
-use config::{Digest, Held, Mesh, Patch, Rollout, Version};
+use config::rollout::{OrderRevision, Stage};
+use config::{Digest, Mesh, Patch, Rollout, Version, VersionedMesh};
 use fleet::{Peer, PlatformRequest, PlatformResponse, RootLease};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     pub silent_watchers: BTreeSet<usize>,
     pub calls: u64,
     history: Vec<(Arc<Patch>, Arc<Mesh>, Digest)>,
-    held: Held,
+    held: VersionedMesh,
     leases: BTreeMap<(String, u8), Lease>,
     /// Watchers, each with its zone and the last version that was sent to it.
     watchers: BTreeMap<usize, (String, Version)>,
@@ -54,7 +54,7 @@
 
     pub fn digest(&self, version: Version) -> Option<Digest> {
         match version.0.checked_sub(1) {
-            None => Some(Held::default().digest()),
+            None => Some(VersionedMesh::default().digest()),
             Some(index) => {
                 let index = usize::try_from(index).ok()?;
                 self.history.get(index).map(|entry| entry.2)
@@ -76,7 +76,7 @@
         let version = self.head().next();
         let digest = Digest::of(&next);
         self.held
-            .step(self.held.version(), version, &patch, digest)
+            .apply_patch(self.held.version(), version, &patch, digest)
             .expect("the next version");
         self.history
             .push((Arc::new(patch), Arc::clone(self.held.mesh()), digest));
@@ -103,7 +103,7 @@
         let rollout = Rollout {
             service: service.into(),
             target: target.into(),
-            place: Place {
+            order: OrderRevision {
                 era: 0,
                 revision: self.writes,
             },
@@ -135,7 +135,7 @@
     pub fn lose_recent_writes(&mut self) -> Vec<usize> {
         for rollout in self.rollouts.values_mut() {
             rollout.stage = Stage::Canary;
-            rollout.place.era += 1;
+            rollout.order.era += 1;
         }
         self.written_crashes.clear();
         self.reachable_watchers().collect()
--- a/crates/node/benches/reserve.rs
+++ b/crates/node/benches/reserve.rs
@@ -6,7 +6,7 @@
 //! prints what a full shard takes.
 
 use call::Id;
-use call::reserve::{Claim, Entry, Fingerprint, Holder, Key, MAX_KEYS, Table};
+use call::reserve::{Claim, Entry, Fingerprint, Holder, Key, KeyTable, MAX_KEYS};
 use clock::System;
 use config::{Endpoint, Mesh, Service, State, Version, View};
 use node::nodes::write_hello;
@@ -80,7 +80,7 @@
 fn measure_table() {
     let before = read_resident();
     let start = Instant::now();
-    let mut table = Table::default();
+    let mut table = KeyTable::default();
     for number in 0..MAX_KEYS as u64 {
         let call = Id {
             origin: number,
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -5,7 +5,7 @@
 
 use crate::shared::Shared;
 use clock::Clock;
-use config::{Endpoint, Held, State, Version, View};
+use config::{Endpoint, State, Version, VersionedMesh, View};
 use log::{info, warn};
 use platform::Client;
 use smol_str::SmolStr;
@@ -32,7 +32,7 @@
 /// What may change a view.
 #[derive(Debug)]
 enum Change {
-    Configuration(Box<Held>),
+    Configuration(Box<VersionedMesh>),
     Endpoint(Box<Endpoint>),
 }
 
@@ -47,7 +47,7 @@
     let endpoints = follow_endpoints(store.clone(), sender);
     let announce = announce(Arc::clone(&shared), store);
     let install = async {
-        let mut held = Held::default();
+        let mut held = VersionedMesh::default();
         let mut known = BTreeMap::new();
         while let Some(change) = changes.recv().await {
             match change {
@@ -60,8 +60,11 @@
     tokio::join!(versions, endpoints, announce, install);
 }
 
-fn install_view<C>(shared: &Shared<C>, held: &Held, known: &BTreeMap<SmolStr, Arc<Endpoint>>)
-where
+fn install_view<C>(
+    shared: &Shared<C>,
+    held: &VersionedMesh,
+    known: &BTreeMap<SmolStr, Arc<Endpoint>>,
+) where
     C: Clock,
 {
     let view = View::join(held, known.values().cloned());
@@ -90,7 +93,7 @@
 {
     let journal = Journal::open(store, shared.clock.clone(), JOURNAL);
     let mut follower = Follower::open(journal, None);
-    let mut held = Held::default();
+    let mut held = VersionedMesh::default();
     loop {
         match take_news(&mut held, follower.next().await) {
             Ok(()) => {}
@@ -106,14 +109,14 @@
     }
 }
 
-fn take_news(held: &mut Held, news: News) -> Result<(), Error> {
+fn take_news(held: &mut VersionedMesh, news: News) -> Result<(), Error> {
     let invalid = |error: config::Error| Error::Invalid(error.to_string());
     match news {
         News::Record(record) => {
             let step = Step::parse(&record)?;
             let entry = &step.entry;
             let base = Version(step.version.0.saturating_sub(1));
-            held.step(base, step.version, &entry.patch, entry.digest)
+            held.apply_patch(base, step.version, &entry.patch, entry.digest)
                 .map_err(invalid)
         }
         News::Reset(loaded) => {
--- a/crates/node/src/inbound.rs
+++ b/crates/node/src/inbound.rs
@@ -24,7 +24,7 @@
 use crate::link::Sender;
 use crate::shared::{Backend, Shared};
 use crate::upload::Upload;
-use call::{Id, Table, Verdict};
+use call::{AttemptTable, Id, Verdict};
 use clock::Clock;
 use parking_lot::Mutex;
 use policy::in_flight;
@@ -64,7 +64,7 @@
 {
     pub(crate) shared: Arc<Shared<C>>,
     pub(crate) pool: Arc<Pool<C>>,
-    tables: [Mutex<Table<Arc<Call>>>; SHARDS],
+    tables: [Mutex<AttemptTable<Arc<Call>>>; SHARDS],
     links: Mutex<Vec<Weak<Sender>>>,
     pub(crate) gate: Arc<Gate<C>>,
     pub(crate) bodies: Arc<Bodies<C>>,
@@ -259,7 +259,7 @@
         }
     }
 
-    pub(crate) fn table(&self, origin: u64) -> &Mutex<Table<Arc<Call>>> {
+    pub(crate) fn table(&self, origin: u64) -> &Mutex<AttemptTable<Arc<Call>>> {
         #[expect(
             clippy::cast_possible_truncation,
             reason = "only the low bits choose the shard"
@@ -288,8 +288,8 @@
         let now = inner.shared.clock.now();
         for table in &inner.tables {
             let mut table = table.lock();
-            table.forget(now);
-            table.forget_peers(now);
+            table.expire_outcomes(now);
+            table.expire_peers(now);
         }
     }
 }
--- a/crates/node/src/inbound/crash.rs
+++ b/crates/node/src/inbound/crash.rs
@@ -5,7 +5,7 @@
 use crate::inbound::parents::Parent;
 use crate::inbound::run::Refused;
 use crate::shared::Backend;
-use call::{Crash, owner, shorten};
+use call::{Crash, owner, truncate_path};
 use clock::Clock;
 use log::warn;
 use policy::in_flight::{self, Key, Outcome, Suspect};
@@ -130,7 +130,7 @@
         let tracked = in_flight::Request {
             digest: request.digest,
             method: request.method.clone(),
-            path: shorten(&request.path),
+            path: truncate_path(&request.path),
             is_suspect: exclusive.is_suspect,
         };
         let now = inner.shared.clock.now();
--- a/crates/node/src/inbound/link.rs
+++ b/crates/node/src/inbound/link.rs
@@ -66,7 +66,7 @@
             self.inner
                 .table(self.origin)
                 .lock()
-                .open(self.origin, link, now);
+                .open_link(self.origin, link, now);
             self.link = Some(link);
             return ControlFlow::Continue(());
         }
@@ -92,7 +92,7 @@
                 let origin = self.origin;
                 let mut table = self.inner.table(origin).lock();
                 for sequence in sequences {
-                    table.settle(Id { origin, sequence });
+                    table.acknowledge(Id { origin, sequence });
                 }
                 ControlFlow::Continue(())
             }
@@ -139,7 +139,7 @@
             .inner
             .table(id.origin)
             .lock()
-            .arrive(id, link, Arc::clone(&call), now);
+            .receive(id, link, Arc::clone(&call), now);
         if arrival != Arrival::Queued {
             return ControlFlow::Break(());
         }
@@ -170,21 +170,21 @@
         let now = self.inner.shared.clock.now();
         let mut table = self.inner.table(id.origin).lock();
         let link = Arc::clone(self.sender);
-        let verdict = match table.ask(id, former, now) {
-            Outcome::NeverCame => Verdict::NotRun,
+        let verdict = match table.query(id, former, now) {
+            Outcome::NeverReceived => Verdict::NotRun,
             Outcome::Withdrawn(call) => {
                 call.resume(link, head, received, room);
                 call.refuse(Verdict::NotRun, Reason::Cancelled, 0);
                 call.cancel();
                 return;
             }
-            Outcome::Running(call) | Outcome::Over(call) => {
+            Outcome::Running(call) | Outcome::Finished(call) => {
                 if call.resume(link, head, received, room) {
                     return;
                 }
                 Verdict::MayHaveRun
             }
-            Outcome::Forgotten => Verdict::MayHaveRun,
+            Outcome::Unknown => Verdict::MayHaveRun,
         };
         drop(table);
         let refusal = wire::call::Refusal {
--- a/crates/node/src/outbound/keyed.rs
+++ b/crates/node/src/outbound/keyed.rs
@@ -11,7 +11,7 @@
 use crate::reserve::{Claimed, Grant};
 use bytes::{Bytes, BytesMut};
 use call::Verdict;
-use call::reserve::{Answer, Fingerprint, Key, MAX_ANSWER, Reply};
+use call::reserve::{Answer, Fingerprint, Key, MAX_ANSWER_BYTES, Reply};
 use clock::Clock;
 use http::{HeaderName, HeaderValue, Response, StatusCode, request};
 use http_body_util::BodyExt;
@@ -150,7 +150,7 @@
     let (parts, mut body) = response.into_parts();
     let mut whole = BytesMut::new();
     let mut ended = false;
-    while whole.len() <= MAX_ANSWER {
+    while whole.len() <= MAX_ANSWER_BYTES {
         match body.frame().await {
             Some(Ok(frame)) => whole.extend_from_slice(&frame.into_data().unwrap_or_default()),
             Some(Err(_)) => break,
--- a/crates/node/src/outbound/plan.rs
+++ b/crates/node/src/outbound/plan.rs
@@ -35,7 +35,7 @@
 const LONGEST_TIMEOUT: Duration = Duration::from_mins(5);
 
 // A digest is the same at every node only if what it covers is held.
-const _: () = assert!(call::MAX_BODY <= WINDOW);
+const _: () = assert!(call::MAX_DIGEST_BODY <= WINDOW);
 
 /// Tries of a call whose route has no rule, the first included.
 const DEFAULT_ATTEMPTS: u8 = 3;
--- a/crates/node/src/reserve.rs
+++ b/crates/node/src/reserve.rs
@@ -19,7 +19,9 @@
 use crate::reserve::shard::Order;
 use crate::shared::Shared;
 use call::Id;
-use call::reserve::{Answer, Claim, Entry, Fingerprint, Holder, Key, MAX_ANSWER, Reply, SHARDS};
+use call::reserve::{
+    Answer, Claim, Entry, Fingerprint, Holder, Key, MAX_ANSWER_BYTES, Reply, SHARD_COUNT,
+};
 use clock::Clock;
 use parking_lot::Mutex;
 use rand::Rng;
@@ -105,7 +107,7 @@
     S: Store,
     C: Clock,
 {
-    let shards = (0..SHARDS).map(|shard| {
+    let shards = (0..SHARD_COUNT).map(|shard| {
         let name = format_smolstr!("reservations/{shard:02}");
         let journal = Journal::open(store.clone(), shared.clock.clone(), &name);
         shard::spawn(journal, shared.clock.clone())
@@ -118,7 +120,7 @@
             peers: Mutex::default(),
             failed: Mutex::default(),
             owners: Mutex::new(Owners::new(view)),
-            stalled: Mutex::new(vec![None; usize::from(SHARDS)]),
+            stalled: Mutex::new(vec![None; usize::from(SHARD_COUNT)]),
             links: Arc::new(Semaphore::new(MAX_LINKS)),
         }),
     }
@@ -202,7 +204,7 @@
 
     /// Keeps the answer of a call that has run, for repeats.
     pub fn complete(&self, grant: Grant, answer: Option<Answer>) {
-        let kept = answer.filter(|answer| answer.size() <= MAX_ANSWER);
+        let kept = answer.filter(|answer| answer.size() <= MAX_ANSWER_BYTES);
         self.inner.note(Entry::Complete {
             key: grant.key,
             holder: grant.holder,
--- a/crates/node/src/reserve/journal.rs
+++ b/crates/node/src/reserve/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::reserve::ages::Ages;
 use crate::reserve::record::{decode, encode};
-use call::reserve::{Claim, Entry, Holder, Key, MAX_KEYS, Reply, Table};
+use call::reserve::{Claim, Entry, Holder, Key, KeyTable, MAX_KEYS, Reply};
 use clock::Clock;
 use smol_str::{SmolStr, format_smolstr};
 use std::time::Duration;
@@ -40,7 +40,7 @@
 pub(crate) struct Log<S, C> {
     journal: Journal<S, C>,
     clock: C,
-    table: Table,
+    table: KeyTable,
     loaded: bool,
     /// Number of the last record applied.
     position: u64,
@@ -66,7 +66,7 @@
         Self {
             journal,
             clock,
-            table: Table::default(),
+            table: KeyTable::default(),
             loaded: false,
             position: 0,
             free,
@@ -80,7 +80,7 @@
     }
 
     /// Gives the table; an empty one before the first [`Log::prepare`].
-    pub(crate) fn table(&self) -> &Table {
+    pub(crate) fn table(&self) -> &KeyTable {
         &self.table
     }
 
@@ -100,7 +100,7 @@
 
     /// Lets the table go: a node that served a shard for a while must not hold it for ever.
     pub(crate) fn unload(&mut self) {
-        self.table = Table::default();
+        self.table = KeyTable::default();
         self.loaded = false;
         self.fresh = None;
     }
@@ -222,7 +222,7 @@
         let loaded = self.journal.load().await?;
         self.table = match &loaded.snapshot {
             Some(value) => decode(value)?,
-            None => Table::default(),
+            None => KeyTable::default(),
         };
         self.position = loaded.number;
         self.snapshot = loaded.number;
--- a/crates/node/src/reserve/owners.rs
+++ b/crates/node/src/reserve/owners.rs
@@ -1,7 +1,7 @@
 //! The owners of shards among the nodes that a view knows.
 
 use call::owner::pick_owners;
-use call::reserve::SHARDS;
+use call::reserve::SHARD_COUNT;
 use config::{State, View};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
     pub(crate) fn new(view: Arc<View>) -> Self {
         Self {
             view,
-            ways: vec![None; usize::from(SHARDS)],
+            ways: vec![None; usize::from(SHARD_COUNT)],
         }
     }
 
--- a/crates/node/src/reserve/shard.rs
+++ b/crates/node/src/reserve/shard.rs
@@ -7,7 +7,7 @@
 
 use crate::millis::whole_ms;
 use crate::reserve::journal::Log;
-use call::reserve::{Claim, Entry, Key, MAX_KEYS, Reply, SHARDS};
+use call::reserve::{Claim, Entry, Key, MAX_KEYS, Reply, SHARD_COUNT};
 use clock::Clock;
 use rand::Rng;
 use std::collections::HashSet;
@@ -21,7 +21,7 @@
 const RECORDS_PER_SECOND: u64 = 120;
 
 /// Time between two records of one shard under steady load.
-const INTERVAL: Duration = Duration::from_millis(SHARDS as u64 * 1000 / RECORDS_PER_SECOND);
+const INTERVAL: Duration = Duration::from_millis(SHARD_COUNT as u64 * 1000 / RECORDS_PER_SECOND);
 
 /// Records that a shard may write ahead of that, after it has written fewer.
 ///
@@ -184,7 +184,7 @@
 
     /// Tells what is surely known of a claim right now.
     fn look(&self, claim: &Claim) -> Option<Reply> {
-        let known = self.log.table().look(claim)?;
+        let known = self.log.table().find_reply(claim)?;
         let may_change = known == Reply::Unsettled && !self.log.is_fresh();
         let changes = may_change || self.noted_keys.contains(&claim.key);
         (!changes).then_some(known)
@@ -192,7 +192,7 @@
 
     /// Refuses a claim, unless something is known of its key, which is then told.
     fn refuse(&self, asked: Asked) {
-        let known = self.log.table().look(&asked.claim);
+        let known = self.log.table().find_reply(&asked.claim);
         // Granted to a call that goes away now would stay held.
         let known = known.filter(|known| *known != Reply::Granted);
         asked.tell(known.unwrap_or_else(|| self.refusal()));
@@ -292,7 +292,7 @@
         self.log.make_room().await?;
         for attempt in 0..CONFLICT_ATTEMPTS {
             let stale = |asked: &Asked| {
-                let known = self.log.table().look(&asked.claim);
+                let known = self.log.table().find_reply(&asked.claim);
                 known == Some(Reply::Unsettled) && !self.log.is_fresh()
             };
             if attempt > 0 || self.asked.iter().any(stale) {
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -1,6 +1,6 @@
 //! What this node knows of roll-outs: which endpoints its calls go to, and what they came to.
 
-use config::rollout::{Counts, KINDS, Stage, Tally};
+use config::rollout::{Counts, KIND_COUNT, Stage, Tally};
 use config::{Endpoint, Rollout, ServiceKey, View};
 use parking_lot::{Mutex, RwLock};
 use policy::balance::Track;
@@ -159,7 +159,7 @@
             } else {
                 &mut trial.tally.stable
             };
-            note(&mut counts[kind.min(KINDS - 1)], ending);
+            note(&mut counts[kind.min(KIND_COUNT - 1)], ending);
         });
     }
 
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -12,7 +12,7 @@
 //! a burst, a slow zone or a faulty old version does not count against the new one.
 
 use crate::balance::Track;
-use config::rollout::{Counts, KINDS, Rollout, Stage, Tally};
+use config::rollout::{Counts, KIND_COUNT, Rollout, Stage, Tally};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
@@ -252,7 +252,7 @@
     }
 
     fn has_enough_calls(&self) -> bool {
-        self.latest.tried() >= MIN_CANARY_CALLS
+        self.latest.trial_ended() >= MIN_CANARY_CALLS
     }
 
     fn is_old_drained(&self, now: Instant, stage_time: Duration) -> bool {
@@ -268,7 +268,7 @@
             .front()
             .map_or_else(Tally::default, |(_, tally)| *tally);
         let spans = [Tally::default(), from];
-        let mut kinds = (0..KINDS).flat_map(|kind| spans.iter().map(move |from| (kind, from)));
+        let mut kinds = (0..KIND_COUNT).flat_map(|kind| spans.iter().map(move |from| (kind, from)));
         kinds.find_map(|(kind, from)| {
             let trial = self.latest.trial[kind].since(&from.trial[kind]);
             let stable = self.latest.stable[kind].since(&from.stable[kind]);
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! Which versions are rolled back, and how soon, for given failure rates and latencies.
 
 use config::Rollout;
-use config::rollout::{Place, Stage, Tally};
+use config::rollout::{OrderRevision, Stage, Tally};
 use policy::balance::Track;
 use policy::rollout::{
     Decision, Endpoint, Evaluator, Sampler, StopReason, track_of, trial_endpoint_count, trial_share,
@@ -75,7 +75,7 @@
     Rollout {
         service: "records".into(),
         target: "v2".into(),
-        place: Place {
+        order: OrderRevision {
             era: 0,
             revision: 1,
         },
