--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,35 +1,35 @@
-//! What changed between two configurations.
+//! Computes the difference between two configurations.
 
 use crate::{Change, Mesh, Patch};
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// Gives a patch that leads from `old` to `new`; an empty one when they are equal.
+/// Computes the patch that turns `old` into `new`; it is empty when they are equal.
 #[must_use]
 pub fn diff(old: &Mesh, new: &Mesh) -> Patch {
     let mut changes = Vec::new();
-    put_new(&old.services, &new.services, |name, service| {
+    put_changed(&old.services, &new.services, |name, service| {
         changes.push(Change::PutService { name, service });
     });
-    put_new(&old.retries, &new.retries, |name, retry| {
+    put_changed(&old.retries, &new.retries, |name, retry| {
         changes.push(Change::PutRetry { name, retry });
     });
-    put_new(&old.routes, &new.routes, |prefix, route| {
+    put_changed(&old.routes, &new.routes, |prefix, route| {
         changes.push(Change::PutRoute { prefix, route });
     });
-    remove_old(&old.routes, &new.routes, |prefix| {
+    remove_missing(&old.routes, &new.routes, |prefix| {
         changes.push(Change::RemoveRoute { prefix });
     });
-    remove_old(&old.retries, &new.retries, |name| {
+    remove_missing(&old.retries, &new.retries, |name| {
         changes.push(Change::RemoveRetry { name });
     });
-    remove_old(&old.services, &new.services, |name| {
+    remove_missing(&old.services, &new.services, |name| {
         changes.push(Change::RemoveService { name });
     });
     Patch::from(changes)
 }
 
-fn put_new<T, F>(old: &BTreeMap<SmolStr, T>, new: &BTreeMap<SmolStr, T>, mut put: F)
+fn put_changed<T, F>(old: &BTreeMap<SmolStr, T>, new: &BTreeMap<SmolStr, T>, mut put: F)
 where
     T: Clone + PartialEq,
     F: FnMut(SmolStr, T),
@@ -41,7 +41,7 @@
     }
 }
 
-fn remove_old<T, F>(old: &BTreeMap<SmolStr, T>, new: &BTreeMap<SmolStr, T>, mut remove: F)
+fn remove_missing<T, F>(old: &BTreeMap<SmolStr, T>, new: &BTreeMap<SmolStr, T>, mut remove: F)
 where
     F: FnMut(SmolStr),
 {
--- a/crates/config/src/digest.rs
+++ b/crates/config/src/digest.rs
@@ -1,4 +1,4 @@
-//! The digest of a whole configuration.
+//! The digest of a full configuration.
 
 use crate::mesh::Mesh;
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 use std::fmt;
 use std::io::{BufWriter, Write};
 
-/// Bytes of JSON that are hashed at once; the whole of 2,000 routes is 460 kB.
-const BUFFER: usize = 4 << 10;
+/// Bytes of JSON hashed at a time; a configuration of 2,000 routes is 460 kB.
+const BUFFER_BYTES: usize = 4 << 10;
 
-/// SHA-256 of a configuration's canonical JSON, cut to 16 bytes.
+/// SHA-256 of a configuration's canonical JSON, truncated to 16 bytes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest([u8; 16]);
 
@@ -18,19 +18,19 @@
     ///
     /// # Panics
     ///
-    /// Never: a mesh always has a JSON form.
+    /// Never: a mesh can always be serialized to JSON.
     #[must_use]
     pub fn of(mesh: &Mesh) -> Self {
         let mut hasher = Sha256::new();
-        // Unbuffered it would be a call of the hasher for each token.
-        let mut writer = BufWriter::with_capacity(BUFFER, &mut hasher);
-        serde_json::to_writer(&mut writer, mesh).expect("a mesh always has a JSON form");
-        writer.flush().expect("a hasher takes everything");
+        // Without a buffer the hasher would be called for each JSON token.
+        let mut writer = BufWriter::with_capacity(BUFFER_BYTES, &mut hasher);
+        serde_json::to_writer(&mut writer, mesh).expect("a mesh can always be serialized to JSON");
+        writer.flush().expect("writing to a hasher never fails");
         drop(writer);
         let full = hasher.finalize();
-        let mut cut = [0; 16];
-        cut.copy_from_slice(&full[..16]);
-        Self(cut)
+        let mut truncated = [0; 16];
+        truncated.copy_from_slice(&full[..16]);
+        Self(truncated)
     }
 }
 
--- a/crates/config/src/endpoint.rs
+++ b/crates/config/src/endpoint.rs
@@ -1,59 +1,61 @@
-//! A backend server as its node announces it.
+//! A backend server, as announced by its node.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Whether an endpoint takes new work.
+/// The life-cycle state of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Takes new work.
+    /// Accepts new calls.
     Serving,
-    /// Ends what it has and takes nothing new.
+    /// Draining: finishes its calls in flight and accepts no new ones.
     Leaving,
-    /// Has left for good; kept as a tombstone so that late news can't bring it back.
+    /// Permanently gone; kept as a tombstone so that a delayed announcement can't restore it.
     Gone,
 }
 
-/// A backend server behind its node.
+/// A backend server and the node in front of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
     /// Name of the node, unique in the fleet.
     pub node: SmolStr,
-    /// Random number of the node's process; a restart gives a new one.
+    /// Random identifier of the node's process; changes with every restart.
     pub incarnation: u64,
-    /// Start of the node's process, in milliseconds since the Unix epoch: orders incarnations.
+    /// Start time of the node's process, in milliseconds since the Unix epoch; orders incarnations.
     pub started_ms: u64,
-    /// Grows with each announcement of one incarnation.
+    /// Increases with each announcement of an incarnation.
     pub sequence: u64,
     /// Service that the backend server belongs to.
     pub service: SmolStr,
-    /// Version of the backend server's software; empty if it doesn't say.
+    /// Version of the backend server's software; empty if not announced.
     pub version: SmolStr,
     /// Availability zone of the node.
     pub zone: SmolStr,
     /// Region of the node.
     pub region: SmolStr,
-    /// Where the node listens for other nodes.
+    /// Address on which the node listens for other nodes.
     pub address: SocketAddr,
-    /// Calls that the backend server says it runs at once.
+    /// Number of calls that the backend server announces it can run concurrently.
     pub slots: u16,
-    /// Names the process of the backend server, while the node's stays the same: another one is cold.
+    /// Identifies the backend server's process, which can be replaced while the node's process stays the
+    /// same; a new one has to warm up.
     pub process: u64,
-    /// How long it is slow from when it was announced on, in milliseconds, if it said so.
+    /// Warm-up time, during which it is slow, counted from its announcement, in milliseconds, if announced.
     pub cold_ms: Option<u32>,
-    /// Whether it takes new work.
+    /// Whether it accepts new calls.
     pub state: State,
 }
 
 impl Endpoint {
-    /// Gives what orders two announcements of one node: the higher one is newer.
+    /// Returns a key that orders announcements of one node: the higher one is newer.
     ///
-    /// A restart beats all that the former process said. Of two announcements
-    /// with one sequence the farther departed wins, so that a departure which
-    /// others declared stands until the node itself speaks again.
+    /// An announcement after a restart supersedes all of the previous process.
+    /// Among announcements with the same sequence number, the state closer to
+    /// departure wins, so that a departure declared by other nodes holds until
+    /// the node itself makes a new announcement.
     #[must_use]
     pub fn rank(&self) -> (u64, u64, u64, State) {
         (self.started_ms, self.incarnation, self.sequence, self.state)
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,58 +1,58 @@
-//! Why a patch or a configuration is refused.
+//! Errors for patches and configurations that are refused.
 
 use crate::{Digest, Version};
 use quick_error::quick_error;
 use smol_str::SmolStr;
 
 quick_error! {
-    /// What is wrong with a configuration or a change of it.
+    /// The rule that a configuration or a change of it violates.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Violation {
-        /// A name is empty, too long or holds a character that names may not hold.
+        /// A name is empty, too long, or contains a character that is not allowed in names.
         InvalidName(name: SmolStr) {
-            display("{:?} is no name: 1 to {} letters, digits, '-', '_' or '.'", name, crate::validate::MAX_NAME)
+            display("{:?} is not a valid name: expected 1 to {} letters, digits, '-', '_' or '.'", name, crate::validate::MAX_NAME)
         }
-        /// A prefix has the wrong shape.
+        /// A route prefix is malformed.
         InvalidPrefix(prefix: SmolStr) {
-            display("{:?} is no prefix: a path that starts with '/' and has no empty part, '?', '#' or blank, after a host in lower case if it is for that alone", prefix)
+            display("{:?} is not a valid route prefix: expected a path that starts with '/' and has no empty segment, '?', '#' or space, optionally after a host name in lower case", prefix)
         }
-        /// A service that isn't there is to be removed.
+        /// A change removes a service that does not exist.
         NoSuchService(name: SmolStr) {
             display("there is no service {:?} to remove", name)
         }
-        /// A route that isn't there is to be removed.
+        /// A change removes a route that does not exist.
         NoSuchRoute(prefix: SmolStr) {
             display("there is no route {:?} to remove", prefix)
         }
-        /// A retry rule that isn't there is to be removed.
+        /// A change removes a retry rule that does not exist.
         NoSuchRetry(name: SmolStr) {
             display("there is no retry rule {:?} to remove", name)
         }
-        /// A route points at a service that isn't there.
+        /// A route refers to a service that does not exist.
         MissingService(prefix: SmolStr, service: SmolStr) {
             display("route {:?} points at service {:?}, which isn't there", prefix, service)
         }
-        /// A route names a retry rule that isn't there.
+        /// A route refers to a retry rule that does not exist.
         MissingRetry(prefix: SmolStr, retry: SmolStr) {
             display("route {:?} names retry rule {:?}, which isn't there", prefix, retry)
         }
-        /// A retry rule would repeat calls that may never be repeated.
+        /// A retry rule would repeat calls of a route that may never be repeated.
         ForbiddenRepeat(prefix: SmolStr, retry: SmolStr) {
             display("retry rule {:?} repeats calls of route {:?}, which may never be repeated", retry, prefix)
         }
-        /// A route has no target, too many, or one twice.
+        /// A route has no targets, too many, or the same one twice.
         InvalidTargets(prefix: SmolStr) {
             display("route {:?} needs 1 to {} targets, each once", prefix, crate::validate::MAX_TARGETS)
         }
-        /// A route's shares don't add up.
+        /// The shares of a route's targets are not all positive or do not add up to 100 per cent.
         InvalidShares(prefix: SmolStr, sum: u32) {
-            display("shares of route {:?} are positive and add up to 100, not {}", prefix, sum)
+            display("shares of route {:?} must be positive and add up to 100, not {}", prefix, sum)
         }
-        /// A figure is out of its range.
+        /// A number is out of range.
         OutOfRange(what: &'static str, low: u32, high: u32) {
             display("{} must be from {} to {}", what, low, high)
         }
-        /// There is too much of something.
+        /// The configuration or patch contains too many items of one kind.
         TooMany(what: &'static str, limit: usize) {
             display("more than {} {}", limit, what)
         }
@@ -60,35 +60,35 @@
 }
 
 quick_error! {
-    /// Why a patch or a configuration is refused.
+    /// The reason why a patch or a configuration is refused.
     #[derive(Debug)]
     pub enum Error {
-        /// A line of a patch file is not a change.
+        /// A line of a patch file can't be parsed as a change.
         Syntax(line: usize, source: serde_json::Error) {
             display("line {}: not a change: {}", line, source)
             source(source)
         }
-        /// A change can't be applied.
-        Change(line: usize, fault: Violation) {
-            display("line {}: {}", line, fault)
-            source(fault)
+        /// A change can't be applied, or makes the configuration invalid.
+        Change(line: usize, violation: Violation) {
+            display("line {}: {}", line, violation)
+            source(violation)
         }
-        /// A whole configuration breaks a rule.
-        Mesh(fault: Violation) {
-            display("{}", fault)
-            source(fault)
+        /// The configuration as a whole violates a rule.
+        Mesh(violation: Violation) {
+            display("{}", violation)
+            source(violation)
         }
-        /// A version that is not above the one held.
-        Stale(held: Version, offered: Version) {
-            display("version {} is not above version {}, which is held", offered, held)
+        /// The offered version is not higher than the current one.
+        Stale(current: Version, offered: Version) {
+            display("version {} is not higher than the current version {}", offered, current)
         }
-        /// A patch for another version than the one held.
-        Gap(held: Version, offered: Version) {
-            display("version {} can't follow version {}, which is held", offered, held)
+        /// The patch is based on a version other than the current one.
+        Gap(current: Version, offered: Version) {
+            display("version {} can't be applied on top of the current version {}", offered, current)
         }
-        /// The result has another digest than the one announced.
-        Mismatch(version: Version, announced: Digest, found: Digest) {
-            display("version {} has digest {}, but {} was announced", version, found, announced)
+        /// The digest of the result differs from the announced one.
+        Mismatch(version: Version, announced: Digest, computed: Digest) {
+            display("version {} has digest {}, but {} was announced", version, computed, announced)
         }
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Numbered mesh configurations: patches, validation, digests and closed views.
+//! Versioned mesh configurations: patches, validation, digests and views.
 //!
 //! Operators write a [`Patch`] against the [`Version`] they last saw. Applying
-//! it to that version's [`Mesh`] gives the next one, or an [`Error`] that names
-//! the change at fault; a mesh is never changed in part.
+//! it to the [`Mesh`] of that version either produces the next one or returns an
+//! [`Error`] that names the invalid change; a patch is never applied in part.
 
 mod diff;
 mod digest;
--- a/crates/config/src/mesh.rs
+++ b/crates/config/src/mesh.rs
@@ -1,10 +1,10 @@
-//! A whole configuration: services, routes and retry rules.
+//! A full configuration: services, routes and retry rules.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// What a call is worth to its caller, which decides who waits and who is refused.
+/// The priority class of a call, which determines under overload which calls wait and which are refused.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -12,48 +12,48 @@
 pub enum Class {
     /// Commits money or capacity.
     Commit,
-    /// Somebody waits for the answer.
+    /// Someone is waiting for the answer.
     #[default]
     Lookup,
-    /// A board that will be read again soon.
+    /// Refreshes a display that will be read again soon.
     Refresh,
 }
 
-/// Whether a call may be sent to a backend server again.
+/// Whether a call may be sent to a backend server more than once.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// Only when its method is safe by RFC 9110.
+    /// Only if its method is safe according to RFC 9110.
     #[default]
     ByMethod,
-    /// Never, unless it surely has not run.
+    /// Never, unless it is certain that the call has not run.
     Never,
     /// Always: the backend server has declared it idempotent.
     Always,
 }
 
-/// What a service promises, for the report on burn.
+/// The service level objective of a service, for the error budget burn report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Objective {
-    /// Share of calls to be answered well, in parts per million.
+    /// Share of calls that must be answered successfully, in parts per million.
     pub availability_ppm: u32,
-    /// Answers later than this count as slow, in milliseconds.
+    /// Latency above which an answer counts as slow, in milliseconds.
     pub latency_ms: u32,
-    /// Share of calls to be answered within `latency_ms`, in parts per million.
+    /// Share of calls that must be answered within `latency_ms`, in parts per million.
     pub latency_ppm: u32,
 }
 
-/// A service that routes may point at.
+/// A service that routes can refer to.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// What the service promises, if anything.
+    /// The service level objective, if any.
     #[serde(default)]
     pub objective: Option<Objective>,
 }
 
-/// A service with its share of a route's calls.
+/// A service and its share of a route's calls.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
@@ -63,63 +63,64 @@
     pub percent: u8,
 }
 
-/// Where calls under a prefix go.
+/// How calls under a prefix are routed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The services, with their shares.
+    /// The services that the calls are split over, with their shares.
     pub targets: Vec<Target>,
-    /// What the calls are worth.
+    /// Priority class of the calls.
     #[serde(default)]
     pub class: Class,
     /// Whether the calls may be repeated.
     #[serde(default)]
     pub repeat: Repeat,
-    /// Name of the retry rule, if calls are to be tried again.
+    /// Name of the retry rule, if calls are retried.
     #[serde(default)]
     pub retry: Option<SmolStr>,
-    /// Time for a call when the caller names none, in milliseconds.
+    /// Timeout of a call if its caller sets none, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u32,
-    /// Longest time that a call is kept waiting, whatever its caller says, in milliseconds.
+    /// Upper bound on the time that a call may take, whatever timeout its caller sets, in milliseconds.
     #[serde(default)]
     pub limit_ms: Option<u32>,
-    /// Time within which an answer is worth most to its caller, in milliseconds.
+    /// Latency target: time within which an answer has its full value to the caller, in milliseconds.
     #[serde(default)]
     pub target_ms: Option<u32>,
 }
 
-/// How calls are tried again.
+/// A rule for retries and hedging.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retry {
-    /// Tries that may reach a backend server, the first included.
+    /// Maximum number of attempts that may reach a backend server, including the first.
     pub attempts: u8,
-    /// Retries allowed as a share of successes, in per cent.
+    /// Retry budget: retries allowed as a share of successful calls, in per cent.
     pub budget_percent: u8,
-    /// Whether a second copy may be sent while the first is late.
+    /// Whether a hedge (a second attempt) may be sent while the first attempt is late.
     #[serde(default)]
     pub hedge: bool,
-    /// Whether the rule also repeats calls that may have run; never with [`Repeat::Never`].
+    /// Whether calls that may have run are retried too; not allowed with [`Repeat::Never`].
     #[serde(default)]
     pub repeat_may_have_run: bool,
 }
 
-/// A whole configuration.
+/// A full configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mesh {
     /// Services by name.
     pub services: BTreeMap<SmolStr, Service>,
     /// Routes by prefix: a path, or a host and a path (`shop.example/parts/`).
     ///
-    /// One with a host goes before all without. One that ends with a slash
-    /// takes only what lies below it.
+    /// Prefixes with a host take precedence over all prefixes without one. A
+    /// prefix that ends with a slash matches only paths that start with it, and
+    /// not the path without that slash.
     pub routes: BTreeMap<SmolStr, Route>,
     /// Retry rules by name.
     pub retries: BTreeMap<SmolStr, Retry>,
 }
 
-/// Time for a call when neither caller nor route names one, in milliseconds.
+/// Timeout of a call if neither its caller nor its route sets one, in milliseconds.
 const DEFAULT_TIMEOUT_MS: u32 = 5_000;
 
 fn default_timeout_ms() -> u32 {
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -1,4 +1,4 @@
-//! Typed changes from one version to the next.
+//! Patches: typed changes that lead from one version to the next.
 
 use crate::error::{Error, Violation};
 use crate::mesh::{Mesh, Retry, Route, Service};
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// One change of a configuration; a patch file holds one a line, as JSON.
+/// A change of a configuration; a patch file contains one per line, as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Change {
@@ -24,14 +24,14 @@
     },
     /// Adds or replaces a route.
     PutRoute {
-        /// Path prefix with its leading slash, after a host if it is for that alone.
+        /// Path prefix with its leading slash, preceded by a host name if it applies to that host only.
         prefix: SmolStr,
         /// The route.
         route: Route,
     },
     /// Removes a route.
     RemoveRoute {
-        /// Prefix that the route stands under.
+        /// Prefix of the route.
         prefix: SmolStr,
     },
     /// Adds or replaces a retry rule.
@@ -48,13 +48,13 @@
     },
 }
 
-/// The changes that lead from one version to the next, all of them or none.
+/// The changes that lead from one version to the next, applied all or not at all.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Patch {
     /// The changes, in order.
     pub changes: Vec<Change>,
-    /// Line of each change in the file that it was read from; not sent on.
+    /// Line number of each change in the patch file; not serialized.
     #[serde(skip)]
     lines: Vec<usize>,
 }
@@ -77,11 +77,11 @@
 }
 
 impl Patch {
-    /// Reads a patch file: one JSON change a line; blank lines and `#` lines are passed over.
+    /// Parses a patch file: one JSON change per line; blank lines and lines that start with `#` are skipped.
     ///
     /// # Errors
     ///
-    /// Names the first line that is not a change.
+    /// Returns the first line that is not a change.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let mut patch = Self::default();
         for (number, line) in (1..).zip(text.lines()) {
@@ -97,15 +97,15 @@
         Ok(patch)
     }
 
-    /// Gives the configuration after this patch; `mesh` itself stays as it is.
+    /// Returns the configuration with this patch applied; `mesh` itself is not modified.
     ///
-    /// Order within the patch doesn't matter for references: they must hold
-    /// after the last change.
+    /// References are checked after the last change, so that they don't depend
+    /// on the order of changes in the patch.
     ///
     /// # Errors
     ///
-    /// Names the line of the change that can't be applied. A patch that was
-    /// not read from a file counts its changes as lines.
+    /// Returns the line of the change that can't be applied. In a patch that was
+    /// not read from a file, changes are numbered instead of lines.
     pub fn apply(&self, mesh: &Mesh) -> Result<Mesh, Error> {
         validate::check_size("changes", self.changes.len(), validate::MAX_CHANGES)
             .map_err(Error::Mesh)?;
@@ -113,32 +113,32 @@
         for (index, change) in self.changes.iter().enumerate() {
             check_change(change)
                 .and_then(|()| apply_change(&mut next, change))
-                .map_err(|fault| Error::Change(self.line(index), fault))?;
+                .map_err(|violation| Error::Change(self.line_number(index), violation))?;
         }
         match validate::check_mesh(&next) {
             Ok(()) => Ok(next),
-            Err(fault) => Err(self.blame(fault)),
+            Err(violation) => Err(self.attribute(violation)),
         }
     }
 
-    fn line(&self, index: usize) -> usize {
+    fn line_number(&self, index: usize) -> usize {
         self.lines.get(index).copied().unwrap_or(index + 1)
     }
 
-    /// Finds the last change that touched what `fault` is about.
-    fn blame(&self, fault: Violation) -> Error {
+    /// Attributes a violation to the last change that can have caused it.
+    fn attribute(&self, violation: Violation) -> Error {
         let found = self
             .changes
             .iter()
-            .rposition(|change| is_cause(change, &fault));
+            .rposition(|change| is_cause(change, &violation));
         match found {
-            Some(index) => Error::Change(self.line(index), fault),
-            None => Error::Mesh(fault),
+            Some(index) => Error::Change(self.line_number(index), violation),
+            None => Error::Mesh(violation),
         }
     }
 }
 
-/// Checks what a change says for itself.
+/// Checks a change by itself, without its references.
 fn check_change(change: &Change) -> Result<(), Violation> {
     match change {
         Change::PutService { name, service } => {
@@ -148,7 +148,7 @@
         }
         Change::PutRoute { prefix, route } => {
             validate::check_prefix(prefix)?;
-            validate::check_targets(prefix, route)
+            validate::check_route_fields(prefix, route)
         }
         Change::PutRetry { name, retry } => {
             validate::check_name(name)?;
@@ -187,20 +187,20 @@
     validate::check_sizes(mesh)
 }
 
-/// Tells whether `change` brought about `fault`, which only shows in the whole.
-fn is_cause(change: &Change, fault: &Violation) -> bool {
+/// Returns whether `change` can have caused `violation`, which is detected in the resulting configuration.
+fn is_cause(change: &Change, violation: &Violation) -> bool {
     match change {
         Change::RemoveService { name } => {
-            matches!(fault, Violation::MissingService(_, gone) if gone == name)
+            matches!(violation, Violation::MissingService(_, missing) if missing == name)
         }
         Change::RemoveRetry { name } => {
-            matches!(fault, Violation::MissingRetry(_, gone) if gone == name)
+            matches!(violation, Violation::MissingRetry(_, missing) if missing == name)
         }
         Change::PutRetry { name, .. } => {
-            matches!(fault, Violation::ForbiddenRepeat(_, retry) if retry == name)
+            matches!(violation, Violation::ForbiddenRepeat(_, retry) if retry == name)
         }
         Change::PutRoute { prefix, .. } => matches!(
-            fault,
+            violation,
             Violation::MissingService(at, _) | Violation::MissingRetry(at, _) | Violation::ForbiddenRepeat(at, _)
                 if at == prefix
         ),
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -1,87 +1,87 @@
-//! A version of a service that is brought in beside the one that serves.
+//! Roll-outs: a new version of a service introduced alongside the serving one.
 
 use crate::{Class, Repeat};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Kinds of calls that are judged apart: each class, repeatable or not.
+/// Number of call kinds that are evaluated separately: each class, repeatable or not.
 pub const KIND_COUNT: usize = 6;
 
-/// How far a roll-out has come; it only goes on, to one of the two ends.
+/// The stage of a roll-out; it only advances, to one of the two final stages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// A small share of the calls goes to a few endpoints of the new version.
+    /// A small share of the calls is sent to a few endpoints of the new version.
     Canary,
-    /// Both versions take calls alike.
+    /// Both versions receive calls without distinction.
     Both,
-    /// The new version alone takes calls; the old one ends what it has.
+    /// Only the new version receives calls; the old one finishes its calls in flight.
     Whole,
-    /// The new version takes none any more, and that is not written yet.
+    /// The new version no longer receives calls, but this outcome is not yet written to the store.
     Stopped,
-    /// The old version is being ended.
+    /// The roll-out has succeeded; the old version is being stopped.
     Completed,
-    /// The new version is being ended.
+    /// The roll-out has failed; the new version is being stopped.
     RolledBack,
 }
 
 impl Stage {
-    /// Tells whether the verdict stands for good.
+    /// Returns whether the roll-out has reached a permanent outcome.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 }
 
-/// Where an order stands among all that were written.
+/// The position of a roll-out order among all orders that were written.
 ///
-/// Revisions of a store that came back from a copy are given out again, so that they
-/// are compared within one era only.
+/// A store that is restored from a copy assigns the same revisions again, so
+/// revisions are only comparable within one era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderRevision {
-    /// How often the store had come back from a copy.
+    /// How often the store had been restored from a copy.
     pub era: u64,
     /// Revision at which the order was written.
     pub revision: u64,
 }
 
-/// An operator's order to bring a version in, and how far it has come.
+/// An operator's order to roll out a version, and its current stage.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
     /// The service.
     pub service: SmolStr,
-    /// The version that is to take over.
+    /// The version to roll out.
     pub target: SmolStr,
-    /// Which order it is.
+    /// Identifies the order and its position among all orders.
     #[serde(rename = "place")]
     pub order: OrderRevision,
-    /// Time that it may take, in milliseconds.
+    /// Time allowed for the roll-out, in milliseconds.
     pub duration_ms: u32,
-    /// Time since the order, in milliseconds, when this is told.
+    /// Time since the order was given, in milliseconds, as of when this is sent.
     pub age_ms: u32,
-    /// How far it has come.
+    /// The current stage.
     pub stage: Stage,
 }
 
-/// What calls of one kind came to at one version.
+/// Results of the calls of one kind at one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Calls that a backend server has ended, well or badly.
+    /// Calls that a backend server has finished, successfully or not.
     pub ended: u32,
-    /// Those that failed.
+    /// Finished calls that failed.
     pub failed: u32,
-    /// Those that ran for several times the usual duration.
+    /// Finished calls that took several times the usual duration.
     pub slow: u32,
 }
 
 impl Counts {
-    /// Gives what has been added since `before`.
+    /// Returns the difference to an earlier count.
     #[must_use]
-    pub fn since(&self, before: &Self) -> Self {
+    pub fn since(&self, earlier: &Self) -> Self {
         Self {
-            ended: self.ended.saturating_sub(before.ended),
-            failed: self.failed.saturating_sub(before.failed),
-            slow: self.slow.saturating_sub(before.slow),
+            ended: self.ended.saturating_sub(earlier.ended),
+            failed: self.failed.saturating_sub(earlier.failed),
+            slow: self.slow.saturating_sub(earlier.slow),
         }
     }
 
@@ -92,19 +92,19 @@
     }
 }
 
-/// What the calls of a service came to while a version is brought in.
+/// Results of the calls of a service during a roll-out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// At the new version, by kind.
+    /// Results at the new version, by kind.
     pub trial: [Counts; KIND_COUNT],
-    /// At all others, by kind.
+    /// Results at all other versions, by kind.
     pub stable: [Counts; KIND_COUNT],
-    /// Calls that run at other versions now.
+    /// Calls currently running at other versions.
     pub pending: u32,
 }
 
 impl Tally {
-    /// Adds what another part of the fleet has seen.
+    /// Adds the results from another part of the fleet.
     pub fn add(&mut self, other: &Self) {
         for (sum, part) in self.trial.iter_mut().zip(&other.trial) {
             sum.add(part);
@@ -115,14 +115,14 @@
         self.pending = self.pending.saturating_add(other.pending);
     }
 
-    /// Counts the calls that the new version has ended.
+    /// Returns the number of calls that the new version has finished.
     #[must_use]
     pub fn trial_ended(&self) -> u32 {
         self.trial.iter().map(|counts| counts.ended).sum()
     }
 }
 
-/// Gives the kind under which a call is counted.
+/// Returns the kind that a call is counted under.
 #[must_use]
 pub fn kind_of(class: Class, repeat: Repeat) -> usize {
     2 * class as usize + usize::from(repeat == Repeat::Never)
--- a/crates/config/src/validate.rs
+++ b/crates/config/src/validate.rs
@@ -1,44 +1,44 @@
-//! The rules that every configuration keeps.
+//! Validation rules for configurations.
 //!
-//! A mesh is checked before it is proposed and again before a node takes it,
-//! so that no view can hold a reference to what isn't there.
+//! A mesh is validated before it is proposed and again before a node applies
+//! it, so that no view can contain a dangling reference.
 
 use crate::error::Violation;
 use crate::mesh::{Mesh, Objective, Repeat, Retry, Route};
 use smol_str::SmolStr;
 use std::collections::BTreeSet;
 
-/// Longest name, in bytes: that of a DNS label, which names end up in.
+/// Longest name, in bytes: the limit of a DNS label, as names become part of DNS names.
 pub const MAX_NAME: usize = 63;
 
-/// Longest prefix, in bytes: a host name's 253 and a path of as many.
+/// Longest prefix, in bytes: a host name of up to 253 and a path of the same length.
 pub const MAX_PREFIX: usize = 512;
 
-/// Most services: ten times the 410 that are planned for.
+/// Maximum number of services: ten times the planned 410.
 pub const MAX_SERVICES: usize = 4_096;
 
-/// Most routes: four a service.
+/// Maximum number of routes: four per service.
 pub const MAX_ROUTES: usize = 16_384;
 
-/// Most retry rules: one a service.
+/// Maximum number of retry rules: one per service.
 pub const MAX_RETRIES: usize = 4_096;
 
-/// Most services that a route may split its calls over.
+/// Maximum number of services that a route can split its calls over.
 pub const MAX_TARGETS: usize = 16;
 
-/// Most changes in a patch: enough to replace a whole configuration.
+/// Maximum number of changes in a patch: enough to replace a full configuration.
 pub const MAX_CHANGES: usize = 2 * (MAX_SERVICES + MAX_ROUTES + MAX_RETRIES);
 
-/// Most tries of one call: each layer of a deep call multiplies.
+/// Maximum number of attempts of one call: attempts multiply with each layer of nested calls.
 pub const MAX_ATTEMPTS: u32 = 10;
 
-/// Longest time for a call, in milliseconds: ten minutes.
+/// Longest timeout of a call, in milliseconds: ten minutes.
 pub const MAX_TIMEOUT_MS: u32 = 600_000;
 
 const PPM: u32 = 1_000_000;
 const PERCENT: u32 = 100;
 
-/// Checks a whole configuration.
+/// Validates a full configuration, including references.
 pub(crate) fn check_mesh(mesh: &Mesh) -> Result<(), Violation> {
     check_sizes(mesh)?;
     for (name, service) in &mesh.services {
@@ -56,7 +56,7 @@
     Ok(())
 }
 
-/// Checks that no part of a configuration outgrows its limit.
+/// Checks the number of services, routes and retry rules against their limits.
 pub(crate) fn check_sizes(mesh: &Mesh) -> Result<(), Violation> {
     check_size("services", mesh.services.len(), MAX_SERVICES)?;
     check_size("routes", mesh.routes.len(), MAX_ROUTES)?;
@@ -71,12 +71,12 @@
 }
 
 pub(crate) fn check_name(name: &SmolStr) -> Result<(), Violation> {
-    let is_fit = !name.is_empty()
+    let is_valid = !name.is_empty()
         && name.len() <= MAX_NAME
         && name
             .bytes()
             .all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.'));
-    if !is_fit {
+    if !is_valid {
         return Err(Violation::InvalidName(name.clone()));
     }
     Ok(())
@@ -84,7 +84,7 @@
 
 pub(crate) fn check_prefix(prefix: &SmolStr) -> Result<(), Violation> {
     let path = prefix.find('/').map(|slash| prefix.split_at(slash));
-    let is_fit = path.is_some_and(|(host, path)| {
+    let is_valid = path.is_some_and(|(host, path)| {
         prefix.len() <= MAX_PREFIX
             && (host.is_empty() || is_host(host))
             && !path.contains("//")
@@ -92,13 +92,13 @@
                 .bytes()
                 .all(|byte| byte.is_ascii_graphic() && !matches!(byte, b'?' | b'#'))
     });
-    if !is_fit {
+    if !is_valid {
         return Err(Violation::InvalidPrefix(prefix.clone()));
     }
     Ok(())
 }
 
-/// Tells whether `text` is a host name as lookups have it: in lower case, without a port.
+/// Returns whether `text` is a host name as used in lookups: in lower case and without a port.
 fn is_host(text: &str) -> bool {
     text.bytes()
         .all(|byte| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'_' | b'.'))
@@ -115,8 +115,8 @@
     check_range("budget_percent", retry.budget_percent.into(), 0, PERCENT)
 }
 
-/// Checks what a route needs no other part of the configuration for.
-pub(crate) fn check_targets(prefix: &SmolStr, route: &Route) -> Result<(), Violation> {
+/// Checks the fields of a route that don't depend on the rest of the configuration.
+pub(crate) fn check_route_fields(prefix: &SmolStr, route: &Route) -> Result<(), Violation> {
     let services: BTreeSet<_> = route.targets.iter().map(|target| &target.service).collect();
     let count = route.targets.len();
     if count == 0 || count > MAX_TARGETS || services.len() != count {
@@ -135,7 +135,7 @@
 }
 
 fn check_route(mesh: &Mesh, prefix: &SmolStr, route: &Route) -> Result<(), Violation> {
-    check_targets(prefix, route)?;
+    check_route_fields(prefix, route)?;
     for target in &route.targets {
         if !mesh.services.contains_key(&target.service) {
             let service = target.service.clone();
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -1,9 +1,9 @@
-//! The number of a configuration; it only grows.
+//! Configuration version numbers, which only increase.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of an accepted configuration. Zero is the empty one.
+/// The version number of an accepted configuration. Zero is the empty configuration.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,7 +14,7 @@
     /// The empty configuration, before any patch.
     pub const ZERO: Self = Self(0);
 
-    /// Gives the number after this one.
+    /// Returns the next version number.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/config/src/versioned_mesh.rs
+++ b/crates/config/src/versioned_mesh.rs
@@ -1,15 +1,15 @@
-//! The configuration that a node holds, which only moves on.
+//! A configuration with its version, which only ever increases.
 
 use crate::error::Error;
 use crate::{Digest, Mesh, Patch, Version, validate};
 use std::sync::Arc;
 
-/// A version with its whole configuration; there is no way back to a lower one.
+/// A full configuration with its version and digest; can't return to a lower version.
 ///
-/// Guards against a parent that is older, frames that come late or twice, and
-/// damaged ones: routes of yesterday would come back, or half of tomorrow's.
-/// The fields are private, and both ways on compare the numbers first and the
-/// digest last, on a copy aside.
+/// Guards against a parent with an older configuration and against frames that
+/// arrive late, twice or damaged, which would restore outdated routes or install
+/// part of a newer configuration. The fields are private. Each update first
+/// compares version numbers, then works on a copy whose digest is checked last.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionedMesh {
     version: Version,
@@ -18,7 +18,7 @@
 }
 
 impl Default for VersionedMesh {
-    /// Holds the empty configuration, version zero.
+    /// Creates the empty configuration, version zero.
     fn default() -> Self {
         let mesh = Mesh::default();
         Self {
@@ -30,30 +30,31 @@
 }
 
 impl VersionedMesh {
-    /// Gives the version.
+    /// Returns the version.
     #[must_use]
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Gives the digest of the whole configuration.
+    /// Returns the digest of the full configuration.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Gives the configuration.
+    /// Returns the configuration.
     #[must_use]
     pub fn mesh(&self) -> &Arc<Mesh> {
         &self.mesh
     }
 
-    /// Moves on from version `base` to `version`, which need not be the next number.
+    /// Applies a patch that leads from version `base` to `version`, which need not be the next number.
     ///
     /// # Errors
     ///
-    /// Refuses a step from any version but the one held, a patch that can't be
-    /// applied, and a result that has another digest; what is held then stays.
+    /// Fails if `version` is not higher than the current one, `base` is not the
+    /// current one, the patch can't be applied, or the result has a different
+    /// digest. The current configuration is then kept.
     pub fn apply_patch(
         &mut self,
         base: Version,
@@ -69,23 +70,23 @@
         self.install(version, mesh, digest)
     }
 
-    /// Moves on to a whole configuration.
+    /// Replaces the configuration with the full configuration of a higher version.
     ///
     /// # Errors
     ///
-    /// Refuses a version that is not higher, a configuration that breaks a
-    /// rule, and one of another digest; what is held then stays.
+    /// Fails if the version is not higher, the configuration violates a rule, or
+    /// it has a different digest. The current configuration is then kept.
     pub fn replace(&mut self, version: Version, mesh: Mesh, digest: Digest) -> Result<(), Error> {
         self.check_newer(version)?;
         validate::check_mesh(&mesh).map_err(Error::Mesh)?;
         self.install(version, mesh, digest)
     }
 
-    /// Moves on to a whole configuration from where it is made, so that it has no digest yet.
+    /// Replaces the configuration with one from its original source, which has no digest yet.
     ///
     /// # Errors
     ///
-    /// As [`VersionedMesh::replace`], but for the digest.
+    /// As [`VersionedMesh::replace`], except that no digest is compared.
     pub fn replace_without_digest(&mut self, version: Version, mesh: Mesh) -> Result<(), Error> {
         self.check_newer(version)?;
         validate::check_mesh(&mesh).map_err(Error::Mesh)?;
@@ -102,16 +103,16 @@
     }
 
     fn install(&mut self, version: Version, mesh: Mesh, digest: Digest) -> Result<(), Error> {
-        let found = Digest::of(&mesh);
-        if found != digest {
-            return Err(Error::Mismatch(version, digest, found));
+        let computed = Digest::of(&mesh);
+        if computed != digest {
+            return Err(Error::Mismatch(version, digest, computed));
         }
         self.set(version, mesh, digest);
         Ok(())
     }
 
     fn set(&mut self, version: Version, mesh: Mesh, digest: Digest) {
-        assert!(version > self.version, "a held version never falls");
+        assert!(version > self.version, "the version only ever increases");
         self.version = version;
         self.digest = digest;
         self.mesh = Arc::new(mesh);
--- a/crates/config/src/view.rs
+++ b/crates/config/src/view.rs
@@ -1,7 +1,7 @@
-//! What a node serves by: a configuration joined with the endpoints it knows.
+//! Routing views: a configuration joined with the endpoints that a node knows.
 //!
-//! A view is built aside and swapped in whole, so that no call ever sees a
-//! route whose service is not there.
+//! A view is built separately and swapped in as a unit, so that no call ever
+//! sees a route whose service is missing.
 
 use crate::{
     Class, Digest, Endpoint, Mesh, Objective, Repeat, Retry, Route, Service, State, Version,
@@ -12,60 +12,60 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// Names a service of one view.
+/// Identifies a service within one view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceKey(u32);
 
-/// Names an endpoint of one view.
+/// Identifies an endpoint within one view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointKey(u32);
 
-/// Names a route of one view.
+/// Identifies a route within one view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteKey(u32);
 
-/// A service with the endpoints that take its calls.
+/// A service with the endpoints that accept its calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceEntry {
     /// Name of the service.
     pub name: SmolStr,
     /// The service as configured.
     pub service: Service,
-    /// Its endpoints that take new work.
+    /// Its endpoints that accept new calls.
     pub endpoints: Vec<EndpointKey>,
-    /// Whether it has endpoints at all, be it some that take no new work.
+    /// Whether it has any endpoints, including those that accept no new calls.
     pub has_endpoints: bool,
 }
 
 /// A route whose services are all in the view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteEntry {
-    /// Prefix that it stands under.
+    /// Prefix of the route.
     pub prefix: SmolStr,
-    /// Services with their shares in per cent.
+    /// Services with their shares, in per cent.
     pub targets: Vec<(ServiceKey, u8)>,
-    /// What the calls are worth.
+    /// Priority class of the calls.
     pub class: Class,
     /// Whether the calls may be repeated.
     pub repeat: Repeat,
-    /// How they are tried again, if at all.
+    /// Rule by which they are retried, if any.
     pub retry: Option<Retry>,
-    /// Time for a call when the caller names none, in milliseconds.
+    /// Timeout of a call if its caller sets none, in milliseconds.
     pub timeout_ms: u32,
-    /// Longest time that a call is kept waiting, in milliseconds.
+    /// Upper bound on the time that a call may take, in milliseconds.
     pub limit_ms: Option<u32>,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency target: time within which an answer has its full value, in milliseconds.
     pub target_ms: Option<u32>,
 }
 
-/// A route that is withheld until its services are there.
+/// A route that is withheld until its services are available.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WithheldEntry {
-    /// Prefix that it stands under.
+    /// Prefix of the route.
     pub prefix: SmolStr,
-    /// The route's first service, whose promise its refused calls break.
+    /// The route's first service; refused calls count against its objective.
     pub service: SmolStr,
-    /// What that service promises, if anything.
+    /// The service level objective of that service, if any.
     pub objective: Option<Objective>,
 }
 
@@ -78,19 +78,19 @@
     services: Vec<ServiceEntry>,
     routes: Vec<RouteEntry>,
     withheld: Vec<WithheldEntry>,
-    /// Routes by prefix; hosts have a table each, the empty one is for all.
-    index: HashMap<SmolStr, HashMap<SmolStr, Slot>>,
+    /// Routes by host and path prefix; those under the empty host apply to all hosts.
+    index: HashMap<SmolStr, HashMap<SmolStr, PrefixEntry>>,
 }
 
-/// What stands at a prefix.
+/// The route at a prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Slot {
+enum PrefixEntry {
     Route(RouteKey),
     Withheld(usize),
 }
 
 impl Default for View {
-    /// Holds the empty configuration and no endpoint.
+    /// Creates a view of the empty configuration, without endpoints.
     fn default() -> Self {
         Self::join(
             &VersionedMesh::default(),
@@ -100,7 +100,7 @@
 }
 
 impl View {
-    /// Joins a configuration with endpoints; routes none of whose services has an endpoint are withheld.
+    /// Joins a configuration with endpoints; a route is withheld if none of its services has an endpoint.
     #[must_use]
     pub fn build<I>(version: Version, mesh: &Mesh, endpoints: I) -> Self
     where
@@ -110,17 +110,22 @@
         Self::assemble(version, Digest::of(mesh), mesh, endpoints)
     }
 
-    /// Joins the configuration that a node holds with endpoints, as [`View::build`] does.
+    /// Joins a node's current configuration with endpoints, as [`View::build`] does.
     ///
     /// Endpoints are shared with the caller, so that a new view of 14,000
-    /// costs a pointer each.
+    /// endpoints costs one pointer each.
     #[must_use]
-    pub fn join<I>(held: &VersionedMesh, endpoints: I) -> Self
+    pub fn join<I>(current: &VersionedMesh, endpoints: I) -> Self
     where
         I: IntoIterator,
         I::Item: Into<Arc<Endpoint>>,
     {
-        Self::assemble(held.version(), held.digest(), held.mesh(), endpoints)
+        Self::assemble(
+            current.version(),
+            current.digest(),
+            current.mesh(),
+            endpoints,
+        )
     }
 
     fn assemble<I>(version: Version, digest: Digest, mesh: &Mesh, endpoints: I) -> Self
@@ -133,7 +138,7 @@
             version,
             digest,
             endpoints: endpoints
-                .filter(|known| known.state != State::Gone)
+                .filter(|endpoint| endpoint.state != State::Gone)
                 .collect(),
             services: Vec::new(),
             routes: Vec::new(),
@@ -144,34 +149,36 @@
         for (prefix, route) in &mesh.routes {
             view.add_route(mesh, prefix, route);
         }
-        view.assert_closed();
+        view.assert_services_present();
         view
     }
 
-    /// Adds the services that have endpoints, in the order of their names, and
-    /// those that share a route with one.
+    /// Adds the services that have endpoints, and those that share a route with
+    /// a service that has a serving endpoint, in the order of their names.
     ///
-    /// A share of a route whose service has no endpoint is refused, and the
-    /// other shares are served: they are none of its business.
+    /// If a service of a route has no endpoint, calls of its share are refused.
+    /// The other shares of the route don't depend on that service and are served.
     fn add_services(&mut self, mesh: &Mesh) {
-        let mut takers: HashMap<&str, Vec<EndpointKey>> = HashMap::new();
+        let mut by_service: HashMap<&str, Vec<EndpointKey>> = HashMap::new();
         for (index, endpoint) in (0..).zip(&self.endpoints) {
-            let keys = takers.entry(endpoint.service.as_str()).or_default();
+            let keys = by_service.entry(endpoint.service.as_str()).or_default();
             if endpoint.state == State::Serving {
                 keys.push(EndpointKey(index));
             }
         }
-        let mut absent = HashSet::new();
+        let mut without_endpoints = HashSet::new();
         for route in mesh.routes.values().filter(|route| route.targets.len() > 1) {
             let targets = || route.targets.iter().map(|target| target.service.as_str());
-            if targets().any(|service| takers.get(service).is_some_and(|keys| !keys.is_empty())) {
-                absent.extend(targets().filter(|service| !takers.contains_key(service)));
+            if targets().any(|service| by_service.get(service).is_some_and(|keys| !keys.is_empty()))
+            {
+                without_endpoints
+                    .extend(targets().filter(|service| !by_service.contains_key(service)));
             }
         }
-        let mut services = Vec::with_capacity(takers.len().min(mesh.services.len()));
+        let mut services = Vec::with_capacity(by_service.len().min(mesh.services.len()));
         for (name, service) in &mesh.services {
-            let endpoints = takers.remove(name.as_str());
-            if endpoints.is_some() || absent.contains(name.as_str()) {
+            let endpoints = by_service.remove(name.as_str());
+            if endpoints.is_some() || without_endpoints.contains(name.as_str()) {
                 services.push(ServiceEntry {
                     name: name.clone(),
                     service: service.clone(),
@@ -184,32 +191,32 @@
     }
 
     fn add_route(&mut self, mesh: &Mesh, prefix: &SmolStr, route: &Route) {
-        let slot = match self.resolve_route(mesh, prefix, route) {
+        let prefix_entry = match self.resolve_route(mesh, prefix, route) {
             Some(entry) => {
                 let key = u32::try_from(self.routes.len()).expect("routes are limited");
                 self.routes.push(entry);
-                Slot::Route(RouteKey(key))
+                PrefixEntry::Route(RouteKey(key))
             }
             None => self.withhold(mesh, prefix, route),
         };
         let (host, path) = prefix.split_at(prefix.find('/').unwrap_or_default());
         let paths = self.index.entry(host.into()).or_default();
-        paths.insert(path.into(), slot);
+        paths.insert(path.into(), prefix_entry);
     }
 
-    fn withhold(&mut self, mesh: &Mesh, prefix: &SmolStr, route: &Route) -> Slot {
+    fn withhold(&mut self, mesh: &Mesh, prefix: &SmolStr, route: &Route) -> PrefixEntry {
         let service = route.targets.first().map(|target| target.service.clone());
         let service = service.unwrap_or_default();
         let objective = mesh
             .services
             .get(&service)
-            .and_then(|known| known.objective);
+            .and_then(|service| service.objective);
         self.withheld.push(WithheldEntry {
             prefix: prefix.clone(),
             service,
             objective,
         });
-        Slot::Withheld(self.withheld.len() - 1)
+        PrefixEntry::Withheld(self.withheld.len() - 1)
     }
 
     fn resolve_route(&self, mesh: &Mesh, prefix: &SmolStr, route: &Route) -> Option<RouteEntry> {
@@ -238,26 +245,26 @@
         })
     }
 
-    /// Checks that no route points at a service that the view lacks.
+    /// Asserts that no route refers to a service that is missing from the view.
     ///
-    /// Such a route would send a caller nowhere. It can't come about while
-    /// views are only made here; the check stays on to keep that so.
-    fn assert_closed(&self) {
+    /// Calls of such a route would have no destination. It can't occur as long as
+    /// views are built only here; the check remains enabled to guard that invariant.
+    fn assert_services_present(&self) {
         for (service, _) in self.routes.iter().flat_map(|route| &route.targets) {
             assert!(
                 (service.0 as usize) < self.services.len(),
-                "a view holds no route without its services"
+                "a view contains no route whose services are missing"
             );
         }
     }
 
-    /// Gives the version of the configuration.
+    /// Returns the version of the configuration.
     #[must_use]
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Gives the digest of the configuration.
+    /// Returns the digest of the configuration.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.digest
@@ -273,87 +280,88 @@
         u32::try_from(index).ok().map(ServiceKey)
     }
 
-    /// Finds the route of `host` with the longest prefix of `path`; none when just that one is withheld.
+    /// Finds the route of `host` with the longest matching prefix of `path`; `None` if that route is withheld.
     ///
-    /// A shorter prefix doesn't step in for a withheld one: it belongs to
-    /// another service, which must not get these calls.
+    /// A shorter prefix is not used instead of a withheld one, because it
+    /// belongs to another service, which must not receive these calls.
     #[must_use]
     pub fn find_route(&self, host: &str, path: &str) -> Option<RouteKey> {
-        match self.look_up(host, path)? {
-            Slot::Route(key) => Some(key),
-            Slot::Withheld(_) => None,
+        match self.find_entry(host, path)? {
+            PrefixEntry::Route(key) => Some(key),
+            PrefixEntry::Withheld(_) => None,
         }
     }
 
-    /// Tells whether `path` has a route that is withheld until its services are there.
+    /// Returns whether the route of `path` is withheld until its services are available.
     #[must_use]
     pub fn is_withheld(&self, host: &str, path: &str) -> bool {
         self.find_withheld(host, path).is_some()
     }
 
-    /// Finds the route of `path` when it is withheld until its services are there.
+    /// Finds the route of `path` if it is withheld until its services are available.
     #[must_use]
     pub fn find_withheld(&self, host: &str, path: &str) -> Option<&WithheldEntry> {
-        match self.look_up(host, path)? {
-            Slot::Route(_) => None,
-            Slot::Withheld(index) => self.withheld.get(index),
+        match self.find_entry(host, path)? {
+            PrefixEntry::Route(_) => None,
+            PrefixEntry::Withheld(index) => self.withheld.get(index),
         }
     }
 
-    /// Looks a path up among the routes of its host, then among those of all hosts.
-    fn look_up(&self, host: &str, path: &str) -> Option<Slot> {
+    /// Looks up a path among the routes of its host, then among those that apply to all hosts.
+    fn find_entry(&self, host: &str, path: &str) -> Option<PrefixEntry> {
         let path = path.split(['?', '#']).next().unwrap_or_default();
-        let name = name_host(host);
-        let own = self.index.get(&*name).filter(|_| !name.is_empty());
-        own.and_then(|paths| look_up_path(paths, path))
-            .or_else(|| look_up_path(self.index.get("")?, path))
+        let name = normalize_host(host);
+        let host_routes = self.index.get(&*name).filter(|_| !name.is_empty());
+        host_routes
+            .and_then(|paths| find_longest_prefix(paths, path))
+            .or_else(|| find_longest_prefix(self.index.get("")?, path))
     }
 
-    /// Gives the routes that are withheld until their services are there.
+    /// Returns the routes that are withheld until their services are available.
     #[must_use]
     pub fn withheld(&self) -> &[WithheldEntry] {
         &self.withheld
     }
 
-    /// Gives a service.
+    /// Returns a service.
     #[must_use]
     pub fn service(&self, key: ServiceKey) -> &ServiceEntry {
         &self.services[key.0 as usize]
     }
 
-    /// Gives an endpoint.
+    /// Returns an endpoint.
     #[must_use]
     pub fn endpoint(&self, key: EndpointKey) -> &Endpoint {
         &self.endpoints[key.0 as usize]
     }
 
-    /// Gives a route.
+    /// Returns a route.
     #[must_use]
     pub fn route(&self, key: RouteKey) -> &RouteEntry {
         &self.routes[key.0 as usize]
     }
 
-    /// Gives all services that have endpoints.
+    /// Returns all services that have endpoints or share a route with one that does.
     #[must_use]
     pub fn services(&self) -> &[ServiceEntry] {
         &self.services
     }
 
-    /// Gives all endpoints that are not gone.
+    /// Returns all endpoints that are not gone.
     #[must_use]
     pub fn endpoints(&self) -> &[Arc<Endpoint>] {
         &self.endpoints
     }
 
-    /// Gives all routes that are not withheld.
+    /// Returns all routes that are not withheld.
     #[must_use]
     pub fn routes(&self) -> &[RouteEntry] {
         &self.routes
     }
 }
 
-/// Gives a `Host` header as routes name hosts: without its port, in lower case.
-fn name_host(host: &str) -> Cow<'_, str> {
+/// Normalizes a `Host` header to the form used in routes: without port, in lower case.
+fn normalize_host(host: &str) -> Cow<'_, str> {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
@@ -365,11 +373,11 @@
     }
 }
 
-/// Looks `path` up part by part, from the whole of it to the root.
+/// Finds the longest prefix of `path` by removing one segment at a time, down to the root.
 ///
-/// `/a/b` is tried as `/a/b`, then as `/a/`, `/a` and `/`: each part once with
-/// its slash, for prefixes that take only what lies below them.
-fn look_up_path(paths: &HashMap<SmolStr, Slot>, path: &str) -> Option<Slot> {
+/// `/a/b` is looked up as `/a/b`, `/a/`, `/a` and `/`. Each parent is looked up
+/// with its trailing slash first, for prefixes that match only paths below them.
+fn find_longest_prefix(paths: &HashMap<SmolStr, PrefixEntry>, path: &str) -> Option<PrefixEntry> {
     let mut rest = path;
     loop {
         if let Some(found) = paths.get(rest) {
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -1,4 +1,4 @@
-//! What a patch may not do, and the line that is named.
+//! Patches that are refused, and the line that the error names.
 
 use config::{Mesh, Patch, Violation};
 use yare::parameterized;
@@ -22,7 +22,7 @@
     service_in_use = { r#"{"remove_service": {"name": "claims"}}"#, "isn't there" },
     retry_in_use = { r#"{"remove_retry": {"name": "twice"}}"#, "isn't there" },
     repeats_never = { r#"{"put_route": {"prefix": "/a", "route": {"targets": [{"service": "claims", "percent": 100}], "repeat": "never", "retry": "again"}}}"#, "never be repeated" },
-    rule_grows_teeth = { r#"{"put_retry": {"name": "twice", "retry": {"attempts": 2, "budget_percent": 10, "hedge": true}}}"#, "never be repeated" },
+    rule_becomes_unsafe = { r#"{"put_retry": {"name": "twice", "retry": {"attempts": 2, "budget_percent": 10, "hedge": true}}}"#, "never be repeated" },
     shares_short = { r#"{"put_route": {"prefix": "/a", "route": {"targets": [{"service": "claims", "percent": 99}]}}}"#, "100, not 99" },
     share_twice = { r#"{"put_route": {"prefix": "/a", "route": {"targets": [{"service": "claims", "percent": 50}, {"service": "claims", "percent": 50}]}}}"#, "each once" },
     no_targets = { r#"{"put_route": {"prefix": "/a", "route": {"targets": []}}}"#, "targets" },
@@ -32,8 +32,8 @@
     upper_host = { r#"{"put_route": {"prefix": "Shop.example/a/", "route": {"targets": [{"service": "claims", "percent": 100}]}}}"#, "prefix" },
     port_in_host = { r#"{"put_route": {"prefix": "shop.example:80/a/", "route": {"targets": [{"service": "claims", "percent": 100}]}}}"#, "prefix" },
     no_limit = { r#"{"put_route": {"prefix": "/a", "route": {"targets": [{"service": "claims", "percent": 100}], "limit_ms": 0}}}"#, "limit_ms" },
-    long_name = { r#"{"put_service": {"name": "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa", "service": {}}}"#, "no name" },
-    blank_name = { r#"{"put_service": {"name": "a b", "service": {}}}"#, "no name" },
+    long_name = { r#"{"put_service": {"name": "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa", "service": {}}}"#, "not a valid name" },
+    blank_name = { r#"{"put_service": {"name": "a b", "service": {}}}"#, "not a valid name" },
     no_attempts = { r#"{"put_retry": {"name": "r", "retry": {"attempts": 0, "budget_percent": 10}}}"#, "attempts" },
     no_timeout = { r#"{"put_route": {"prefix": "/a", "route": {"targets": [{"service": "claims", "percent": 100}], "timeout_ms": 0}}}"#, "timeout_ms" },
     remove_nothing = { r#"{"remove_route": {"prefix": "/b"}}"#, "to remove" },
@@ -46,7 +46,7 @@
     let mesh = base();
     let error = Patch::parse(&text)
         .and_then(|patch| patch.apply(&mesh))
-        .expect_err("the change breaks a rule");
+        .expect_err("the change violates a rule");
     let shown = error.to_string();
     assert!(shown.starts_with("line 4: "), "{shown}");
     assert!(shown.contains(reason), "{shown}");
@@ -54,13 +54,15 @@
 }
 
 #[test]
-fn references_late() {
+fn reference_before_definition() {
     let text = r#"
 {"put_route": {"prefix": "/jobs", "route": {"targets": [{"service": "jobs", "percent": 100}]}}}
 {"put_service": {"name": "jobs", "service": {}}}
 "#;
     let patch = Patch::parse(text).expect("well formed");
-    let mesh = patch.apply(&base()).expect("references hold at the end");
+    let mesh = patch
+        .apply(&base())
+        .expect("references are checked at the end");
     assert!(mesh.routes.contains_key("/jobs"));
 }
 
--- a/crates/config/tests/view.rs
+++ b/crates/config/tests/view.rs
@@ -1,4 +1,4 @@
-//! Closed views: no route without its services, at any moment.
+//! Views never contain a route whose services are missing.
 
 use config::{Endpoint, Mesh, Patch, State, Version, View};
 use yare::parameterized;
@@ -85,9 +85,8 @@
     assert_eq!(found.map(smol_str::SmolStr::as_str), prefix);
 }
 
-// A clerk releases a claim while no endpoint of `claims` is known yet. The
-// release must not land at `records`, whose route `/` also fits. Cause: the
-// longer route is withheld and the shorter one would step in.
+// While no endpoint of `claims` is known, the route `/claims` is withheld. Its
+// calls must not be sent to `records`, whose shorter route `/` also matches.
 #[test]
 fn withheld_route() {
     for state in [State::Gone, State::Leaving, State::Serving] {
@@ -96,34 +95,35 @@
             endpoint("claims", state),
         ];
         let view = View::build(Version(1), &mesh(), &endpoints);
-        let is_there = state != State::Gone;
-        assert_eq!(view.find_route("", "/claims/7").is_some(), is_there);
-        assert_eq!(view.is_withheld("", "/claims/7"), !is_there);
-        let taking = view
+        let is_routed = state != State::Gone;
+        assert_eq!(view.find_route("", "/claims/7").is_some(), is_routed);
+        assert_eq!(view.is_withheld("", "/claims/7"), !is_routed);
+        let serving_count = view
             .find_service("claims")
             .map(|key| view.service(key).endpoints.len());
         assert_eq!(
-            taking,
-            is_there.then_some(usize::from(state == State::Serving))
+            serving_count,
+            is_routed.then_some(usize::from(state == State::Serving))
         );
     }
 }
 
-// Operators move a route from one service to another by parts, and the first
-// backend servers of the new one come up late. The whole route was refused
-// until then. Cause: it was withheld as long as one of its services was unknown.
+// Operators shift a route from one service to another step by step, and the
+// first backend servers of the new service start late. All calls of the route
+// used to be refused until then, because a route was withheld as long as any of
+// its services was unknown.
 #[test]
-fn share_absent() {
+fn share_without_endpoints() {
     let shared = Patch::parse(SHARED).and_then(|patch| patch.apply(&mesh()));
     let mesh = shared.expect("valid");
     let view = View::build(Version(1), &mesh, &[endpoint("records", State::Serving)]);
     let route = view.route(view.find_route("", "/shared/7").expect("routed"));
-    let parts: Vec<_> = route
+    let targets: Vec<_> = route
         .targets
         .iter()
         .map(|(key, percent)| (view.service(*key).endpoints.len(), *percent))
         .collect();
-    assert_eq!(parts, [(0, 60), (1, 40)]);
+    assert_eq!(targets, [(0, 60), (1, 40)]);
     assert!(view.is_withheld("", "/claims/7"));
     let none = View::build(Version(1), &mesh, Vec::<Endpoint>::new());
     assert!(none.is_withheld("", "/shared/7"));
