--- a/crates/node/src/announce.rs
+++ b/crates/node/src/announce.rs
@@ -93,7 +93,7 @@
 where
     C: Clock,
 {
-    spawn_within(tcp, shared, Limits::default())
+    spawn_with_limits(tcp, shared, Limits::default())
 }
 
 /// Listens as [`spawn`] does, with other limits.
@@ -101,7 +101,7 @@
 /// # Errors
 ///
 /// Fails when the listener has no address.
-pub fn spawn_within<C>(
+pub fn spawn_with_limits<C>(
     tcp: TcpListener,
     shared: Arc<Shared<C>>,
     limits: Limits,
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -1,7 +1,7 @@
 //! What the outbound proxy knows of each service: runs `policy::balance` and `policy::retry`.
 
 use crate::inbound::parents::Run;
-use crate::rollout::{Begun, Ending, Rollouts, Split};
+use crate::rollout::{CallResult, RolloutCall, Rollouts, TrafficSplit};
 use call::Digest;
 use clock::Clock;
 use config::{Endpoint, EndpointKey, Retry, ServiceKey, View};
@@ -99,7 +99,7 @@
     pub(crate) outcome: Outcome,
     rollouts: Arc<Rollouts>,
     /// What a roll-out is to be told of it.
-    begun: Option<Begun>,
+    begun: Option<RolloutCall>,
 }
 
 impl fmt::Debug for Service {
@@ -152,7 +152,7 @@
 impl State {
     /// Tells the balance which endpoints `view` has, once a view.
     fn sync(&mut self, now: Instant, view: &Arc<View>, service: ServiceKey, ask: &Ask<'_>) {
-        let changes = ask.rollouts.changes();
+        let changes = ask.rollouts.generation();
         let is_known = std::ptr::eq(self.synced.as_ptr(), Arc::as_ptr(view));
         if is_known && self.changes == changes {
             return;
@@ -173,7 +173,7 @@
     view: &'a View,
     endpoints: &'a [EndpointKey],
     place: &'a Place,
-    split: Option<&'a Split>,
+    split: Option<&'a TrafficSplit>,
 ) -> impl Iterator<Item = Candidate> + 'a {
     endpoints.iter().map(move |key| {
         let endpoint = view.endpoint(*key);
@@ -185,7 +185,7 @@
             warm_up: endpoint
                 .cold_ms
                 .map(|cold| Duration::from_millis(cold.into())),
-            track: split.map_or(Track::Stable, |split| split.arm(endpoint)),
+            track: split.map_or(Track::Stable, |split| split.track(endpoint)),
         }
     })
 }
@@ -297,7 +297,7 @@
         let balance = &mut state.balances[ask.weight as usize];
         let key = choose(balance, now, &mut state.rng)?;
         let endpoint = find_endpoint(view, service, balance.identity(key)?)?;
-        let begun = ask.rollouts.begin(&endpoint);
+        let begun = ask.rollouts.begin_call(&endpoint);
         Some(Picked {
             service: Arc::clone(self),
             clock: clock.clone(),
@@ -407,11 +407,11 @@
         let is_cold = balance.is_cold(now, self.key);
         drop(state);
         let ending = match (failed, is_slow && !is_cold) {
-            (true, _) => Ending::Failed,
-            (false, true) => Ending::Slow,
-            (false, false) => Ending::Well,
+            (true, _) => CallResult::Failed,
+            (false, true) => CallResult::Slow,
+            (false, false) => CallResult::Normal,
         };
-        self.rollouts.count(begun, kind, ending);
+        self.rollouts.record_result(begun, kind, ending);
     }
 }
 
@@ -421,7 +421,7 @@
 {
     fn drop(&mut self) {
         if let Some(begun) = &self.begun {
-            self.rollouts.end(begun);
+            self.rollouts.end_call(begun);
         }
         let now = self.clock.now();
         let took = now.saturating_duration_since(self.started);
--- a/crates/node/src/outbound/survey.rs
+++ b/crates/node/src/outbound/survey.rs
@@ -73,7 +73,7 @@
 where
     C: Clock,
 {
-    if !inner.shared.rollouts.draw(&plan.service) {
+    if !inner.shared.rollouts.sample(&plan.service) {
         return None;
     }
     let (view, ask) = (inner.shared.view.load_full(), make_ask(inner, plan, &[]));
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -11,9 +11,9 @@
 
 /// What a call at one version of a service under trial came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ending {
+pub(crate) enum CallResult {
     /// It was answered in the usual time.
-    Well,
+    Normal,
     /// It failed.
     Failed,
     /// It took several times as long as usual.
@@ -29,7 +29,7 @@
     /// Whether there are any; spares most calls the lock.
     is_any: AtomicBool,
     /// Grows with each change.
-    changes: AtomicU64,
+    generation: AtomicU64,
     trials: Mutex<BTreeMap<SmolStr, Trial>>,
 }
 
@@ -43,7 +43,7 @@
 
 /// Where the calls of a service may go.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Split {
+pub(crate) struct TrafficSplit {
     target: SmolStr,
     stage: Stage,
     /// Whether there are endpoints of other versions.
@@ -83,13 +83,13 @@
             });
         *known = next;
         if !is_same {
-            self.changes.fetch_add(1, Ordering::Release);
+            self.generation.fetch_add(1, Ordering::Release);
         }
     }
 
     /// Gives a number that grows with each change.
-    pub(crate) fn changes(&self) -> u64 {
-        self.changes.load(Ordering::Acquire)
+    pub(crate) fn generation(&self) -> u64 {
+        self.generation.load(Ordering::Acquire)
     }
 
     /// Gives the roll-out of a service, if there is one.
@@ -101,7 +101,7 @@
     }
 
     /// Tells where the calls of a service may go by the endpoints of a view.
-    pub(crate) fn split(&self, view: &View, service: ServiceKey) -> Option<Split> {
+    pub(crate) fn split(&self, view: &View, service: ServiceKey) -> Option<TrafficSplit> {
         let service = view.service(service);
         let rollout = self.get(&service.name)?;
         let endpoints = service.endpoints.iter();
@@ -112,7 +112,7 @@
         // All proxies choose the same ones, spread over zones as the names are.
         new.sort_by_cached_key(|node| (policy::hash(node), node.clone()));
         new.truncate(trial_endpoint_count(self.share, old.len(), new.len()));
-        Some(Split {
+        Some(TrafficSplit {
             target: rollout.target,
             stage: rollout.stage,
             has_old: !old.is_empty(),
@@ -121,7 +121,7 @@
     }
 
     /// Tells whether a call of a service is to try the version under trial.
-    pub(crate) fn draw(&self, service: &str) -> bool {
+    pub(crate) fn sample(&self, service: &str) -> bool {
         let Some(rollout) = self.get(service) else {
             return false;
         };
@@ -130,7 +130,7 @@
     }
 
     /// Counts a call that begins at an endpoint; gives what is to be told of its end.
-    pub(crate) fn begin(&self, endpoint: &Endpoint) -> Option<Begun> {
+    pub(crate) fn begin_call(&self, endpoint: &Endpoint) -> Option<RolloutCall> {
         let rollout = self.get(&endpoint.service)?;
         if rollout.stage.is_final() {
             return None;
@@ -139,11 +139,11 @@
         if !is_trial {
             self.with_trial(&rollout, |trial| trial.tally.pending += 1);
         }
-        Some(Begun { rollout, is_trial })
+        Some(RolloutCall { rollout, is_trial })
     }
 
     /// Takes in that a call has left its endpoint.
-    pub(crate) fn end(&self, begun: &Begun) {
+    pub(crate) fn end_call(&self, begun: &RolloutCall) {
         if !begun.is_trial {
             self.with_trial(&begun.rollout, |trial| {
                 trial.tally.pending = trial.tally.pending.saturating_sub(1);
@@ -152,7 +152,7 @@
     }
 
     /// Takes in what a call of a kind came to.
-    pub(crate) fn count(&self, begun: &Begun, kind: usize, ending: Ending) {
+    pub(crate) fn record_result(&self, begun: &RolloutCall, kind: usize, ending: CallResult) {
         self.with_trial(&begun.rollout, |trial| {
             let counts = if begun.is_trial {
                 &mut trial.tally.trial
@@ -197,14 +197,14 @@
 
 /// A call that runs at an endpoint of a service under trial.
 #[derive(Debug, Clone)]
-pub(crate) struct Begun {
+pub(crate) struct RolloutCall {
     rollout: Rollout,
     is_trial: bool,
 }
 
-impl Split {
+impl TrafficSplit {
     /// Tells which calls an endpoint takes.
-    pub(crate) fn arm(&self, endpoint: &Endpoint) -> Track {
+    pub(crate) fn track(&self, endpoint: &Endpoint) -> Track {
         let endpoint = rollout::Endpoint {
             is_new: endpoint.version == self.target,
             is_in_trial: self.tried.contains(&endpoint.node),
@@ -213,11 +213,11 @@
     }
 }
 
-fn note(counts: &mut Counts, ending: Ending) {
+fn note(counts: &mut Counts, ending: CallResult) {
     counts.ended = counts.ended.saturating_add(1);
     match ending {
-        Ending::Well => {}
-        Ending::Failed => counts.failed = counts.failed.saturating_add(1),
-        Ending::Slow => counts.slow = counts.slow.saturating_add(1),
+        CallResult::Normal => {}
+        CallResult::Failed => counts.failed = counts.failed.saturating_add(1),
+        CallResult::Slow => counts.slow = counts.slow.saturating_add(1),
     }
 }
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -24,8 +24,8 @@
 
 async fn spawn_both(shared: &Arc<Shared<clock::System>>) -> [Handle; 2] {
     [
-        announce::spawn_within(bind().await, Arc::clone(shared), LIMITS).unwrap(),
-        operate::spawn_within(bind().await, Arc::clone(shared), LIMITS).unwrap(),
+        announce::spawn_with_limits(bind().await, Arc::clone(shared), LIMITS).unwrap(),
+        operate::spawn_with_limits(bind().await, Arc::clone(shared), LIMITS).unwrap(),
     ]
 }
 
@@ -124,7 +124,7 @@
 #[test_macro(tokio::test)]
 async fn bad_body(header: &str, body: &str, expected: u16, message: &str) {
     let shared = make_shared();
-    let handle = announce::spawn_within(bind().await, Arc::clone(&shared), LIMITS).unwrap();
+    let handle = announce::spawn_with_limits(bind().await, Arc::clone(&shared), LIMITS).unwrap();
     let filler = if expected == 413 {
         "x".repeat(2_000)
     } else {
@@ -141,7 +141,7 @@
 #[tokio::test]
 async fn cut_body() {
     let shared = make_shared();
-    let handle = announce::spawn_within(bind().await, Arc::clone(&shared), LIMITS).unwrap();
+    let handle = announce::spawn_with_limits(bind().await, Arc::clone(&shared), LIMITS).unwrap();
     let mut stream = TcpStream::connect(handle.address()).await.unwrap();
     let head = b"PUT /v1/announce HTTP/1.1\r\nhost: node\r\ncontent-length: 100\r\n\r\n{";
     stream.write_all(head).await.unwrap();
@@ -160,7 +160,7 @@
 #[tokio::test]
 async fn idle_connection() {
     let shared = make_shared();
-    let handle = operate::spawn_within(bind().await, Arc::clone(&shared), LIMITS).unwrap();
+    let handle = operate::spawn_with_limits(bind().await, Arc::clone(&shared), LIMITS).unwrap();
     let request = b"GET /healthz HTTP/1.1\r\nhost: node\r\n\r\n";
     // Ends when the listener closes the connection.
     let answer = exchange(handle.address(), request).await;
