--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -10,7 +10,7 @@
 use crate::inbound::parents::Run;
 use crate::inbound::{Inner, bodies, crash};
 use crate::millis::whole_ms;
-use crate::outbound::answer::name_of;
+use crate::outbound::response::reason_name;
 use crate::shared::{Backend, Counted};
 use crate::upload::{Rest, Upload};
 use bytes::Bytes;
@@ -451,7 +451,7 @@
     C: Clock,
 {
     let shared = &inner.shared;
-    let reason = name_of(refused.reason);
+    let reason = reason_name(refused.reason);
     shared.metrics.causes.count_turned_away(reason);
     let elapsed = shared.metrics.counted(shared.clock.now());
     if let Some(left_out) = shared.lines.gate.take(elapsed) {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -69,7 +69,7 @@
         reserve.clone(),
     );
     let announce = announce::spawn(backend, Arc::clone(&shared))?;
-    let outbound = outbound::spawn_with_routes(
+    let outbound = outbound::spawn_after_routes(
         callers,
         Arc::clone(&shared),
         inbound.clone(),
@@ -175,7 +175,7 @@
 where
     C: Clock,
 {
-    let wait = outbound::lame_duck(limit);
+    let wait = outbound::lame_duck_duration(limit);
     let calls = async {
         tokio::time::sleep(wait).await;
         shared.leaving.send_replace(true);
--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -1,25 +1,25 @@
 //! The outbound proxy: takes calls of callers over HTTP and sends them where they run.
 
-pub(crate) mod answer;
 pub(crate) mod attempt;
 pub(crate) mod hedge;
 pub(crate) mod keyed;
 pub(crate) mod link;
 pub(crate) mod peer;
 pub(crate) mod plan;
+pub(crate) mod remote_attempt;
+pub(crate) mod resolve;
+pub(crate) mod response;
 pub(crate) mod send;
-pub(crate) mod sent;
 pub(crate) mod serve;
 pub(crate) mod service;
-pub(crate) mod settle;
 pub(crate) mod survey;
 pub(crate) mod tell;
 pub(crate) mod visited;
 
 use crate::inbound;
 use crate::listener::Ended;
-use crate::outbound::answer::{Body, RETRY_AFTER_HEADER};
 use crate::outbound::link::Links;
+use crate::outbound::response::{Body, RETRY_AFTER_HEADER};
 use crate::outbound::service::{Place, Services};
 use crate::reserve;
 use crate::shared::{Counted, Shared};
@@ -78,7 +78,7 @@
 
 /// Gives how long a node that has `timeout` to leave goes on taking calls of its callers.
 #[must_use]
-pub fn lame_duck(timeout: Duration) -> Duration {
+pub fn lame_duck_duration(timeout: Duration) -> Duration {
     LAME_DUCK.min(timeout / 2)
 }
 
@@ -165,7 +165,7 @@
 /// # Errors
 ///
 /// When the socket has no address.
-pub fn spawn_with_routes<C>(
+pub fn spawn_after_routes<C>(
     socket: TcpSocket,
     shared: Arc<Shared<C>>,
     inbound: inbound::Handle<C>,
@@ -177,13 +177,13 @@
     let handle = build(socket.local_addr()?, shared, inbound, reserve);
     let inner = Arc::clone(&handle.inner);
     tokio::spawn(async move {
-        accept_with_routes(socket, &inner).await;
+        accept_after_routes(socket, &inner).await;
         inner.advance(Stage::Closed);
     });
     Ok(handle)
 }
 
-async fn accept_with_routes<C>(socket: TcpSocket, inner: &Arc<Inner<C>>)
+async fn accept_after_routes<C>(socket: TcpSocket, inner: &Arc<Inner<C>>)
 where
     C: Clock,
 {
@@ -266,7 +266,7 @@
         self.inner.advance(Stage::LameDuck);
         let all = u32::from(self.inner.shared.settings.connections);
         let ended = async {
-            tokio::time::sleep(lame_duck(timeout)).await;
+            tokio::time::sleep(lame_duck_duration(timeout)).await;
             self.inner.advance(Stage::Closing);
             // Waiting for all permits keeps every further one from the listener.
             let mut stage = self.inner.stage.subscribe();
--- a/crates/node/src/outbound/attempt.rs
+++ b/crates/node/src/outbound/attempt.rs
@@ -12,12 +12,12 @@
 
 /// One try of a call that was sent over a link and is not over yet.
 #[derive(Debug)]
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     pub(crate) id: Id,
     /// Whether the call may run again, so that nothing need be asked after a silence.
     pub(crate) repeatable: bool,
     /// Number of the link that the request went over.
-    pub(crate) sent_over: u64,
+    pub(crate) link_number: u64,
     state: Mutex<State>,
 }
 
@@ -45,13 +45,13 @@
 
 /// What a try has come to so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Progress {
+pub(crate) struct ReceiveProgress {
     /// Whether the head of the answer has come.
-    pub(crate) head: bool,
+    pub(crate) head_received: bool,
     /// Bytes of the answer's body that have come.
     pub(crate) received: u64,
     /// Further bytes that may come.
-    pub(crate) room: usize,
+    pub(crate) window: usize,
 }
 
 impl State {
@@ -60,19 +60,19 @@
     }
 }
 
-impl Try {
+impl Attempt {
     /// Makes a try whose request has a body of which so many bytes may go unasked.
     pub(crate) fn new(
         id: Id,
         repeatable: bool,
-        sent_over: u64,
+        link_number: u64,
         link: Arc<Sender>,
         credit: usize,
     ) -> Arc<Self> {
         Arc::new(Self {
             id,
             repeatable,
-            sent_over,
+            link_number,
             state: Mutex::new(State {
                 link,
                 end: 0,
@@ -92,7 +92,7 @@
     }
 
     /// Notes where on its link the request's head ends.
-    pub(crate) fn set_end(&self, end: u64) {
+    pub(crate) fn set_head_end(&self, end: u64) {
         self.state.lock().end = end;
     }
 
@@ -106,16 +106,16 @@
     }
 
     /// Moves the try to a new link of the same peer.
-    pub(crate) fn move_to(&self, link: Arc<Sender>) -> Progress {
+    pub(crate) fn move_to(&self, link: Arc<Sender>) -> ReceiveProgress {
         let mut state = self.state.lock();
         state.link = link;
         // Only a head that was written whole is ever moved.
         state.end = 0;
         state.taken = 0;
-        Progress {
-            head: state.head_seen,
+        ReceiveProgress {
+            head_received: state.head_seen,
             received: state.received,
-            room: WINDOW - state.held(),
+            window: WINDOW - state.held(),
         }
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Takes a frame of the answer; gives false when it breaks the protocol.
-    pub(crate) fn take(&self, frame: Frame) -> bool {
+    pub(crate) fn handle_frame(&self, frame: Frame) -> bool {
         let mut state = self.state.lock();
         match frame {
             Frame::Answer(answer) => {
@@ -159,13 +159,13 @@
     }
 
     /// Tells whether nothing more can come.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         let state = self.state.lock();
         state.ended || state.refusal.is_some()
     }
 
     /// Tells whether the whole answer has been taken.
-    pub(crate) fn is_spent(&self) -> bool {
+    pub(crate) fn is_consumed(&self) -> bool {
         let state = self.state.lock();
         state.ended && state.parts.is_empty()
     }
--- a/crates/node/src/outbound/hedge.rs
+++ b/crates/node/src/outbound/hedge.rs
@@ -2,8 +2,8 @@
 
 use crate::outbound::Inner;
 use crate::outbound::plan::Plan;
+use crate::outbound::remote_attempt;
 use crate::outbound::send::{History, Tried, try_once};
-use crate::outbound::sent;
 use crate::outbound::serve::{cause_of, refused_outcome};
 use crate::outbound::service::Picked;
 use crate::outbound::survey::pick_unasked;
@@ -22,7 +22,7 @@
     C: Clock,
 {
     picked: Picked<C>,
-    body: sent::Body,
+    body: remote_attempt::RequestBody,
 }
 
 /// Tries a call for the first time; once it is late, a copy of it elsewhere as well.
@@ -33,7 +33,7 @@
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     head: &request::Parts,
-    body: sent::Body,
+    body: remote_attempt::RequestBody,
     first: Picked<C>,
     visited: &mut Visited,
     history: History,
@@ -45,8 +45,8 @@
     // Only a body that is held whole can be sent twice. A copy of a request that crashes
     // backend servers takes one more down.
     let may = plan.hedges() && body.rest.is_none() && !history.is_suspect;
-    let copy = sent::Body {
-        ready: body.ready.clone(),
+    let copy = remote_attempt::RequestBody {
+        prefix: body.prefix.clone(),
         rest: None,
     };
     let endpoint = first.endpoint.clone();
--- a/crates/node/src/outbound/keyed.rs
+++ b/crates/node/src/outbound/keyed.rs
@@ -3,10 +3,10 @@
 use crate::inbound::run::{LATE_LIMIT, Refused};
 use crate::metrics::Ending;
 use crate::outbound::Inner;
-use crate::outbound::answer::{Body, VERDICT_HEADER, tell};
 use crate::outbound::plan::{Plan, left};
+use crate::outbound::remote_attempt;
+use crate::outbound::response::{Body, VERDICT_HEADER, tell};
 use crate::outbound::send::Late;
-use crate::outbound::sent;
 use crate::outbound::serve::{Served, serve_plan};
 use crate::reserve::{Claimed, Grant};
 use bytes::{Bytes, BytesMut};
@@ -35,7 +35,7 @@
     plan: &Arc<Plan>,
     key: Key,
     head: request::Parts,
-    body: sent::Body,
+    body: remote_attempt::RequestBody,
 ) -> Served<C>
 where
     C: Clock,
@@ -95,13 +95,13 @@
     plan: &Plan,
     key: Key,
     head: &request::Parts,
-    body: sent::Body,
+    body: remote_attempt::RequestBody,
 ) -> (Served<C>, Option<Open<C>>)
 where
     C: Clock,
 {
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-    let fingerprint = Fingerprint::of(head.method.as_str(), path, &body.ready);
+    let fingerprint = Fingerprint::of(head.method.as_str(), path, &body.prefix);
     let id = inner.links.next_id();
     let limit = left(inner, plan.deadline);
     match inner.reserve.claim(key, fingerprint, id, limit).await {
@@ -116,7 +116,7 @@
     plan: &Plan,
     grant: Grant,
     head: &request::Parts,
-    body: sent::Body,
+    body: remote_attempt::RequestBody,
 ) -> (Served<C>, Option<Open<C>>)
 where
     C: Clock,
--- a/crates/node/src/outbound/link.rs
+++ b/crates/node/src/outbound/link.rs
@@ -1,9 +1,9 @@
 //! Links from the outbound proxy to the nodes of other backend servers.
 
 use crate::link::{self, Receiver, Sender, Watch};
-use crate::outbound::attempt::Try;
+use crate::outbound::attempt::Attempt;
 use crate::outbound::peer::Peer;
-use crate::outbound::settle::{Ended, settle_all, sort_out};
+use crate::outbound::resolve::{EndedLink, resolve_all, resolve_known};
 use call::{Id, Verdict};
 use parking_lot::{Mutex, RwLock};
 use smol_str::SmolStr;
@@ -43,7 +43,7 @@
     sequence: AtomicU64,
     number: AtomicU64,
     peers: RwLock<HashMap<SocketAddr, Arc<Peer>>>,
-    ended: mpsc::UnboundedSender<Ended>,
+    ended: mpsc::UnboundedSender<EndedLink>,
 }
 
 /// A link that is up.
@@ -53,7 +53,7 @@
     pub(crate) incarnation: u64,
     pub(crate) node: SmolStr,
     sender: Arc<Sender>,
-    tries: [Mutex<HashMap<u64, Arc<Try>>>; SHARDS],
+    tries: [Mutex<HashMap<u64, Arc<Attempt>>>; SHARDS],
     leaving: AtomicBool,
     look_serial: AtomicU64,
     /// Questions that are not answered yet.
@@ -84,7 +84,7 @@
 }
 
 impl Link {
-    fn shard(&self, id: Id) -> &Mutex<HashMap<u64, Arc<Try>>> {
+    fn shard(&self, id: Id) -> &Mutex<HashMap<u64, Arc<Attempt>>> {
         #[expect(
             clippy::cast_possible_truncation,
             reason = "only the low bits choose the shard"
@@ -124,16 +124,16 @@
     }
 
     /// Asks what became of a try that was sent over an earlier link to the same process.
-    pub(crate) fn ask(&self, one: &Arc<Try>) {
+    pub(crate) fn ask(&self, one: &Arc<Attempt>) {
         let id = one.id;
         self.shard(id).lock().insert(id.sequence, Arc::clone(one));
         let progress = one.move_to(Arc::clone(&self.sender));
         let question = Frame::Ask {
             id,
-            link: one.sent_over,
-            head: progress.head,
+            link: one.link_number,
+            head: progress.head_received,
             received: progress.received,
-            room: u32::try_from(progress.room).unwrap_or(u32::MAX),
+            room: u32::try_from(progress.window).unwrap_or(u32::MAX),
         };
         if self.sender.send([question]).is_err() {
             self.forget(id);
@@ -147,7 +147,7 @@
         self.sender.is_closed()
     }
 
-    fn take_all(&self) -> Vec<Arc<Try>> {
+    fn take_all(&self) -> Vec<Arc<Attempt>> {
         let shards = self.tries.iter();
         shards
             .flat_map(|shard| std::mem::take(&mut *shard.lock()).into_values())
@@ -179,10 +179,10 @@
         let Some(found) = self.shard(id).lock().get(&id.sequence).map(Arc::clone) else {
             return ControlFlow::Continue(());
         };
-        if !found.take(frame) {
+        if !found.handle_frame(frame) {
             return ControlFlow::Break(());
         }
-        if found.is_over() {
+        if found.is_finished() {
             self.forget(id);
             let mut done = self.done.lock();
             if done.len() < MAX_DONE {
@@ -203,7 +203,7 @@
             peers: RwLock::default(),
             ended,
         });
-        tokio::spawn(settle_all(Arc::downgrade(&links), receiver));
+        tokio::spawn(resolve_all(Arc::downgrade(&links), receiver));
         links
     }
 
@@ -314,7 +314,7 @@
         repeatable: bool,
         credit: usize,
         make: F,
-    ) -> Result<Arc<Try>, link::Error>
+    ) -> Result<Arc<Attempt>, link::Error>
     where
         F: FnOnce(Id) -> (Request, Option<Frame>),
     {
@@ -324,7 +324,7 @@
             // order of their numbers, by which the inbound proxy can tell
             // those that it never got from those that it has forgotten.
             let id = self.next_id();
-            let one = Try::new(
+            let one = Attempt::new(
                 id,
                 repeatable,
                 link.number,
@@ -344,7 +344,7 @@
         match (result, kept) {
             (Ok(end), Some(one)) => {
                 link.sender.expect_answer();
-                one.set_end(end);
+                one.set_head_end(end);
                 Ok(one)
             }
             (Err(error), kept) => {
@@ -363,7 +363,7 @@
     peer: Arc<Peer>,
     link: Arc<Link>,
     receiver: Receiver,
-    ended: mpsc::UnboundedSender<Ended>,
+    ended: mpsc::UnboundedSender<EndedLink>,
 ) {
     let watch = || {
         if link.is_idle() {
@@ -375,14 +375,14 @@
     receiver.run(|frame| link.take(frame), watch).await;
     // Whoever waits for an outlook goes on without it.
     link.looks.lock().clear();
-    let open = sort_out(link.take_all());
-    if !open.is_empty() {
+    let unresolved = resolve_known(link.take_all());
+    if !unresolved.is_empty() {
         let incarnation = link.incarnation;
         // When the proxy is gone, so are those who wait.
-        drop(ended.send(Ended {
+        drop(ended.send(EndedLink {
             peer,
             incarnation,
-            open,
+            unresolved,
         }));
     }
 }
--- a/crates/node/src/outbound/plan.rs
+++ b/crates/node/src/outbound/plan.rs
@@ -1,7 +1,7 @@
 //! What is known of a call before it is tried.
 
 use crate::inbound::run::TIMEOUT_HEADER;
-use crate::outbound::sent;
+use crate::outbound::remote_attempt;
 use crate::outbound::service::{Origin, Service, Weight};
 use crate::outbound::{Inner, pick_target};
 use bytes::{Bytes, BytesMut};
@@ -177,9 +177,13 @@
 }
 
 /// Names a request through all its repeats, by its head and the start of its body.
-pub(crate) fn digest_of(plan: &Plan, head: &request::Parts, body: &sent::Body) -> Digest {
+pub(crate) fn digest_of(
+    plan: &Plan,
+    head: &request::Parts,
+    body: &remote_attempt::RequestBody,
+) -> Digest {
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-    Digest::of(head.method.as_str(), &plan.host, path, &body.ready)
+    Digest::of(head.method.as_str(), &plan.host, path, &body.prefix)
 }
 
 /// Tells whether a call may run more than once; one that nothing is said of may if its method is safe (RFC 9110).
@@ -230,12 +234,14 @@
 ///
 /// So a call with a short body can be tried again, and one whose caller dies
 /// half way never reaches a backend server.
-pub(crate) async fn take_body(mut body: Incoming) -> Result<sent::Body, hyper::Error> {
+pub(crate) async fn take_body(
+    mut body: Incoming,
+) -> Result<remote_attempt::RequestBody, hyper::Error> {
     let mut ready = Bytes::new();
     while !body.is_end_stream() {
         if ready.len() >= WINDOW {
-            return Ok(sent::Body {
-                ready,
+            return Ok(remote_attempt::RequestBody {
+                prefix: ready,
                 rest: Some(body),
             });
         }
@@ -244,7 +250,10 @@
         };
         ready = join(ready, frame?.into_data().unwrap_or_default());
     }
-    Ok(sent::Body { ready, rest: None })
+    Ok(remote_attempt::RequestBody {
+        prefix: ready,
+        rest: None,
+    })
 }
 
 fn join(first: Bytes, second: Bytes) -> Bytes {
--- a/crates/node/src/outbound/sent.rs
+++ b/crates/node/src/outbound/remote_attempt.rs
@@ -1,7 +1,7 @@
 //! A try that was sent, and the caller's body that follows it.
 
 use crate::inbound::outgoing::PART;
-use crate::outbound::attempt::Try;
+use crate::outbound::attempt::Attempt;
 use crate::outbound::link::Link;
 use bytes::Bytes;
 use call::Verdict;
@@ -14,11 +14,11 @@
 
 /// A try that was sent; dropping it tells the inbound proxy that nobody waits any more.
 #[derive(Debug)]
-pub(crate) struct Sent {
-    one: Arc<Try>,
+pub(crate) struct RemoteAttempt {
+    one: Arc<Attempt>,
     link: Arc<Link>,
     /// What is left of the caller's body.
-    pub(crate) body: Body,
+    pub(crate) body: RequestBody,
     /// Whether some of the body's rest is used up, so that it can't be sent again.
     pub(crate) used: bool,
     /// Whether the request has gone out to its end.
@@ -27,30 +27,35 @@
 
 /// A request's body, of which the start is held so that another try can send it again.
 #[derive(Debug, Default)]
-pub(crate) struct Body {
+pub(crate) struct RequestBody {
     /// The start.
-    pub(crate) ready: Bytes,
+    pub(crate) prefix: Bytes,
     /// Where the rest comes from, if there is any.
     pub(crate) rest: Option<Incoming>,
 }
 
-impl Body {
+impl RequestBody {
     /// Gives its length, as far as it is known: all of it, or what is held.
     pub(crate) fn length(&self) -> u64 {
         let rest = self
             .rest
             .as_ref()
             .map_or(0, |rest| rest.size_hint().lower());
-        self.ready.len() as u64 + rest
+        self.prefix.len() as u64 + rest
     }
 }
 
-impl Sent {
-    /// Follows a try whose request went out with the first `gone` bytes of `body.ready`.
-    pub(crate) fn new(one: Arc<Try>, link: Arc<Link>, mut body: Body, gone: usize) -> Self {
-        body.ready = body.ready.split_off(gone);
+impl RemoteAttempt {
+    /// Follows a try whose request went out with the first `gone` bytes of `body.prefix`.
+    pub(crate) fn new(
+        one: Arc<Attempt>,
+        link: Arc<Link>,
+        mut body: RequestBody,
+        gone: usize,
+    ) -> Self {
+        body.prefix = body.prefix.split_off(gone);
         one.use_credit(gone);
-        let done = body.ready.is_empty() && body.rest.is_none();
+        let done = body.prefix.is_empty() && body.rest.is_none();
         Self {
             one,
             link,
@@ -61,9 +66,9 @@
     }
 
     /// Gives the body back for another try, from its start `ready` on, if none of its rest is used up.
-    pub(crate) fn take_back(&mut self, ready: Bytes) -> Option<Body> {
-        (!self.used).then(|| Body {
-            ready,
+    pub(crate) fn take_back(&mut self, ready: Bytes) -> Option<RequestBody> {
+        (!self.used).then(|| RequestBody {
+            prefix: ready,
             rest: self.body.rest.take(),
         })
     }
@@ -85,12 +90,12 @@
 
     /// Tells whether the answer has ended.
     pub(crate) fn is_end(&self) -> bool {
-        self.one.is_spent()
+        self.one.is_consumed()
     }
 
     fn send_on(&mut self, cx: &mut Context<'_>) {
         while !self.done {
-            if self.body.ready.is_empty() && self.body.rest.is_some() {
+            if self.body.prefix.is_empty() && self.body.rest.is_some() {
                 if !self.poll_rest(cx) {
                     return;
                 }
@@ -98,7 +103,7 @@
             }
             let mut room = 0;
             // The end alone needs no room.
-            if !self.body.ready.is_empty() {
+            if !self.body.prefix.is_empty() {
                 match self.one.poll_credit(cx) {
                     Poll::Ready(Some(credit)) => room = credit.min(PART),
                     Poll::Ready(None) => self.done = true,
@@ -112,9 +117,9 @@
     }
 
     fn send_part(&mut self, room: usize) {
-        let length = self.body.ready.len().min(room);
-        let part = self.body.ready.split_to(length);
-        self.done = self.body.ready.is_empty() && self.body.rest.is_none();
+        let length = self.body.prefix.len().min(room);
+        let part = self.body.prefix.split_to(length);
+        self.done = self.body.prefix.is_empty() && self.body.rest.is_none();
         self.one.send_part(part, self.done);
     }
 
@@ -129,7 +134,7 @@
         self.used = true;
         let ended = next.is_none() || rest.is_end_stream();
         match next {
-            Some(Ok(frame)) => self.body.ready = frame.into_data().unwrap_or_default(),
+            Some(Ok(frame)) => self.body.prefix = frame.into_data().unwrap_or_default(),
             // Half a body must not pass for the whole: no end is sent.
             Some(Err(_)) => {
                 self.done = true;
@@ -145,7 +150,7 @@
     }
 }
 
-impl Drop for Sent {
+impl Drop for RemoteAttempt {
     fn drop(&mut self) {
         self.one.abandon();
         self.link.forget(self.one.id);
--- a/crates/node/src/outbound/settle.rs
+++ b/crates/node/src/outbound/resolve.rs
@@ -1,6 +1,6 @@
 //! What became of the tries of a link that ended.
 
-use crate::outbound::attempt::Try;
+use crate::outbound::attempt::Attempt;
 use crate::outbound::link::Links;
 use crate::outbound::peer::Peer;
 use call::Verdict;
@@ -18,35 +18,35 @@
 
 /// A link that ended, with the tries whose outcome must be asked for.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct EndedLink {
     pub(crate) peer: Arc<Peer>,
     pub(crate) incarnation: u64,
-    pub(crate) open: Vec<Arc<Try>>,
+    pub(crate) unresolved: Vec<Arc<Attempt>>,
 }
 
 /// Settles the tries of each link that ends.
-pub(crate) async fn settle_all(links: Weak<Links>, mut ended: mpsc::UnboundedReceiver<Ended>) {
+pub(crate) async fn resolve_all(links: Weak<Links>, mut ended: mpsc::UnboundedReceiver<EndedLink>) {
     while let Some(one) = ended.recv().await {
         let Some(links) = links.upgrade() else {
             return;
         };
-        tokio::spawn(settle(links, one));
+        tokio::spawn(resolve(links, one));
     }
 }
 
 /// Ends the tries whose outcome needs no asking and gives the others.
-pub(crate) fn sort_out(tries: Vec<Arc<Try>>) -> Vec<Arc<Try>> {
-    let mut open = Vec::new();
+pub(crate) fn resolve_known(tries: Vec<Arc<Attempt>>) -> Vec<Arc<Attempt>> {
+    let mut unresolved = Vec::new();
     for one in tries {
         if !one.was_written() {
             one.fail(Verdict::NotRun, Reason::Backend);
         } else if one.repeatable {
             one.fail(Verdict::MayHaveRun, Reason::Backend);
         } else {
-            open.push(one);
+            unresolved.push(one);
         }
     }
-    open
+    unresolved
 }
 
 /// Asks the peer, over a new link, what became of the tries of one that ended.
@@ -54,21 +54,21 @@
 /// A link that goes silent may have delivered its requests or lost them. The
 /// peer's table of calls knows, but only in the process that got them: after
 /// a restart nobody can say that a call has not run.
-async fn settle(links: Arc<Links>, ended: Ended) {
-    let Ended {
+async fn resolve(links: Arc<Links>, ended: EndedLink) {
+    let EndedLink {
         peer,
         incarnation,
-        mut open,
+        mut unresolved,
     } = ended;
     let mut pause = FIRST_PAUSE;
     loop {
-        open.retain(|one| !one.is_abandoned());
-        if open.is_empty() {
+        unresolved.retain(|one| !one.is_abandoned());
+        if unresolved.is_empty() {
             return;
         }
         match links.connect(&peer).await {
             Ok(link) if link.incarnation == incarnation => {
-                for one in &open {
+                for one in &unresolved {
                     link.ask(one);
                 }
                 return;
@@ -80,7 +80,7 @@
         tokio::time::sleep(pause).await;
         pause = (pause * 2).min(LONGEST_PAUSE);
     }
-    for one in open {
+    for one in unresolved {
         one.fail(Verdict::MayHaveRun, Reason::Backend);
     }
 }
--- a/crates/node/src/outbound/answer.rs
+++ b/crates/node/src/outbound/response.rs
@@ -3,7 +3,7 @@
 use crate::backend;
 use crate::inbound::run::{Refused, Running};
 use crate::millis::whole_ms;
-use crate::outbound::sent::Sent;
+use crate::outbound::remote_attempt::RemoteAttempt;
 use bytes::Bytes;
 use call::Verdict;
 use clock::Clock;
@@ -55,7 +55,7 @@
 
 /// The body of an answer that comes over a link.
 #[derive(Debug)]
-pub struct Remote(pub(crate) Sent);
+pub struct Remote(pub(crate) RemoteAttempt);
 
 /// The body of an answer from the backend server on the same VM.
 #[derive(Debug)]
@@ -140,7 +140,7 @@
         (Verdict::NotRun, 0) => draw_wait(),
         (_, wait) => wait,
     };
-    tell(status, refused.verdict, name_of(refused.reason), wait)
+    tell(status, refused.verdict, reason_name(refused.reason), wait)
 }
 
 /// Draws a wait, so that those who were refused together don't come back together.
@@ -190,7 +190,7 @@
     response
 }
 
-pub(crate) fn name_of(reason: Reason) -> &'static str {
+pub(crate) fn reason_name(reason: Reason) -> &'static str {
     match reason {
         Reason::Leaving => "leaving",
         Reason::Full => "full",
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -5,9 +5,9 @@
 use crate::link;
 use crate::millis::whole_ms;
 use crate::outbound::Inner;
-use crate::outbound::answer::{Body, Local, Remote, VERDICT_HEADER};
 use crate::outbound::plan::{Plan, left};
-use crate::outbound::sent::{self, Sent};
+use crate::outbound::remote_attempt::{self, RemoteAttempt};
+use crate::outbound::response::{Body, Local, Remote, VERDICT_HEADER};
 use crate::upload::{Rest, Upload};
 use bytes::Bytes;
 use call::{Id, Verdict};
@@ -47,7 +47,7 @@
 {
     Answered(Response<Body<C>>, Option<LoadReport>),
     /// No answer; the body is given back when it can be sent again.
-    Refused(Refused, Option<sent::Body>),
+    Refused(Refused, Option<remote_attempt::RequestBody>),
     /// Nothing by the deadline; what was sent may still come to something.
     Late(Late<C>),
 }
@@ -58,7 +58,7 @@
 where
     C: Clock,
 {
-    Remote(Sent),
+    Remote(RemoteAttempt),
     Local(oneshot::Receiver<Result<Response<Running<C>>, Refused>>),
 }
 
@@ -97,7 +97,7 @@
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     head: &request::Parts,
-    body: sent::Body,
+    body: remote_attempt::RequestBody,
     endpoint: &Endpoint,
     history: History,
 ) -> Tried<C>
@@ -116,15 +116,15 @@
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     mut request: wire::call::Request,
-    body: sent::Body,
+    body: remote_attempt::RequestBody,
 ) -> Tried<C>
 where
     C: Clock,
 {
-    let kept = body.ready.clone();
+    let kept = body.prefix.clone();
     let whole = body.rest.is_none();
     let upload = Upload {
-        ready: (!body.ready.is_empty()).then_some(body.ready),
+        ready: (!body.prefix.is_empty()).then_some(body.prefix),
         rest: body.rest.map_or(Rest::Done, Rest::Caller),
     };
     let id = inner.links.next_id();
@@ -140,8 +140,8 @@
         let call = inner.inbound.call_local(request, upload, plan.deadline);
         call.await
     };
-    let back = whole.then_some(sent::Body {
-        ready: kept,
+    let back = whole.then_some(remote_attempt::RequestBody {
+        prefix: kept,
         rest: None,
     });
     match ended {
@@ -176,7 +176,7 @@
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     mut request: wire::call::Request,
-    body: sent::Body,
+    body: remote_attempt::RequestBody,
     endpoint: &Endpoint,
 ) -> Tried<C>
 where
@@ -193,7 +193,7 @@
             return Tried::Refused(Refused::not_run(Reason::Unreached, 0), Some(body));
         }
     };
-    let kept = body.ready.clone();
+    let kept = body.prefix.clone();
     let length = body.length();
     let credit = if length > EAGER as u64 { 0 } else { EAGER };
     let first = kept.slice(..kept.len().min(credit));
@@ -218,7 +218,7 @@
             return Tried::Refused(Refused::not_run(Reason::Backend, 0), Some(body));
         }
     };
-    let mut sent = Sent::new(one, link, body, first.len());
+    let mut sent = RemoteAttempt::new(one, link, body, first.len());
     let waiting = poll_fn(|cx| sent.poll_head(cx));
     match tokio::time::timeout(left(inner, plan.deadline), waiting).await {
         Ok(Ok(answer)) => {
@@ -245,7 +245,7 @@
     head
 }
 
-fn respond_remote<C>(head: Response<()>, sent: Sent) -> Response<Body<C>>
+fn respond_remote<C>(head: Response<()>, sent: RemoteAttempt) -> Response<Body<C>>
 where
     C: Clock,
 {
--- a/crates/node/src/outbound/serve.rs
+++ b/crates/node/src/outbound/serve.rs
@@ -3,12 +3,12 @@
 use crate::inbound::run::Refused;
 use crate::metrics::Ending;
 use crate::outbound::Inner;
-use crate::outbound::answer::{Body, refuse, reject};
 use crate::outbound::hedge::try_first;
 use crate::outbound::keyed::serve_keyed;
 use crate::outbound::plan::{Plan, digest_of, host_of, left, make_plan, take_body};
+use crate::outbound::remote_attempt;
+use crate::outbound::response::{Body, refuse, reject};
 use crate::outbound::send::{History, Late, Tried, try_once};
-use crate::outbound::sent;
 use crate::outbound::service::{Picked, Weight};
 use crate::outbound::survey::{pick, pick_owner, pick_trial};
 use crate::outbound::tell::{Answered, tell_answer, tell_end, tell_try, tell_unrouted};
@@ -168,7 +168,7 @@
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     head: &request::Parts,
-    mut body: sent::Body,
+    mut body: remote_attempt::RequestBody,
 ) -> Served<C>
 where
     C: Clock,
--- a/crates/node/src/outbound/tell.rs
+++ b/crates/node/src/outbound/tell.rs
@@ -2,8 +2,8 @@
 
 use crate::inbound::run::Refused;
 use crate::outbound::Inner;
-use crate::outbound::answer::name_of;
 use crate::outbound::plan::{Plan, host_of, left, name_call};
+use crate::outbound::response::reason_name;
 use clock::Clock;
 use http::{StatusCode, request};
 use log::info;
@@ -15,7 +15,7 @@
     C: Clock,
 {
     let shared = &inner.shared;
-    shared.metrics.causes.count_try(name_of(refused.reason));
+    shared.metrics.causes.count_try(reason_name(refused.reason));
     let now = shared.clock.now();
     let Some(left_out) = shared.lines.tries.take(shared.metrics.counted(now)) else {
         return;
@@ -27,7 +27,7 @@
         node,
         attempt = tries,
         verdict = refused.verdict.as_str(),
-        reason = name_of(refused.reason),
+        reason = reason_name(refused.reason),
         left_ms = left(inner, plan.deadline).as_millis(),
         left_out;
         "try_refused"
@@ -56,7 +56,7 @@
         version = shared.view.load().version().0,
         tries,
         verdict = refused.verdict.as_str(),
-        reason = name_of(refused.reason),
+        reason = reason_name(refused.reason),
         retry_after_ms = refused.retry_after_ms,
         took_ms = now.saturating_duration_since(started).as_millis(),
         left_ms = left(inner, plan.deadline).as_millis(),
--- a/crates/node/tests/calls/forward.rs
+++ b/crates/node/tests/calls/forward.rs
@@ -72,7 +72,7 @@
     }
 
     /// Sends new connections to another target.
-    pub fn aim(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock().unwrap() = target;
     }
 
--- a/crates/node/tests/calls/keyed.rs
+++ b/crates/node/tests/calls/keyed.rs
@@ -210,7 +210,7 @@
     let address = mesh.one.outbound.address();
     let first = tokio::spawn(async move { book(address, "k1", "r1", "3000").await });
     wait_recorded(&mesh.record, |entry| entry.request == "r1").await;
-    forwarder.aim(spawn_node("far").await.nodes);
+    forwarder.set_target(spawn_node("far").await.nodes);
     forwarder.set(Mode::Drop, Mode::Drop);
     assert_eq!(first.await.unwrap().verdict(), "may-have-run");
     let again = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
--- a/crates/node/tests/calls/silence.rs
+++ b/crates/node/tests/calls/silence.rs
@@ -145,7 +145,7 @@
     let booking = tokio::spawn(async move { post(address, "r1", "3000").await });
     wait_recorded(&pair.record, |entry| entry.request == "r1").await;
     let restarted = spawn_node("far").await;
-    pair.forwarder.aim(restarted.nodes);
+    pair.forwarder.set_target(restarted.nodes);
     pair.forwarder.set(Mode::Drop, Mode::Drop);
     let started = Instant::now();
     let answer = booking.await.unwrap();
