--- a/crates/node/benches/reserve.rs
+++ b/crates/node/benches/reserve.rs
@@ -9,7 +9,7 @@
 use call::reserve::{Claim, Entry, Fingerprint, Holder, Key, KeyTable, MAX_KEYS};
 use clock::System;
 use config::{Endpoint, Mesh, Service, State, Version, View};
-use node::nodes::write_hello;
+use node::nodes::make_hello;
 use node::reserve::{Claimed, Handle};
 use node::shared::Shared;
 use platform::Client;
@@ -172,7 +172,7 @@
 async fn accept(listener: TcpListener, shared: Arc<Shared<System>>, reserve: Handle<System>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         stream.set_nodelay(true).expect("an open socket");
-        let hello = write_hello(&shared, Link::Reserve);
+        let hello = make_hello(&shared, Link::Reserve);
         if codec::read_hello(&mut stream).await.is_ok()
             && codec::write(&mut stream, &hello).await.is_ok()
         {
--- a/crates/node/src/control/link.rs
+++ b/crates/node/src/control/link.rs
@@ -1,7 +1,7 @@
 //! The socket side of control links: connecting, reading and writing.
 
 use crate::control::tree::Input;
-use crate::nodes::write_hello;
+use crate::nodes::make_hello;
 use crate::shared::Shared;
 use clock::Clock;
 use fleet::{LinkKey, Peer};
@@ -66,7 +66,7 @@
 {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    codec::write(&mut stream, &write_hello(shared, Link::Control)).await?;
+    codec::write(&mut stream, &make_hello(shared, Link::Control)).await?;
     let Hello { node, zone, .. } = codec::read_hello(&mut stream).await?;
     let peer = Peer {
         node,
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -76,7 +76,7 @@
                 leaving.mark_unchanged();
                 tree.announce(&mut backend);
             },
-            crashes = shared.quarantine.news() => tree.handle(Event::LocalCrashes(crashes)),
+            crashes = shared.quarantine.next_updates() => tree.handle(Event::LocalCrashes(crashes)),
             () = tokio::time::sleep(wait) => tree.wake(),
         }
         tree.tell();
@@ -236,7 +236,7 @@
                 let shared = &self.shared;
                 shared
                     .quarantine
-                    .take(&shared.clock, &shared.metrics, &list);
+                    .merge(&shared.clock, &shared.metrics, &list);
             }
             Action::ApplyRollouts(list) => self.shared.rollouts.set(list),
             Action::WriteRollout(rollout) => drop(self.orders.send(Order::Report(rollout))),
--- a/crates/node/src/inbound.rs
+++ b/crates/node/src/inbound.rs
@@ -215,7 +215,7 @@
     async fn flush(&self) {
         let links = self.inner.links.lock().clone();
         for sender in links.iter().filter_map(Weak::upgrade) {
-            sender.flushed().await;
+            sender.wait_flushed().await;
         }
     }
 }
--- a/crates/node/src/inbound/crash.rs
+++ b/crates/node/src/inbound/crash.rs
@@ -109,7 +109,7 @@
     C: Clock,
 {
     let shared = &inner.shared;
-    match shared.quarantine.judge(shared.clock.now(), request.digest) {
+    match shared.quarantine.status(shared.clock.now(), request.digest) {
         RequestStatus::Clear => Ok(false),
         RequestStatus::Suspect => Ok(true),
         RequestStatus::Held { wait } => Err(Refused::held(wait)),
@@ -191,7 +191,7 @@
         if self.outcome == Outcome::Answered {
             shared
                 .quarantine
-                .answer(&shared.clock, &shared.metrics, self.request);
+                .record_answer(&shared.clock, &shared.metrics, self.request);
         }
     }
 }
@@ -262,7 +262,7 @@
     let crashes = crashes.collect();
     shared
         .quarantine
-        .report(&shared.clock, &shared.metrics, crashes);
+        .report_crashes(&shared.clock, &shared.metrics, crashes);
 }
 
 /// Names the end of a process, the same each time that it is found.
--- a/crates/node/src/inbound/link.rs
+++ b/crates/node/src/inbound/link.rs
@@ -3,7 +3,7 @@
 use crate::inbound::Inner;
 use crate::inbound::entry::Call;
 use crate::inbound::{look, run};
-use crate::link::{Receiver, Sender, Watch};
+use crate::link::{Expected, Receiver, Sender};
 use call::{Arrival, Id, Outcome, Verdict};
 use clock::Clock;
 use parking_lot::Mutex;
@@ -30,9 +30,9 @@
     };
     let watch = || {
         if uploads.lock().iter().any(|upload| upload.wants_more()) {
-            Watch::Body
+            Expected::Body
         } else {
-            Watch::Idle
+            Expected::Nothing
         }
     };
     receiver.run(|frame| reader.take(frame), watch).await;
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -69,16 +69,16 @@
 
 /// What a link's reader may expect of its peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Watch {
+pub enum Expected {
     /// Answers are due: the peer is pinged, and given up when it stays silent.
-    Due,
+    Answer,
     /// A body is due that a call waits for: the peer is pinged, and given up later.
     ///
     /// Guards against a VM without power in the midst of a body: its connection never
     /// ends, and a backend server waited with a slot for the rest of it.
     Body,
     /// Nothing is due; the link is closed when nothing has come for long.
-    Idle,
+    Nothing,
 }
 
 quick_error! {
@@ -262,7 +262,7 @@
     }
 
     /// Waits until the socket has taken all that was sent, or the link is closed.
-    pub async fn flushed(&self) {
+    pub async fn wait_flushed(&self) {
         while let Some(socket) = self.find_unflushed() {
             if socket.writable().await.is_err() {
                 return;
@@ -280,7 +280,7 @@
 
     /// Gives the bytes that the socket has taken; none follow once the link is closed.
     #[must_use]
-    pub fn written(&self) -> u64 {
+    pub fn bytes_written(&self) -> u64 {
         self.outbox.lock().written
     }
 }
@@ -347,12 +347,12 @@
     pub async fn run<T, W>(self, mut take: T, watch: W)
     where
         T: FnMut(Frame) -> ControlFlow<()>,
-        W: Fn() -> Watch,
+        W: Fn() -> Expected,
     {
         let mut buffer = BytesMut::new();
         let mut tick = pin!(sleep(TICK));
         let mut silent = 0;
-        let mut watched = Watch::Idle;
+        let mut watched = Expected::Nothing;
         loop {
             tokio::select! {
                 biased;
@@ -365,7 +365,7 @@
                         }
                         _ => break,
                     }
-                    if watched == Watch::Idle && watch() != Watch::Idle {
+                    if watched == Expected::Nothing && watch() != Expected::Nothing {
                         self.sender.expect_answer();
                     }
                 }
@@ -382,7 +382,7 @@
                     if self.check_progress(silent, now).is_break() {
                         break;
                     }
-                    let pause = if now == Watch::Idle { IDLE_TICK } else { TICK };
+                    let pause = if now == Expected::Nothing { IDLE_TICK } else { TICK };
                     tick.as_mut().reset(Instant::now() + pause);
                 }
             }
@@ -391,14 +391,14 @@
     }
 
     /// Gives what the link is watched for now; with nothing due, the reader rests.
-    fn look<W>(&self, watch: &W) -> Watch
+    fn look<W>(&self, watch: &W) -> Expected
     where
-        W: Fn() -> Watch,
+        W: Fn() -> Expected,
     {
         // Set first: whoever makes something due after the look wakes the reader.
         self.sender.resting.store(true, Ordering::Release);
         let now = watch();
-        if now != Watch::Idle {
+        if now != Expected::Nothing {
             self.sender.resting.store(false, Ordering::Release);
         }
         now
@@ -431,21 +431,23 @@
     ///
     /// A connection that something on the way has lost track of takes writes
     /// for minutes and never fails; only the missing answers show it.
-    fn check_progress(&self, silent: u32, watch: Watch) -> ControlFlow<()> {
+    fn check_progress(&self, silent: u32, watch: Expected) -> ControlFlow<()> {
         match watch {
-            Watch::Due if silent > SILENT_TICKS => {
+            Expected::Answer if silent > SILENT_TICKS => {
                 log::warn!("link_silent");
                 ControlFlow::Break(())
             }
-            Watch::Body if silent > BODY_TICKS => {
+            Expected::Body if silent > BODY_TICKS => {
                 log::warn!("link_silent");
                 ControlFlow::Break(())
             }
-            Watch::Due | Watch::Body if silent > 1 && self.sender.send([Frame::Ping]).is_err() => {
+            Expected::Answer | Expected::Body
+                if silent > 1 && self.sender.send([Frame::Ping]).is_err() =>
+            {
                 ControlFlow::Break(())
             }
-            Watch::Idle if silent > IDLE_TICKS => ControlFlow::Break(()),
-            Watch::Due | Watch::Body | Watch::Idle => ControlFlow::Continue(()),
+            Expected::Nothing if silent > IDLE_TICKS => ControlFlow::Break(()),
+            Expected::Answer | Expected::Body | Expected::Nothing => ControlFlow::Continue(()),
         }
     }
 
--- a/crates/node/src/nodes.rs
+++ b/crates/node/src/nodes.rs
@@ -42,7 +42,7 @@
 
 /// Gives what this node says of itself on a link.
 #[must_use]
-pub fn write_hello<C>(shared: &Shared<C>, link: Link) -> Hello
+pub fn make_hello<C>(shared: &Shared<C>, link: Link) -> Hello
 where
     C: Clock,
 {
@@ -134,6 +134,6 @@
     C: Clock,
 {
     let theirs = codec::read_hello(stream).await?;
-    codec::write(stream, &write_hello(shared, theirs.link)).await?;
+    codec::write(stream, &make_hello(shared, theirs.link)).await?;
     Ok(theirs)
 }
--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -5,6 +5,7 @@
 pub(crate) mod keyed;
 pub(crate) mod link;
 pub(crate) mod peer;
+pub(crate) mod pick;
 pub(crate) mod plan;
 pub(crate) mod remote_attempt;
 pub(crate) mod resolve;
@@ -12,15 +13,14 @@
 pub(crate) mod send;
 pub(crate) mod serve;
 pub(crate) mod service;
-pub(crate) mod survey;
 pub(crate) mod tell;
-pub(crate) mod visited;
+pub(crate) mod tried;
 
 use crate::inbound;
 use crate::listener::Ended;
-use crate::outbound::link::Links;
+use crate::outbound::link::LinkPool;
 use crate::outbound::response::{Body, RETRY_AFTER_HEADER};
-use crate::outbound::service::{Place, Services};
+use crate::outbound::service::{Locality, ServiceClients};
 use crate::reserve;
 use crate::shared::{Counted, Shared};
 use clock::Clock;
@@ -99,9 +99,9 @@
 {
     pub(crate) shared: Arc<Shared<C>>,
     pub(crate) inbound: inbound::Handle<C>,
-    pub(crate) links: Arc<Links>,
-    pub(crate) services: Services,
-    pub(crate) place: Place,
+    pub(crate) links: Arc<LinkPool>,
+    pub(crate) services: ServiceClients,
+    pub(crate) locality: Locality,
     pub(crate) reserve: reserve::Handle<C>,
     connections: Arc<Semaphore>,
     /// A permit is out for each keyed call that runs, be its caller there or not.
@@ -231,18 +231,18 @@
         zone: shared.settings.zone.clone(),
         link: Link::Call,
     };
-    let place = Place {
+    let locality = Locality {
         node: shared.settings.name.clone(),
         zone: shared.settings.zone.clone(),
         region: shared.settings.region.clone(),
     };
-    let services = Services::new(&shared.settings);
+    let services = ServiceClients::new(&shared.settings);
     let inner = Arc::new(Inner {
         shared,
         services,
-        place,
+        locality,
         inbound,
-        links: Links::spawn(hello),
+        links: LinkPool::spawn(hello),
         reserve,
         connections: Arc::new(Semaphore::new(connections)),
         keyed: Arc::new(Semaphore::new(connections)),
--- a/crates/node/src/outbound/attempt.rs
+++ b/crates/node/src/outbound/attempt.rs
@@ -102,7 +102,7 @@
     /// before its link closed has surely not arrived.
     pub(crate) fn was_written(&self) -> bool {
         let state = self.state.lock();
-        state.link.written() >= state.end
+        state.link.bytes_written() >= state.end
     }
 
     /// Moves the try to a new link of the same peer.
--- a/crates/node/src/outbound/hedge.rs
+++ b/crates/node/src/outbound/hedge.rs
@@ -1,13 +1,13 @@
 //! A second copy of a call whose first try is late: runs `policy::hedge`.
 
 use crate::outbound::Inner;
+use crate::outbound::pick::pick_without_probes;
 use crate::outbound::plan::Plan;
 use crate::outbound::remote_attempt;
 use crate::outbound::send::{History, Tried, try_once};
 use crate::outbound::serve::{cause_of, refused_outcome};
-use crate::outbound::service::Picked;
-use crate::outbound::survey::pick_unasked;
-use crate::outbound::visited::Visited;
+use crate::outbound::service::PickedEndpoint;
+use crate::outbound::tried::TriedEndpoints;
 use call::Verdict;
 use clock::Clock;
 use http::request;
@@ -21,7 +21,7 @@
 where
     C: Clock,
 {
-    picked: Picked<C>,
+    picked: PickedEndpoint<C>,
     body: remote_attempt::RequestBody,
 }
 
@@ -34,24 +34,24 @@
     plan: &Plan,
     head: &request::Parts,
     body: remote_attempt::RequestBody,
-    first: Picked<C>,
-    visited: &mut Visited,
+    first: PickedEndpoint<C>,
+    visited: &mut TriedEndpoints,
     history: History,
-) -> (Tried<C>, Picked<C>)
+) -> (Tried<C>, PickedEndpoint<C>)
 where
     C: Clock,
 {
     let started = first.started;
     // Only a body that is held whole can be sent twice. A copy of a request that crashes
     // backend servers takes one more down.
-    let may = plan.hedges() && body.rest.is_none() && !history.is_suspect;
+    let may = plan.may_hedge() && body.rest.is_none() && !history.is_suspect;
     let copy = remote_attempt::RequestBody {
         prefix: body.prefix.clone(),
         rest: None,
     };
     let endpoint = first.endpoint.clone();
     let mut one = pin!(try_once(inner, plan, head, body, &endpoint, history));
-    if let Some(wait) = plan.known.hedge_wait(started, may) {
+    if let Some(wait) = plan.client.hedge_delay(started, may) {
         match tokio::time::timeout(wait, one.as_mut()).await {
             Ok(result) => return (note(inner, plan, started, result), first),
             Err(_late) => {
@@ -72,10 +72,10 @@
     plan: &Plan,
     head: &request::Parts,
     mut one: Pin<&mut F>,
-    mut first: Picked<C>,
+    mut first: PickedEndpoint<C>,
     second: Second<C>,
-    visited: &mut Visited,
-) -> (Tried<C>, Picked<C>)
+    visited: &mut TriedEndpoints,
+) -> (Tried<C>, PickedEndpoint<C>)
 where
     C: Clock,
     F: Future<Output = Tried<C>>,
@@ -95,7 +95,7 @@
         result = one.as_mut() => {
             let result = note(inner, plan, started, result);
             if matches!(result, Tried::Answered(..)) {
-                plan.known.settle_hedge(false);
+                plan.client.record_hedge_result(false);
                 return (result, first);
             }
             first.outcome = outcome_of(&result);
@@ -103,14 +103,14 @@
         }
         result = two.as_mut() => {
             if matches!(result, Tried::Answered(..)) {
-                plan.known.settle_hedge(true);
-                plan.known.see_first(elapsed(inner, started));
+                plan.client.record_hedge_result(true);
+                plan.client.record_first_latency(elapsed(inner, started));
                 first.outcome = Outcome::HedgeWon;
                 return (result, second);
             }
             second.outcome = outcome_of(&result);
             if second.outcome == Outcome::Full {
-                visited.note_full(second.key);
+                visited.mark_full(second.key);
             }
             drop(second);
             let last = note(inner, plan, started, one.await);
@@ -148,12 +148,16 @@
     }
 }
 
-fn pick_copy<C>(inner: &Arc<Inner<C>>, plan: &Plan, visited: &mut Visited) -> Option<Picked<C>>
+fn pick_copy<C>(
+    inner: &Arc<Inner<C>>,
+    plan: &Plan,
+    visited: &mut TriedEndpoints,
+) -> Option<PickedEndpoint<C>>
 where
     C: Clock,
 {
-    let second = pick_unasked(inner, plan, visited.all(), &[])?;
-    if !plan.known.spend(inner.shared.clock.now()) {
+    let second = pick_without_probes(inner, plan, visited.keys(), &[])?;
+    if !plan.client.spend(inner.shared.clock.now()) {
         return None;
     }
     visited.add(second.key);
@@ -166,8 +170,8 @@
     C: Clock,
 {
     match &result {
-        Tried::Answered(..) => plan.known.see_first(elapsed(inner, started)),
-        Tried::Refused(..) | Tried::Late(_) => plan.known.pause_hedge(inner.shared.clock.now()),
+        Tried::Answered(..) => plan.client.record_first_latency(elapsed(inner, started)),
+        Tried::Refused(..) | Tried::Late(_) => plan.client.pause_hedge(inner.shared.clock.now()),
     }
     result
 }
--- a/crates/node/src/outbound/keyed.rs
+++ b/crates/node/src/outbound/keyed.rs
@@ -3,7 +3,7 @@
 use crate::inbound::run::{LATE_LIMIT, Refused};
 use crate::metrics::Ending;
 use crate::outbound::Inner;
-use crate::outbound::plan::{Plan, left};
+use crate::outbound::plan::{Plan, time_left};
 use crate::outbound::remote_attempt;
 use crate::outbound::response::{Body, VERDICT_HEADER, tell};
 use crate::outbound::send::Late;
@@ -103,7 +103,7 @@
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let fingerprint = Fingerprint::of(head.method.as_str(), path, &body.prefix);
     let id = inner.links.next_id();
-    let limit = left(inner, plan.deadline);
+    let limit = time_left(inner, plan.deadline);
     match inner.reserve.claim(key, fingerprint, id, limit).await {
         Claimed::Granted(grant) => run(inner, plan, grant, head, body).await,
         Claimed::Told(reply) => (answer_told(reply), None),
--- a/crates/node/src/outbound/link.rs
+++ b/crates/node/src/outbound/link.rs
@@ -1,6 +1,6 @@
 //! Links from the outbound proxy to the nodes of other backend servers.
 
-use crate::link::{self, Receiver, Sender, Watch};
+use crate::link::{self, Expected, Receiver, Sender};
 use crate::outbound::attempt::Attempt;
 use crate::outbound::peer::Peer;
 use crate::outbound::resolve::{EndedLink, resolve_all, resolve_known};
@@ -38,7 +38,7 @@
 
 /// Makes the links of one outbound proxy.
 #[derive(Debug)]
-pub(crate) struct Links {
+pub(crate) struct LinkPool {
     hello: Hello,
     sequence: AtomicU64,
     number: AtomicU64,
@@ -124,7 +124,7 @@
     }
 
     /// Asks what became of a try that was sent over an earlier link to the same process.
-    pub(crate) fn ask(&self, one: &Arc<Attempt>) {
+    pub(crate) fn query_outcome(&self, one: &Arc<Attempt>) {
         let id = one.id;
         self.shard(id).lock().insert(id.sequence, Arc::clone(one));
         let progress = one.move_to(Arc::clone(&self.sender));
@@ -193,7 +193,7 @@
     }
 }
 
-impl Links {
+impl LinkPool {
     pub(crate) fn spawn(hello: Hello) -> Arc<Self> {
         let (ended, receiver) = mpsc::unbounded_channel();
         let links = Arc::new(Self {
@@ -228,7 +228,7 @@
     }
 
     /// Gives the link to a node, if there is one.
-    pub(crate) fn live(&self, address: SocketAddr) -> Option<Arc<Link>> {
+    pub(crate) fn find_open(&self, address: SocketAddr) -> Option<Arc<Link>> {
         self.peers.read().get(&address)?.live()
     }
 
@@ -237,7 +237,7 @@
     /// # Errors
     ///
     /// When the node can't be reached; nothing has been sent then.
-    pub(crate) async fn link(
+    pub(crate) async fn get_or_connect(
         self: &Arc<Self>,
         address: SocketAddr,
     ) -> Result<Arc<Link>, wire::Error> {
@@ -367,9 +367,9 @@
 ) {
     let watch = || {
         if link.is_idle() {
-            Watch::Idle
+            Expected::Nothing
         } else {
-            Watch::Due
+            Expected::Answer
         }
     };
     receiver.run(|frame| link.take(frame), watch).await;
--- a/crates/node/src/outbound/survey.rs
+++ b/crates/node/src/outbound/pick.rs
@@ -2,8 +2,8 @@
 
 use crate::millis::whole_ms;
 use crate::outbound::Inner;
-use crate::outbound::plan::{Plan, left};
-use crate::outbound::service::{Ask, Picked};
+use crate::outbound::plan::{Plan, time_left};
+use crate::outbound::service::{Ask, PickedEndpoint};
 use clock::Clock;
 use config::Endpoint;
 use futures_util::future::join_all;
@@ -20,7 +20,11 @@
 const PATIENCE: Duration = Duration::from_millis(15);
 
 /// Picks where a call goes, after asking some backend servers where that pays.
-pub(crate) async fn pick<C>(inner: &Arc<Inner<C>>, plan: &Plan, tried: &[Key]) -> Option<Picked<C>>
+pub(crate) async fn pick<C>(
+    inner: &Arc<Inner<C>>,
+    plan: &Plan,
+    tried: &[Key],
+) -> Option<PickedEndpoint<C>>
 where
     C: Clock,
 {
@@ -28,7 +32,7 @@
     loop {
         let asked = survey(inner, plan, tried, &seen);
         if asked.is_empty() {
-            return pick_unasked(inner, plan, tried, &seen);
+            return pick_without_probes(inner, plan, tried, &seen);
         }
         let answers = asked.into_iter().map(|(key, endpoint)| async move {
             let outlook = ask_one(inner, plan, &endpoint);
@@ -43,33 +47,37 @@
 }
 
 /// Picks where a call goes by what those `seen` have told.
-pub(crate) fn pick_unasked<C>(
+pub(crate) fn pick_without_probes<C>(
     inner: &Inner<C>,
     plan: &Plan,
     tried: &[Key],
     seen: &[ProbeResult],
-) -> Option<Picked<C>>
+) -> Option<PickedEndpoint<C>>
 where
     C: Clock,
 {
     let (view, ask) = (inner.shared.view.load_full(), make_ask(inner, plan, tried));
     let clock = &inner.shared.clock;
-    plan.known.pick(clock, &view, &plan.service, &ask, seen)
+    plan.client.pick(clock, &view, &plan.service, &ask, seen)
 }
 
 /// Picks where a call of a request under suspicion goes: where all nodes send it.
-pub(crate) fn pick_owner<C>(inner: &Inner<C>, plan: &Plan, tried: &[Key]) -> Option<Picked<C>>
+pub(crate) fn pick_owner<C>(
+    inner: &Inner<C>,
+    plan: &Plan,
+    tried: &[Key],
+) -> Option<PickedEndpoint<C>>
 where
     C: Clock,
 {
     let (view, ask) = (inner.shared.view.load_full(), make_ask(inner, plan, tried));
     let clock = &inner.shared.clock;
-    plan.known
+    plan.client
         .pick_owner(clock, &view, &plan.service, &ask, plan.digest)
 }
 
 /// Picks an endpoint of the version that is under trial, when the call is one of those that try it.
-pub(crate) fn pick_trial<C>(inner: &Inner<C>, plan: &Plan) -> Option<Picked<C>>
+pub(crate) fn pick_trial<C>(inner: &Inner<C>, plan: &Plan) -> Option<PickedEndpoint<C>>
 where
     C: Clock,
 {
@@ -78,7 +86,7 @@
     }
     let (view, ask) = (inner.shared.view.load_full(), make_ask(inner, plan, &[]));
     let clock = &inner.shared.clock;
-    plan.known.pick_trial(clock, &view, &plan.service, &ask)
+    plan.client.pick_trial(clock, &view, &plan.service, &ask)
 }
 
 fn survey<C>(
@@ -92,7 +100,7 @@
 {
     let (view, ask) = (inner.shared.view.load_full(), make_ask(inner, plan, tried));
     let clock = &inner.shared.clock;
-    plan.known.survey(clock, &view, &plan.service, &ask, seen)
+    plan.client.survey(clock, &view, &plan.service, &ask, seen)
 }
 
 fn make_ask<'a, C>(inner: &'a Inner<C>, plan: &Plan, tried: &'a [Key]) -> Ask<'a>
@@ -100,8 +108,8 @@
     C: Clock,
 {
     Ask {
-        place: &inner.place,
-        weight: plan.weight,
+        locality: &inner.locality,
+        body_size: plan.body_size,
         rollouts: &inner.shared.rollouts,
         call: balance::PickArgs {
             tried,
@@ -126,18 +134,18 @@
         route: plan.route,
         class: plan.class,
         nested: plan.nested,
-        timeout_ms: whole_ms(left(inner, plan.deadline)),
-        target_ms: plan.target.map(|target| whole_ms(left(inner, target))),
+        timeout_ms: whole_ms(time_left(inner, plan.deadline)),
+        target_ms: plan.target.map(|target| whole_ms(time_left(inner, target))),
     };
     if endpoint.node == inner.shared.settings.name {
         return Some(inner.inbound.find_outlook(&look));
     }
     // Goes on when nobody waits any more, so that the next call finds the link made.
     let (links, address) = (Arc::clone(&inner.links), endpoint.address);
-    let link = if let Some(link) = links.live(address) {
+    let link = if let Some(link) = links.find_open(address) {
         link
     } else {
-        let made = tokio::spawn(async move { links.link(address).await });
+        let made = tokio::spawn(async move { links.get_or_connect(address).await });
         made.await.ok()?.ok()?
     };
     if link.node != endpoint.node || link.is_leaving() {
--- a/crates/node/src/outbound/plan.rs
+++ b/crates/node/src/outbound/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::inbound::run::TIMEOUT_HEADER;
 use crate::outbound::remote_attempt;
-use crate::outbound::service::{Origin, Service, Weight};
+use crate::outbound::service::{BodySize, Origin, ServiceClient};
 use crate::outbound::{Inner, pick_target};
 use bytes::{Bytes, BytesMut};
 use call::Digest;
@@ -46,7 +46,7 @@
     /// Names the call in the log: by its caller's name for it, or its caller's own.
     pub(crate) id: SmolStr,
     pub(crate) service: SmolStr,
-    pub(crate) known: Arc<Service>,
+    pub(crate) client: Arc<ServiceClient>,
     pub(crate) class: Class,
     /// Kind under which a roll-out counts it.
     pub(crate) kind: usize,
@@ -55,7 +55,7 @@
     pub(crate) route: u64,
     /// Host of the route; empty for a route of all hosts.
     host: SmolStr,
-    pub(crate) rule: Option<Retry>,
+    pub(crate) retry_rule: Option<Retry>,
     pub(crate) deadline: Instant,
     /// Until when an answer is worth most.
     pub(crate) target: Option<Instant>,
@@ -64,29 +64,29 @@
     /// Key under which it must be reserved.
     pub(crate) key: Option<Key>,
     /// Whether a layer above tries it again already.
-    pub(crate) retried_above: bool,
+    pub(crate) retried_by_caller: bool,
     /// What the call is worth that runs on the own backend server and waits for it.
     pub(crate) nested: Option<Class>,
     /// What it takes of the way; known once the start of its body has come.
-    pub(crate) weight: Weight,
+    pub(crate) body_size: BodySize,
     /// Names the request through all its repeats; known once the start of its body has come.
     pub(crate) digest: Digest,
 }
 
 impl Plan {
-    pub(crate) fn attempts(&self) -> u8 {
-        let attempts = self.rule.as_ref().map(|rule| rule.attempts);
+    pub(crate) fn max_attempts(&self) -> u8 {
+        let attempts = self.retry_rule.as_ref().map(|rule| rule.attempts);
         attempts.unwrap_or(DEFAULT_ATTEMPTS).max(1)
     }
 
     /// Tells whether a second copy may be sent while the first is late.
-    pub(crate) fn hedges(&self) -> bool {
-        self.repeatable && self.rule.as_ref().is_some_and(|rule| rule.hedge)
+    pub(crate) fn may_hedge(&self) -> bool {
+        self.repeatable && self.retry_rule.as_ref().is_some_and(|rule| rule.hedge)
     }
 
     /// Tells whether a try that may have run is followed by another.
-    pub(crate) fn repeats(&self) -> bool {
-        let rule = self.rule.as_ref();
+    pub(crate) fn may_repeat(&self) -> bool {
+        let rule = self.retry_rule.as_ref();
         self.repeatable && rule.is_none_or(|rule| rule.repeat_may_have_run)
     }
 }
@@ -120,13 +120,13 @@
     } else {
         caller_of(&head.headers, peer)
     };
-    let known = inner.services.get(&target.name, now);
+    let known = inner.services.get_or_create(&target.name, now);
     let origin = find_origin(inner, &head.headers);
     let nested = match origin {
         Origin::Caller => None,
-        Origin::Run(run) => Some(run.class),
+        Origin::Nested(run) => Some(run.class),
     };
-    known.count(now, origin);
+    known.record_call(now, origin);
     let hash = policy::hash(&route.prefix) ^ policy::hash(head.method.as_str());
     // What a running call has left says nothing of when it made this one.
     let elapsed = told
@@ -135,29 +135,29 @@
     let plan = Plan {
         id: caller.clone(),
         service: target.name.clone(),
-        known,
+        client: known,
         class: route.class,
         kind: kind_of(route.class, route.repeat),
         caller,
         route: hash,
         host: route.prefix.split('/').next().unwrap_or_default().into(),
-        rule: route.retry.clone(),
+        retry_rule: route.retry.clone(),
         deadline: now + timeout.min(LONGEST_TIMEOUT),
         target: route
             .target_ms
             .map(|target| now + Duration::from_millis(target.into()).saturating_sub(elapsed)),
         repeatable,
         key: key_of(&head.headers, &target.name).filter(|_| !repeatable),
-        retried_above: head.headers.contains_key(retry::HEADER),
+        retried_by_caller: head.headers.contains_key(retry::HEADER),
         nested,
-        weight: Weight::Light,
+        body_size: BodySize::Small,
         digest: Digest::default(),
     };
     Some((plan, target.service.objective))
 }
 
 /// Gives the name of a call that has no plan, as far as its caller named it.
-pub(crate) fn name_call<C>(inner: &Inner<C>, head: &request::Parts) -> SmolStr
+pub(crate) fn caller_name<C>(inner: &Inner<C>, head: &request::Parts) -> SmolStr
 where
     C: Clock,
 {
@@ -210,7 +210,7 @@
             .and_then(|name| name.to_str().ok())
     };
     let run = parent.and_then(|name| inner.inbound.find_running(name));
-    run.map_or(Origin::Caller, Origin::Run)
+    run.map_or(Origin::Caller, Origin::Nested)
 }
 
 fn timeout_of(headers: &HeaderMap) -> Option<Duration> {
@@ -234,7 +234,7 @@
 ///
 /// So a call with a short body can be tried again, and one whose caller dies
 /// half way never reaches a backend server.
-pub(crate) async fn take_body(
+pub(crate) async fn read_body_start(
     mut body: Incoming,
 ) -> Result<remote_attempt::RequestBody, hyper::Error> {
     let mut ready = Bytes::new();
@@ -266,7 +266,7 @@
 }
 
 /// Gives the time that is left.
-pub(crate) fn left<C>(inner: &Inner<C>, deadline: Instant) -> Duration
+pub(crate) fn time_left<C>(inner: &Inner<C>, deadline: Instant) -> Duration
 where
     C: Clock,
 {
--- a/crates/node/src/outbound/resolve.rs
+++ b/crates/node/src/outbound/resolve.rs
@@ -1,7 +1,7 @@
 //! What became of the tries of a link that ended.
 
 use crate::outbound::attempt::Attempt;
-use crate::outbound::link::Links;
+use crate::outbound::link::LinkPool;
 use crate::outbound::peer::Peer;
 use call::Verdict;
 use std::io;
@@ -25,7 +25,10 @@
 }
 
 /// Settles the tries of each link that ends.
-pub(crate) async fn resolve_all(links: Weak<Links>, mut ended: mpsc::UnboundedReceiver<EndedLink>) {
+pub(crate) async fn resolve_all(
+    links: Weak<LinkPool>,
+    mut ended: mpsc::UnboundedReceiver<EndedLink>,
+) {
     while let Some(one) = ended.recv().await {
         let Some(links) = links.upgrade() else {
             return;
@@ -54,7 +57,7 @@
 /// A link that goes silent may have delivered its requests or lost them. The
 /// peer's table of calls knows, but only in the process that got them: after
 /// a restart nobody can say that a call has not run.
-async fn resolve(links: Arc<Links>, ended: EndedLink) {
+async fn resolve(links: Arc<LinkPool>, ended: EndedLink) {
     let EndedLink {
         peer,
         incarnation,
@@ -69,7 +72,7 @@
         match links.connect(&peer).await {
             Ok(link) if link.incarnation == incarnation => {
                 for one in &unresolved {
-                    link.ask(one);
+                    link.query_outcome(one);
                 }
                 return;
             }
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -5,7 +5,7 @@
 use crate::link;
 use crate::millis::whole_ms;
 use crate::outbound::Inner;
-use crate::outbound::plan::{Plan, left};
+use crate::outbound::plan::{Plan, time_left};
 use crate::outbound::remote_attempt::{self, RemoteAttempt};
 use crate::outbound::response::{Body, Local, Remote, VERDICT_HEADER};
 use crate::upload::{Rest, Upload};
@@ -131,7 +131,7 @@
     name_try(&mut request, id);
     let ended = if plan.key.is_some() {
         let mut call = inner.inbound.spawn_local(request, upload, plan.deadline);
-        match tokio::time::timeout(left(inner, plan.deadline), &mut call).await {
+        match tokio::time::timeout(time_left(inner, plan.deadline), &mut call).await {
             Ok(Ok(ended)) => ended,
             Ok(Err(_gone)) => Err(Refused::may_have_run(Reason::Backend)),
             Err(_) => return Tried::Late(Late::Local(call)),
@@ -182,8 +182,8 @@
 where
     C: Clock,
 {
-    let connecting = inner.links.link(endpoint.address);
-    let patience = left(inner, plan.deadline).min(CONNECT_PATIENCE);
+    let connecting = inner.links.get_or_connect(endpoint.address);
+    let patience = time_left(inner, plan.deadline).min(CONNECT_PATIENCE);
     let link = match tokio::time::timeout(patience, connecting).await {
         Ok(Ok(link)) if link.node == endpoint.node && !link.is_leaving() => link,
         Ok(Ok(_)) => {
@@ -220,7 +220,7 @@
     };
     let mut sent = RemoteAttempt::new(one, link, body, first.len());
     let waiting = poll_fn(|cx| sent.poll_head(cx));
-    match tokio::time::timeout(left(inner, plan.deadline), waiting).await {
+    match tokio::time::timeout(time_left(inner, plan.deadline), waiting).await {
         Ok(Ok(answer)) => {
             let told = LoadReport {
                 load: f64::from(answer.load_percent) / 100.0,
@@ -269,7 +269,7 @@
 where
     C: Clock,
 {
-    let left = left(inner, plan.deadline);
+    let left = time_left(inner, plan.deadline);
     let share = left.saturating_sub(VERDICT_MARGIN).max(left / 2);
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let mut headers = take_end_to_end(&head.headers);
@@ -277,7 +277,7 @@
         let origin = inner.shared.settings.service.as_deref().unwrap_or_default();
         mark_origin(&mut headers, origin);
     }
-    if history.reached > 0 && !plan.retried_above {
+    if history.reached > 0 && !plan.retried_by_caller {
         headers.push(Header {
             name: SmolStr::new_static(retry::HEADER),
             value: Bytes::from_static(b"1"),
@@ -295,7 +295,7 @@
         timeout_ms: whole_ms(share),
         target_ms: plan
             .target
-            .map(|target| whole_ms(self::left(inner, target))),
+            .map(|target| whole_ms(self::time_left(inner, target))),
         class: plan.class,
         nested: plan.nested,
         caller: plan.caller.clone(),
--- a/crates/node/src/outbound/serve.rs
+++ b/crates/node/src/outbound/serve.rs
@@ -5,14 +5,16 @@
 use crate::outbound::Inner;
 use crate::outbound::hedge::try_first;
 use crate::outbound::keyed::serve_keyed;
-use crate::outbound::plan::{Plan, digest_of, host_of, left, make_plan, take_body};
+use crate::outbound::pick::{pick, pick_owner, pick_trial};
+use crate::outbound::plan::{Plan, digest_of, host_of, make_plan, read_body_start, time_left};
 use crate::outbound::remote_attempt;
 use crate::outbound::response::{Body, refuse, reject};
 use crate::outbound::send::{History, Late, Tried, try_once};
-use crate::outbound::service::{Picked, Weight};
-use crate::outbound::survey::{pick, pick_owner, pick_trial};
-use crate::outbound::tell::{Answered, tell_answer, tell_end, tell_try, tell_unrouted};
-use crate::outbound::visited::Visited;
+use crate::outbound::service::{BodySize, PickedEndpoint};
+use crate::outbound::tell::{
+    AnsweredCall, log_answer, log_failed_attempt, log_refused_call, log_unrouted_call,
+};
+use crate::outbound::tried::TriedEndpoints;
 use call::Verdict;
 use clock::Clock;
 use config::{Objective, Version, View};
@@ -69,14 +71,14 @@
     // A node that has just started knows no routes yet; that is not the caller's fault.
     let (host, path) = (host_of(head), head.uri.path());
     if view.version() == Version::ZERO {
-        tell_unrouted(inner, head, "no-version");
+        log_unrouted_call(inner, head, "no-version");
         return refuse(Refused::not_run(Reason::NoRoutes, 0));
     }
     let Some(withheld) = view.find_withheld(host, path) else {
-        tell_unrouted(inner, head, "no-route");
+        log_unrouted_call(inner, head, "no-route");
         return reject(StatusCode::NOT_FOUND, "no-route");
     };
-    tell_unrouted(inner, head, "no-endpoint");
+    log_unrouted_call(inner, head, "no-endpoint");
     drop(Count {
         inner,
         service: &withheld.service,
@@ -111,20 +113,20 @@
         started,
         ending: Ending::Cancelled,
     };
-    let taken = tokio::time::timeout(left(inner, plan.deadline), take_body(body)).await;
+    let taken = tokio::time::timeout(time_left(inner, plan.deadline), read_body_start(body)).await;
     let body = match taken {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => return reject(StatusCode::BAD_REQUEST, "body-cut-off"),
         Err(_) => return reject(StatusCode::REQUEST_TIMEOUT, "body-late"),
     };
     if body.length() > EAGER as u64 {
-        plan.weight = Weight::Heavy;
+        plan.body_size = BodySize::Large;
     }
     plan.digest = digest_of(&plan, &head, &body);
     if let RequestStatus::Held { wait } = judge(inner, &plan) {
         let refused = Refused::held(wait);
         inner.shared.metrics.quarantine.count_refused();
-        tell_end(inner, &plan, refused, started, 0);
+        log_refused_call(inner, &plan, refused, started, 0);
         count.ending = Ending::Refused(Verdict::NotRun);
         return refuse(refused);
     }
@@ -174,7 +176,7 @@
     C: Clock,
 {
     let started = inner.shared.clock.now();
-    let mut visited = Visited::default();
+    let mut visited = TriedEndpoints::default();
     let mut history = History::default();
     let mut last = None;
     // What the caller is told in the end.
@@ -202,16 +204,16 @@
             Tried::Answered(response, told) => {
                 picked.outcome = answered(response.status(), told);
                 let waited = told.map_or(Duration::ZERO, |told| told.queue_wait);
-                let answer = Answered {
+                let answer = AnsweredCall {
                     node: &picked.endpoint.node,
                     status: response.status(),
-                    waited,
+                    queue_wait: waited,
                     started,
-                    tries,
+                    attempts: tries,
                 };
-                tell_answer(inner, plan, &answer);
+                log_answer(inner, plan, &answer);
                 if tries == 1 {
-                    plan.known.succeed(plan.rule.as_ref());
+                    plan.client.record_success(plan.retry_rule.as_ref());
                 }
                 return response.into();
             }
@@ -219,7 +221,7 @@
             Tried::Late(late) => {
                 picked.outcome = Outcome::Failed;
                 let refused = Refused::may_have_run(Reason::Deadline);
-                tell_try(inner, plan, &picked.endpoint.node, refused, tries);
+                log_failed_attempt(inner, plan, &picked.endpoint.node, refused, tries);
                 return Served {
                     late: Some(late),
                     ..Refused::may_have_run(Reason::Deadline).into()
@@ -229,9 +231,9 @@
         let cause = cause_of(refused);
         history.note(refused, cause);
         picked.outcome = refused_outcome(cause);
-        tell_try(inner, plan, &picked.endpoint.node, refused, tries);
+        log_failed_attempt(inner, plan, &picked.endpoint.node, refused, tries);
         if cause == Cause::Full {
-            visited.note_full(picked.key);
+            visited.mark_full(picked.key);
         }
         last = Some(cause);
         drop(picked);
@@ -244,32 +246,32 @@
         let failed = retry::FailedAttempt {
             verdict: refused.verdict,
             cause,
-            repeatable: plan.repeats(),
+            repeatable: plan.may_repeat(),
             attempts: tries,
             dispatched: history.reached,
             crashes: history.crashes,
-            max_attempts: plan.attempts(),
-            retried_by_caller: plan.retried_above,
+            max_attempts: plan.max_attempts(),
+            retried_by_caller: plan.retried_by_caller,
             has_alternative: cause != Cause::Full
                 || plan.nested.is_some()
-                || plan.known.has_room(now, plan.weight, visited.all()),
+                || plan.client.has_room(now, plan.body_size, visited.keys()),
             deadline: plan.deadline,
-            expected_duration: plan.known.expect(plan.route, plan.weight),
+            expected_duration: plan.client.expected_duration(plan.route, plan.body_size),
         };
-        match plan.known.decide(now, &failed) {
+        match plan.client.decide(now, &failed) {
             Decision::Retry(Duration::ZERO) => {}
             Decision::Retry(wait) => tokio::time::sleep(wait).await,
             Decision::GiveUp(_) => break,
         }
     }
-    tell_end(inner, plan, told, started, visited.count());
+    log_refused_call(inner, plan, told, started, visited.count());
     told.into()
 }
 
 /// Tells a roll-out of the service, if there is one, what a try came to.
 ///
 /// What speaks of links, VMs or load is left out: it tells nothing of a version.
-fn count_try<C>(inner: &Inner<C>, plan: &Plan, picked: &Picked<C>, tried: &Tried<C>)
+fn count_try<C>(inner: &Inner<C>, plan: &Plan, picked: &PickedEndpoint<C>, tried: &Tried<C>)
 where
     C: Clock,
 {
@@ -279,11 +281,11 @@
             let took = now.saturating_duration_since(picked.started);
             let waited = told.map_or(Duration::ZERO, |told| told.queue_wait);
             let has_failed = response.status().is_server_error();
-            picked.count(plan.kind, has_failed, Some(took.saturating_sub(waited)));
+            picked.record_rollout_result(plan.kind, has_failed, Some(took.saturating_sub(waited)));
         }
         Tried::Refused(refused, _) if refused.verdict != Verdict::NotRun => match refused.reason {
-            Reason::Deadline => picked.count(plan.kind, false, None),
-            Reason::Backend => picked.count(plan.kind, true, None),
+            Reason::Deadline => picked.record_rollout_result(plan.kind, false, None),
+            Reason::Backend => picked.record_rollout_result(plan.kind, true, None),
             _ => {}
         },
         Tried::Refused(..) | Tried::Late(_) => {}
@@ -306,7 +308,7 @@
     C: Clock,
 {
     let shared = &inner.shared;
-    shared.quarantine.judge(shared.clock.now(), plan.digest)
+    shared.quarantine.status(shared.clock.now(), plan.digest)
 }
 
 /// Gives what a caller is told of two tries: one that may have run weighs more.
@@ -323,10 +325,10 @@
 async fn pick_next<C>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
-    visited: &mut Visited,
+    visited: &mut TriedEndpoints,
     last: Option<Cause>,
     history: &mut History,
-) -> Result<Option<Picked<C>>, Refused>
+) -> Result<Option<PickedEndpoint<C>>, Refused>
 where
     C: Clock,
 {
@@ -336,16 +338,16 @@
         RequestStatus::Held { wait } => return Err(Refused::held(wait)),
     }
     if history.is_suspect {
-        return Ok(pick_owner(inner, plan, visited.all()));
+        return Ok(pick_owner(inner, plan, visited.keys()));
     }
     if last.is_none()
         && let Some(picked) = pick_trial(inner, plan)
     {
         return Ok(Some(picked));
     }
-    let fresh = pick(inner, plan, visited.all()).await;
-    if fresh.is_none() && last != Some(Cause::Full) && visited.forget_full() {
-        return Ok(pick(inner, plan, visited.all()).await);
+    let fresh = pick(inner, plan, visited.keys()).await;
+    if fresh.is_none() && last != Some(Cause::Full) && visited.readmit_full() {
+        return Ok(pick(inner, plan, visited.keys()).await);
     }
     Ok(fresh)
 }
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -27,14 +27,14 @@
 
 /// The services that an outbound proxy sends calls to.
 #[derive(Debug)]
-pub(crate) struct Services {
-    known: RwLock<HashMap<SmolStr, Arc<Service>>>,
+pub(crate) struct ServiceClients {
+    known: RwLock<HashMap<SmolStr, Arc<ServiceClient>>>,
     /// What the whole fleet may repeat, where that is bounded.
     bounds: Option<FleetLimits>,
 }
 
 /// One service.
-pub(crate) struct Service {
+pub(crate) struct ServiceClient {
     state: Mutex<State>,
 }
 
@@ -59,11 +59,11 @@
 /// them apart* a VM whose link is full counts as full for small calls too, which it
 /// would answer at once, and one whose slots are full for uploads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Weight {
+pub(crate) enum BodySize {
     /// Its body goes with its head.
-    Light,
+    Small,
     /// Its body is asked for.
-    Heavy,
+    Large,
 }
 
 /// Who makes a call.
@@ -72,12 +72,12 @@
     /// A caller.
     Caller,
     /// The own backend server, for a call that it runs.
-    Run(Run),
+    Nested(Run),
 }
 
 /// Where the node itself is.
 #[derive(Debug, Clone)]
-pub(crate) struct Place {
+pub(crate) struct Locality {
     pub(crate) node: SmolStr,
     pub(crate) zone: SmolStr,
     pub(crate) region: SmolStr,
@@ -85,15 +85,15 @@
 
 /// An endpoint that was picked; dropping it tells the balance what came of it.
 #[derive(Debug)]
-pub(crate) struct Picked<C>
+pub(crate) struct PickedEndpoint<C>
 where
     C: Clock,
 {
-    service: Arc<Service>,
+    service: Arc<ServiceClient>,
     clock: C,
     pub(crate) started: Instant,
     route: u64,
-    weight: Weight,
+    body_size: BodySize,
     pub(crate) key: Key,
     pub(crate) endpoint: Endpoint,
     pub(crate) outcome: Outcome,
@@ -102,13 +102,13 @@
     begun: Option<RolloutCall>,
 }
 
-impl fmt::Debug for Service {
+impl fmt::Debug for ServiceClient {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Service").finish_non_exhaustive()
     }
 }
 
-impl Services {
+impl ServiceClients {
     /// Knows no service yet.
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
@@ -122,7 +122,7 @@
     }
 
     /// Gives what is known of a service.
-    pub(crate) fn get(&self, name: &str, now: Instant) -> Arc<Service> {
+    pub(crate) fn get_or_create(&self, name: &str, now: Instant) -> Arc<ServiceClient> {
         if let Some(known) = self.known.read().get(name) {
             return Arc::clone(known);
         }
@@ -133,7 +133,7 @@
         };
         let mut services = self.known.write();
         let made = services.entry(name.into()).or_insert_with(|| {
-            Arc::new(Service {
+            Arc::new(ServiceClient {
                 state: Mutex::new(State {
                     balances: [Balancer::new(), Balancer::new()],
                     budget,
@@ -162,7 +162,7 @@
         let endpoints = &view.service(service).endpoints;
         let split = ask.rollouts.split(view, service);
         for balance in &mut self.balances {
-            let candidates = list_candidates(view, endpoints, ask.place, split.as_ref());
+            let candidates = list_candidates(view, endpoints, ask.locality, split.as_ref());
             balance.sync(now, candidates);
         }
         self.budget.set_node_count(now, view.endpoints().len());
@@ -172,14 +172,14 @@
 fn list_candidates<'a>(
     view: &'a View,
     endpoints: &'a [EndpointKey],
-    place: &'a Place,
+    locality: &'a Locality,
     split: Option<&'a TrafficSplit>,
 ) -> impl Iterator<Item = Candidate> + 'a {
     endpoints.iter().map(move |key| {
         let endpoint = view.endpoint(*key);
         Candidate {
             identity: identity_of(endpoint),
-            distance: distance_of(endpoint, place),
+            distance: distance_of(endpoint, locality),
             slots: endpoint.slots,
             process: endpoint.process,
             warm_up: endpoint
@@ -190,7 +190,7 @@
     })
 }
 
-impl Service {
+impl ServiceClient {
     /// Gives the endpoints to ask about a call before it is sent, further than those `seen`.
     ///
     /// None for a call with a large body: its way is bound by links, of which an outlook says
@@ -209,14 +209,14 @@
         let now = clock.now();
         let Some(service) = view
             .find_service(name)
-            .filter(|_| ask.weight == Weight::Light)
+            .filter(|_| ask.body_size == BodySize::Small)
         else {
             return Vec::new();
         };
         let mut state = self.state.lock();
         let state = &mut *state;
         state.sync(now, view, service, ask);
-        let balance = &state.balances[ask.weight as usize];
+        let balance = &state.balances[ask.body_size as usize];
         let keys = if seen.is_empty() {
             balance.probe_targets(now, &ask.call, &mut state.rng)
         } else {
@@ -235,7 +235,7 @@
         name: &str,
         ask: &Ask<'_>,
         seen: &[ProbeResult],
-    ) -> Option<Picked<C>>
+    ) -> Option<PickedEndpoint<C>>
     where
         C: Clock,
     {
@@ -252,7 +252,7 @@
         name: &str,
         ask: &Ask<'_>,
         request: Digest,
-    ) -> Option<Picked<C>>
+    ) -> Option<PickedEndpoint<C>>
     where
         C: Clock,
     {
@@ -268,7 +268,7 @@
         view: &Arc<View>,
         name: &str,
         ask: &Ask<'_>,
-    ) -> Option<Picked<C>>
+    ) -> Option<PickedEndpoint<C>>
     where
         C: Clock,
     {
@@ -284,7 +284,7 @@
         name: &str,
         ask: &Ask<'_>,
         choose: F,
-    ) -> Option<Picked<C>>
+    ) -> Option<PickedEndpoint<C>>
     where
         C: Clock,
         F: FnOnce(&mut Balancer, Instant, &mut SmallRng) -> Option<Key>,
@@ -294,16 +294,16 @@
         let mut state = self.state.lock();
         let state = &mut *state;
         state.sync(now, view, service, ask);
-        let balance = &mut state.balances[ask.weight as usize];
+        let balance = &mut state.balances[ask.body_size as usize];
         let key = choose(balance, now, &mut state.rng)?;
         let endpoint = find_endpoint(view, service, balance.identity(key)?)?;
         let begun = ask.rollouts.begin_call(&endpoint);
-        Some(Picked {
+        Some(PickedEndpoint {
             service: Arc::clone(self),
             clock: clock.clone(),
             started: now,
             route: ask.call.route,
-            weight: ask.weight,
+            body_size: ask.body_size,
             key,
             endpoint,
             outcome: Outcome::Cancelled,
@@ -318,27 +318,27 @@
     }
 
     /// Counts a call for the fleet's bound on repeats.
-    pub(crate) fn count(&self, now: Instant, origin: Origin) {
+    pub(crate) fn record_call(&self, now: Instant, origin: Origin) {
         let mut state = self.state.lock();
         match origin {
             Origin::Caller => state.budget.record_request(now),
-            Origin::Run(run) if run.is_repeat => state.budget.record_retry(now),
-            Origin::Run(_) => {}
+            Origin::Nested(run) if run.is_repeat => state.budget.record_retry(now),
+            Origin::Nested(_) => {}
         }
     }
 
     /// Gives how long a call of `route` is expected to take.
-    pub(crate) fn expect(&self, route: u64, weight: Weight) -> Duration {
-        self.state.lock().balances[weight as usize].expected_duration(route)
+    pub(crate) fn expected_duration(&self, route: u64, body_size: BodySize) -> Duration {
+        self.state.lock().balances[body_size as usize].expected_duration(route)
     }
 
     /// Tells whether an endpoint that has not refused the call may have room.
-    pub(crate) fn has_room(&self, now: Instant, weight: Weight, tried: &[Key]) -> bool {
-        self.state.lock().balances[weight as usize].has_room(now, tried)
+    pub(crate) fn has_room(&self, now: Instant, body_size: BodySize, tried: &[Key]) -> bool {
+        self.state.lock().balances[body_size as usize].has_room(now, tried)
     }
 
     /// Counts a first try that was answered.
-    pub(crate) fn succeed(&self, rule: Option<&Retry>) {
+    pub(crate) fn record_success(&self, rule: Option<&Retry>) {
         let percent = rule.map_or(DEFAULT_BUDGET_PERCENT, |rule| rule.budget_percent);
         let mut state = self.state.lock();
         state.budget.set_percent(percent);
@@ -346,17 +346,17 @@
     }
 
     /// Gives the wait after which a call that `may` be copied is late, if a copy is to be sent.
-    pub(crate) fn hedge_wait(&self, now: Instant, may: bool) -> Option<Duration> {
+    pub(crate) fn hedge_delay(&self, now: Instant, may: bool) -> Option<Duration> {
         self.state.lock().hedge.delay(now, may)
     }
 
     /// Takes in how long a first try took, or that it was overtaken after so long.
-    pub(crate) fn see_first(&self, took: Duration) {
+    pub(crate) fn record_first_latency(&self, took: Duration) {
         self.state.lock().hedge.record_latency(took);
     }
 
     /// Takes in whether a copy was answered before the first try.
-    pub(crate) fn settle_hedge(&self, won: bool) {
+    pub(crate) fn record_hedge_result(&self, won: bool) {
         self.state.lock().hedge.record_result(won);
     }
 
@@ -381,13 +381,13 @@
 /// What a call needs of an endpoint.
 #[derive(Debug)]
 pub(crate) struct Ask<'a> {
-    pub(crate) place: &'a Place,
-    pub(crate) weight: Weight,
+    pub(crate) locality: &'a Locality,
+    pub(crate) body_size: BodySize,
     pub(crate) rollouts: &'a Arc<Rollouts>,
     pub(crate) call: balance::PickArgs<'a>,
 }
 
-impl<C> Picked<C>
+impl<C> PickedEndpoint<C>
 where
     C: Clock,
 {
@@ -395,13 +395,13 @@
     ///
     /// `ran` is the time that the backend server took, if it has answered; a slow one that has
     /// just started tells nothing of its version.
-    pub(crate) fn count(&self, kind: usize, failed: bool, ran: Option<Duration>) {
+    pub(crate) fn record_rollout_result(&self, kind: usize, failed: bool, ran: Option<Duration>) {
         let Some(begun) = &self.begun else {
             return;
         };
         let now = self.clock.now();
         let state = self.service.state.lock();
-        let balance = &state.balances[self.weight as usize];
+        let balance = &state.balances[self.body_size as usize];
         let usual = balance.expected_duration(self.route);
         let is_slow = ran.is_none_or(|ran| ran > usual.mul_f64(SLOW_FACTOR));
         let is_cold = balance.is_cold(now, self.key);
@@ -415,7 +415,7 @@
     }
 }
 
-impl<C> Drop for Picked<C>
+impl<C> Drop for PickedEndpoint<C>
 where
     C: Clock,
 {
@@ -427,7 +427,7 @@
         let took = now.saturating_duration_since(self.started);
         let mut state = self.service.state.lock();
         let state = &mut *state;
-        state.balances[self.weight as usize].finish(
+        state.balances[self.body_size as usize].finish(
             now,
             self.key,
             self.route,
@@ -453,12 +453,12 @@
     }
 }
 
-fn distance_of(endpoint: &Endpoint, place: &Place) -> Distance {
-    if endpoint.node == place.node {
+fn distance_of(endpoint: &Endpoint, locality: &Locality) -> Distance {
+    if endpoint.node == locality.node {
         Distance::Vm
-    } else if endpoint.region != place.region {
+    } else if endpoint.region != locality.region {
         Distance::Far
-    } else if endpoint.zone == place.zone {
+    } else if endpoint.zone == locality.zone {
         Distance::Zone
     } else {
         Distance::Region
--- a/crates/node/src/outbound/tell.rs
+++ b/crates/node/src/outbound/tell.rs
@@ -2,7 +2,7 @@
 
 use crate::inbound::run::Refused;
 use crate::outbound::Inner;
-use crate::outbound::plan::{Plan, host_of, left, name_call};
+use crate::outbound::plan::{Plan, caller_name, host_of, time_left};
 use crate::outbound::response::reason_name;
 use clock::Clock;
 use http::{StatusCode, request};
@@ -10,8 +10,13 @@
 use std::time::{Duration, Instant};
 
 /// Tells that a try got no answer of the backend server's, and where it went.
-pub(crate) fn tell_try<C>(inner: &Inner<C>, plan: &Plan, node: &str, refused: Refused, tries: u8)
-where
+pub(crate) fn log_failed_attempt<C>(
+    inner: &Inner<C>,
+    plan: &Plan,
+    node: &str,
+    refused: Refused,
+    tries: u8,
+) where
     C: Clock,
 {
     let shared = &inner.shared;
@@ -28,14 +33,14 @@
         attempt = tries,
         verdict = refused.verdict.as_str(),
         reason = reason_name(refused.reason),
-        left_ms = left(inner, plan.deadline).as_millis(),
+        left_ms = time_left(inner, plan.deadline).as_millis(),
         left_out;
         "try_refused"
     );
 }
 
 /// Tells the final answer to a call that no backend server answered.
-pub(crate) fn tell_end<C>(
+pub(crate) fn log_refused_call<C>(
     inner: &Inner<C>,
     plan: &Plan,
     refused: Refused,
@@ -59,14 +64,14 @@
         reason = reason_name(refused.reason),
         retry_after_ms = refused.retry_after_ms,
         took_ms = now.saturating_duration_since(started).as_millis(),
-        left_ms = left(inner, plan.deadline).as_millis(),
+        left_ms = time_left(inner, plan.deadline).as_millis(),
         left_out;
         "call_refused"
     );
 }
 
 /// Tells that a call met no route, or one without endpoints.
-pub(crate) fn tell_unrouted<C>(inner: &Inner<C>, head: &request::Parts, reason: &str)
+pub(crate) fn log_unrouted_call<C>(inner: &Inner<C>, head: &request::Parts, reason: &str)
 where
     C: Clock,
 {
@@ -74,27 +79,27 @@
     let now = shared.clock.now();
     if let Some(left_out) = shared.lines.calls.take(shared.metrics.counted(now)) {
         let version = shared.view.load().version().0;
-        let id = name_call(inner, head);
+        let id = caller_name(inner, head);
         let (host, path) = (host_of(head), head.uri.path());
         info!(id = id.as_str(), host, path, version, reason, left_out; "call_unrouted");
     }
 }
 
 /// An answer of a backend server's.
-pub(crate) struct Answered<'a> {
+pub(crate) struct AnsweredCall<'a> {
     pub(crate) node: &'a str,
     pub(crate) status: StatusCode,
     /// How long the call waited at the gate.
-    pub(crate) waited: Duration,
+    pub(crate) queue_wait: Duration,
     /// When the call came.
     pub(crate) started: Instant,
-    pub(crate) tries: u8,
+    pub(crate) attempts: u8,
 }
 
 /// Tells an answer that came after its target, or is a failure.
 ///
 /// Answers in time leave no line: there are hundreds a second, and nobody asks.
-pub(crate) fn tell_answer<C>(inner: &Inner<C>, plan: &Plan, answer: &Answered<'_>)
+pub(crate) fn log_answer<C>(inner: &Inner<C>, plan: &Plan, answer: &AnsweredCall<'_>)
 where
     C: Clock,
 {
@@ -112,10 +117,10 @@
         service = plan.service.as_str(),
         node = answer.node,
         status = answer.status.as_u16(),
-        tries = answer.tries,
-        waited_ms = answer.waited.as_millis(),
+        tries = answer.attempts,
+        waited_ms = answer.queue_wait.as_millis(),
         took_ms = now.saturating_duration_since(answer.started).as_millis(),
-        left_ms = left(inner, plan.deadline).as_millis(),
+        left_ms = time_left(inner, plan.deadline).as_millis(),
         left_out;
         "call_answered"
     );
--- a/crates/node/src/outbound/visited.rs
+++ b/crates/node/src/outbound/tried.rs
@@ -4,14 +4,14 @@
 
 /// The backend servers that a call has been to.
 #[derive(Debug, Default)]
-pub(crate) struct Visited {
+pub(crate) struct TriedEndpoints {
     all: Vec<Key>,
     /// Those of them that had no room, and have not seen the call.
     full: Vec<Key>,
 }
 
-impl Visited {
-    pub(crate) fn all(&self) -> &[Key] {
+impl TriedEndpoints {
+    pub(crate) fn keys(&self) -> &[Key] {
         &self.all
     }
 
@@ -24,7 +24,7 @@
     }
 
     /// Notes that one had no room.
-    pub(crate) fn note_full(&mut self, key: Key) {
+    pub(crate) fn mark_full(&mut self, key: Key) {
         self.full.push(key);
     }
 
@@ -33,7 +33,7 @@
     /// Guards against a call that ends without an answer although a backend
     /// server could run it: its first try falls silent, and by the time that
     /// shows, a second or so later, the one that was full has room again.
-    pub(crate) fn forget_full(&mut self) -> bool {
+    pub(crate) fn readmit_full(&mut self) -> bool {
         let full = std::mem::take(&mut self.full);
         self.all.retain(|key| !full.contains(key));
         !full.is_empty()
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -27,7 +27,7 @@
 
 impl Quarantine {
     /// Tells how a request stands.
-    pub(crate) fn judge(&self, now: Instant, request: Digest) -> RequestStatus {
+    pub(crate) fn status(&self, now: Instant, request: Digest) -> RequestStatus {
         if !self.is_known.load(Ordering::Relaxed) {
             return RequestStatus::Clear;
         }
@@ -35,7 +35,7 @@
     }
 
     /// Takes in crashes, or that their requests were answered since.
-    pub(crate) fn take<C>(&self, clock: &C, metrics: &Metrics, crashes: &[Crash])
+    pub(crate) fn merge<C>(&self, clock: &C, metrics: &Metrics, crashes: &[Crash])
     where
         C: Clock,
     {
@@ -55,23 +55,23 @@
     }
 
     /// Takes in crashes of the own backend server, and has other nodes told.
-    pub(crate) fn report<C>(&self, clock: &C, metrics: &Metrics, crashes: Vec<Crash>)
+    pub(crate) fn report_crashes<C>(&self, clock: &C, metrics: &Metrics, crashes: Vec<Crash>)
     where
         C: Clock,
     {
         // The one to blame is among the first, and the others are soon cleared.
         crashes.iter().take(MAX_TOLD).for_each(tell_suspicion);
-        self.take(clock, metrics, &crashes);
+        self.merge(clock, metrics, &crashes);
         self.spread(crashes);
     }
 
     /// Takes in that the own backend server has answered a request, and has other nodes told.
-    pub(crate) fn answer<C>(&self, clock: &C, metrics: &Metrics, request: Digest)
+    pub(crate) fn record_answer<C>(&self, clock: &C, metrics: &Metrics, request: Digest)
     where
         C: Clock,
     {
         let now = clock.now();
-        if self.judge(now, request) == RequestStatus::Clear {
+        if self.status(now, request) == RequestStatus::Clear {
             return;
         }
         let cleared = self.ledger.write().clear(now, request);
@@ -85,7 +85,7 @@
     }
 
     /// Waits for what other nodes are to be told.
-    pub(crate) async fn news(&self) -> Vec<Crash> {
+    pub(crate) async fn next_updates(&self) -> Vec<Crash> {
         loop {
             let news = std::mem::take(&mut *self.news.lock());
             if !news.is_empty() {
--- a/crates/node/src/reserve.rs
+++ b/crates/node/src/reserve.rs
@@ -13,7 +13,7 @@
 pub(crate) mod shard;
 
 use crate::millis::whole_ms;
-use crate::nodes::write_hello;
+use crate::nodes::make_hello;
 use crate::reserve::link::{Peer, pass_note, serve};
 use crate::reserve::owners::{Owners, Way};
 use crate::reserve::shard::Order;
@@ -342,7 +342,7 @@
             return peer.clone();
         }
         peers.retain(|_, peer| !peer.is_closed());
-        let peer = Peer::open(address, write_hello(&self.shared, Link::Reserve));
+        let peer = Peer::open(address, make_hello(&self.shared, Link::Reserve));
         peers.insert(address, peer.clone());
         peer
     }
--- a/crates/node/tests/calls/deadly.rs
+++ b/crates/node/tests/calls/deadly.rs
@@ -74,7 +74,11 @@
 async fn spawn_deadly(mark: Mark, repeat: Repeat) -> (Arc<Node>, Supervised) {
     let node = Arc::new(spawn_node("near").await);
     let server = supervise(&node, mark).await;
-    node.serve_by("records", repeat, &[node.endpoint("records", node.nodes)]);
+    node.set_route(
+        "records",
+        repeat,
+        &[node.endpoint("records", node.nodes_address)],
+    );
     (node, server)
 }
 
@@ -246,10 +250,10 @@
     let node = spawn_node("near").await;
     let (listener, address) = bind().await;
     node.announce("records", address, 6);
-    node.serve_by(
+    node.set_route(
         "records",
         Repeat::Never,
-        &[node.endpoint("records", node.nodes)],
+        &[node.endpoint("records", node.nodes_address)],
     );
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
--- a/crates/node/tests/calls/ending.rs
+++ b/crates/node/tests/calls/ending.rs
@@ -16,8 +16,16 @@
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 1);
-    near.serve_by("jobs", Repeat::Never, &[far.endpoint("jobs", far.nodes)]);
-    far.serve_by("jobs", Repeat::Never, &[far.endpoint("jobs", far.nodes)]);
+    near.set_route(
+        "jobs",
+        Repeat::Never,
+        &[far.endpoint("jobs", far.nodes_address)],
+    );
+    far.set_route(
+        "jobs",
+        Repeat::Never,
+        &[far.endpoint("jobs", far.nodes_address)],
+    );
     (near, far, record)
 }
 
@@ -125,12 +133,12 @@
     let other = spawn_node("other").await;
     other.announce("jobs", other_address, 1);
     let endpoints = [
-        far.endpoint("jobs", far.nodes),
-        other.endpoint("jobs", other.nodes),
+        far.endpoint("jobs", far.nodes_address),
+        other.endpoint("jobs", other.nodes_address),
     ];
     let waiting = tokio::spawn(async move { post(address, "r2", "0", "3000").await });
     tokio::time::sleep(Duration::from_millis(50)).await;
-    near.serve_by("jobs", Repeat::Never, &endpoints);
+    near.set_route("jobs", Repeat::Never, &endpoints);
     if node {
         far.shared.leaving.send_replace(true);
     } else {
@@ -275,7 +283,7 @@
     } else {
         let (closed, address) = bind().await;
         drop(closed);
-        near.serve_by("jobs", Repeat::Never, &[far.endpoint("jobs", address)]);
+        near.set_route("jobs", Repeat::Never, &[far.endpoint("jobs", address)]);
     }
     let mut waits = Vec::new();
     for index in 0..20 {
@@ -318,7 +326,11 @@
     );
     set_leaving(false);
     // The news of its return, as the view brings it.
-    near.serve_by("jobs", Repeat::Never, &[far.endpoint("jobs", far.nodes)]);
+    near.set_route(
+        "jobs",
+        Repeat::Never,
+        &[far.endpoint("jobs", far.nodes_address)],
+    );
     let mut after = post(address, "after", "0", "1000").await;
     for _ in 0..100 {
         if after.status == StatusCode::OK {
@@ -384,11 +396,11 @@
     let (server, record) = spawn_server(1).await;
     other.announce("jobs", server, 1);
     // The other one is in another region, so that it is not the first choice.
-    let mut spare = other.endpoint("jobs", other.nodes);
+    let mut spare = other.endpoint("jobs", other.nodes_address);
     spare.region = "jb".into();
     for node in [&near, &far] {
-        let endpoints = [far.endpoint("jobs", far.nodes), spare.clone()];
-        node.serve_by("jobs", Repeat::Never, &endpoints);
+        let endpoints = [far.endpoint("jobs", far.nodes_address), spare.clone()];
+        node.set_route("jobs", Repeat::Never, &endpoints);
     }
     let got = post(entry_of(entry, &near, &far), "r1", "0", "2000").await;
     assert_eq!((got.status.as_u16(), got.verdict()), (status, verdict));
--- a/crates/node/tests/calls/hedge.rs
+++ b/crates/node/tests/calls/hedge.rs
@@ -55,7 +55,7 @@
         spawn_node("first"),
         spawn_node("second")
     );
-    let forwarder = Forwarder::spawn(first.nodes).await;
+    let forwarder = Forwarder::spawn(first.nodes_address).await;
     let mut records = Vec::new();
     for node in [&first, &second] {
         let (address, record) = spawn_server(6).await;
@@ -64,7 +64,7 @@
     }
     let endpoints = [
         first.endpoint("desk", forwarder.address),
-        second.endpoint("desk", second.nodes),
+        second.endpoint("desk", second.nodes_address),
     ];
     let view = View::build(Version(1), &hedged_mesh(), &endpoints);
     caller.shared.view.store(Arc::new(view));
@@ -101,14 +101,14 @@
         spawn_node("first"),
         spawn_node("second")
     );
-    let forwarder = Forwarder::spawn(first.nodes).await;
+    let forwarder = Forwarder::spawn(first.nodes_address).await;
     for (node, slots) in [(&first, 6), (&second, 1)] {
         let (address, _record) = spawn_server(slots).await;
         node.announce("desk", address, slots);
     }
     let mut near = first.endpoint("desk", forwarder.address);
     near.zone = caller.shared.settings.zone.clone();
-    let far = second.endpoint("desk", second.nodes);
+    let far = second.endpoint("desk", second.nodes_address);
     let view = View::build(Version(1), &hedged_mesh(), &[near, far.clone()]);
     caller.shared.view.store(Arc::new(view));
     second
--- a/crates/node/tests/calls/keyed.rs
+++ b/crates/node/tests/calls/keyed.rs
@@ -33,7 +33,11 @@
     let far = spawn_node_with("far", &store).await;
     far.announce("jobs", address, 2);
     for node in [&one, &two] {
-        node.serve_by("jobs", Repeat::Never, &[far.endpoint("jobs", far.nodes)]);
+        node.set_route(
+            "jobs",
+            Repeat::Never,
+            &[far.endpoint("jobs", far.nodes_address)],
+        );
     }
     Mesh {
         one,
@@ -130,10 +134,10 @@
     let other = spawn_node("other").await;
     let (address, record) = spawn_server(1).await;
     other.announce("jobs", address, 1);
-    mesh.two.serve_by(
+    mesh.two.set_route(
         "jobs",
         Repeat::Never,
-        &[other.endpoint("jobs", other.nodes)],
+        &[other.endpoint("jobs", other.nodes_address)],
     );
     let mut again = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
     for _ in 0..200 {
@@ -204,13 +208,13 @@
 #[tokio::test]
 async fn nobody_knows() {
     let mesh = spawn_mesh().await;
-    let forwarder = Forwarder::spawn(mesh.far.nodes).await;
+    let forwarder = Forwarder::spawn(mesh.far.nodes_address).await;
     let far = mesh.far.endpoint("jobs", forwarder.address);
-    mesh.one.serve_by("jobs", Repeat::Never, &[far]);
+    mesh.one.set_route("jobs", Repeat::Never, &[far]);
     let address = mesh.one.outbound.address();
     let first = tokio::spawn(async move { book(address, "k1", "r1", "3000").await });
     wait_recorded(&mesh.record, |entry| entry.request == "r1").await;
-    forwarder.set_target(spawn_node("far").await.nodes);
+    forwarder.set_target(spawn_node("far").await.nodes_address);
     forwarder.set(Mode::Drop, Mode::Drop);
     assert_eq!(first.await.unwrap().verdict(), "may-have-run");
     let again = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
@@ -228,9 +232,9 @@
 #[tokio::test]
 async fn settled_late() {
     let mesh = spawn_mesh().await;
-    let forwarder = Forwarder::spawn(mesh.far.nodes).await;
+    let forwarder = Forwarder::spawn(mesh.far.nodes_address).await;
     let far = mesh.far.endpoint("jobs", forwarder.address);
-    mesh.one.serve_by("jobs", Repeat::Never, &[far]);
+    mesh.one.set_route("jobs", Repeat::Never, &[far]);
     let address = mesh.one.outbound.address();
     let warm = book(address, "k0", "r0", "0").await;
     assert_eq!(warm.status, StatusCode::OK);
@@ -294,11 +298,11 @@
     mesh.far.announce("jobs", server, 2);
     let node = if local { &mesh.far } else { &mesh.one };
     for node in [&mesh.one, &mesh.two, &mesh.far] {
-        node.serve_as(
+        node.set_route_of_class(
             Class::Commit,
             "jobs",
             Repeat::Never,
-            &[mesh.far.endpoint("jobs", mesh.far.nodes)],
+            &[mesh.far.endpoint("jobs", mesh.far.nodes_address)],
         );
     }
     let address = node.outbound.address();
@@ -337,9 +341,9 @@
 #[tokio::test]
 async fn reservation_lost() {
     let mesh = spawn_mesh().await;
-    let front = Forwarder::spawn(mesh.far.nodes).await;
+    let front = Forwarder::spawn(mesh.far.nodes_address).await;
     let far = mesh.far.endpoint("jobs", front.address);
-    mesh.one.serve_by("jobs", Repeat::Never, &[far]);
+    mesh.one.set_route("jobs", Repeat::Never, &[far]);
     let address = mesh.one.outbound.address();
     assert_eq!(book(address, "k0", "r0", "0").await.status, StatusCode::OK);
     mesh.store.set_faults(Faults {
--- a/crates/node/tests/calls/look.rs
+++ b/crates/node/tests/calls/load_probe.rs
@@ -1,7 +1,7 @@
 //! What a node tells of a call that it has not been sent.
 
 use crate::mesh::{spawn_node, spawn_server};
-use crate::peer::{encode, open_link, read};
+use crate::raw_peer::{encode, open_link, read_frame};
 use config::Class;
 use tokio::io::AsyncWriteExt;
 use wire::call::{Frame, Look, Outlook};
@@ -24,7 +24,7 @@
     };
     stream.write_all(&encode(Frame::Look(look))).await.unwrap();
     loop {
-        if let Frame::Outlook(outlook) = read(&mut stream).await {
+        if let Frame::Outlook(outlook) = read_frame(&mut stream).await {
             return outlook;
         }
     }
--- a/crates/node/tests/calls/main.rs
+++ b/crates/node/tests/calls/main.rs
@@ -2,13 +2,13 @@
 
 mod deadly;
 mod ending;
-mod feed;
 mod forward;
 mod hedge;
 mod keyed;
-mod look;
+mod load_probe;
 mod mesh;
-mod peer;
+mod misbehaving_peer;
+mod raw_peer;
 mod reuse;
 mod silence;
 mod unread;
--- a/crates/node/tests/calls/mesh.rs
+++ b/crates/node/tests/calls/mesh.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use node::nodes::write_hello;
+use node::nodes::make_hello;
 use node::shared::{Backend, Shared};
 use node::{inbound, outbound, reserve};
 use settings::node::Settings;
@@ -26,7 +26,7 @@
     pub shared: Arc<Shared<System>>,
     pub inbound: inbound::Handle<System>,
     pub outbound: outbound::Handle<System>,
-    pub nodes: SocketAddr,
+    pub nodes_address: SocketAddr,
 }
 
 /// Binds a free port on loopback.
@@ -67,7 +67,7 @@
         shared,
         inbound,
         outbound,
-        nodes,
+        nodes_address: nodes,
     }
 }
 
@@ -80,7 +80,7 @@
     while let Ok((mut stream, _)) = listener.accept().await {
         let theirs = codec::read_hello(&mut stream).await;
         if let Ok(theirs) = theirs
-            && codec::write(&mut stream, &write_hello(&shared, theirs.link))
+            && codec::write(&mut stream, &make_hello(&shared, theirs.link))
                 .await
                 .is_ok()
         {
@@ -136,12 +136,18 @@
     }
 
     /// Serves by one route, to the service of the same name.
-    pub fn serve_by(&self, service: &str, repeat: Repeat, endpoints: &[Endpoint]) {
-        self.serve_as(Class::Lookup, service, repeat, endpoints);
+    pub fn set_route(&self, service: &str, repeat: Repeat, endpoints: &[Endpoint]) {
+        self.set_route_of_class(Class::Lookup, service, repeat, endpoints);
     }
 
     /// Serves by one route of that class, to the service of the same name.
-    pub fn serve_as(&self, class: Class, service: &str, repeat: Repeat, endpoints: &[Endpoint]) {
+    pub fn set_route_of_class(
+        &self,
+        class: Class,
+        service: &str,
+        repeat: Repeat,
+        endpoints: &[Endpoint],
+    ) {
         let mut mesh = Mesh::default();
         mesh.services.insert(service.into(), Service::default());
         let route = Route {
--- a/crates/node/tests/calls/feed.rs
+++ b/crates/node/tests/calls/misbehaving_peer.rs
@@ -1,7 +1,7 @@
 //! Peers that say a whole hello and then feed their link badly.
 
 use crate::mesh::{call, spawn_node, spawn_server};
-use crate::peer::{encode, open_link};
+use crate::raw_peer::{encode, open_link};
 use bytes::Bytes;
 use config::Repeat;
 use http::{Method, StatusCode};
@@ -71,7 +71,11 @@
     let far = spawn_node("far").await;
     let bad = spawn_node("bad").await;
     far.announce("jobs", address, 6);
-    near.serve_by("jobs", Repeat::Never, &[far.endpoint("jobs", far.nodes)]);
+    near.set_route(
+        "jobs",
+        Repeat::Never,
+        &[far.endpoint("jobs", far.nodes_address)],
+    );
     let mut stream = open_link(&bad, &far).await;
     let is_over = feed == promise(MAX_FRAME + 1);
     let feeding = async {
--- a/crates/node/tests/calls/peer.rs
+++ b/crates/node/tests/calls/raw_peer.rs
@@ -3,7 +3,7 @@
 use crate::mesh::Node;
 use bytes::Bytes;
 use config::Class;
-use node::nodes::write_hello;
+use node::nodes::make_hello;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use wire::Link;
@@ -12,8 +12,8 @@
 
 /// Opens a call link to `far`, as the node `peer` does.
 pub async fn open_link(peer: &Node, far: &Node) -> TcpStream {
-    let mut stream = TcpStream::connect(far.nodes).await.unwrap();
-    let hello = write_hello(&peer.shared, Link::Call);
+    let mut stream = TcpStream::connect(far.nodes_address).await.unwrap();
+    let hello = make_hello(&peer.shared, Link::Call);
     codec::write(&mut stream, &hello).await.unwrap();
     codec::read_hello(&mut stream).await.unwrap();
     let open = encode(Frame::Open { link: 1 });
@@ -29,7 +29,7 @@
 }
 
 /// Reads the next frame of a call.
-pub async fn read(stream: &mut TcpStream) -> Frame {
+pub async fn read_frame(stream: &mut TcpStream) -> Frame {
     match codec::read::<_, wire::Frame>(stream, &mut Vec::new()).await {
         Ok(wire::Frame::Call(frame)) => frame,
         other => panic!("no frame of a call: {other:?}"),
--- a/crates/node/tests/calls/reuse.rs
+++ b/crates/node/tests/calls/reuse.rs
@@ -40,7 +40,11 @@
     let (address, count) = spawn_counter(server).await;
     let own = spawn_node("own").await;
     own.announce("jobs", address, 6);
-    own.serve_by("jobs", Repeat::Never, &[own.endpoint("jobs", own.nodes)]);
+    own.set_route(
+        "jobs",
+        Repeat::Never,
+        &[own.endpoint("jobs", own.nodes_address)],
+    );
     for _ in 0..5 {
         let headers = [("x-answer-bytes", length)];
         let at = own.outbound.address();
--- a/crates/node/tests/calls/silence.rs
+++ b/crates/node/tests/calls/silence.rs
@@ -21,8 +21,8 @@
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 1);
-    let forwarder = Forwarder::spawn(far.nodes).await;
-    near.serve_by("jobs", repeat, &[far.endpoint("jobs", forwarder.address)]);
+    let forwarder = Forwarder::spawn(far.nodes_address).await;
+    near.set_route("jobs", repeat, &[far.endpoint("jobs", forwarder.address)]);
     let pair = Pair {
         near,
         far,
@@ -91,22 +91,22 @@
     other.announce("jobs", address, 1);
     pair.forwarder.set(Mode::Hold, Mode::Pass);
     let late = pair.far.endpoint("jobs", pair.forwarder.address);
-    pair.near.serve_by("jobs", Repeat::Never, &[late]);
+    pair.near.set_route("jobs", Repeat::Never, &[late]);
     let address = pair.near.outbound.address();
     let booking = tokio::spawn(async move { post(address, "r1", "0").await });
     let answer = booking.await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.verdict(), "not-run");
-    pair.near.serve_by(
+    pair.near.set_route(
         "jobs",
         Repeat::Never,
-        &[other.endpoint("jobs", other.nodes)],
+        &[other.endpoint("jobs", other.nodes_address)],
     );
     assert_eq!(pair.post("r1", "0").await.status, StatusCode::OK);
     pair.forwarder.set(Mode::Pass, Mode::Pass);
     // What the old link brings is read before a call over the new one is answered.
     let far = pair.far.endpoint("jobs", pair.forwarder.address);
-    pair.near.serve_by("jobs", Repeat::Never, &[far]);
+    pair.near.set_route("jobs", Repeat::Never, &[far]);
     for _ in 0..20 {
         assert_eq!(pair.post("after", "1").await.status, StatusCode::OK);
     }
@@ -145,7 +145,7 @@
     let booking = tokio::spawn(async move { post(address, "r1", "3000").await });
     wait_recorded(&pair.record, |entry| entry.request == "r1").await;
     let restarted = spawn_node("far").await;
-    pair.forwarder.set_target(restarted.nodes);
+    pair.forwarder.set_target(restarted.nodes_address);
     pair.forwarder.set(Mode::Drop, Mode::Drop);
     let started = Instant::now();
     let answer = booking.await.unwrap();
@@ -167,8 +167,8 @@
     other.announce("jobs", address, 1);
     pair.forwarder.set(Mode::Drop, Mode::Drop);
     let far = pair.far.endpoint("jobs", pair.forwarder.address);
-    let spare = other.endpoint("jobs", other.nodes);
-    pair.near.serve_by("jobs", Repeat::Always, &[far, spare]);
+    let spare = other.endpoint("jobs", other.nodes_address);
+    pair.near.set_route("jobs", Repeat::Always, &[far, spare]);
     let started = Instant::now();
     for _ in 0..4 {
         assert_eq!(pair.post("r1", "0").await.status, StatusCode::OK);
@@ -224,7 +224,7 @@
     let far = spawn_node("far").await;
     // Its backlog takes connections, and nobody ever answers them.
     let (_listener, address) = bind().await;
-    near.serve_by("jobs", Repeat::Never, &[far.endpoint("jobs", address)]);
+    near.set_route("jobs", Repeat::Never, &[far.endpoint("jobs", address)]);
     let callers = near.outbound.address();
     let started = Instant::now();
     let clerks: Vec<_> = (0..20)
--- a/crates/node/tests/calls/unread.rs
+++ b/crates/node/tests/calls/unread.rs
@@ -1,7 +1,7 @@
 //! Answers that nobody takes: of peers that are gone, and of those that live and don't read.
 
 use crate::mesh::{Node, bind, call, spawn_node, spawn_server, wait_recorded};
-use crate::peer::{encode, make_request, open_link, read};
+use crate::raw_peer::{encode, make_request, open_link, read_frame};
 use bytes::Bytes;
 use config::{Class, Repeat};
 use http::{Method, StatusCode};
@@ -32,8 +32,8 @@
     let far = spawn_node("far").await;
     far.announce("jobs", address, 1);
     for node in [&near, &far] {
-        let endpoints = [far.endpoint("jobs", far.nodes)];
-        node.serve_as(Class::Commit, "jobs", Repeat::Never, &endpoints);
+        let endpoints = [far.endpoint("jobs", far.nodes_address)];
+        node.set_route_of_class(Class::Commit, "jobs", Repeat::Never, &endpoints);
     }
     (near, far, record)
 }
@@ -81,7 +81,7 @@
         .write_all(&encode(Frame::Request(request)))
         .await
         .unwrap();
-    let Frame::Answer(_) = read(&mut stream).await else {
+    let Frame::Answer(_) = read_frame(&mut stream).await else {
         panic!("no answer");
     };
     wait_recorded(&record, |run| run.outcome == Outcome::Completed).await;
@@ -140,7 +140,7 @@
     stream.write_all(&room).await.unwrap();
     let mut received = 0;
     loop {
-        match read(&mut stream).await {
+        match read_frame(&mut stream).await {
             Frame::Answer(_) => {}
             Frame::Body { bytes, end, .. } => {
                 received += bytes.len();
@@ -161,11 +161,11 @@
     let far = spawn_node("far").await;
     let (listener, address) = bind().await;
     far.announce("jobs", address, 1);
-    far.serve_as(
+    far.set_route_of_class(
         Class::Lookup,
         "jobs",
         Repeat::Never,
-        &[far.endpoint("jobs", far.nodes)],
+        &[far.endpoint("jobs", far.nodes_address)],
     );
     let answering = async {
         let (mut stream, _) = listener.accept().await.unwrap();
@@ -199,7 +199,7 @@
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     let (listener, address) = bind().await;
-    near.serve_by("jobs", Repeat::Never, &[far.endpoint("jobs", address)]);
+    near.set_route("jobs", Repeat::Never, &[far.endpoint("jobs", address)]);
     let calling = call(
         near.outbound.address(),
         Method::POST,
@@ -210,9 +210,9 @@
     let serving = async {
         let (mut stream, _) = listener.accept().await.unwrap();
         let theirs = codec::read_hello(&mut stream).await.unwrap();
-        let own = node::nodes::write_hello(&far.shared, theirs.link);
+        let own = node::nodes::make_hello(&far.shared, theirs.link);
         codec::write(&mut stream, &own).await.unwrap();
-        while !matches!(read(&mut stream).await, Frame::Request(_)) {}
+        while !matches!(read_frame(&mut stream).await, Frame::Request(_)) {}
         drop(listener);
         stream.shutdown().await.unwrap();
         let mut rest = Vec::new();
@@ -242,7 +242,7 @@
         .unwrap();
     let mut sent = 0;
     while sent < 3 << 20 {
-        let Frame::Credit { bytes, .. } = read(&mut stream).await else {
+        let Frame::Credit { bytes, .. } = read_frame(&mut stream).await else {
             panic!("no room for the body");
         };
         sent += bytes;
--- a/crates/node/tests/calls/whole.rs
+++ b/crates/node/tests/calls/whole.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use config::Repeat;
 use http::{Method, StatusCode};
-use node::nodes::write_hello;
+use node::nodes::make_hello;
 use standin::backend;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -27,7 +27,11 @@
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 6);
-    near.serve_by("jobs", Repeat::Never, &[far.endpoint("jobs", far.nodes)]);
+    near.set_route(
+        "jobs",
+        Repeat::Never,
+        &[far.endpoint("jobs", far.nodes_address)],
+    );
     let body = Bytes::from(vec![7; upload]);
     let length = answer.to_string();
     let headers = [("x-request", "r1"), ("x-answer-bytes", length.as_str())];
@@ -55,7 +59,11 @@
     let (address, _record) = spawn_server(6).await;
     let own = spawn_node("own").await;
     own.announce("jobs", address, 6);
-    own.serve_by("jobs", Repeat::Never, &[own.endpoint("jobs", own.nodes)]);
+    own.set_route(
+        "jobs",
+        Repeat::Never,
+        &[own.endpoint("jobs", own.nodes_address)],
+    );
     let body = Bytes::from(vec![7; 500_000]);
     let got = call(
         own.outbound.address(),
@@ -85,7 +93,7 @@
         (StatusCode::SERVICE_UNAVAILABLE, "not-run")
     );
     assert!(early.headers.contains_key("retry-after"));
-    own.serve_by("jobs", Repeat::Never, &[]);
+    own.set_route("jobs", Repeat::Never, &[]);
     let wrong = call(address, Method::GET, "/parts", &[], Bytes::new())
         .await
         .unwrap();
@@ -169,7 +177,7 @@
     let (listener, address) = bind().await;
     tokio::spawn(answer_crosswise(listener));
     let far = spawn_node("far").await;
-    near.serve_by("parts", Repeat::Never, &[far.endpoint("parts", address)]);
+    near.set_route("parts", Repeat::Never, &[far.endpoint("parts", address)]);
     let address = near.outbound.address();
     let one = call(address, Method::GET, "/parts/one", &[], Bytes::new());
     let two = call(address, Method::GET, "/parts/two", &[], Bytes::new());
@@ -193,7 +201,11 @@
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 2);
-    near.serve_by("jobs", Repeat::Never, &[far.endpoint("jobs", far.nodes)]);
+    near.set_route(
+        "jobs",
+        Repeat::Never,
+        &[far.endpoint("jobs", far.nodes_address)],
+    );
     let address = near.outbound.address();
     let mut slow = TcpStream::connect(address).await.unwrap();
     let head = "GET /jobs/1 HTTP/1.1\r\nhost: m\r\nx-request: slow\r\nx-answer-bytes: 30000000\r\nbluebellpick-timeout-ms: 60000\r\n\r\n";
@@ -225,12 +237,12 @@
     let other = spawn_node("other").await;
     own.announce("jobs", own_server, 6);
     other.announce("jobs", other_server, 6);
-    let mut beside = other.endpoint("jobs", other.nodes);
+    let mut beside = other.endpoint("jobs", other.nodes_address);
     beside.zone = own.shared.settings.zone.clone();
-    own.serve_by(
+    own.set_route(
         "jobs",
         Repeat::Never,
-        &[own.endpoint("jobs", own.nodes), beside],
+        &[own.endpoint("jobs", own.nodes_address), beside],
     );
     for _ in 0..20 {
         let got = call(
@@ -257,7 +269,7 @@
     let near = spawn_node("near").await;
     let (listener, address) = bind().await;
     let far = spawn_node("far").await;
-    near.serve_by("photos", Repeat::Never, &[far.endpoint("photos", address)]);
+    near.set_route("photos", Repeat::Never, &[far.endpoint("photos", address)]);
     let taking = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let theirs = codec::read_hello(&mut stream).await.unwrap();
@@ -311,8 +323,8 @@
     other.announce("photos", server, 6);
     let mut full = far.endpoint("photos", address);
     full.zone = near.shared.settings.zone.clone();
-    let roomy = other.endpoint("photos", other.nodes);
-    near.serve_by("photos", Repeat::Never, &[full, roomy]);
+    let roomy = other.endpoint("photos", other.nodes_address);
+    near.set_route("photos", Repeat::Never, &[full, roomy]);
     let bodies = Arc::new(AtomicUsize::new(0));
     let refused = Arc::new(AtomicUsize::new(0));
     let (seen, turned_away) = (Arc::clone(&bodies), Arc::clone(&refused));
@@ -367,8 +379,8 @@
 #[tokio::test]
 async fn deaf_peer() {
     let far = spawn_node("far").await;
-    let mut stream = TcpStream::connect(far.nodes).await.unwrap();
-    let hello = write_hello(&spawn_node("deaf").await.shared, wire::Link::Call);
+    let mut stream = TcpStream::connect(far.nodes_address).await.unwrap();
+    let hello = make_hello(&spawn_node("deaf").await.shared, wire::Link::Call);
     codec::write(&mut stream, &hello).await.unwrap();
     let open = wire::Frame::Call(Frame::Open { link: 1 });
     codec::write(&mut stream, &open).await.unwrap();
--- a/crates/node/tests/reserve.rs
+++ b/crates/node/tests/reserve.rs
@@ -5,7 +5,7 @@
 use call::reserve::{Answer, Claim, Fingerprint, Holder, Key, MAX_KEYS, Reply};
 use clock::{Clock, Manual, System};
 use config::{Endpoint, Mesh, Service, State, Version, View};
-use node::nodes::write_hello;
+use node::nodes::make_hello;
 use node::reserve::{Claimed, Grant, Handle};
 use node::shared::Shared;
 use rand::rngs::SmallRng;
@@ -71,7 +71,7 @@
 {
     while let Ok((mut stream, _)) = listener.accept().await {
         if codec::read_hello(&mut stream).await.is_ok() {
-            let hello = write_hello(&shared, Link::Reserve);
+            let hello = make_hello(&shared, Link::Reserve);
             codec::write(&mut stream, &hello).await.unwrap();
             reserve.accept(stream);
         }
@@ -339,7 +339,7 @@
         ..Faults::default()
     });
     let mut stream = TcpStream::connect(owner.forwarder.address()).await.unwrap();
-    let hello = write_hello(&owner.shared, Link::Reserve);
+    let hello = make_hello(&owner.shared, Link::Reserve);
     codec::write(&mut stream, &hello).await.unwrap();
     codec::read_hello(&mut stream).await.unwrap();
     let claim = Claim {
