--- a/crates/node/src/inbound.rs
+++ b/crates/node/src/inbound.rs
@@ -3,24 +3,24 @@
 //! It alone talks to that backend server, and holds the table of calls that
 //! settles what became of one when a link has gone silent.
 
-pub(crate) mod bodies;
+pub(crate) mod admission_gate;
+pub(crate) mod body_receiver;
 pub(crate) mod crash;
 pub(crate) mod deliver;
-pub(crate) mod entry;
-pub(crate) mod gate;
+pub(crate) mod inbound_call;
 pub(crate) mod link;
-pub(crate) mod look;
-pub(crate) mod outgoing;
-pub(crate) mod parents;
+pub(crate) mod load_probe;
+pub(crate) mod response_stream;
 pub(crate) mod run;
+pub(crate) mod running_calls;
 
 use crate::backend::Pool;
-use crate::inbound::bodies::Bodies;
-use crate::inbound::entry::Call;
-use crate::inbound::gate::Gate;
+use crate::inbound::admission_gate::Gate;
+use crate::inbound::body_receiver::Bodies;
+use crate::inbound::inbound_call::InboundCall;
 use crate::inbound::link::run_link;
-use crate::inbound::parents::{Parents, Run};
-use crate::inbound::run::{Refused, Running};
+use crate::inbound::run::{BackendResponse, Refused};
+use crate::inbound::running_calls::{RunningCall, RunningCalls};
 use crate::link::Sender;
 use crate::shared::{Backend, Shared};
 use crate::upload::Upload;
@@ -64,12 +64,12 @@
 {
     pub(crate) shared: Arc<Shared<C>>,
     pub(crate) pool: Arc<Pool<C>>,
-    tables: [Mutex<AttemptTable<Arc<Call>>>; SHARDS],
+    tables: [Mutex<AttemptTable<Arc<InboundCall>>>; SHARDS],
     links: Mutex<Vec<Weak<Sender>>>,
     pub(crate) gate: Arc<Gate<C>>,
     pub(crate) bodies: Arc<Bodies<C>>,
     /// The calls that the backend server runs.
-    pub(crate) parents: Arc<Parents>,
+    pub(crate) parents: Arc<RunningCalls>,
     /// The calls that are in flight at the backend server, and may be as it ends.
     pub(crate) in_flight: Mutex<in_flight::Table>,
     /// The permit is out while a request under suspicion is in flight.
@@ -130,13 +130,13 @@
     }
 
     /// Tells how a call runs on the backend server, if it does now.
-    pub(crate) fn find_running(&self, name: &str) -> Option<Run> {
+    pub(crate) fn find_running(&self, name: &str) -> Option<RunningCall> {
         self.inner.parents.find(policy::hash(name))
     }
 
     /// Gives what would become of a call that enters on this VM.
-    pub(crate) fn find_outlook(&self, look: &Look) -> Estimate {
-        look::find_outlook(&self.inner, look)
+    pub(crate) fn estimate(&self, look: &Look) -> Estimate {
+        load_probe::estimate(&self.inner, look)
     }
 
     /// Runs a call that entered on this VM, without a link.
@@ -145,7 +145,7 @@
         request: Request,
         upload: Upload,
         deadline: Instant,
-    ) -> Result<http::Response<Running<C>>, Refused> {
+    ) -> Result<http::Response<BackendResponse<C>>, Refused> {
         let started = AtomicBool::new(false);
         let start = || {
             started.store(true, Ordering::Relaxed);
@@ -170,7 +170,7 @@
         request: Request,
         upload: Upload,
         deadline: Instant,
-    ) -> oneshot::Receiver<Result<http::Response<Running<C>>, Refused>> {
+    ) -> oneshot::Receiver<Result<http::Response<BackendResponse<C>>, Refused>> {
         let (mut sender, receiver) = oneshot::channel();
         let inner = Arc::clone(&self.inner);
         tokio::spawn(async move {
@@ -178,7 +178,7 @@
             let run = run::run(&inner, request, upload, deadline, came, || true);
             let overdue = async {
                 run::sleep_until(&inner, deadline).await;
-                tokio::time::sleep(run::LATE_LIMIT).await;
+                tokio::time::sleep(run::MAX_COMMIT_OVERRUN).await;
             };
             let ended = tokio::select! {
                 biased;
@@ -259,7 +259,7 @@
         }
     }
 
-    pub(crate) fn table(&self, origin: u64) -> &Mutex<AttemptTable<Arc<Call>>> {
+    pub(crate) fn table(&self, origin: u64) -> &Mutex<AttemptTable<Arc<InboundCall>>> {
         #[expect(
             clippy::cast_possible_truncation,
             reason = "only the low bits choose the shard"
--- a/crates/node/src/inbound/bodies.rs
+++ b/crates/node/src/inbound/body_receiver.rs
@@ -1,6 +1,6 @@
 //! The bodies that other nodes send: runs `policy::body_scheduler` for calls whose bodies come in.
 
-use crate::inbound::entry::Call;
+use crate::inbound::inbound_call::InboundCall;
 use call::Id;
 use clock::Clock;
 use parking_lot::Mutex;
@@ -46,7 +46,7 @@
 
 /// A body on its way.
 struct Pull {
-    call: Arc<Call>,
+    call: Arc<InboundCall>,
     ended: oneshot::Sender<Result<(), Error>>,
 }
 
@@ -135,7 +135,7 @@
     /// Waits until the body of a call is here, as far as its length is known.
     pub(crate) async fn pull(
         self: &Arc<Self>,
-        call: &Arc<Call>,
+        call: &Arc<InboundCall>,
         ask: &BodyOffer,
     ) -> Result<Held<C>, Error> {
         let receiver = self.ask(call, ask).map_err(Error::Refused)?;
@@ -150,7 +150,7 @@
         })
     }
 
-    fn ask(&self, call: &Arc<Call>, ask: &BodyOffer) -> Result<Ended, Refusal> {
+    fn ask(&self, call: &Arc<InboundCall>, ask: &BodyOffer) -> Result<Ended, Refusal> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let state = &mut *state;
--- a/crates/node/src/inbound/crash.rs
+++ b/crates/node/src/inbound/crash.rs
@@ -2,8 +2,8 @@
 //! `policy::in_flight`.
 
 use crate::inbound::Inner;
-use crate::inbound::parents::Parent;
 use crate::inbound::run::Refused;
+use crate::inbound::running_calls::RunningCallGuard;
 use crate::shared::Backend;
 use call::{Crash, owner, truncate_path};
 use clock::Clock;
@@ -39,7 +39,7 @@
     outcome: Outcome,
     _exclusive: Exclusive,
     /// What the calls that the backend server makes for this one find, while it runs.
-    parent: Option<Parent>,
+    parent: Option<RunningCallGuard>,
 }
 
 /// The right of one request under suspicion to be in flight; the others wait for it.
@@ -150,7 +150,7 @@
     }
 
     /// Notes that the backend server gets the call now, and may run it.
-    pub(crate) fn begin(&mut self, parent: Parent) {
+    pub(crate) fn begin(&mut self, parent: RunningCallGuard) {
         self.parent = Some(parent);
         self.outcome = Outcome::Unanswered;
     }
--- a/crates/node/src/inbound/deliver.rs
+++ b/crates/node/src/inbound/deliver.rs
@@ -3,9 +3,9 @@
 use crate::backend::Error;
 use crate::header::take_end_to_end;
 use crate::inbound::Inner;
-use crate::inbound::entry::{Call, Untaken};
-use crate::inbound::outgoing::PART;
-use crate::inbound::run::{Running, end_early, percent_of};
+use crate::inbound::inbound_call::{InboundCall, Untaken};
+use crate::inbound::response_stream::MAX_CHUNK;
+use crate::inbound::run::{BackendResponse, end_early, percent_of};
 use crate::millis::whole_ms;
 use bytes::Bytes;
 use call::Verdict;
@@ -32,19 +32,19 @@
 /// Sends an answer as it comes from the backend server, which is let go at its end.
 pub(super) async fn send_answer<C>(
     inner: &Inner<C>,
-    call: &Call,
-    response: Response<Running<C>>,
+    call: &InboundCall,
+    response: Response<BackendResponse<C>>,
 ) -> Option<OwnedSemaphorePermit>
 where
     C: Clock,
 {
     let (parts, mut running) = response.into_parts();
-    let told = running.told();
+    let told = running.load_report();
     // What is there already of the body goes with the head, in one write.
     let mut next = take_ready(&mut running).await;
     let mut first = None;
     if let Poll::Ready(Some(Ok(bytes))) = &next
-        && bytes.len() <= PART
+        && bytes.len() <= MAX_CHUNK
     {
         first = Some(bytes.clone());
         next = take_ready(&mut running).await;
@@ -94,7 +94,7 @@
 ///
 /// The backend server is done with it, so that no deadline counts any more: an
 /// answer that was ready in time is delivered, also late.
-pub(super) async fn deliver<C>(inner: &Inner<C>, call: &Call)
+pub(super) async fn deliver<C>(inner: &Inner<C>, call: &InboundCall)
 where
     C: Clock,
 {
@@ -109,7 +109,7 @@
 }
 
 /// Gives up on an answer whose reader takes nothing.
-fn give_up<C>(inner: &Inner<C>, call: &Call)
+fn give_up<C>(inner: &Inner<C>, call: &InboundCall)
 where
     C: Clock,
 {
@@ -123,7 +123,7 @@
 }
 
 /// Gives the next part of a body if it is there now.
-async fn take_ready<C>(running: &mut Running<C>) -> Poll<Option<Result<Bytes, Error>>>
+async fn take_ready<C>(running: &mut BackendResponse<C>) -> Poll<Option<Result<Bytes, Error>>>
 where
     C: Clock,
 {
--- a/crates/node/src/inbound/entry.rs
+++ b/crates/node/src/inbound/inbound_call.rs
@@ -1,6 +1,6 @@
 //! One call from another node, as the inbound proxy sees it.
 
-use crate::inbound::outgoing::Outgoing;
+use crate::inbound::response_stream::Outgoing;
 use crate::link::Sender;
 use crate::link::wake;
 use crate::upload::{self, Rest, Upload};
@@ -34,7 +34,7 @@
 
 /// One call from another node.
 #[derive(Debug)]
-pub(crate) struct Call {
+pub(crate) struct InboundCall {
     pub(crate) id: Id,
     answer: Mutex<Outgoing>,
     upload: Mutex<Incoming>,
@@ -55,7 +55,7 @@
     reader: Option<Waker>,
 }
 
-impl Call {
+impl InboundCall {
     /// Makes a call whose request has a body of so many bytes, as far as is known, or none.
     pub(crate) fn new(id: Id, link: Arc<Sender>, whole: bool, length: u64) -> Arc<Self> {
         // A short body comes unasked, with its head.
@@ -145,7 +145,7 @@
     }
 
     /// Waits for the next part of the request's body.
-    pub(crate) fn poll_upload(
+    pub(crate) fn poll_request_body(
         &self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, upload::Error>>> {
--- a/crates/node/src/inbound/link.rs
+++ b/crates/node/src/inbound/link.rs
@@ -1,8 +1,8 @@
 //! Reads the links from other nodes' outbound proxies.
 
 use crate::inbound::Inner;
-use crate::inbound::entry::Call;
-use crate::inbound::{look, run};
+use crate::inbound::inbound_call::InboundCall;
+use crate::inbound::{load_probe, run};
 use crate::link::{Expected, Receiver, Sender};
 use call::{Arrival, Id, Outcome, Verdict};
 use clock::Clock;
@@ -53,7 +53,7 @@
     /// Number of the link, once it is open.
     link: Option<u64>,
     /// Calls whose request's body has not come whole.
-    uploads: &'a Mutex<Vec<Arc<Call>>>,
+    uploads: &'a Mutex<Vec<Arc<InboundCall>>>,
 }
 
 impl<C> Reader<'_, C>
@@ -107,7 +107,7 @@
                 ControlFlow::Continue(())
             }
             Frame::Look(look) => {
-                let outlook = Frame::Outlook(look::tell_outlook(self.inner, &look));
+                let outlook = Frame::Outlook(load_probe::tell_outlook(self.inner, &look));
                 // Whoever asked sees by the end of the link that no answer comes.
                 drop(self.sender.send([outlook]));
                 ControlFlow::Continue(())
@@ -120,7 +120,7 @@
     ///
     /// What an earlier link still brings about a call that has moved on is
     /// void: its credit is counted in the question that moved the call.
-    fn find(&self, id: Id) -> Option<Arc<Call>> {
+    fn find(&self, id: Id) -> Option<Arc<InboundCall>> {
         let table = self.inner.table(id.origin).lock();
         table
             .get(id)
@@ -133,7 +133,7 @@
         if id.origin != self.origin {
             return ControlFlow::Break(());
         }
-        let call = Call::new(id, Arc::clone(self.sender), request.end, request.length);
+        let call = InboundCall::new(id, Arc::clone(self.sender), request.end, request.length);
         let now = self.inner.shared.clock.now();
         let arrival = self
             .inner
--- a/crates/node/src/inbound/look.rs
+++ b/crates/node/src/inbound/load_probe.rs
@@ -14,7 +14,7 @@
 where
     C: Clock,
 {
-    let outlook = find_outlook(inner, look);
+    let outlook = estimate(inner, look);
     wire::call::Outlook {
         serial: look.serial,
         takes: outlook.accepts,
@@ -25,7 +25,7 @@
 }
 
 /// Gives what would become of a call; one that is refused whatever the load is not taken.
-pub(crate) fn find_outlook<C>(inner: &Inner<C>, look: &Look) -> Estimate
+pub(crate) fn estimate<C>(inner: &Inner<C>, look: &Look) -> Estimate
 where
     C: Clock,
 {
--- a/crates/node/src/inbound/outgoing.rs
+++ b/crates/node/src/inbound/response_stream.rs
@@ -14,7 +14,7 @@
 use wire::call::{Answer, Frame, Refusal, WINDOW};
 
 /// Bytes of an answer's body in one frame: small enough that calls on one link take turns.
-pub(crate) const PART: usize = 16 << 10;
+pub(crate) const MAX_CHUNK: usize = 16 << 10;
 
 /// An answer on its way to the outbound proxy.
 #[derive(Debug)]
@@ -192,7 +192,7 @@
     /// Takes the next part that there is room for.
     fn take_part(&mut self) -> Option<Bytes> {
         let room = self.limit.saturating_sub(self.sent);
-        let room = usize::try_from(room).unwrap_or(PART).min(PART);
+        let room = usize::try_from(room).unwrap_or(MAX_CHUNK).min(MAX_CHUNK);
         let first = self.waiting.front_mut().filter(|_| room > 0)?;
         let part = first.split_to(first.len().min(room));
         if first.is_empty() {
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -2,13 +2,13 @@
 
 use crate::backend::{Error, Reply};
 use crate::header::put_headers;
-use crate::inbound::bodies::Held;
+use crate::inbound::admission_gate::{Offer, Permit};
+use crate::inbound::body_receiver::Held;
 use crate::inbound::crash::{Exclusive, InFlight, is_suspected};
 use crate::inbound::deliver::{deliver, send_answer};
-use crate::inbound::entry::Call;
-use crate::inbound::gate::{Offer, Permit};
-use crate::inbound::parents::Run;
-use crate::inbound::{Inner, bodies, crash};
+use crate::inbound::inbound_call::InboundCall;
+use crate::inbound::running_calls::RunningCall;
+use crate::inbound::{Inner, body_receiver, crash};
 use crate::millis::whole_ms;
 use crate::outbound::response::reason_name;
 use crate::shared::{Backend, Counted};
@@ -36,7 +36,7 @@
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("bluebellpick-timeout-ms");
 
 /// How long a commit may run on after its deadline; most stops of a process are shorter.
-pub(crate) const LATE_LIMIT: Duration = Duration::from_secs(30);
+pub(crate) const MAX_COMMIT_OVERRUN: Duration = Duration::from_secs(30);
 
 /// Why a call got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 
 /// A backend server's answer, with what it holds until its body ends.
 #[derive(Debug)]
-pub(crate) struct Running<C>
+pub(crate) struct BackendResponse<C>
 where
     C: Clock,
 {
@@ -89,7 +89,7 @@
 }
 
 /// Runs a call that came over a link.
-pub(crate) fn spawn<C>(inner: Arc<Inner<C>>, call: Arc<Call>, request: Request)
+pub(crate) fn spawn<C>(inner: Arc<Inner<C>>, call: Arc<InboundCall>, request: Request)
 where
     C: Clock,
 {
@@ -123,19 +123,19 @@
 /// key. Cut off here, nobody could ever say whether it took effect. One whose
 /// body has not come whole by then waits for its sender, not for the backend
 /// server, and has none.
-async fn overdue<C>(inner: &Inner<C>, call: &Call, class: Class, deadline: Instant)
+async fn overdue<C>(inner: &Inner<C>, call: &InboundCall, class: Class, deadline: Instant)
 where
     C: Clock,
 {
     sleep_until(inner, deadline).await;
     let runs = inner.table(call.id.origin).lock().is_running(call.id);
     if runs && class == Class::Commit && !call.wants_more() {
-        tokio::time::sleep(LATE_LIMIT).await;
+        tokio::time::sleep(MAX_COMMIT_OVERRUN).await;
     }
 }
 
 /// Refuses a call that nobody waits for any more; dropping its exchange has told the backend server.
-pub(super) fn end_early<C>(inner: &Inner<C>, call: &Call, reason: Reason)
+pub(super) fn end_early<C>(inner: &Inner<C>, call: &InboundCall, reason: Reason)
 where
     C: Clock,
 {
@@ -156,7 +156,7 @@
 /// Gives what allows the answer to be ahead of its reader, if it is.
 async fn serve<C>(
     inner: &Arc<Inner<C>>,
-    call: &Arc<Call>,
+    call: &Arc<InboundCall>,
     request: Request,
     deadline: Instant,
 ) -> Option<OwnedSemaphorePermit>
@@ -201,7 +201,7 @@
 /// came with its head is not waited for.
 async fn pull<C>(
     inner: &Arc<Inner<C>>,
-    call: &Arc<Call>,
+    call: &Arc<InboundCall>,
     request: &Request,
     deadline: Instant,
 ) -> Result<Option<Held<C>>, Refused>
@@ -230,8 +230,8 @@
         () = inner.left() => return Err(Refused::not_run(Reason::Leaving, 0)),
     };
     pulled.map(Some).map_err(|error| match error {
-        bodies::Error::Refused(refusal) => turn_away(inner, request, deadline, refusal),
-        bodies::Error::BrokenOff => Refused::not_run(Reason::Cancelled, 0),
+        body_receiver::Error::Refused(refusal) => turn_away(inner, request, deadline, refusal),
+        body_receiver::Error::BrokenOff => Refused::not_run(Reason::Cancelled, 0),
     })
 }
 
@@ -247,7 +247,7 @@
     deadline: Instant,
     came: Instant,
     start: S,
-) -> Result<Response<Running<C>>, Refused>
+) -> Result<Response<BackendResponse<C>>, Refused>
 where
     C: Clock,
     S: FnOnce() -> bool,
@@ -268,9 +268,9 @@
     let parent_name = name_parent(inner, &request);
     let is_heavy = request.length > EAGER as u64;
     let is_repeat = |header: &Header| header.name == retry::HEADER;
-    let own_run = Run {
+    let own_run = RunningCall {
         class: request.class,
-        is_repeat: request.headers.iter().any(is_repeat),
+        is_retry: request.headers.iter().any(is_repeat),
     };
     let backend = find()?;
     let exclusive = exclusive.confirm(inner, &request)?;
@@ -301,7 +301,7 @@
                 return Err(refused);
             }
             permit.outcome = outcome_of(response.status());
-            Ok(response.map(|reply| Running {
+            Ok(response.map(|reply| BackendResponse {
                 reply,
                 permit,
                 waited_ms: whole_ms(waited),
@@ -479,7 +479,7 @@
     }
 }
 
-impl<C> Running<C>
+impl<C> BackendResponse<C>
 where
     C: Clock,
 {
@@ -499,7 +499,7 @@
     }
 
     /// Gives what the outbound proxy is told along with the answer.
-    pub(crate) fn told(&self) -> LoadReport {
+    pub(crate) fn load_report(&self) -> LoadReport {
         LoadReport {
             load: self.permit.load().max(f64::from(self.link_percent) / 100.0),
             queue_wait: Duration::from_millis(self.waited_ms.into()),
@@ -507,7 +507,7 @@
     }
 }
 
-impl<C> Drop for Running<C>
+impl<C> Drop for BackendResponse<C>
 where
     C: Clock,
 {
--- a/crates/node/src/outbound/keyed.rs
+++ b/crates/node/src/outbound/keyed.rs
@@ -1,6 +1,6 @@
 //! Calls with an `Idempotency-Key`: reserved before they run, answered again from what is kept.
 
-use crate::inbound::run::{LATE_LIMIT, Refused};
+use crate::inbound::run::{MAX_COMMIT_OVERRUN, Refused};
 use crate::metrics::Ending;
 use crate::outbound::Inner;
 use crate::outbound::plan::{Plan, time_left};
@@ -64,7 +64,7 @@
 where
     C: Clock,
 {
-    match tokio::time::timeout(LATE_LIMIT, late.settle()).await {
+    match tokio::time::timeout(MAX_COMMIT_OVERRUN, late.settle()).await {
         Ok(Ok(response)) => drop(settle(inner, grant, response).await),
         Ok(Err(refused)) if refused.verdict == Verdict::NotRun => inner.reserve.release(grant),
         Ok(Err(_)) | Err(_) => {}
--- a/crates/node/src/outbound/pick.rs
+++ b/crates/node/src/outbound/pick.rs
@@ -138,7 +138,7 @@
         target_ms: plan.target.map(|target| whole_ms(time_left(inner, target))),
     };
     if endpoint.node == inner.shared.settings.name {
-        return Some(inner.inbound.find_outlook(&look));
+        return Some(inner.inbound.estimate(&look));
     }
     // Goes on when nobody waits any more, so that the next call finds the link made.
     let (links, address) = (Arc::clone(&inner.links), endpoint.address);
--- a/crates/node/src/outbound/remote_attempt.rs
+++ b/crates/node/src/outbound/remote_attempt.rs
@@ -1,6 +1,6 @@
 //! A try that was sent, and the caller's body that follows it.
 
-use crate::inbound::outgoing::PART;
+use crate::inbound::response_stream::MAX_CHUNK;
 use crate::outbound::attempt::Attempt;
 use crate::outbound::link::Link;
 use bytes::Bytes;
@@ -105,7 +105,7 @@
             // The end alone needs no room.
             if !self.body.prefix.is_empty() {
                 match self.one.poll_credit(cx) {
-                    Poll::Ready(Some(credit)) => room = credit.min(PART),
+                    Poll::Ready(Some(credit)) => room = credit.min(MAX_CHUNK),
                     Poll::Ready(None) => self.done = true,
                     Poll::Pending => return,
                 }
--- a/crates/node/src/outbound/response.rs
+++ b/crates/node/src/outbound/response.rs
@@ -1,7 +1,7 @@
 //! What callers get: answers, and refusals with their verdict.
 
 use crate::backend;
-use crate::inbound::run::{Refused, Running};
+use crate::inbound::run::{BackendResponse, Refused};
 use crate::millis::whole_ms;
 use crate::outbound::remote_attempt::RemoteAttempt;
 use bytes::Bytes;
@@ -59,7 +59,7 @@
 
 /// The body of an answer from the backend server on the same VM.
 #[derive(Debug)]
-pub struct Local<C>(pub(crate) Running<C>)
+pub struct Local<C>(pub(crate) BackendResponse<C>)
 where
     C: Clock;
 
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -1,7 +1,7 @@
 //! One try of a call: on the own backend server, or over a link.
 
 use crate::header::{put_headers, take_end_to_end};
-use crate::inbound::run::{Refused, Running};
+use crate::inbound::run::{BackendResponse, Refused};
 use crate::link;
 use crate::millis::whole_ms;
 use crate::outbound::Inner;
@@ -59,7 +59,7 @@
     C: Clock,
 {
     Remote(RemoteAttempt),
-    Local(oneshot::Receiver<Result<Response<Running<C>>, Refused>>),
+    Local(oneshot::Receiver<Result<Response<BackendResponse<C>>, Refused>>),
 }
 
 impl<C> Late<C>
@@ -146,7 +146,7 @@
     });
     match ended {
         Ok(response) => {
-            let told = response.body().told();
+            let told = response.body().load_report();
             match find_refusal(&response, id) {
                 Some(refused) => Tried::Refused(refused, back),
                 None => Tried::Answered(respond_local(response), Some(told)),
@@ -252,7 +252,7 @@
     finish_answer(head.map(|()| Body::Remote(Remote(sent))))
 }
 
-fn respond_local<C>(response: Response<Running<C>>) -> Response<Body<C>>
+fn respond_local<C>(response: Response<BackendResponse<C>>) -> Response<Body<C>>
 where
     C: Clock,
 {
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -1,6 +1,6 @@
 //! What the outbound proxy knows of each service: runs `policy::balance` and `policy::retry`.
 
-use crate::inbound::parents::Run;
+use crate::inbound::running_calls::RunningCall;
 use crate::rollout::{CallResult, RolloutCall, Rollouts, TrafficSplit};
 use call::Digest;
 use clock::Clock;
@@ -72,7 +72,7 @@
     /// A caller.
     Caller,
     /// The own backend server, for a call that it runs.
-    Nested(Run),
+    Nested(RunningCall),
 }
 
 /// Where the node itself is.
@@ -322,7 +322,7 @@
         let mut state = self.state.lock();
         match origin {
             Origin::Caller => state.budget.record_request(now),
-            Origin::Nested(run) if run.is_repeat => state.budget.record_retry(now),
+            Origin::Nested(run) if run.is_retry => state.budget.record_retry(now),
             Origin::Nested(_) => {}
         }
     }
--- a/crates/node/src/upload.rs
+++ b/crates/node/src/upload.rs
@@ -1,6 +1,6 @@
 //! The body of a request on its way to a backend server.
 
-use crate::inbound::entry::Call;
+use crate::inbound::inbound_call::InboundCall;
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
 use hyper::body::Incoming;
@@ -43,7 +43,7 @@
     /// A caller's connection to this node.
     Caller(Incoming),
     /// A link from the outbound proxy of another node.
-    Link(Arc<Call>),
+    Link(Arc<InboundCall>),
 }
 
 impl Body for Upload {
@@ -64,7 +64,7 @@
                 Poll::Ready(frame.map(|got| got.map_err(Error::from)))
             }
             Rest::Link(call) => {
-                let part = ready!(call.poll_upload(cx));
+                let part = ready!(call.poll_request_body(cx));
                 Poll::Ready(part.map(|got| got.map(Frame::data)))
             }
         }
--- a/crates/node/tests/calls/main.rs
+++ b/crates/node/tests/calls/main.rs
@@ -1,15 +1,15 @@
 //! Calls through nodes in one process: whole answers, silent links, early ends.
 
-mod deadly;
-mod ending;
+mod early_end;
 mod forward;
 mod hedge;
 mod keyed;
 mod load_probe;
 mod mesh;
 mod misbehaving_peer;
+mod quarantine;
 mod raw_peer;
 mod reuse;
-mod silence;
-mod unread;
-mod whole;
+mod round_trip;
+mod silent_link;
+mod unread_answers;
