--- a/crates/node/benches/reserve.rs
+++ b/crates/node/benches/reserve.rs
@@ -10,7 +10,7 @@
 use clock::System;
 use config::{Endpoint, Mesh, Service, State, Version, View};
 use node::nodes::make_hello;
-use node::reserve::{Claimed, Handle};
+use node::reserve::{ClaimResult, Handle};
 use node::shared::Shared;
 use platform::Client;
 use platform::client::Limits;
@@ -54,7 +54,7 @@
                 let fingerprint = Fingerprint::of("POST", &text, b"");
                 let key = Key::of("claims", &text);
                 let claimed = node.claim(key, fingerprint, call, RUN).await;
-                if let Claimed::Granted(grant) = claimed {
+                if let ClaimResult::Granted(grant) = claimed {
                     node.complete(grant, None);
                     return true;
                 }
--- a/crates/node/src/outbound/keyed.rs
+++ b/crates/node/src/outbound/keyed.rs
@@ -8,7 +8,7 @@
 use crate::outbound::response::{Body, VERDICT_HEADER, tell};
 use crate::outbound::send::Late;
 use crate::outbound::serve::{Served, serve_plan};
-use crate::reserve::{Claimed, Grant};
+use crate::reserve::{ClaimResult, Grant};
 use bytes::{Bytes, BytesMut};
 use call::Verdict;
 use call::reserve::{Answer, Fingerprint, Key, MAX_ANSWER_BYTES, Reply};
@@ -105,8 +105,8 @@
     let id = inner.links.next_id();
     let limit = time_left(inner, plan.deadline);
     match inner.reserve.claim(key, fingerprint, id, limit).await {
-        Claimed::Granted(grant) => run(inner, plan, grant, head, body).await,
-        Claimed::Told(reply) => (answer_told(reply), None),
+        ClaimResult::Granted(grant) => run(inner, plan, grant, head, body).await,
+        ClaimResult::NotGranted(reply) => (answer_told(reply), None),
     }
 }
 
--- a/crates/node/src/reserve.rs
+++ b/crates/node/src/reserve.rs
@@ -69,11 +69,11 @@
 
 /// How a claim ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimResult {
     /// The call may run.
     Granted(Grant),
     /// It must not; [`Reply::Granted`] is never told here.
-    Told(Reply),
+    NotGranted(Reply),
 }
 
 /// The reservations of a node; clones share them.
@@ -140,12 +140,12 @@
         fingerprint: Fingerprint,
         call: Id,
         limit: Duration,
-    ) -> Claimed {
+    ) -> ClaimResult {
         let start = Instant::now();
         let claimed = self.claim_from(start, key, fingerprint, call, limit).await;
         let reply = match &claimed {
-            Claimed::Granted(_) => &Reply::Granted,
-            Claimed::Told(reply) => reply,
+            ClaimResult::Granted(_) => &Reply::Granted,
+            ClaimResult::NotGranted(reply) => reply,
         };
         let metrics = &self.inner.shared.metrics.reserve;
         metrics.count(reply, start.elapsed());
@@ -159,9 +159,9 @@
         fingerprint: Fingerprint,
         call: Id,
         limit: Duration,
-    ) -> Claimed {
+    ) -> ClaimResult {
         if self.inner.is_stalled(key) {
-            return Claimed::Told(refuse());
+            return ClaimResult::NotGranted(refuse());
         }
         let end = start + limit.min(CLAIM_TIMEOUT);
         let mut told = None;
@@ -179,9 +179,9 @@
                 holder,
             };
             match timeout_at(end, self.inner.ask(way, claim)).await {
-                Ok(Some(Reply::Granted)) => return Claimed::Granted(Grant { key, holder }),
+                Ok(Some(Reply::Granted)) => return ClaimResult::Granted(Grant { key, holder }),
                 Ok(Some(refused @ Reply::Refused { .. })) => told = Some(refused),
-                Ok(Some(reply)) => return Claimed::Told(reply),
+                Ok(Some(reply)) => return ClaimResult::NotGranted(reply),
                 Ok(None) => {
                     unanswered.push((way, holder));
                     self.inner.note_failed(way);
@@ -199,7 +199,7 @@
         for (way, holder) in unanswered {
             self.inner.release_beside(way, key, holder);
         }
-        Claimed::Told(told.unwrap_or_else(refuse))
+        ClaimResult::NotGranted(told.unwrap_or_else(refuse))
     }
 
     /// Keeps the answer of a call that has run, for repeats.
--- a/crates/node/tests/reserve.rs
+++ b/crates/node/tests/reserve.rs
@@ -6,7 +6,7 @@
 use clock::{Clock, Manual, System};
 use config::{Endpoint, Mesh, Service, State, Version, View};
 use node::nodes::make_hello;
-use node::reserve::{Claimed, Grant, Handle};
+use node::reserve::{ClaimResult, Grant, Handle};
 use node::shared::Shared;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -108,7 +108,7 @@
         self.shared.view.store(Arc::new(view));
     }
 
-    async fn claim(&self, key: &str) -> Claimed {
+    async fn claim(&self, key: &str) -> ClaimResult {
         let call = Id {
             origin: self.shared.incarnation,
             sequence: self.calls.fetch_add(1, Ordering::Relaxed),
@@ -132,10 +132,10 @@
     fleet
 }
 
-fn granted(claimed: Claimed) -> Grant {
+fn granted(claimed: ClaimResult) -> Grant {
     match claimed {
-        Claimed::Granted(grant) => grant,
-        Claimed::Told(told) => panic!("{told:?}"),
+        ClaimResult::Granted(grant) => grant,
+        ClaimResult::NotGranted(told) => panic!("{told:?}"),
     }
 }
 
@@ -148,13 +148,13 @@
 }
 
 /// Claims until something else than `not_yet` is told.
-async fn claim_past<C>(node: &Node<C>, key: &str, not_yet: fn(&Reply) -> bool) -> Claimed
+async fn claim_past<C>(node: &Node<C>, key: &str, not_yet: fn(&Reply) -> bool) -> ClaimResult
 where
     C: Clock,
 {
     loop {
         match node.claim(key).await {
-            Claimed::Told(told) if not_yet(&told) => {
+            ClaimResult::NotGranted(told) if not_yet(&told) => {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
             claimed => return claimed,
@@ -171,12 +171,18 @@
     for key in ["k1", "k2", "k3", "k4", "k5", "k6"] {
         let grant = granted(fleet[0].claim(key).await);
         for node in &fleet {
-            assert_eq!(node.claim(key).await, Claimed::Told(Reply::Unsettled));
+            assert_eq!(
+                node.claim(key).await,
+                ClaimResult::NotGranted(Reply::Unsettled)
+            );
         }
         fleet[0].reserve.complete(grant, Some(answer()));
         let unsettled = |reply: &Reply| *reply == Reply::Unsettled;
         let told = claim_past(&fleet[1], key, unsettled).await;
-        assert_eq!(told, Claimed::Told(Reply::Known(Arc::new(answer()))));
+        assert_eq!(
+            told,
+            ClaimResult::NotGranted(Reply::Known(Arc::new(answer())))
+        );
     }
 }
 
@@ -204,7 +210,10 @@
     let successor = spawn_node("successor", &memory).await;
     for key in keys {
         let told = successor.claim(key).await;
-        assert_eq!(told, Claimed::Told(Reply::Known(Arc::new(answer()))));
+        assert_eq!(
+            told,
+            ClaimResult::NotGranted(Reply::Known(Arc::new(answer())))
+        );
     }
 }
 
@@ -221,7 +230,7 @@
     for number in 0..64 {
         let _grant = granted(node.claim(&format!("a{number}")).await);
     }
-    let known = Claimed::Told(Reply::Known(Arc::new(answer())));
+    let known = ClaimResult::NotGranted(Reply::Known(Arc::new(answer())));
     assert_eq!(node.claim("k1").await, known);
     let successor = spawn_node_by("successor", &memory, clock.clone()).await;
     clock.advance(Duration::from_hours(2));
@@ -258,11 +267,14 @@
         }
     }
     let told = node.claim(&keys[MAX_KEYS]).await;
-    let Claimed::Told(Reply::Refused { retry_after_ms }) = told else {
+    let ClaimResult::NotGranted(Reply::Refused { retry_after_ms }) = told else {
         panic!("{told:?}");
     };
     assert!(retry_after_ms >= 10_000, "{retry_after_ms}");
-    assert_eq!(node.claim(&keys[0]).await, Claimed::Told(Reply::Unsettled));
+    assert_eq!(
+        node.claim(&keys[0]).await,
+        ClaimResult::NotGranted(Reply::Unsettled)
+    );
     clock.advance(Duration::from_mins(16));
     let refused = |reply: &Reply| matches!(reply, Reply::Refused { .. });
     let _grant = granted(claim_past(&node, &keys[MAX_KEYS + 1], refused).await);
@@ -298,7 +310,10 @@
     for number in 0..16 {
         let key = number.to_string();
         let _grant = granted(fleet[0].claim(&key).await);
-        assert_eq!(fleet[0].claim(&key).await, Claimed::Told(Reply::Unsettled));
+        assert_eq!(
+            fleet[0].claim(&key).await,
+            ClaimResult::NotGranted(Reply::Unsettled)
+        );
     }
 }
 
@@ -316,7 +331,7 @@
     for _ in 0..5 {
         let told = node.claim("k1").await;
         assert!(
-            matches!(told, Claimed::Told(Reply::Refused { .. })),
+            matches!(told, ClaimResult::NotGranted(Reply::Refused { .. })),
             "{told:?}"
         );
     }
@@ -381,7 +396,7 @@
         let start = tokio::time::Instant::now();
         let told = node.claim("k1").await;
         assert!(
-            matches!(told, Claimed::Told(Reply::Refused { .. })),
+            matches!(told, ClaimResult::NotGranted(Reply::Refused { .. })),
             "{told:?}"
         );
         waits.push(start.elapsed());
@@ -403,7 +418,7 @@
     });
     let told = node.claim("k1").await;
     assert!(
-        matches!(told, Claimed::Told(Reply::Refused { .. })),
+        matches!(told, ClaimResult::NotGranted(Reply::Refused { .. })),
         "{told:?}"
     );
     let other = spawn_node("other", &memory).await;
@@ -425,14 +440,14 @@
         let node = &nodes[rng.random_range(0..nodes.len())];
         let pause = Duration::from_millis(rng.random_range(0..300));
         match node.claim(&key).await {
-            Claimed::Granted(grant) if rng.random_bool(0.3) => node.reserve.release(grant),
-            Claimed::Granted(grant) => {
+            ClaimResult::Granted(grant) if rng.random_bool(0.3) => node.reserve.release(grant),
+            ClaimResult::Granted(grant) => {
                 *runs.lock().unwrap().entry(key.clone()).or_default() += 1;
                 tokio::time::sleep(pause).await;
                 node.reserve.complete(grant, Some(answer()));
             }
-            Claimed::Told(Reply::Known(known)) => return *known == answer(),
-            Claimed::Told(_) => {}
+            ClaimResult::NotGranted(Reply::Known(known)) => return *known == answer(),
+            ClaimResult::NotGranted(_) => {}
         }
         tokio::time::sleep(pause).await;
     }
