--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -1,8 +1,8 @@
-//! A link to another node: frames of many calls over one TCP connection.
+//! A link to another node: frames of many calls multiplexed over one TCP connection.
 //!
-//! Frames are encoded into one buffer and written at once by whoever sends
-//! them, so that a call waits for no other task; what the socket does not take
-//! is coalesced and written by the link's writer task.
+//! Senders encode frames into one buffer and write it right away, so that a
+//! call does not wait for another task. What the socket does not accept is
+//! coalesced and written by the link's writer task.
 
 use bytes::{Buf, BytesMut};
 use parking_lot::Mutex;
@@ -21,80 +21,82 @@
 use wire::call::Frame;
 use wire::codec;
 
-/// Bytes that may wait for the socket before new requests are refused.
+/// Unsent bytes from which new requests are refused.
 ///
-/// Bodies are bounded by their calls' windows; this bounds heads. At 1 MB the
-/// wait behind it is 10 ms at 1 Gbit/s, longer than any queue that pays.
+/// Bodies are bounded by their calls' windows; this bounds heads. At 1 Gbit/s,
+/// 1 MB of queued data delays a request by 10 ms, longer than any queueing that
+/// is worthwhile.
 const MAX_QUEUED: usize = 1 << 20;
 
-/// Bytes that may wait for a peer that does not read, before its link is closed.
+/// Unsent bytes from which the link to a peer that does not read is closed.
 ///
-/// Bodies wait only as far as their windows go, and a backend server runs some
-/// dozens of calls at once, 64 kB each. What grows beyond that is owed to a
-/// peer that asks and never listens, and would grow without end.
-const MAX_UNREAD: usize = 8 << 20;
+/// Queued bodies are limited to their windows, and a backend server runs some
+/// dozens of calls at once, 64 kB each. A larger queue means that the peer sends
+/// requests but never reads, and the queue would grow without bound.
+const MAX_BUFFERED: usize = 8 << 20;
 
-/// Bytes that a reader takes from the socket at once; held only while it does.
+/// Size of a read from the socket; the buffer is held only during the read.
 const READ_CHUNK: usize = 16 << 10;
 
-/// Bytes of room that a link keeps for what is sent next: the heads of a few calls.
-const WRITE_KEPT: usize = 1 << 10;
+/// Capacity that an empty write buffer keeps: enough for the heads of a few calls.
+const RETAINED_CAPACITY: usize = 1 << 10;
 
-/// Time between two looks at a link's progress.
+/// Time between two checks of a link for silence.
 ///
-/// With [`SILENT_TICKS`] a silent link is found within a second; a ping and its
-/// answer cost some 60 bytes, and are sent only where nothing else came.
-const TICK: Duration = Duration::from_millis(250);
+/// With [`MAX_SILENT_CHECKS`], a silent link is detected within a second. A ping
+/// and its reply cost about 60 bytes and are sent only when nothing else arrived.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Ticks in a row without a byte from the peer after which a link is dead.
+/// Consecutive checks without a byte from the peer after which a link counts as dead.
 ///
-/// They are counted rather than timed: a process that was stopped for long and
-/// goes on finds one tick gone by, not many, and reads first what has come.
-const SILENT_TICKS: u32 = 3;
+/// Checks are counted rather than timed: a process that resumes after a long stop
+/// has missed one check, not many, and reads what has arrived first.
+const MAX_SILENT_CHECKS: u32 = 3;
 
-/// Ticks in a row without a byte after which a link that a body is due on is dead.
+/// Consecutive checks without a byte after which a link that expects a request body counts as dead.
 ///
-/// Five seconds, as for the reader of an answer: the peer may stand still for a
-/// while, and what comes after that is of use as long as its caller waits.
-const BODY_TICKS: u32 = 20;
+/// Five seconds, as for the readers of answers: the peer may stall for a while,
+/// and what it sends afterwards is still useful while its caller waits.
+const MAX_SILENT_BODY_CHECKS: u32 = 20;
 
-/// Time between two looks at a link that nothing is due on.
+/// Time between two checks of a link on which nothing is expected.
 ///
-/// A node of a large fleet has hundreds of links; looked at as often as those that an answer is
-/// due on, they cost it a thousand wake-ups a second for nothing.
-const IDLE_TICK: Duration = Duration::from_secs(5);
+/// A node in a large fleet has hundreds of links. Checked as often as links with expected
+/// answers, they would cost it a thousand useless wake-ups per second.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Such looks in a row without a byte after which a link that nothing is due on is closed: a minute.
-const IDLE_TICKS: u32 = 12;
+/// Consecutive checks without a byte after which a link with nothing expected is closed: one minute.
+const MAX_SILENT_IDLE_CHECKS: u32 = 12;
 
-/// What a link's reader may expect of its peer.
+/// What a link's reader expects from its peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expected {
-    /// Answers are due: the peer is pinged, and given up when it stays silent.
+    /// Answers: a silent peer is pinged, and its link closed when it stays silent.
     Answer,
-    /// A body is due that a call waits for: the peer is pinged, and given up later.
+    /// The body of a request that is waiting for it: the peer is pinged, and its link closed
+    /// after a longer silence.
     ///
-    /// Guards against a VM without power in the midst of a body: its connection never
-    /// ends, and a backend server waited with a slot for the rest of it.
+    /// Without this, a VM that loses power in the middle of a body leaves a connection that
+    /// never ends, and a slot of the backend server stays occupied waiting for the rest.
     Body,
-    /// Nothing is due; the link is closed when nothing has come for long.
+    /// Nothing: the link is closed after a long silence.
     Nothing,
 }
 
 quick_error! {
-    /// Why frames could not be sent.
+    /// Errors of sending frames over a link.
     #[derive(Debug)]
     pub enum Error {
         /// The link is closed.
         Closed {
             display("the link is closed")
         }
-        /// Too much waits for the socket already.
+        /// Too many bytes wait for the socket already.
         Full {
-            display("too much waits for the link")
+            display("too many unsent bytes on the link")
         }
         /// A frame can't be encoded.
-        Frame(source: wire::Error) {
+        Encode(source: wire::Error) {
             from()
             display("{}", source)
             source(source)
@@ -102,7 +104,7 @@
     }
 }
 
-/// Wakes the task that waits, if one does.
+/// Wakes the waiting task, if there is one.
 pub(crate) fn wake(waker: &mut Option<Waker>) {
     if let Some(waker) = waker.take() {
         waker.wake();
@@ -112,47 +114,47 @@
 /// The sending side of a link.
 #[derive(Debug)]
 pub struct Sender {
-    outbox: Mutex<Outbox>,
+    write_state: Mutex<WriteState>,
     blocked: Notify,
     closed: Notify,
-    /// Whether the reader looks at the link rarely, as nothing is due.
-    resting: AtomicBool,
-    /// Tells a resting reader that something is due from now on.
-    due: Notify,
+    /// Whether the reader checks the link rarely because nothing is expected.
+    reader_idle: AtomicBool,
+    /// Tells an idle reader that something is expected from now on.
+    wake_reader: Notify,
 }
 
 #[derive(Debug)]
-struct Outbox {
-    /// Gone once the link is closed.
+struct WriteState {
+    /// `None` once the link is closed.
     ///
-    /// Guards against a socket that lives as long as the last answer or peer that
-    /// remembers its link: half closed (CLOSE-WAIT), 1 to 4 of them stood at a
-    /// node for 20 s after its peers were restarted.
+    /// Otherwise the socket would live as long as the last answer or peer entry that
+    /// refers to the link: 1 to 4 half-closed sockets (CLOSE-WAIT) remained at a node
+    /// for 20 s after its peers were restarted.
     socket: Option<Arc<OwnedWriteHalf>>,
     buffer: Vec<u8>,
-    /// Bytes of `buffer` that the socket has taken.
-    taken: usize,
-    /// Bytes that the socket has taken since the link opened.
-    written: u64,
-    /// Whether the writer task waits for the socket.
+    /// Bytes of `buffer` that the socket has accepted.
+    flushed: usize,
+    /// Bytes that the socket has accepted since the link opened.
+    bytes_written: u64,
+    /// Whether the writer task is waiting for the socket.
     blocked: bool,
 }
 
-impl Outbox {
+impl WriteState {
     fn queued(&self) -> usize {
-        self.buffer.len() - self.taken
+        self.buffer.len() - self.flushed
     }
 
-    /// Writes what the socket takes now.
+    /// Writes as much as the socket accepts now.
     fn flush(&mut self) -> io::Result<()> {
         let Some(socket) = &self.socket else {
             return Ok(());
         };
-        while self.taken < self.buffer.len() {
-            match socket.try_write(&self.buffer[self.taken..]) {
+        while self.flushed < self.buffer.len() {
+            match socket.try_write(&self.buffer[self.flushed..]) {
                 Ok(count) => {
-                    self.taken += count;
-                    self.written += count as u64;
+                    self.flushed += count;
+                    self.bytes_written += count as u64;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.blocked = true;
@@ -162,108 +164,108 @@
             }
         }
         self.buffer.clear();
-        self.buffer.shrink_to(WRITE_KEPT);
-        self.taken = 0;
+        self.buffer.shrink_to(RETAINED_CAPACITY);
+        self.flushed = 0;
         self.blocked = false;
         Ok(())
     }
 }
 
 impl Sender {
-    /// Sends frames in one write and gives the link's length up to their end.
+    /// Sends frames in one write; returns the link's byte offset at their end.
     ///
     /// # Errors
     ///
-    /// When the link is closed, or a frame can't be encoded; nothing is sent then.
+    /// When the link is closed or a frame can't be encoded; nothing is sent then.
     pub fn send<I>(&self, frames: I) -> Result<u64, Error>
     where
         I: IntoIterator<Item = Frame>,
     {
-        let mut outbox = self.outbox.lock();
-        self.push(&mut outbox, frames)
+        let mut write_state = self.write_state.lock();
+        self.push(&mut write_state, frames)
     }
 
-    /// Sends the frames of a new request, which `make` builds once its place on the link is certain.
+    /// Sends the frames of a new request, which `make` builds once the link has accepted it.
     ///
     /// # Errors
     ///
-    /// As [`Sender::send`], and when too much waits for the socket already.
+    /// As [`Sender::send`], and when too many bytes wait for the socket already.
     pub fn send_request<F, I>(&self, make: F) -> Result<u64, Error>
     where
         F: FnOnce() -> I,
         I: IntoIterator<Item = Frame>,
     {
-        let mut outbox = self.outbox.lock();
-        if outbox.queued() > MAX_QUEUED {
+        let mut write_state = self.write_state.lock();
+        if write_state.queued() > MAX_QUEUED {
             return Err(Error::Full);
         }
-        if outbox.socket.is_none() {
+        if write_state.socket.is_none() {
             return Err(Error::Closed);
         }
-        self.push(&mut outbox, make())
+        self.push(&mut write_state, make())
     }
 
-    fn push<I>(&self, outbox: &mut Outbox, frames: I) -> Result<u64, Error>
+    fn push<I>(&self, write_state: &mut WriteState, frames: I) -> Result<u64, Error>
     where
         I: IntoIterator<Item = Frame>,
     {
-        if outbox.socket.is_none() {
+        if write_state.socket.is_none() {
             return Err(Error::Closed);
         }
-        let start = outbox.buffer.len();
+        let start = write_state.buffer.len();
         for frame in frames {
-            if let Err(error) = codec::encode(&wire::Frame::Call(frame), &mut outbox.buffer) {
-                outbox.buffer.truncate(start);
+            if let Err(error) = codec::encode(&wire::Frame::Call(frame), &mut write_state.buffer) {
+                write_state.buffer.truncate(start);
                 return Err(error.into());
             }
         }
-        let end = outbox.written + outbox.queued() as u64;
-        if outbox.queued() > MAX_UNREAD {
+        let end = write_state.bytes_written + write_state.queued() as u64;
+        if write_state.queued() > MAX_BUFFERED {
             log::warn!("link_unread");
-            self.close_locked(outbox);
+            self.close_locked(write_state);
             return Err(Error::Closed);
         }
-        if !outbox.blocked {
-            match outbox.flush() {
-                Ok(()) if outbox.blocked => self.blocked.notify_one(),
+        if !write_state.blocked {
+            match write_state.flush() {
+                Ok(()) if write_state.blocked => self.blocked.notify_one(),
                 Ok(()) => {}
-                Err(_) => self.close_locked(outbox),
+                Err(_) => self.close_locked(write_state),
             }
         }
         Ok(end)
     }
 
-    /// Has the reader look for silence from now on: what has just been sent is to be answered.
+    /// Makes the reader check for silence from now on, as an answer is expected to what was just sent.
     pub fn expect_answer(&self) {
-        if self.resting.swap(false, Ordering::AcqRel) {
-            self.due.notify_one();
+        if self.reader_idle.swap(false, Ordering::AcqRel) {
+            self.wake_reader.notify_one();
         }
     }
 
     /// Closes the link: its reader ends and nothing more is sent.
     pub fn close(&self) {
-        self.close_locked(&mut self.outbox.lock());
+        self.close_locked(&mut self.write_state.lock());
     }
 
-    fn close_locked(&self, outbox: &mut Outbox) {
-        if outbox.socket.take().is_some() {
-            // Nothing of it is sent any more, and the link may be remembered for long.
-            outbox.buffer = Vec::new();
-            outbox.taken = 0;
+    fn close_locked(&self, write_state: &mut WriteState) {
+        if write_state.socket.take().is_some() {
+            // The buffer is not sent any more, and references to the link may live long.
+            write_state.buffer = Vec::new();
+            write_state.flushed = 0;
             self.closed.notify_one();
             self.blocked.notify_one();
         }
     }
 
-    /// Tells whether the link is closed.
+    /// Returns whether the link is closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
-        self.outbox.lock().socket.is_none()
+        self.write_state.lock().socket.is_none()
     }
 
-    /// Waits until the socket has taken all that was sent, or the link is closed.
+    /// Waits until the socket has accepted everything sent, or the link is closed.
     pub async fn wait_flushed(&self) {
-        while let Some(socket) = self.find_unflushed() {
+        while let Some(socket) = self.unflushed_socket() {
             if socket.writable().await.is_err() {
                 return;
             }
@@ -272,31 +274,34 @@
         }
     }
 
-    /// Gives the socket while it has not taken all that was sent.
-    fn find_unflushed(&self) -> Option<Arc<OwnedWriteHalf>> {
-        let outbox = self.outbox.lock();
-        outbox.socket.clone().filter(|_| outbox.queued() > 0)
+    /// Returns the socket while unsent bytes remain.
+    fn unflushed_socket(&self) -> Option<Arc<OwnedWriteHalf>> {
+        let write_state = self.write_state.lock();
+        write_state
+            .socket
+            .clone()
+            .filter(|_| write_state.queued() > 0)
     }
 
-    /// Gives the bytes that the socket has taken; none follow once the link is closed.
+    /// Returns the number of bytes that the socket has accepted; it no longer grows once the link is closed.
     #[must_use]
     pub fn bytes_written(&self) -> u64 {
-        self.outbox.lock().written
+        self.write_state.lock().bytes_written
     }
 }
 
-/// Writes what the socket did not take at once, until the link closes.
+/// Writes what the socket did not accept right away, until the link closes.
 async fn write_blocked(sender: Arc<Sender>) {
     loop {
         sender.blocked.notified().await;
-        while let Some(socket) = sender.find_unflushed() {
+        while let Some(socket) = sender.unflushed_socket() {
             tokio::select! {
                 _ = socket.writable() => {}
                 () = sender.blocked.notified() => {}
             }
-            let mut outbox = sender.outbox.lock();
-            if outbox.flush().is_err() {
-                sender.close_locked(&mut outbox);
+            let mut write_state = sender.write_state.lock();
+            if write_state.flush().is_err() {
+                sender.close_locked(&mut write_state);
             }
         }
         if sender.is_closed() {
@@ -312,7 +317,7 @@
     sender: Arc<Sender>,
 }
 
-/// Takes over a connection whose hellos are done.
+/// Takes over a connection after both hellos have been exchanged.
 ///
 /// # Errors
 ///
@@ -320,19 +325,19 @@
 pub fn open(stream: TcpStream) -> io::Result<(Arc<Sender>, Receiver)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
-    let outbox = Outbox {
+    let write_state = WriteState {
         socket: Some(Arc::new(write)),
         buffer: Vec::new(),
-        taken: 0,
-        written: 0,
+        flushed: 0,
+        bytes_written: 0,
         blocked: false,
     };
     let sender = Arc::new(Sender {
-        outbox: Mutex::new(outbox),
+        write_state: Mutex::new(write_state),
         blocked: Notify::new(),
         closed: Notify::new(),
-        resting: AtomicBool::new(false),
-        due: Notify::new(),
+        reader_idle: AtomicBool::new(false),
+        wake_reader: Notify::new(),
     });
     tokio::spawn(write_blocked(Arc::clone(&sender)));
     let receiver = Receiver {
@@ -343,116 +348,116 @@
 }
 
 impl Receiver {
-    /// Hands each frame to `take` until the link closes, fails, falls silent or `take` breaks off.
-    pub async fn run<T, W>(self, mut take: T, watch: W)
+    /// Passes each frame to `handle` until the link closes, fails or falls silent, or `handle` breaks.
+    pub async fn run<T, W>(self, mut handle: T, expect: W)
     where
         T: FnMut(Frame) -> ControlFlow<()>,
         W: Fn() -> Expected,
     {
         let mut buffer = BytesMut::new();
-        let mut tick = pin!(sleep(TICK));
-        let mut silent = 0;
-        let mut watched = Expected::Nothing;
+        let mut check = pin!(sleep(CHECK_INTERVAL));
+        let mut silent_checks = 0;
+        let mut expected = Expected::Nothing;
         loop {
             tokio::select! {
                 biased;
                 () = self.sender.closed.notified() => break,
                 ready = self.socket.readable() => {
-                    let read = self.read(&mut buffer, &mut take);
+                    let read = self.read(&mut buffer, &mut handle);
                     match read {
-                        ControlFlow::Continue(has_come) if ready.is_ok() => {
-                            silent = if has_come { 0 } else { silent };
+                        ControlFlow::Continue(has_received) if ready.is_ok() => {
+                            silent_checks = if has_received { 0 } else { silent_checks };
                         }
                         _ => break,
                     }
-                    if watched == Expected::Nothing && watch() != Expected::Nothing {
+                    if expected == Expected::Nothing && expect() != Expected::Nothing {
                         self.sender.expect_answer();
                     }
                 }
-                () = self.sender.due.notified() => {
-                    silent = 0;
-                    watched = watch();
-                    tick.as_mut().reset(Instant::now() + TICK);
+                () = self.sender.wake_reader.notified() => {
+                    silent_checks = 0;
+                    expected = expect();
+                    check.as_mut().reset(Instant::now() + CHECK_INTERVAL);
                 }
-                () = &mut tick => {
-                    let now = self.look(&watch);
-                    // Time in which nothing was due does not count as silence.
-                    silent = if now == watched { silent + 1 } else { 0 };
-                    watched = now;
-                    if self.check_progress(silent, now).is_break() {
+                () = &mut check => {
+                    let now = self.update_expected(&expect);
+                    // Time in which nothing was expected does not count as silence.
+                    silent_checks = if now == expected { silent_checks + 1 } else { 0 };
+                    expected = now;
+                    if self.check_silence(silent_checks, now).is_break() {
                         break;
                     }
-                    let pause = if now == Expected::Nothing { IDLE_TICK } else { TICK };
-                    tick.as_mut().reset(Instant::now() + pause);
+                    let interval = if now == Expected::Nothing { IDLE_CHECK_INTERVAL } else { CHECK_INTERVAL };
+                    check.as_mut().reset(Instant::now() + interval);
                 }
             }
         }
         self.sender.close();
     }
 
-    /// Gives what the link is watched for now; with nothing due, the reader rests.
-    fn look<W>(&self, watch: &W) -> Expected
+    /// Returns what is expected now; marks the reader as idle when that is nothing.
+    fn update_expected<W>(&self, expect: &W) -> Expected
     where
         W: Fn() -> Expected,
     {
-        // Set first: whoever makes something due after the look wakes the reader.
-        self.sender.resting.store(true, Ordering::Release);
-        let now = watch();
+        // Set first, so that a sender who expects an answer after this point wakes the reader.
+        self.sender.reader_idle.store(true, Ordering::Release);
+        let now = expect();
         if now != Expected::Nothing {
-            self.sender.resting.store(false, Ordering::Release);
+            self.sender.reader_idle.store(false, Ordering::Release);
         }
         now
     }
 
-    /// Reads what has come, and hands on the whole frames of it.
+    /// Reads what has arrived and passes on the complete frames.
     ///
-    /// Room is made only now, and given back when nothing is left in it: a node of a large
-    /// fleet has hundreds of links, most of which are silent at any moment.
+    /// The buffer is allocated only now and freed once it is empty: a node in a large fleet
+    /// has hundreds of links, most of which are silent at any moment.
     ///
-    /// Tells whether anything has come.
-    fn read<T>(&self, buffer: &mut BytesMut, take: &mut T) -> ControlFlow<(), bool>
+    /// Returns whether anything has arrived.
+    fn read<T>(&self, buffer: &mut BytesMut, handle: &mut T) -> ControlFlow<(), bool>
     where
         T: FnMut(Frame) -> ControlFlow<()>,
     {
         buffer.reserve(READ_CHUNK);
-        let has_come = match self.socket.try_read_buf(buffer) {
+        let has_received = match self.socket.try_read_buf(buffer) {
             Ok(1..) => true,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => false,
             Ok(_) | Err(_) => return ControlFlow::Break(()),
         };
-        self.take_frames(buffer, take)?;
+        self.handle_frames(buffer, handle)?;
         if buffer.is_empty() {
             *buffer = BytesMut::new();
         }
-        ControlFlow::Continue(has_come)
+        ControlFlow::Continue(has_received)
     }
 
-    /// Gives the link up when it has been silent for too long.
+    /// Closes the link when it has been silent for too long.
     ///
-    /// A connection that something on the way has lost track of takes writes
-    /// for minutes and never fails; only the missing answers show it.
-    fn check_progress(&self, silent: u32, watch: Expected) -> ControlFlow<()> {
-        match watch {
-            Expected::Answer if silent > SILENT_TICKS => {
+    /// A connection whose state was lost by a device on the path accepts writes for
+    /// minutes without failing; only missing answers reveal it.
+    fn check_silence(&self, silent_checks: u32, expected: Expected) -> ControlFlow<()> {
+        match expected {
+            Expected::Answer if silent_checks > MAX_SILENT_CHECKS => {
                 log::warn!("link_silent");
                 ControlFlow::Break(())
             }
-            Expected::Body if silent > BODY_TICKS => {
+            Expected::Body if silent_checks > MAX_SILENT_BODY_CHECKS => {
                 log::warn!("link_silent");
                 ControlFlow::Break(())
             }
             Expected::Answer | Expected::Body
-                if silent > 1 && self.sender.send([Frame::Ping]).is_err() =>
+                if silent_checks > 1 && self.sender.send([Frame::Ping]).is_err() =>
             {
                 ControlFlow::Break(())
             }
-            Expected::Nothing if silent > IDLE_TICKS => ControlFlow::Break(()),
+            Expected::Nothing if silent_checks > MAX_SILENT_IDLE_CHECKS => ControlFlow::Break(()),
             Expected::Answer | Expected::Body | Expected::Nothing => ControlFlow::Continue(()),
         }
     }
 
-    /// Hands on the whole frames that have come.
-    fn take_frames<T>(&self, buffer: &mut BytesMut, take: &mut T) -> ControlFlow<()>
+    /// Passes on the complete frames in the buffer.
+    fn handle_frames<T>(&self, buffer: &mut BytesMut, handle: &mut T) -> ControlFlow<()>
     where
         T: FnMut(Frame) -> ControlFlow<()>,
     {
@@ -460,7 +465,7 @@
             match codec::decode(buffer) {
                 Ok(Some((wire::Frame::Call(frame), used))) => {
                     buffer.advance(used);
-                    if self.take(frame, take).is_break() {
+                    if self.handle_frame(frame, handle).is_break() {
                         return ControlFlow::Break(());
                     }
                 }
@@ -473,14 +478,14 @@
         }
     }
 
-    fn take<T>(&self, frame: Frame, take: &mut T) -> ControlFlow<()>
+    fn handle_frame<T>(&self, frame: Frame, handle: &mut T) -> ControlFlow<()>
     where
         T: FnMut(Frame) -> ControlFlow<()>,
     {
         match frame {
             Frame::Ping if self.sender.send([Frame::Pong]).is_err() => ControlFlow::Break(()),
             Frame::Ping | Frame::Pong => ControlFlow::Continue(()),
-            frame => take(frame),
+            frame => handle(frame),
         }
     }
 }
--- a/crates/node/src/nodes.rs
+++ b/crates/node/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Where other nodes connect: hellos both ways, then the link goes to its part.
+//! Listener for other nodes: exchanges hellos, then passes the link to the handler of its kind.
 
 use crate::control;
 use crate::inbound;
@@ -14,21 +14,22 @@
 use tokio::task::JoinHandle;
 use wire::{Error, Hello, Link, PROTOCOL, codec};
 
-/// Longest wait for a peer's hello: a link that never says who it is takes
-/// memory for nothing.
+/// Timeout for a peer's hello, so that connections that never identify themselves
+/// do not occupy memory.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Connections that may be saying hello at once; more wait in the system's
-/// accept queue, so that a herd of strangers can't fill the memory.
-const MAX_STRANGERS: usize = 256;
+/// Maximum number of concurrent hello exchanges. Further connections wait in the
+/// system's accept queue, so that many unidentified peers at once can't exhaust
+/// the memory.
+const MAX_HANDSHAKES: usize = 256;
 
 /// Name of this listener in settings and metrics.
 const LISTENER: &str = "nodes";
 
-/// Wait after a failed accept: running out of file descriptors would spin otherwise.
+/// Pause after a failed accept; without it, running out of file descriptors would cause a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A running listener for nodes; dropping it ends it, but not the links.
+/// A running listener for nodes; dropping it stops the listener but keeps established links.
 #[derive(Debug)]
 pub struct Handle {
     task: JoinHandle<()>,
@@ -40,7 +41,7 @@
     }
 }
 
-/// Gives what this node says of itself on a link.
+/// Makes the hello that this node sends on a link.
 #[must_use]
 pub fn make_hello<C>(shared: &Shared<C>, link: Link) -> Hello
 where
@@ -67,18 +68,18 @@
 where
     C: Clock,
 {
-    let desk = Arc::new(Desk {
+    let handlers = Arc::new(LinkHandlers {
         shared,
         inbound,
         control,
         reserve,
     });
-    let task = tokio::spawn(accept(tcp, desk));
+    let task = tokio::spawn(accept(tcp, handlers));
     Handle { task }
 }
 
 #[derive(Debug)]
-struct Desk<C>
+struct LinkHandlers<C>
 where
     C: Clock,
 {
@@ -88,21 +89,21 @@
     reserve: reserve::Handle<C>,
 }
 
-async fn accept<C>(tcp: TcpListener, desk: Arc<Desk<C>>)
+async fn accept<C>(tcp: TcpListener, handlers: Arc<LinkHandlers<C>>)
 where
     C: Clock,
 {
-    let strangers = Arc::new(Semaphore::new(MAX_STRANGERS));
-    let bad_requests = desk.shared.metrics.bad_requests(LISTENER);
-    while let Ok(permit) = Arc::clone(&strangers).acquire_owned().await {
+    let handshakes = Arc::new(Semaphore::new(MAX_HANDSHAKES));
+    let bad_requests = handlers.shared.metrics.bad_requests(LISTENER);
+    while let Ok(permit) = Arc::clone(&handshakes).acquire_owned().await {
         let Ok((stream, _peer)) = tcp.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let desk = Arc::clone(&desk);
+        let handlers = Arc::clone(&handlers);
         let bad_requests = bad_requests.clone();
         tokio::spawn(async move {
-            if let Err(error) = greet(stream, &desk).await {
+            if let Err(error) = accept_link(stream, &handlers).await {
                 debug!(error:%; "link_refused");
                 bad_requests.inc();
             }
@@ -111,20 +112,20 @@
     }
 }
 
-async fn greet<C>(mut stream: TcpStream, desk: &Desk<C>) -> Result<(), Error>
+async fn accept_link<C>(mut stream: TcpStream, handlers: &LinkHandlers<C>) -> Result<(), Error>
 where
     C: Clock,
 {
     stream.set_nodelay(true)?;
-    let hellos = exchange_hellos(&mut stream, &desk.shared);
+    let hellos = exchange_hellos(&mut stream, &handlers.shared);
     let hello = match tokio::time::timeout(HELLO_TIMEOUT, hellos).await {
         Ok(hello) => hello?,
         Err(_elapsed) => return Err(io::Error::from(io::ErrorKind::TimedOut).into()),
     };
     match hello.link {
-        Link::Call => desk.inbound.accept(stream, &hello)?,
-        Link::Control => desk.control.accept(stream, &hello)?,
-        Link::Reserve => desk.reserve.accept(stream),
+        Link::Call => handlers.inbound.accept(stream, &hello)?,
+        Link::Control => handlers.control.accept(stream, &hello)?,
+        Link::Reserve => handlers.reserve.accept(stream),
     }
     Ok(())
 }
@@ -133,7 +134,7 @@
 where
     C: Clock,
 {
-    let theirs = codec::read_hello(stream).await?;
-    codec::write(stream, &make_hello(shared, theirs.link)).await?;
-    Ok(theirs)
+    let peer_hello = codec::read_hello(stream).await?;
+    codec::write(stream, &make_hello(shared, peer_hello.link)).await?;
+    Ok(peer_hello)
 }
--- a/crates/node/src/outbound/link.rs
+++ b/crates/node/src/outbound/link.rs
@@ -19,67 +19,67 @@
 use wire::call::{Frame, Look, Outlook, Reason, Request};
 use wire::{Hello, codec};
 
-/// Longest wait for a connection and the peer's hello.
+/// Timeout for connecting to a peer and receiving its hello.
 ///
-/// Within a region a connection takes about 1 ms; a lost first packet is sent
-/// again after a second, which is as long as a caller should wait here.
+/// Connecting takes about 1 ms within a region. A lost first packet is
+/// retransmitted after one second; callers should not wait longer than that.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Peers after which those without a link or a call are let go, again and again.
-const PEERS_CHUNK: usize = 512;
+/// Growth of the peer table after which it is swept for peers without a link or a call.
+const PEER_SWEEP_INTERVAL: usize = 512;
 
-/// Tries that are over and wait for the next request to be told of.
+/// Maximum number of finished attempts kept to be reported to the peer with the next request.
 ///
-/// Beyond, the peer forgets them by their age, which costs it memory only.
-const MAX_DONE: usize = 256;
+/// The peer drops attempts beyond that by age, which only costs it memory.
+const MAX_FINISHED: usize = 256;
 
-/// Parts of a link's table of tries, each under its own lock.
-const SHARDS: usize = 8;
+/// Shards of a link's attempt table, each with its own lock.
+const SHARD_COUNT: usize = 8;
 
-/// Makes the links of one outbound proxy.
+/// The links of one outbound proxy, at most one open link per peer.
 #[derive(Debug)]
 pub(crate) struct LinkPool {
     hello: Hello,
-    sequence: AtomicU64,
-    number: AtomicU64,
+    next_sequence: AtomicU64,
+    next_link_number: AtomicU64,
     peers: RwLock<HashMap<SocketAddr, Arc<Peer>>>,
     ended: mpsc::UnboundedSender<EndedLink>,
 }
 
-/// A link that is up.
+/// An established link to the node of a backend server.
 #[derive(Debug)]
 pub(crate) struct Link {
     number: u64,
     pub(crate) incarnation: u64,
     pub(crate) node: SmolStr,
     sender: Arc<Sender>,
-    tries: [Mutex<HashMap<u64, Arc<Attempt>>>; SHARDS],
+    attempts: [Mutex<HashMap<u64, Arc<Attempt>>>; SHARD_COUNT],
     leaving: AtomicBool,
-    look_serial: AtomicU64,
-    /// Questions that are not answered yet.
-    looks: Mutex<HashMap<u64, oneshot::Sender<Outlook>>>,
-    /// Tries that are over, of which the peer has not been told.
-    done: Mutex<Vec<u64>>,
+    next_probe_serial: AtomicU64,
+    /// Load probes that wait for a reply, by serial number.
+    pending_probes: Mutex<HashMap<u64, oneshot::Sender<Outlook>>>,
+    /// Finished attempts that have not been reported to the peer yet.
+    finished: Mutex<Vec<u64>>,
 }
 
-/// A question to a peer; dropping it takes it back.
+/// A load probe that has been sent; dropping it discards the reply.
 #[derive(Debug)]
-pub(crate) struct Question<'a> {
+pub(crate) struct PendingProbe<'a> {
     link: &'a Link,
     serial: u64,
     receiver: oneshot::Receiver<Outlook>,
 }
 
-impl Question<'_> {
-    /// Waits for the answer; none comes when the link ends.
-    pub(crate) async fn answer(mut self) -> Option<Outlook> {
+impl PendingProbe<'_> {
+    /// Waits for the reply; `None` when the link ends first.
+    pub(crate) async fn estimate(mut self) -> Option<Outlook> {
         (&mut self.receiver).await.ok()
     }
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingProbe<'_> {
     fn drop(&mut self) {
-        self.link.looks.lock().remove(&self.serial);
+        self.link.pending_probes.lock().remove(&self.serial);
     }
 }
 
@@ -89,79 +89,82 @@
             clippy::cast_possible_truncation,
             reason = "only the low bits choose the shard"
         )]
-        &self.tries[id.sequence as usize % SHARDS]
+        &self.attempts[id.sequence as usize % SHARD_COUNT]
     }
 
     fn is_idle(&self) -> bool {
-        self.tries.iter().all(|shard| shard.lock().is_empty()) && self.looks.lock().is_empty()
+        self.attempts.iter().all(|shard| shard.lock().is_empty())
+            && self.pending_probes.lock().is_empty()
     }
 
-    /// Asks the peer what would become of a call; nothing comes when the link ends first.
-    pub(crate) fn look(&self, mut look: Look) -> Option<Question<'_>> {
-        let serial = self.look_serial.fetch_add(1, Ordering::Relaxed);
-        look.serial = serial;
+    /// Sends a load probe for a call; `None` when the link is closed.
+    pub(crate) fn probe(&self, mut probe: Look) -> Option<PendingProbe<'_>> {
+        let serial = self.next_probe_serial.fetch_add(1, Ordering::Relaxed);
+        probe.serial = serial;
         let (sender, receiver) = oneshot::channel();
-        self.looks.lock().insert(serial, sender);
-        let question = Question {
+        self.pending_probes.lock().insert(serial, sender);
+        let pending = PendingProbe {
             link: self,
             serial,
             receiver,
         };
-        // Dropped, the question is taken back.
-        self.sender.send([Frame::Look(look)]).ok()?;
+        // An early return drops `pending`, which unregisters the probe.
+        self.sender.send([Frame::Look(probe)]).ok()?;
         self.sender.expect_answer();
-        Some(question)
+        Some(pending)
     }
 
-    /// Tells whether the peer has said that it refuses new work.
+    /// Returns whether the peer has announced that it refuses new work.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Forgets a try.
+    /// Removes an attempt from the table.
     pub(crate) fn forget(&self, id: Id) {
         self.shard(id).lock().remove(&id.sequence);
     }
 
-    /// Asks what became of a try that was sent over an earlier link to the same process.
-    pub(crate) fn query_outcome(&self, one: &Arc<Attempt>) {
-        let id = one.id;
-        self.shard(id).lock().insert(id.sequence, Arc::clone(one));
-        let progress = one.move_to(Arc::clone(&self.sender));
-        let question = Frame::Ask {
+    /// Queries the outcome of an attempt that was sent over an earlier link to the same process.
+    pub(crate) fn query_outcome(&self, attempt: &Arc<Attempt>) {
+        let id = attempt.id;
+        self.shard(id)
+            .lock()
+            .insert(id.sequence, Arc::clone(attempt));
+        let progress = attempt.move_to(Arc::clone(&self.sender));
+        let query = Frame::Ask {
             id,
-            link: one.link_number,
+            link: attempt.link_number,
             head: progress.head_received,
             received: progress.received,
             room: u32::try_from(progress.window).unwrap_or(u32::MAX),
         };
-        if self.sender.send([question]).is_err() {
+        if self.sender.send([query]).is_err() {
             self.forget(id);
-            one.fail(Verdict::MayHaveRun, Reason::Backend);
+            attempt.fail(Verdict::MayHaveRun, Reason::Backend);
         }
         self.sender.expect_answer();
     }
 
-    /// Tells whether nothing can be sent over it any more.
+    /// Returns whether the link is closed, so that nothing more can be sent.
     pub(crate) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    fn take_all(&self) -> Vec<Arc<Attempt>> {
-        let shards = self.tries.iter();
+    fn take_attempts(&self) -> Vec<Arc<Attempt>> {
+        let shards = self.attempts.iter();
         shards
             .flat_map(|shard| std::mem::take(&mut *shard.lock()).into_values())
             .collect()
     }
 
-    /// Hands a frame to its try; one that no try waits for is dropped.
+    /// Passes a frame to its attempt; frames of unknown attempts are dropped.
     ///
-    /// Tries are named by a number that is never used twice, so a late or
-    /// doubled frame finds nothing here and reaches no other caller.
-    fn take(&self, frame: Frame) -> ControlFlow<()> {
+    /// Attempt numbers are never reused, so a late or duplicate frame matches no
+    /// attempt and cannot reach another caller.
+    fn handle_frame(&self, frame: Frame) -> ControlFlow<()> {
         if let Frame::Outlook(outlook) = frame {
-            if let Some(sender) = self.looks.lock().remove(&outlook.serial) {
-                // Whoever asked may have gone on without it.
+            if let Some(sender) = self.pending_probes.lock().remove(&outlook.serial) {
+                // The prober may have timed out already.
                 drop(sender.send(outlook));
             }
             return ControlFlow::Continue(());
@@ -176,17 +179,17 @@
             Frame::Body { id, .. } | Frame::Credit { id, .. } => *id,
             _ => return ControlFlow::Break(()),
         };
-        let Some(found) = self.shard(id).lock().get(&id.sequence).map(Arc::clone) else {
+        let Some(attempt) = self.shard(id).lock().get(&id.sequence).map(Arc::clone) else {
             return ControlFlow::Continue(());
         };
-        if !found.handle_frame(frame) {
+        if !attempt.handle_frame(frame) {
             return ControlFlow::Break(());
         }
-        if found.is_finished() {
+        if attempt.is_finished() {
             self.forget(id);
-            let mut done = self.done.lock();
-            if done.len() < MAX_DONE {
-                done.push(id.sequence);
+            let mut finished = self.finished.lock();
+            if finished.len() < MAX_FINISHED {
+                finished.push(id.sequence);
             }
         }
         ControlFlow::Continue(())
@@ -198,8 +201,8 @@
         let (ended, receiver) = mpsc::unbounded_channel();
         let links = Arc::new(Self {
             hello,
-            sequence: AtomicU64::new(1),
-            number: AtomicU64::new(1),
+            next_sequence: AtomicU64::new(1),
+            next_link_number: AtomicU64::new(1),
             peers: RwLock::default(),
             ended,
         });
@@ -207,11 +210,11 @@
         links
     }
 
-    /// Gives a number for another try.
+    /// Returns the identity of the next attempt.
     pub(crate) fn next_id(&self) -> Id {
         Id {
             origin: self.hello.incarnation,
-            sequence: self.sequence.fetch_add(1, Ordering::Relaxed),
+            sequence: self.next_sequence.fetch_add(1, Ordering::Relaxed),
         }
     }
 
@@ -220,52 +223,52 @@
             return Arc::clone(peer);
         }
         let mut peers = self.peers.write();
-        if peers.len() % PEERS_CHUNK == PEERS_CHUNK - 1 {
+        if peers.len() % PEER_SWEEP_INTERVAL == PEER_SWEEP_INTERVAL - 1 {
             peers.retain(|_, peer| Arc::strong_count(peer) > 1);
         }
-        let made = peers.entry(address).or_insert_with(|| Peer::new(address));
-        Arc::clone(made)
+        let peer = peers.entry(address).or_insert_with(|| Peer::new(address));
+        Arc::clone(peer)
     }
 
-    /// Gives the link to a node, if there is one.
+    /// Returns the open link to a node, if there is one.
     pub(crate) fn find_open(&self, address: SocketAddr) -> Option<Arc<Link>> {
-        self.peers.read().get(&address)?.live()
+        self.peers.read().get(&address)?.open_link()
     }
 
-    /// Gives the link to a node, made anew when there is none.
+    /// Returns the open link to a node, connecting when there is none.
     ///
     /// # Errors
     ///
-    /// When the node can't be reached; nothing has been sent then.
+    /// When the node can't be reached; no request has been sent then.
     pub(crate) async fn get_or_connect(
         self: &Arc<Self>,
         address: SocketAddr,
     ) -> Result<Arc<Link>, wire::Error> {
         let peer = self.peer(address);
-        if let Some(link) = peer.live() {
+        if let Some(link) = peer.open_link() {
             return Ok(link);
         }
         self.connect(&peer).await
     }
 
-    /// Gives the link to a peer, made anew when there is none.
+    /// Returns the open link to a peer, connecting when there is none.
     pub(crate) async fn connect(
         self: &Arc<Self>,
         peer: &Arc<Peer>,
     ) -> Result<Arc<Link>, wire::Error> {
         let _single = peer.connecting.lock().await;
-        if let Some(link) = peer.live() {
+        if let Some(link) = peer.open_link() {
             return Ok(link);
         }
-        if let Some(kind) = peer.failure() {
+        if let Some(kind) = peer.recent_failure() {
             return Err(io::Error::from(kind).into());
         }
-        let attempt = peer.attempt();
-        let opened = tokio::time::timeout(CONNECT_TIMEOUT, self.open(peer.address)).await;
+        let connecting = peer.begin_connect();
+        let opened = tokio::time::timeout(CONNECT_TIMEOUT, self.establish(peer.address)).await;
         let opened =
             opened.unwrap_or_else(|_| Err(io::Error::from(io::ErrorKind::TimedOut).into()));
-        attempt.end();
-        let (link, receiver) = opened.inspect_err(|error| peer.note_failure(error))?;
+        connecting.finish();
+        let (link, receiver) = opened.inspect_err(|error| peer.record_failure(error))?;
         *peer.current.lock() = Some(Arc::clone(&link));
         let ended = self.ended.clone();
         tokio::spawn(run_link(
@@ -277,37 +280,38 @@
         Ok(link)
     }
 
-    async fn open(&self, address: SocketAddr) -> Result<(Arc<Link>, Receiver), wire::Error> {
+    async fn establish(&self, address: SocketAddr) -> Result<(Arc<Link>, Receiver), wire::Error> {
         let mut stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         codec::write(&mut stream, &self.hello).await?;
         let hello = codec::read_hello(&mut stream).await?;
         let (sender, receiver) = link::open(stream)?;
-        let number = self.number.fetch_add(1, Ordering::Relaxed);
-        let opening = Frame::Open { link: number };
+        let number = self.next_link_number.fetch_add(1, Ordering::Relaxed);
+        let open = Frame::Open { link: number };
         sender
-            .send([opening])
+            .send([open])
             .map_err(|_closed| io::Error::from(io::ErrorKind::BrokenPipe))?;
         let link = Link {
             number,
             incarnation: hello.incarnation,
             node: hello.node,
             sender,
-            tries: Default::default(),
+            attempts: Default::default(),
             leaving: AtomicBool::new(false),
-            look_serial: AtomicU64::new(1),
-            looks: Mutex::default(),
-            done: Mutex::default(),
+            next_probe_serial: AtomicU64::new(1),
+            pending_probes: Mutex::default(),
+            finished: Mutex::default(),
         };
         Ok((Arc::new(link), receiver))
     }
 
-    /// Sends a request over a link; `make` builds it from its identity, with the
-    /// start of its body, of which `credit` bytes may go before more is asked for.
+    /// Sends a request over a link; `make` builds it from its identity, together
+    /// with the start of its body. `credit` is the number of body bytes that may
+    /// be sent before the peer grants more.
     ///
     /// # Errors
     ///
-    /// When the link takes no request; it has surely not run then.
+    /// When the link accepts no request; the request has definitely not run then.
     pub(crate) fn send<F>(
         &self,
         link: &Link,
@@ -318,38 +322,42 @@
     where
         F: FnOnce(Id) -> (Request, Option<Frame>),
     {
-        let mut kept = None;
+        let mut registered = None;
         let result = link.sender.send_request(|| {
-            // Numbered while the link is held: a link's requests go out in the
-            // order of their numbers, by which the inbound proxy can tell
-            // those that it never got from those that it has forgotten.
+            // The number is assigned under the link's lock, so that requests go
+            // out in the order of their numbers. From that order the inbound
+            // proxy can tell requests it never received from those it has
+            // already evicted.
             let id = self.next_id();
-            let one = Attempt::new(
+            let attempt = Attempt::new(
                 id,
                 repeatable,
                 link.number,
                 Arc::clone(&link.sender),
                 credit,
             );
-            link.shard(id).lock().insert(id.sequence, Arc::clone(&one));
-            kept = Some(one);
+            link.shard(id)
+                .lock()
+                .insert(id.sequence, Arc::clone(&attempt));
+            registered = Some(attempt);
             let (request, body) = make(id);
-            // With a request, they cost no write of their own.
-            let done = std::mem::take(&mut *link.done.lock());
-            let done = (!done.is_empty()).then_some(Frame::Done(done));
-            done.into_iter()
+            // Sent along with a request, they need no write of their own.
+            let finished = std::mem::take(&mut *link.finished.lock());
+            let finished = (!finished.is_empty()).then_some(Frame::Done(finished));
+            finished
+                .into_iter()
                 .chain(std::iter::once(Frame::Request(request)))
                 .chain(body)
         });
-        match (result, kept) {
-            (Ok(end), Some(one)) => {
+        match (result, registered) {
+            (Ok(end), Some(attempt)) => {
                 link.sender.expect_answer();
-                one.set_head_end(end);
-                Ok(one)
+                attempt.set_head_end(end);
+                Ok(attempt)
             }
-            (Err(error), kept) => {
-                if let Some(one) = kept {
-                    link.forget(one.id);
+            (Err(error), registered) => {
+                if let Some(attempt) = registered {
+                    link.forget(attempt.id);
                 }
                 Err(error)
             }
@@ -358,27 +366,29 @@
     }
 }
 
-/// Reads a link until it ends, then has the tries settled that it leaves open.
+/// Reads a link until it ends, then hands over its open attempts for resolution.
 async fn run_link(
     peer: Arc<Peer>,
     link: Arc<Link>,
     receiver: Receiver,
     ended: mpsc::UnboundedSender<EndedLink>,
 ) {
-    let watch = || {
+    let expected = || {
         if link.is_idle() {
             Expected::Nothing
         } else {
             Expected::Answer
         }
     };
-    receiver.run(|frame| link.take(frame), watch).await;
-    // Whoever waits for an outlook goes on without it.
-    link.looks.lock().clear();
-    let unresolved = resolve_known(link.take_all());
+    receiver
+        .run(|frame| link.handle_frame(frame), expected)
+        .await;
+    // Wakes pending probes, which continue without a reply.
+    link.pending_probes.lock().clear();
+    let unresolved = resolve_known(link.take_attempts());
     if !unresolved.is_empty() {
         let incarnation = link.incarnation;
-        // When the proxy is gone, so are those who wait.
+        // Fails only when the proxy is gone, and with it everyone who waits.
         drop(ended.send(EndedLink {
             peer,
             incarnation,
--- a/crates/node/src/outbound/peer.rs
+++ b/crates/node/src/outbound/peer.rs
@@ -1,4 +1,4 @@
-//! A node that calls are sent to, and the link that is up to it.
+//! A node that calls are sent to, with its current link and recent connection failures.
 
 use crate::outbound::link::Link;
 use parking_lot::Mutex;
@@ -8,23 +8,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a failure to connect stands for all who ask for the link: one
-/// connection a quarter of a second costs nothing, and finds a node that is
-/// back as soon as its callers care.
-const FAILURE_RETENTION: Duration = Duration::from_millis(250);
+/// Time for which a failure to connect is returned to all who ask for the link.
+///
+/// One connection attempt every quarter of a second costs nothing, and notices
+/// soon enough for callers that the node is back.
+const FAILURE_TTL: Duration = Duration::from_millis(250);
 
-/// Time after which a try to connect that nobody waits for any more counts as failed.
-const LEAST_ATTEMPT: Duration = Duration::from_millis(100);
+/// Age from which an abandoned attempt to connect counts as failed.
+const MIN_CONNECT_TIME: Duration = Duration::from_millis(100);
 
 /// A node that calls are sent to.
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) address: SocketAddr,
     pub(crate) current: Mutex<Option<Arc<Link>>>,
-    /// Held while connecting, so that one connection is made for all who wait.
+    /// Held while connecting, so that concurrent callers share one connection.
     pub(crate) connecting: tokio::sync::Mutex<()>,
-    /// When the last try to connect failed, and how.
-    failed: Mutex<Option<(Instant, io::ErrorKind)>>,
+    /// When the last attempt to connect failed, and how.
+    last_failure: Mutex<Option<(Instant, io::ErrorKind)>>,
 }
 
 impl Peer {
@@ -33,62 +34,64 @@
             address,
             current: Mutex::default(),
             connecting: tokio::sync::Mutex::default(),
-            failed: Mutex::default(),
+            last_failure: Mutex::default(),
         })
     }
 
-    /// Begins a try to connect.
-    pub(crate) fn attempt(&self) -> Attempt<'_> {
-        Attempt {
+    /// Begins an attempt to connect.
+    pub(crate) fn begin_connect(&self) -> ConnectAttempt<'_> {
+        ConnectAttempt {
             peer: self,
-            since: Instant::now(),
+            started: Instant::now(),
         }
     }
 
-    /// Tells how connecting failed, if it did just now.
+    /// Returns how the last attempt to connect failed, if that was recently.
     ///
-    /// Without it, each call to a node that can't be reached would wait for the
-    /// tries of all before it, and then make its own.
-    pub(crate) fn failure(&self) -> Option<io::ErrorKind> {
-        let (at, kind) = (*self.failed.lock())?;
-        (at.elapsed() < FAILURE_RETENTION).then_some(kind)
+    /// Otherwise each call to an unreachable node would wait for the attempts of
+    /// all calls before it and then make one of its own.
+    pub(crate) fn recent_failure(&self) -> Option<io::ErrorKind> {
+        let (at, kind) = (*self.last_failure.lock())?;
+        (at.elapsed() < FAILURE_TTL).then_some(kind)
     }
 
-    pub(crate) fn note_failure(&self, error: &wire::Error) {
+    pub(crate) fn record_failure(&self, error: &wire::Error) {
         let kind = match error {
             wire::Error::Io(error) => error.kind(),
             _ => io::ErrorKind::InvalidData,
         };
-        *self.failed.lock() = Some((Instant::now(), kind));
+        *self.last_failure.lock() = Some((Instant::now(), kind));
     }
 
-    pub(crate) fn live(&self) -> Option<Arc<Link>> {
+    pub(crate) fn open_link(&self) -> Option<Arc<Link>> {
         let current = self.current.lock();
         let link = current.as_ref()?;
         (!link.is_closed()).then(|| Arc::clone(link))
     }
 }
 
-/// A try to connect that is under way; dropped before its end, it failed like one that timed out.
+/// An attempt to connect in progress; dropped unfinished, it counts as timed out
+/// once it is old enough.
 ///
-/// Callers with short deadlines give up before it ends. Without this, each of
-/// them would begin another one, and none would ever count as failed.
-pub(crate) struct Attempt<'a> {
+/// Callers with short deadlines give up before the attempt ends. If abandoned
+/// attempts were ignored, each such caller would begin a new one and none would
+/// ever count as failed.
+pub(crate) struct ConnectAttempt<'a> {
     peer: &'a Peer,
-    since: Instant,
+    started: Instant,
 }
 
-impl Attempt<'_> {
-    /// Ends it, however it ended.
-    pub(crate) fn end(mut self) {
-        self.since = Instant::now();
+impl ConnectAttempt<'_> {
+    /// Ends the attempt, whether it succeeded or failed.
+    pub(crate) fn finish(mut self) {
+        self.started = Instant::now();
     }
 }
 
-impl Drop for Attempt<'_> {
+impl Drop for ConnectAttempt<'_> {
     fn drop(&mut self) {
-        if self.since.elapsed() >= LEAST_ATTEMPT {
-            *self.peer.failed.lock() = Some((Instant::now(), io::ErrorKind::TimedOut));
+        if self.started.elapsed() >= MIN_CONNECT_TIME {
+            *self.peer.last_failure.lock() = Some((Instant::now(), io::ErrorKind::TimedOut));
         }
     }
 }
--- a/crates/node/src/outbound/pick.rs
+++ b/crates/node/src/outbound/pick.rs
@@ -1,9 +1,9 @@
-//! Asks some backend servers about a call before it is sent: runs `policy::load_probe`.
+//! Picks the endpoint for an attempt, after load probes where they pay off (`policy::load_probe`).
 
 use crate::millis::whole_ms;
 use crate::outbound::Inner;
 use crate::outbound::plan::{Plan, time_left};
-use crate::outbound::service::{Ask, PickedEndpoint};
+use crate::outbound::service::{PickContext, PickedEndpoint};
 use clock::Clock;
 use config::Endpoint;
 use futures_util::future::join_all;
@@ -13,13 +13,13 @@
 use std::time::Duration;
 use wire::call::Look;
 
-/// Longest wait for what backend servers tell.
+/// Longest wait for the replies to load probes.
 ///
-/// Within a region an answer takes about a millisecond, some more from a VM with little of a
-/// processor; one that is gone would be waited for in vain.
-const PATIENCE: Duration = Duration::from_millis(15);
+/// Within a region a reply takes about a millisecond, and somewhat longer from a VM with little
+/// CPU time. A backend server that is gone never replies.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// Picks where a call goes, after asking some backend servers where that pays.
+/// Picks an endpoint for a call, probing some backend servers first where that pays off.
 pub(crate) async fn pick<C>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
@@ -28,40 +28,44 @@
 where
     C: Clock,
 {
-    let mut seen = Vec::new();
+    let mut probed = Vec::new();
     loop {
-        let asked = survey(inner, plan, tried, &seen);
-        if asked.is_empty() {
-            return pick_without_probes(inner, plan, tried, &seen);
+        let targets = probe_targets(inner, plan, tried, &probed);
+        if targets.is_empty() {
+            return pick_without_probes(inner, plan, tried, &probed);
         }
-        let answers = asked.into_iter().map(|(key, endpoint)| async move {
-            let outlook = ask_one(inner, plan, &endpoint);
-            let outlook = tokio::time::timeout(PATIENCE, outlook).await;
+        let replies = targets.into_iter().map(|(key, endpoint)| async move {
+            let estimate = probe(inner, plan, &endpoint);
+            let estimate = tokio::time::timeout(PROBE_TIMEOUT, estimate).await;
             ProbeResult {
                 key,
-                estimate: outlook.ok().flatten(),
+                estimate: estimate.ok().flatten(),
             }
         });
-        seen.extend(join_all(answers).await);
+        probed.extend(join_all(replies).await);
     }
 }
 
-/// Picks where a call goes by what those `seen` have told.
+/// Picks an endpoint for a call from the results of the endpoints `probed` so far.
 pub(crate) fn pick_without_probes<C>(
     inner: &Inner<C>,
     plan: &Plan,
     tried: &[Key],
-    seen: &[ProbeResult],
+    probed: &[ProbeResult],
 ) -> Option<PickedEndpoint<C>>
 where
     C: Clock,
 {
-    let (view, ask) = (inner.shared.view.load_full(), make_ask(inner, plan, tried));
+    let (view, context) = (
+        inner.shared.view.load_full(),
+        pick_context(inner, plan, tried),
+    );
     let clock = &inner.shared.clock;
-    plan.client.pick(clock, &view, &plan.service, &ask, seen)
+    plan.client
+        .pick(clock, &view, &plan.service, &context, probed)
 }
 
-/// Picks where a call of a request under suspicion goes: where all nodes send it.
+/// Picks the endpoint for a suspect request: the one that all nodes send it to.
 pub(crate) fn pick_owner<C>(
     inner: &Inner<C>,
     plan: &Plan,
@@ -70,13 +74,16 @@
 where
     C: Clock,
 {
-    let (view, ask) = (inner.shared.view.load_full(), make_ask(inner, plan, tried));
+    let (view, context) = (
+        inner.shared.view.load_full(),
+        pick_context(inner, plan, tried),
+    );
     let clock = &inner.shared.clock;
     plan.client
-        .pick_owner(clock, &view, &plan.service, &ask, plan.digest)
+        .pick_owner(clock, &view, &plan.service, &context, plan.digest)
 }
 
-/// Picks an endpoint of the version that is under trial, when the call is one of those that try it.
+/// Picks an endpoint of the version under trial when the call is sampled for the trial.
 pub(crate) fn pick_trial<C>(inner: &Inner<C>, plan: &Plan) -> Option<PickedEndpoint<C>>
 where
     C: Clock,
@@ -84,38 +91,46 @@
     if !inner.shared.rollouts.sample(&plan.service) {
         return None;
     }
-    let (view, ask) = (inner.shared.view.load_full(), make_ask(inner, plan, &[]));
+    let (view, context) = (
+        inner.shared.view.load_full(),
+        pick_context(inner, plan, &[]),
+    );
     let clock = &inner.shared.clock;
-    plan.client.pick_trial(clock, &view, &plan.service, &ask)
+    plan.client
+        .pick_trial(clock, &view, &plan.service, &context)
 }
 
-fn survey<C>(
+fn probe_targets<C>(
     inner: &Inner<C>,
     plan: &Plan,
     tried: &[Key],
-    seen: &[ProbeResult],
+    probed: &[ProbeResult],
 ) -> Vec<(Key, Endpoint)>
 where
     C: Clock,
 {
-    let (view, ask) = (inner.shared.view.load_full(), make_ask(inner, plan, tried));
+    let (view, context) = (
+        inner.shared.view.load_full(),
+        pick_context(inner, plan, tried),
+    );
     let clock = &inner.shared.clock;
-    plan.client.survey(clock, &view, &plan.service, &ask, seen)
+    plan.client
+        .probe_targets(clock, &view, &plan.service, &context, probed)
 }
 
-fn make_ask<'a, C>(inner: &'a Inner<C>, plan: &Plan, tried: &'a [Key]) -> Ask<'a>
+fn pick_context<'a, C>(inner: &'a Inner<C>, plan: &Plan, tried: &'a [Key]) -> PickContext<'a>
 where
     C: Clock,
 {
-    Ask {
+    PickContext {
         locality: &inner.locality,
         body_size: plan.body_size,
         rollouts: &inner.shared.rollouts,
-        call: balance::PickArgs {
+        args: balance::PickArgs {
             tried,
             repeatable: plan.repeatable,
             route: plan.route,
-            // Once it has gone by, none is sooner than another.
+            // Once the target has passed, no endpoint can meet it.
             target: plan
                 .target
                 .filter(|target| *target > inner.shared.clock.now()),
@@ -123,12 +138,12 @@
     }
 }
 
-/// Asks one backend server about a call; nothing comes from one that can't be reached or leaves.
-async fn ask_one<C>(inner: &Arc<Inner<C>>, plan: &Plan, endpoint: &Endpoint) -> Option<Estimate>
+/// Sends a load probe to one backend server; `None` when it can't be reached or is leaving.
+async fn probe<C>(inner: &Arc<Inner<C>>, plan: &Plan, endpoint: &Endpoint) -> Option<Estimate>
 where
     C: Clock,
 {
-    let look = Look {
+    let request = Look {
         serial: 0,
         service: plan.service.clone(),
         route: plan.route,
@@ -138,24 +153,25 @@
         target_ms: plan.target.map(|target| whole_ms(time_left(inner, target))),
     };
     if endpoint.node == inner.shared.settings.name {
-        return Some(inner.inbound.estimate(&look));
+        return Some(inner.inbound.estimate(&request));
     }
-    // Goes on when nobody waits any more, so that the next call finds the link made.
+    // Connects in a task of its own, so that the link is there for the next call even when
+    // this one stops waiting.
     let (links, address) = (Arc::clone(&inner.links), endpoint.address);
     let link = if let Some(link) = links.find_open(address) {
         link
     } else {
-        let made = tokio::spawn(async move { links.get_or_connect(address).await });
-        made.await.ok()?.ok()?
+        let connecting = tokio::spawn(async move { links.get_or_connect(address).await });
+        connecting.await.ok()?.ok()?
     };
     if link.node != endpoint.node || link.is_leaving() {
         return None;
     }
-    let told = link.look(look)?.answer().await?;
+    let reply = link.probe(request)?.estimate().await?;
     Some(Estimate {
-        accepts: told.takes,
-        wait: Duration::from_millis(told.wait_ms.into()),
-        run: told.run_ms.map(|run| Duration::from_millis(run.into())),
-        load: f64::from(told.load_percent) / 100.0,
+        accepts: reply.takes,
+        wait: Duration::from_millis(reply.wait_ms.into()),
+        run: reply.run_ms.map(|run| Duration::from_millis(run.into())),
+        load: f64::from(reply.load_percent) / 100.0,
     })
 }
--- a/crates/node/src/outbound/plan.rs
+++ b/crates/node/src/outbound/plan.rs
@@ -1,4 +1,4 @@
-//! What is known of a call before it is tried.
+//! What is known of a call before its first attempt: route settings, deadline, target and identity.
 
 use crate::inbound::run::TIMEOUT_HEADER;
 use crate::outbound::remote_attempt;
@@ -21,55 +21,55 @@
 use std::time::{Duration, Instant};
 use wire::call::WINDOW;
 
-/// Header with the name of the caller on whose behalf a call is made; its IP address stands in.
+/// Header that names the caller on whose behalf a call is made; defaults to the peer's IP address.
 const CALLER_HEADER: &str = "bluebellpick-caller";
 
 /// Header in which a backend server passes on the [`CALL_HEADER`](super::send::CALL_HEADER)
-/// of the request that it makes a call for.
+/// of the request for which it makes a nested call.
 const PARENT_HEADER: &str = "bluebellpick-parent";
 
-/// Header that names a request through all its repeats (IETF draft `idempotency-key-header`).
+/// Header that identifies a request across its repeats (IETF draft `idempotency-key-header`).
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Longest time for a call. The inbound proxy remembers a peer's links for longer.
-const LONGEST_TIMEOUT: Duration = Duration::from_mins(5);
+/// Longest timeout of a call. The inbound proxy remembers a peer's links for longer than this.
+const MAX_TIMEOUT: Duration = Duration::from_mins(5);
 
-// A digest is the same at every node only if what it covers is held.
+// A digest is the same at every node only if all of the body that it covers is held in memory.
 const _: () = assert!(call::MAX_DIGEST_BODY <= WINDOW);
 
-/// Tries of a call whose route has no rule, the first included.
+/// Attempts for a call whose route has no retry rule, including the first.
 const DEFAULT_ATTEMPTS: u8 = 3;
 
-/// A call, as its tries need it.
+/// What the attempts of a call need to know about it.
 #[derive(Debug)]
 pub(crate) struct Plan {
-    /// Names the call in the log: by its caller's name for it, or its caller's own.
+    /// Identifies the call in the log: the caller's name for the call, or else the name of the caller.
     pub(crate) id: SmolStr,
     pub(crate) service: SmolStr,
     pub(crate) client: Arc<ServiceClient>,
     pub(crate) class: Class,
-    /// Kind under which a roll-out counts it.
+    /// Kind of call under which a roll-out counts the call.
     pub(crate) kind: usize,
     pub(crate) caller: SmolStr,
     /// Hash of the route and method.
     pub(crate) route: u64,
-    /// Host of the route; empty for a route of all hosts.
+    /// Host of the route; empty for a route that matches all hosts.
     host: SmolStr,
     pub(crate) retry_rule: Option<Retry>,
     pub(crate) deadline: Instant,
-    /// Until when an answer is worth most.
+    /// Latency target: time by which the answer should be there.
     pub(crate) target: Option<Instant>,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub(crate) repeatable: bool,
-    /// Key under which it must be reserved.
+    /// Idempotency key under which the call must be reserved.
     pub(crate) key: Option<Key>,
-    /// Whether a layer above tries it again already.
+    /// Whether the caller retries the call itself.
     pub(crate) retried_by_caller: bool,
-    /// What the call is worth that runs on the own backend server and waits for it.
+    /// Class of the call on the local backend server that waits for this one, if any.
     pub(crate) nested: Option<Class>,
-    /// What it takes of the way; known once the start of its body has come.
+    /// Whether the body is small or large; set once the start of the body has been read.
     pub(crate) body_size: BodySize,
-    /// Names the request through all its repeats; known once the start of its body has come.
+    /// Identifies the request across its repeats; set once the start of the body has been read.
     pub(crate) digest: Digest,
 }
 
@@ -79,12 +79,12 @@
         attempts.unwrap_or(DEFAULT_ATTEMPTS).max(1)
     }
 
-    /// Tells whether a second copy may be sent while the first is late.
+    /// Returns whether a hedge may be sent while the first attempt is late.
     pub(crate) fn may_hedge(&self) -> bool {
         self.repeatable && self.retry_rule.as_ref().is_some_and(|rule| rule.hedge)
     }
 
-    /// Tells whether a try that may have run is followed by another.
+    /// Returns whether the call may be repeated after an attempt that may have run.
     pub(crate) fn may_repeat(&self) -> bool {
         let rule = self.retry_rule.as_ref();
         self.repeatable && rule.is_none_or(|rule| rule.repeat_may_have_run)
@@ -102,17 +102,17 @@
 {
     let route = view.route(view.find_route(host_of(head), head.uri.path())?);
     let now = inner.shared.clock.now();
-    let own = Duration::from_millis(route.timeout_ms.into());
-    let told = if inner.shared.is_on_platform() {
+    let route_timeout = Duration::from_millis(route.timeout_ms.into());
+    let requested = if inner.shared.is_on_platform() {
         platform::header::read_timeout(&head.headers)
     } else {
         timeout_of(&head.headers)
     };
-    let timeout = told.unwrap_or(own);
-    let longest = route
+    let timeout = requested.unwrap_or(route_timeout);
+    let limit = route
         .limit_ms
         .map(|limit| Duration::from_millis(limit.into()));
-    let timeout = timeout.min(longest.unwrap_or(LONGEST_TIMEOUT));
+    let timeout = timeout.min(limit.unwrap_or(MAX_TIMEOUT));
     let target = view.service(pick_target(&route.targets));
     let repeatable = is_repeatable(route.repeat, &head.method);
     let caller = if inner.shared.is_on_platform() {
@@ -120,29 +120,29 @@
     } else {
         caller_of(&head.headers, peer)
     };
-    let known = inner.services.get_or_create(&target.name, now);
+    let client = inner.services.get_or_create(&target.name, now);
     let origin = find_origin(inner, &head.headers);
     let nested = match origin {
         Origin::Caller => None,
         Origin::Nested(run) => Some(run.class),
     };
-    known.record_call(now, origin);
+    client.record_call(now, origin);
     let hash = policy::hash(&route.prefix) ^ policy::hash(head.method.as_str());
-    // What a running call has left says nothing of when it made this one.
-    let elapsed = told
+    // The time left of a running call does not show when it made this nested call.
+    let elapsed = requested
         .filter(|_| nested.is_none())
-        .map_or(Duration::ZERO, |left| known.elapsed(hash, left));
+        .map_or(Duration::ZERO, |left| client.estimate_elapsed(hash, left));
     let plan = Plan {
         id: caller.clone(),
         service: target.name.clone(),
-        client: known,
+        client,
         class: route.class,
         kind: kind_of(route.class, route.repeat),
         caller,
         route: hash,
         host: route.prefix.split('/').next().unwrap_or_default().into(),
         retry_rule: route.retry.clone(),
-        deadline: now + timeout.min(LONGEST_TIMEOUT),
+        deadline: now + timeout.min(MAX_TIMEOUT),
         target: route
             .target_ms
             .map(|target| now + Duration::from_millis(target.into()).saturating_sub(elapsed)),
@@ -156,7 +156,7 @@
     Some((plan, target.service.objective))
 }
 
-/// Gives the name of a call that has no plan, as far as its caller named it.
+/// Returns the caller's name for a call that has no plan; empty when there is none.
 pub(crate) fn caller_name<C>(inner: &Inner<C>, head: &request::Parts) -> SmolStr
 where
     C: Clock,
@@ -169,14 +169,14 @@
     name.unwrap_or_default().into()
 }
 
-/// Gives the host that a request is for; empty when it names none.
+/// Returns the host that a request is for; empty when it names none.
 pub(crate) fn host_of(head: &request::Parts) -> &str {
-    let named = || head.headers.get(header::HOST)?.to_str().ok();
-    let whole = head.uri.authority().map(http::uri::Authority::as_str);
-    whole.or_else(named).unwrap_or_default()
+    let host_header = || head.headers.get(header::HOST)?.to_str().ok();
+    let authority = head.uri.authority().map(http::uri::Authority::as_str);
+    authority.or_else(host_header).unwrap_or_default()
 }
 
-/// Names a request through all its repeats, by its head and the start of its body.
+/// Computes the digest that identifies a request across its repeats, from its head and the start of its body.
 pub(crate) fn digest_of(
     plan: &Plan,
     head: &request::Parts,
@@ -186,7 +186,7 @@
     Digest::of(head.method.as_str(), &plan.host, path, &body.prefix)
 }
 
-/// Tells whether a call may run more than once; one that nothing is said of may if its method is safe (RFC 9110).
+/// Returns whether a call may run more than once; by default only if its method is safe (RFC 9110).
 fn is_repeatable(repeat: Repeat, method: &Method) -> bool {
     match repeat {
         Repeat::Always => true,
@@ -195,9 +195,9 @@
     }
 }
 
-/// Tells whether the own backend server makes a call for one that it runs.
+/// Returns whether the local backend server makes the call on behalf of one that it runs.
 ///
-/// What a caller says of that is believed only if such a call runs now.
+/// The header is trusted only if the call that it names is running now.
 fn find_origin<C>(inner: &Inner<C>, headers: &HeaderMap) -> Origin
 where
     C: Clock,
@@ -230,42 +230,39 @@
     name.map_or_else(|| smol_str::format_smolstr!("{peer}"), SmolStr::new)
 }
 
-/// Takes the start of a caller's body: all of it, when it is not long.
+/// Reads the start of a caller's body, or all of it when it fits the window.
 ///
-/// So a call with a short body can be tried again, and one whose caller dies
-/// half way never reaches a backend server.
+/// A call with a short body can then be retried, and a call whose caller
+/// disconnects while sending it never reaches a backend server.
 pub(crate) async fn read_body_start(
     mut body: Incoming,
 ) -> Result<remote_attempt::RequestBody, hyper::Error> {
-    let mut ready = Bytes::new();
+    let mut prefix = Bytes::new();
     while !body.is_end_stream() {
-        if ready.len() >= WINDOW {
+        if prefix.len() >= WINDOW {
             return Ok(remote_attempt::RequestBody {
-                prefix: ready,
+                prefix,
                 rest: Some(body),
             });
         }
         let Some(frame) = body.frame().await else {
             break;
         };
-        ready = join(ready, frame?.into_data().unwrap_or_default());
+        prefix = join(prefix, frame?.into_data().unwrap_or_default());
     }
-    Ok(remote_attempt::RequestBody {
-        prefix: ready,
-        rest: None,
-    })
+    Ok(remote_attempt::RequestBody { prefix, rest: None })
 }
 
 fn join(first: Bytes, second: Bytes) -> Bytes {
     if first.is_empty() {
         return second;
     }
-    let mut whole = BytesMut::from(first);
-    whole.extend_from_slice(&second);
-    whole.freeze()
+    let mut joined = BytesMut::from(first);
+    joined.extend_from_slice(&second);
+    joined.freeze()
 }
 
-/// Gives the time that is left.
+/// Returns the time left until `deadline`.
 pub(crate) fn time_left<C>(inner: &Inner<C>, deadline: Instant) -> Duration
 where
     C: Clock,
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -1,4 +1,5 @@
-//! What the outbound proxy knows of each service: runs `policy::balance` and `policy::retry`.
+//! Client-side state of each service: endpoint selection, retries and hedging, decided by
+//! `policy::balance`, `policy::retry` and `policy::hedge`.
 
 use crate::inbound::running_calls::RunningCall;
 use crate::rollout::{CallResult, RolloutCall, Rollouts, TrafficSplit};
@@ -22,60 +23,61 @@
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
 
-/// Retries of a route without a rule as a share of successes, in per cent, as Finagle has it.
+/// Retry budget of a route without a retry rule, in percent of successes; Finagle's default.
 const DEFAULT_BUDGET_PERCENT: u8 = 20;
 
-/// The services that an outbound proxy sends calls to.
+/// The clients of all services that the outbound proxy sends calls to.
 #[derive(Debug)]
 pub(crate) struct ServiceClients {
-    known: RwLock<HashMap<SmolStr, Arc<ServiceClient>>>,
-    /// What the whole fleet may repeat, where that is bounded.
-    bounds: Option<FleetLimits>,
+    clients: RwLock<HashMap<SmolStr, Arc<ServiceClient>>>,
+    /// Limits on repeats for the whole fleet, if configured.
+    fleet_limits: Option<FleetLimits>,
 }
 
-/// One service.
+/// Load balancers, retry budget and hedge policy for one service.
 pub(crate) struct ServiceClient {
     state: Mutex<State>,
 }
 
 #[derive(Debug)]
 struct State {
-    /// Of small calls, and of those with large bodies.
-    balances: [Balancer; 2],
+    /// One balancer for each [`BodySize`].
+    balancers: [Balancer; 2],
     budget: RetryBudget,
     hedge: HedgePolicy,
-    /// The longest times that callers start with.
+    /// Longest timeout that callers of each route start with.
     elapsed: elapsed::Estimator,
-    /// The view that the balance was last told.
-    synced: Weak<View>,
-    /// How far roll-outs had changed then.
-    changes: u64,
+    /// View that the balancers were last synchronized with.
+    synced_view: Weak<View>,
+    /// Generation of the roll-outs at that time.
+    synced_generation: u64,
     rng: SmallRng,
 }
 
-/// What a call takes of the way to its backend server.
+/// Size class of a call's body; each class has a balancer of its own.
 ///
-/// *Load pattern:* links that uploads fill, while slots are idle. *Without telling
-/// them apart* a VM whose link is full counts as full for small calls too, which it
-/// would answer at once, and one whose slots are full for uploads.
+/// Uploads can fill a VM's link while its slots are idle. If both classes shared a
+/// balancer, a VM whose link is full would also count as full for small calls, which
+/// it could answer at once, and a VM whose slots are full would count as full for
+/// uploads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BodySize {
-    /// Its body goes with its head.
+    /// The body is sent along with the head.
     Small,
-    /// Its body is asked for.
+    /// The body is sent when the receiver requests it.
     Large,
 }
 
-/// Who makes a call.
+/// Source of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// A caller.
+    /// A caller whose call is not nested.
     Caller,
-    /// The own backend server, for a call that it runs.
+    /// The local backend server, on behalf of a call that it runs.
     Nested(RunningCall),
 }
 
-/// Where the node itself is.
+/// Location of the local node.
 #[derive(Debug, Clone)]
 pub(crate) struct Locality {
     pub(crate) node: SmolStr,
@@ -83,7 +85,7 @@
     pub(crate) region: SmolStr,
 }
 
-/// An endpoint that was picked; dropping it tells the balance what came of it.
+/// An endpoint picked for an attempt; dropping it reports the outcome to the balancer.
 #[derive(Debug)]
 pub(crate) struct PickedEndpoint<C>
 where
@@ -98,8 +100,8 @@
     pub(crate) endpoint: Endpoint,
     pub(crate) outcome: Outcome,
     rollouts: Arc<Rollouts>,
-    /// What a roll-out is to be told of it.
-    begun: Option<RolloutCall>,
+    /// The attempt as counted by a roll-out of the service, if there is one.
+    rollout_call: Option<RolloutCall>,
 }
 
 impl fmt::Debug for ServiceClient {
@@ -109,11 +111,11 @@
 }
 
 impl ServiceClients {
-    /// Knows no service yet.
+    /// Creates an empty table; clients are created on first use.
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
-            known: RwLock::default(),
-            bounds: settings.repeat_share.map(|share| FleetLimits {
+            clients: RwLock::default(),
+            fleet_limits: settings.repeat_share.map(|share| FleetLimits {
                 share: share.get(),
                 extra: settings.repeat_extra.get(),
                 window: settings.repeat_window,
@@ -121,49 +123,55 @@
         }
     }
 
-    /// Gives what is known of a service.
+    /// Returns the client of a service, creating it on first use.
     pub(crate) fn get_or_create(&self, name: &str, now: Instant) -> Arc<ServiceClient> {
-        if let Some(known) = self.known.read().get(name) {
-            return Arc::clone(known);
+        if let Some(client) = self.clients.read().get(name) {
+            return Arc::clone(client);
         }
         let budget = RetryBudget::new(now, DEFAULT_BUDGET_PERCENT);
-        let budget = match self.bounds {
-            Some(bounds) => budget.with_fleet_limits(now, bounds),
+        let budget = match self.fleet_limits {
+            Some(fleet_limits) => budget.with_fleet_limits(now, fleet_limits),
             None => budget,
         };
-        let mut services = self.known.write();
-        let made = services.entry(name.into()).or_insert_with(|| {
+        let mut clients = self.clients.write();
+        let client = clients.entry(name.into()).or_insert_with(|| {
             Arc::new(ServiceClient {
                 state: Mutex::new(State {
-                    balances: [Balancer::new(), Balancer::new()],
+                    balancers: [Balancer::new(), Balancer::new()],
                     budget,
                     hedge: HedgePolicy::new(now),
                     elapsed: elapsed::Estimator::new(),
-                    synced: Weak::new(),
-                    changes: 0,
+                    synced_view: Weak::new(),
+                    synced_generation: 0,
                     rng: SmallRng::from_os_rng(),
                 }),
             })
         });
-        Arc::clone(made)
+        Arc::clone(client)
     }
 }
 
 impl State {
-    /// Tells the balance which endpoints `view` has, once a view.
-    fn sync(&mut self, now: Instant, view: &Arc<View>, service: ServiceKey, ask: &Ask<'_>) {
-        let changes = ask.rollouts.generation();
-        let is_known = std::ptr::eq(self.synced.as_ptr(), Arc::as_ptr(view));
-        if is_known && self.changes == changes {
+    /// Updates the balancers' endpoints when the view or the roll-outs have changed.
+    fn sync_endpoints(
+        &mut self,
+        now: Instant,
+        view: &Arc<View>,
+        service: ServiceKey,
+        context: &PickContext<'_>,
+    ) {
+        let generation = context.rollouts.generation();
+        let is_current = std::ptr::eq(self.synced_view.as_ptr(), Arc::as_ptr(view));
+        if is_current && self.synced_generation == generation {
             return;
         }
-        self.synced = Arc::downgrade(view);
-        self.changes = changes;
+        self.synced_view = Arc::downgrade(view);
+        self.synced_generation = generation;
         let endpoints = &view.service(service).endpoints;
-        let split = ask.rollouts.split(view, service);
-        for balance in &mut self.balances {
-            let candidates = list_candidates(view, endpoints, ask.locality, split.as_ref());
-            balance.sync(now, candidates);
+        let split = context.rollouts.split(view, service);
+        for balancer in &mut self.balancers {
+            let candidates = list_candidates(view, endpoints, context.locality, split.as_ref());
+            balancer.sync(now, candidates);
         }
         self.budget.set_node_count(now, view.endpoints().len());
     }
@@ -184,24 +192,24 @@
             process: endpoint.process,
             warm_up: endpoint
                 .cold_ms
-                .map(|cold| Duration::from_millis(cold.into())),
+                .map(|warm_up| Duration::from_millis(warm_up.into())),
             track: split.map_or(Track::Stable, |split| split.track(endpoint)),
         }
     })
 }
 
 impl ServiceClient {
-    /// Gives the endpoints to ask about a call before it is sent, further than those `seen`.
+    /// Returns the endpoints to probe before a call is sent, other than those already `probed`.
     ///
-    /// None for a call with a large body: its way is bound by links, of which an outlook says
-    /// nothing, and its body is asked for by the receiver anyway.
-    pub(crate) fn survey<C>(
+    /// Returns none for a call with a large body: its bottleneck is the links, which an estimate
+    /// does not cover, and the receiver schedules the body anyway.
+    pub(crate) fn probe_targets<C>(
         &self,
         clock: &C,
         view: &Arc<View>,
         name: &str,
-        ask: &Ask<'_>,
-        seen: &[ProbeResult],
+        context: &PickContext<'_>,
+        probed: &[ProbeResult],
     ) -> Vec<(Key, Endpoint)>
     where
         C: Clock,
@@ -209,80 +217,80 @@
         let now = clock.now();
         let Some(service) = view
             .find_service(name)
-            .filter(|_| ask.body_size == BodySize::Small)
+            .filter(|_| context.body_size == BodySize::Small)
         else {
             return Vec::new();
         };
         let mut state = self.state.lock();
         let state = &mut *state;
-        state.sync(now, view, service, ask);
-        let balance = &state.balances[ask.body_size as usize];
-        let keys = if seen.is_empty() {
-            balance.probe_targets(now, &ask.call, &mut state.rng)
+        state.sync_endpoints(now, view, service, context);
+        let balancer = &state.balancers[context.body_size as usize];
+        let keys = if probed.is_empty() {
+            balancer.probe_targets(now, &context.args, &mut state.rng)
         } else {
-            balance.further_probe_targets(now, &ask.call, seen, &mut state.rng)
+            balancer.further_probe_targets(now, &context.args, probed, &mut state.rng)
         };
         let endpoint =
-            |key: Key| Some((key, find_endpoint(view, service, balance.identity(key)?)?));
+            |key: Key| Some((key, find_endpoint(view, service, balancer.identity(key)?)?));
         keys.into_iter().filter_map(endpoint).collect()
     }
 
-    /// Picks an endpoint of the service that has not been tried, by what those `seen` have told.
+    /// Picks an endpoint that has not been tried, using the results of the endpoints `probed`.
     pub(crate) fn pick<C>(
         self: &Arc<Self>,
         clock: &C,
         view: &Arc<View>,
         name: &str,
-        ask: &Ask<'_>,
-        seen: &[ProbeResult],
+        context: &PickContext<'_>,
+        probed: &[ProbeResult],
     ) -> Option<PickedEndpoint<C>>
     where
         C: Clock,
     {
-        self.pick_by(clock, view, name, ask, |balance, now, rng| {
-            balance.pick_probed(now, &ask.call, seen, rng)
+        self.pick_with(clock, view, name, context, |balancer, now, rng| {
+            balancer.pick_probed(now, &context.args, probed, rng)
         })
     }
 
-    /// Picks the endpoint that has not been tried and that all nodes pick for a request.
+    /// Picks the untried endpoint on which all nodes agree for a request.
     pub(crate) fn pick_owner<C>(
         self: &Arc<Self>,
         clock: &C,
         view: &Arc<View>,
         name: &str,
-        ask: &Ask<'_>,
+        context: &PickContext<'_>,
         request: Digest,
     ) -> Option<PickedEndpoint<C>>
     where
         C: Clock,
     {
-        self.pick_by(clock, view, name, ask, |balance, now, _rng| {
-            balance.pick_owner(now, &ask.call, request)
+        self.pick_with(clock, view, name, context, |balancer, now, _rng| {
+            balancer.pick_owner(now, &context.args, request)
         })
     }
 
-    /// Picks an endpoint of the version that is under trial.
+    /// Picks an endpoint of the version under trial.
     pub(crate) fn pick_trial<C>(
         self: &Arc<Self>,
         clock: &C,
         view: &Arc<View>,
         name: &str,
-        ask: &Ask<'_>,
+        context: &PickContext<'_>,
     ) -> Option<PickedEndpoint<C>>
     where
         C: Clock,
     {
-        self.pick_by(clock, view, name, ask, |balance, now, rng| {
-            balance.pick_trial(now, &ask.call, rng)
+        self.pick_with(clock, view, name, context, |balancer, now, rng| {
+            balancer.pick_trial(now, &context.args, rng)
         })
     }
 
-    fn pick_by<C, F>(
+    fn pick_with<C, F>(
         self: &Arc<Self>,
         clock: &C,
         view: &Arc<View>,
         name: &str,
-        ask: &Ask<'_>,
+        context: &PickContext<'_>,
         choose: F,
     ) -> Option<PickedEndpoint<C>>
     where
@@ -293,31 +301,31 @@
         let service = view.find_service(name)?;
         let mut state = self.state.lock();
         let state = &mut *state;
-        state.sync(now, view, service, ask);
-        let balance = &mut state.balances[ask.body_size as usize];
-        let key = choose(balance, now, &mut state.rng)?;
-        let endpoint = find_endpoint(view, service, balance.identity(key)?)?;
-        let begun = ask.rollouts.begin_call(&endpoint);
+        state.sync_endpoints(now, view, service, context);
+        let balancer = &mut state.balancers[context.body_size as usize];
+        let key = choose(balancer, now, &mut state.rng)?;
+        let endpoint = find_endpoint(view, service, balancer.identity(key)?)?;
+        let rollout_call = context.rollouts.begin_call(&endpoint);
         Some(PickedEndpoint {
             service: Arc::clone(self),
             clock: clock.clone(),
             started: now,
-            route: ask.call.route,
-            body_size: ask.body_size,
+            route: context.args.route,
+            body_size: context.body_size,
             key,
             endpoint,
             outcome: Outcome::Cancelled,
-            rollouts: Arc::clone(ask.rollouts),
-            begun,
+            rollouts: Arc::clone(context.rollouts),
+            rollout_call,
         })
     }
 
-    /// Takes in how much time a caller of `route` has `left`, and gives how long it has waited.
-    pub(crate) fn elapsed(&self, route: u64, left: Duration) -> Duration {
+    /// Records the time that a caller of `route` has `left`, and estimates how long it has waited already.
+    pub(crate) fn estimate_elapsed(&self, route: u64, left: Duration) -> Duration {
         self.state.lock().elapsed.observe(route, left)
     }
 
-    /// Counts a call for the fleet's bound on repeats.
+    /// Counts a call towards the fleet-wide limit on repeats.
     pub(crate) fn record_call(&self, now: Instant, origin: Origin) {
         let mut state = self.state.lock();
         match origin {
@@ -327,17 +335,17 @@
         }
     }
 
-    /// Gives how long a call of `route` is expected to take.
+    /// Returns the expected duration of a call of `route`.
     pub(crate) fn expected_duration(&self, route: u64, body_size: BodySize) -> Duration {
-        self.state.lock().balances[body_size as usize].expected_duration(route)
+        self.state.lock().balancers[body_size as usize].expected_duration(route)
     }
 
-    /// Tells whether an endpoint that has not refused the call may have room.
+    /// Returns whether an endpoint that has not been tried may have capacity.
     pub(crate) fn has_room(&self, now: Instant, body_size: BodySize, tried: &[Key]) -> bool {
-        self.state.lock().balances[body_size as usize].has_room(now, tried)
+        self.state.lock().balancers[body_size as usize].has_room(now, tried)
     }
 
-    /// Counts a first try that was answered.
+    /// Records that a first attempt was answered.
     pub(crate) fn record_success(&self, rule: Option<&Retry>) {
         let percent = rule.map_or(DEFAULT_BUDGET_PERCENT, |rule| rule.budget_percent);
         let mut state = self.state.lock();
@@ -345,73 +353,73 @@
         state.budget.record_success();
     }
 
-    /// Gives the wait after which a call that `may` be copied is late, if a copy is to be sent.
-    pub(crate) fn hedge_delay(&self, now: Instant, may: bool) -> Option<Duration> {
-        self.state.lock().hedge.delay(now, may)
+    /// Returns the delay after which a hedge is sent, if one is; `allowed` tells whether the call may be hedged.
+    pub(crate) fn hedge_delay(&self, now: Instant, allowed: bool) -> Option<Duration> {
+        self.state.lock().hedge.delay(now, allowed)
     }
 
-    /// Takes in how long a first try took, or that it was overtaken after so long.
+    /// Records the latency of a first attempt, or the time after which its hedge was answered first.
     pub(crate) fn record_first_latency(&self, took: Duration) {
         self.state.lock().hedge.record_latency(took);
     }
 
-    /// Takes in whether a copy was answered before the first try.
+    /// Records whether a hedge was answered before the first attempt.
     pub(crate) fn record_hedge_result(&self, won: bool) {
         self.state.lock().hedge.record_result(won);
     }
 
-    /// Takes in that a try was refused.
+    /// Pauses hedging after an attempt was refused.
     pub(crate) fn pause_hedge(&self, now: Instant) {
         self.state.lock().hedge.pause(now);
     }
 
-    /// Pays for a copy of a call; tells whether the budget allows it.
+    /// Charges a hedge to the retry budget; returns whether the budget allows it.
     pub(crate) fn spend(&self, now: Instant) -> bool {
         self.state.lock().budget.spend(now)
     }
 
-    /// Decides what follows a try that came to nothing.
-    pub(crate) fn decide(&self, now: Instant, tried: &FailedAttempt) -> Decision {
+    /// Decides whether to retry after a failed attempt.
+    pub(crate) fn decide(&self, now: Instant, failed: &FailedAttempt) -> Decision {
         let mut state = self.state.lock();
         let state = &mut *state;
-        state.budget.decide(now, tried, &mut state.rng)
+        state.budget.decide(now, failed, &mut state.rng)
     }
 }
 
-/// What a call needs of an endpoint.
+/// What is needed to pick an endpoint for a call.
 #[derive(Debug)]
-pub(crate) struct Ask<'a> {
+pub(crate) struct PickContext<'a> {
     pub(crate) locality: &'a Locality,
     pub(crate) body_size: BodySize,
     pub(crate) rollouts: &'a Arc<Rollouts>,
-    pub(crate) call: balance::PickArgs<'a>,
+    pub(crate) args: balance::PickArgs<'a>,
 }
 
 impl<C> PickedEndpoint<C>
 where
     C: Clock,
 {
-    /// Tells a roll-out of the service, if there is one, what a call of `kind` came to.
+    /// Reports the result of a call of `kind` to the roll-out of the service, if there is one.
     ///
-    /// `ran` is the time that the backend server took, if it has answered; a slow one that has
-    /// just started tells nothing of its version.
+    /// `ran` is the time that the backend server took, if it has answered. A slow answer of a
+    /// backend server that is still warming up does not count against its version.
     pub(crate) fn record_rollout_result(&self, kind: usize, failed: bool, ran: Option<Duration>) {
-        let Some(begun) = &self.begun else {
+        let Some(rollout_call) = &self.rollout_call else {
             return;
         };
         let now = self.clock.now();
         let state = self.service.state.lock();
-        let balance = &state.balances[self.body_size as usize];
-        let usual = balance.expected_duration(self.route);
-        let is_slow = ran.is_none_or(|ran| ran > usual.mul_f64(SLOW_FACTOR));
-        let is_cold = balance.is_cold(now, self.key);
+        let balancer = &state.balancers[self.body_size as usize];
+        let expected = balancer.expected_duration(self.route);
+        let is_slow = ran.is_none_or(|ran| ran > expected.mul_f64(SLOW_FACTOR));
+        let is_warming_up = balancer.is_cold(now, self.key);
         drop(state);
-        let ending = match (failed, is_slow && !is_cold) {
+        let result = match (failed, is_slow && !is_warming_up) {
             (true, _) => CallResult::Failed,
             (false, true) => CallResult::Slow,
             (false, false) => CallResult::Normal,
         };
-        self.rollouts.record_result(begun, kind, ending);
+        self.rollouts.record_result(rollout_call, kind, result);
     }
 }
 
@@ -420,14 +428,14 @@
     C: Clock,
 {
     fn drop(&mut self) {
-        if let Some(begun) = &self.begun {
-            self.rollouts.end_call(begun);
+        if let Some(rollout_call) = &self.rollout_call {
+            self.rollouts.end_call(rollout_call);
         }
         let now = self.clock.now();
         let took = now.saturating_duration_since(self.started);
         let mut state = self.service.state.lock();
         let state = &mut *state;
-        state.balances[self.body_size as usize].finish(
+        state.balancers[self.body_size as usize].finish(
             now,
             self.key,
             self.route,
@@ -440,8 +448,8 @@
 
 fn find_endpoint(view: &View, service: ServiceKey, identity: &Identity) -> Option<Endpoint> {
     let endpoints = &view.service(service).endpoints;
-    let mut found = endpoints.iter().map(|key| view.endpoint(*key));
-    found
+    let mut endpoints = endpoints.iter().map(|key| view.endpoint(*key));
+    endpoints
         .find(|endpoint| identity_of(endpoint) == *identity)
         .cloned()
 }
--- a/crates/node/src/outbound/tell.rs
+++ b/crates/node/src/outbound/tell.rs
@@ -1,4 +1,4 @@
-//! Lines about calls: what a try came to, and why a caller got no answer, or a late one.
+//! Log lines about calls: failed attempts, refused calls, and late or failed answers.
 
 use crate::inbound::run::Refused;
 use crate::outbound::Inner;
@@ -9,13 +9,13 @@
 use log::info;
 use std::time::{Duration, Instant};
 
-/// Tells that a try got no answer of the backend server's, and where it went.
+/// Logs an attempt that the backend server did not answer, with the node it was sent to.
 pub(crate) fn log_failed_attempt<C>(
     inner: &Inner<C>,
     plan: &Plan,
     node: &str,
     refused: Refused,
-    tries: u8,
+    attempts: u8,
 ) where
     C: Clock,
 {
@@ -30,7 +30,7 @@
         service = plan.service.as_str(),
         request:% = plan.digest,
         node,
-        attempt = tries,
+        attempt = attempts,
         verdict = refused.verdict.as_str(),
         reason = reason_name(refused.reason),
         left_ms = time_left(inner, plan.deadline).as_millis(),
@@ -39,7 +39,7 @@
     );
 }
 
-/// Tells the final answer to a call that no backend server answered.
+/// Logs the final refusal of a call that no backend server answered.
 pub(crate) fn log_refused_call<C>(
     inner: &Inner<C>,
     plan: &Plan,
@@ -70,7 +70,7 @@
     );
 }
 
-/// Tells that a call met no route, or one without endpoints.
+/// Logs a call that matched no route, or a route without endpoints.
 pub(crate) fn log_unrouted_call<C>(inner: &Inner<C>, head: &request::Parts, reason: &str)
 where
     C: Clock,
@@ -85,20 +85,20 @@
     }
 }
 
-/// An answer of a backend server's.
+/// A backend server's answer to a call.
 pub(crate) struct AnsweredCall<'a> {
     pub(crate) node: &'a str,
     pub(crate) status: StatusCode,
-    /// How long the call waited at the gate.
+    /// How long the call was queued for admission at the inbound proxy.
     pub(crate) queue_wait: Duration,
-    /// When the call came.
+    /// When the call arrived.
     pub(crate) started: Instant,
     pub(crate) attempts: u8,
 }
 
-/// Tells an answer that came after its target, or is a failure.
+/// Logs an answer that missed its latency target or is a server error.
 ///
-/// Answers in time leave no line: there are hundreds a second, and nobody asks.
+/// Timely answers are not logged: there are hundreds per second, and nobody needs the lines.
 pub(crate) fn log_answer<C>(inner: &Inner<C>, plan: &Plan, answer: &AnsweredCall<'_>)
 where
     C: Clock,
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! What this node knows of requests that crash backend servers: runs `policy::quarantine`.
+//! Crash history and status of requests that crash backend servers (`policy::quarantine`).
 
 use crate::metrics::Metrics;
 use call::{Crash, Digest};
@@ -10,62 +10,63 @@
 use std::time::Instant;
 use tokio::sync::Notify;
 
-/// Requests that the log names of those that one crash brings under suspicion.
-const MAX_TOLD: usize = 8;
+/// Maximum number of suspect requests logged per crash.
+const MAX_LOGGED: usize = 8;
 
-/// What this node knows of requests that crash backend servers.
+/// This node's record of requests that crash backend servers.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    ledger: RwLock<CrashHistory>,
-    /// Whether anything is known; spares most calls the lock.
-    is_known: AtomicBool,
-    /// What other nodes are to be told.
-    news: Mutex<Vec<Crash>>,
-    /// Told when there is some.
-    has_news: Notify,
+    history: RwLock<CrashHistory>,
+    /// Whether the history is non-empty; spares most calls the lock.
+    has_crashes: AtomicBool,
+    /// Crash records to be sent to other nodes.
+    updates: Mutex<Vec<Crash>>,
+    /// Notified when there are updates.
+    has_updates: Notify,
 }
 
 impl Quarantine {
-    /// Tells how a request stands.
+    /// Returns the status of a request.
     pub(crate) fn status(&self, now: Instant, request: Digest) -> RequestStatus {
-        if !self.is_known.load(Ordering::Relaxed) {
+        if !self.has_crashes.load(Ordering::Relaxed) {
             return RequestStatus::Clear;
         }
-        self.ledger.read().status(now, request)
+        self.history.read().status(now, request)
     }
 
-    /// Takes in crashes, or that their requests were answered since.
+    /// Merges crash records, which may also say that their requests were answered since.
     pub(crate) fn merge<C>(&self, clock: &C, metrics: &Metrics, crashes: &[Crash])
     where
         C: Clock,
     {
         let now = clock.now();
-        let mut ledger = self.ledger.write();
+        let mut history = self.history.write();
         for crash in crashes {
-            let before = ledger.status(now, crash.request);
-            if ledger.merge(now, crash) {
+            let before = history.status(now, crash.request);
+            if history.merge(now, crash) {
                 metrics.quarantine.count(crash);
-                let is_held = |standing| matches!(standing, RequestStatus::Held { .. });
-                if is_held(ledger.status(now, crash.request)) && !is_held(before) {
-                    tell_hold(crash);
+                let is_held = |status| matches!(status, RequestStatus::Held { .. });
+                if is_held(history.status(now, crash.request)) && !is_held(before) {
+                    log_hold(crash);
                 }
             }
         }
-        self.is_known.store(!ledger.is_empty(), Ordering::Relaxed);
+        self.has_crashes
+            .store(!history.is_empty(), Ordering::Relaxed);
     }
 
-    /// Takes in crashes of the own backend server, and has other nodes told.
+    /// Records crashes of the local backend server and propagates them to other nodes.
     pub(crate) fn report_crashes<C>(&self, clock: &C, metrics: &Metrics, crashes: Vec<Crash>)
     where
         C: Clock,
     {
-        // The one to blame is among the first, and the others are soon cleared.
-        crashes.iter().take(MAX_TOLD).for_each(tell_suspicion);
+        // The request that caused the crash is among the first; the others are soon cleared.
+        crashes.iter().take(MAX_LOGGED).for_each(log_suspicion);
         self.merge(clock, metrics, &crashes);
-        self.spread(crashes);
+        self.propagate(crashes);
     }
 
-    /// Takes in that the own backend server has answered a request, and has other nodes told.
+    /// Records that the local backend server has answered a request, and propagates that to other nodes.
     pub(crate) fn record_answer<C>(&self, clock: &C, metrics: &Metrics, request: Digest)
     where
         C: Clock,
@@ -74,43 +75,45 @@
         if self.status(now, request) == RequestStatus::Clear {
             return;
         }
-        let cleared = self.ledger.write().clear(now, request);
+        let cleared = self.history.write().clear(now, request);
         for crash in &cleared {
             metrics.quarantine.count(crash);
         }
         if !cleared.is_empty() {
             info!(request:%, crashes = cleared.len(); "request_cleared");
         }
-        self.spread(cleared);
+        self.propagate(cleared);
     }
 
-    /// Waits for what other nodes are to be told.
+    /// Waits for crash records to send to other nodes.
     pub(crate) async fn next_updates(&self) -> Vec<Crash> {
         loop {
-            let news = std::mem::take(&mut *self.news.lock());
-            if !news.is_empty() {
-                return news;
+            let updates = std::mem::take(&mut *self.updates.lock());
+            if !updates.is_empty() {
+                return updates;
             }
-            self.has_news.notified().await;
+            self.has_updates.notified().await;
         }
     }
 
-    /// Counts the requests that are held.
+    /// Returns the number of held requests.
     pub(crate) fn count_held(&self, now: Instant) -> usize {
-        self.ledger.read().count_held(now)
+        self.history.read().count_held(now)
     }
 
-    fn spread(&self, mut crashes: Vec<Crash>) {
+    fn propagate(&self, mut crashes: Vec<Crash>) {
         if crashes.is_empty() {
             return;
         }
-        self.news.lock().append(&mut crashes);
-        self.has_news.notify_one();
+        self.updates.lock().append(&mut crashes);
+        self.has_updates.notify_one();
     }
 }
 
-/// Tells of a crash of the own backend server; each node that hears of it would repeat it.
-fn tell_suspicion(crash: &Crash) {
+/// Logs a suspect request after a crash of the local backend server.
+///
+/// Only this node logs it: otherwise every node that receives the record would repeat the line.
+fn log_suspicion(crash: &Crash) {
     info!(
         request:% = crash.request,
         service = crash.service.as_str(),
@@ -121,7 +124,7 @@
     );
 }
 
-fn tell_hold(crash: &Crash) {
+fn log_hold(crash: &Crash) {
     warn!(
         request:% = crash.request,
         node = crash.node.as_str(),
--- a/crates/node/tests/calls/load_probe.rs
+++ b/crates/node/tests/calls/load_probe.rs
@@ -1,4 +1,4 @@
-//! What a node tells of a call that it has not been sent.
+//! Replies of a node to load probes.
 
 use crate::mesh::{spawn_node, spawn_server};
 use crate::raw_peer::{encode, open_link, read_frame};
@@ -6,14 +6,14 @@
 use tokio::io::AsyncWriteExt;
 use wire::call::{Frame, Look, Outlook};
 
-async fn ask(service: &str, leaves: bool) -> Outlook {
+async fn probe(service: &str, is_leaving: bool) -> Outlook {
     let (address, _record) = spawn_server(6).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 6);
-    far.shared.leaving.send_replace(leaves);
+    far.shared.leaving.send_replace(is_leaving);
     let mut stream = open_link(&near, &far).await;
-    let look = Look {
+    let request = Look {
         serial: 5,
         service: service.into(),
         route: 1,
@@ -22,32 +22,35 @@
         timeout_ms: 2_000,
         target_ms: None,
     };
-    stream.write_all(&encode(Frame::Look(look))).await.unwrap();
+    stream
+        .write_all(&encode(Frame::Look(request)))
+        .await
+        .unwrap();
     loop {
-        if let Frame::Outlook(outlook) = read_frame(&mut stream).await {
-            return outlook;
+        if let Frame::Outlook(estimate) = read_frame(&mut stream).await {
+            return estimate;
         }
     }
 }
 
 #[tokio::test]
-async fn idle_takes() {
-    let outlook = ask("jobs", false).await;
-    let told = (outlook.serial, outlook.takes, outlook.wait_ms);
-    assert_eq!(told, (5, true, 0));
-    assert_eq!(outlook.load_percent, 0);
+async fn idle_accepts() {
+    let estimate = probe("jobs", false).await;
+    let reported = (estimate.serial, estimate.takes, estimate.wait_ms);
+    assert_eq!(reported, (5, true, 0));
+    assert_eq!(estimate.load_percent, 0);
 }
 
-// Clerks' bookings go to a backend server that leaves, are refused there and go elsewhere, one
-// after the other. Cause: its node told a load of nought when it was asked about a call, and
-// looked like the idlest of all to those that chose without asking.
+// Guards against calls being sent one after the other to a backend server that is leaving, only
+// to be refused and retried elsewhere. Its node reported a load of 0 when probed and so looked
+// like the least loaded of all to proxies that picked without probing.
 #[yare::parameterized(
     leaving = { "jobs", true },
     another_service = { "claims", false },
 )]
 #[test_macro(tokio::test)]
-async fn refusing_is_full(service: &str, leaves: bool) {
-    let outlook = ask(service, leaves).await;
-    assert!(!outlook.takes);
-    assert_eq!(outlook.load_percent, 100);
+async fn refusing_reports_full_load(service: &str, is_leaving: bool) {
+    let estimate = probe(service, is_leaving).await;
+    assert!(!estimate.takes);
+    assert_eq!(estimate.load_percent, 100);
 }
--- a/crates/node/tests/calls/main.rs
+++ b/crates/node/tests/calls/main.rs
@@ -1,4 +1,4 @@
-//! Calls through nodes in one process: whole answers, silent links, early ends.
+//! Calls through nodes in one process: complete answers, silent links, early ends.
 
 mod early_end;
 mod forward;
--- a/crates/node/tests/calls/mesh.rs
+++ b/crates/node/tests/calls/mesh.rs
@@ -1,4 +1,4 @@
-//! Nodes in one process, backend servers to answer them and a forwarder that loses track of connections.
+//! Test environment: several nodes in one process, with backend servers and HTTP callers.
 
 use bytes::Bytes;
 use clock::System;
@@ -29,19 +29,19 @@
     pub nodes_address: SocketAddr,
 }
 
-/// Binds a free port on loopback.
+/// Binds a free port on the loopback interface.
 pub async fn bind() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
 }
 
-/// Starts a node named `name`, in a zone of its own.
+/// Starts a node named `name` in a zone of its own.
 pub async fn spawn_node(name: &str) -> Node {
     spawn_node_with(name, &Memory::new()).await
 }
 
-/// Starts a node whose reservations are in `store`.
+/// Starts a node that keeps its reservations in `store`.
 pub async fn spawn_node_with(name: &str, store: &Memory) -> Node {
     let (listener, nodes) = bind().await;
     let text = format!(
@@ -78,15 +78,15 @@
     reserve: reserve::Handle<System>,
 ) {
     while let Ok((mut stream, _)) = listener.accept().await {
-        let theirs = codec::read_hello(&mut stream).await;
-        if let Ok(theirs) = theirs
-            && codec::write(&mut stream, &make_hello(&shared, theirs.link))
+        let peer_hello = codec::read_hello(&mut stream).await;
+        if let Ok(peer_hello) = peer_hello
+            && codec::write(&mut stream, &make_hello(&shared, peer_hello.link))
                 .await
                 .is_ok()
         {
-            match theirs.link {
+            match peer_hello.link {
                 Link::Reserve => reserve.accept(stream),
-                _ => inbound.accept(stream, &theirs).unwrap(),
+                _ => inbound.accept(stream, &peer_hello).unwrap(),
             }
         }
     }
@@ -108,7 +108,7 @@
         }));
     }
 
-    /// Announces a further process of the backend server.
+    /// Announces another process of the backend server.
     pub fn announce_process(&self, service: &str, address: SocketAddr, process: u64) {
         self.announce(service, address, 6);
         self.shared.backend.send_modify(|own| {
@@ -116,7 +116,7 @@
         });
     }
 
-    /// Gives the endpoint that other nodes see, reached at `address`.
+    /// Returns this node's endpoint as other nodes see it, reachable at `address`.
     pub fn endpoint(&self, service: &str, address: SocketAddr) -> Endpoint {
         Endpoint {
             node: self.shared.settings.name.clone(),
@@ -135,12 +135,12 @@
         }
     }
 
-    /// Serves by one route, to the service of the same name.
+    /// Configures a single lookup route to the service of the same name.
     pub fn set_route(&self, service: &str, repeat: Repeat, endpoints: &[Endpoint]) {
         self.set_route_of_class(Class::Lookup, service, repeat, endpoints);
     }
 
-    /// Serves by one route of that class, to the service of the same name.
+    /// Configures a single route of that class to the service of the same name.
     pub fn set_route_of_class(
         &self,
         class: Class,
@@ -168,7 +168,7 @@
     }
 }
 
-/// Starts a backend server with that many slots; its record tells what it ran.
+/// Starts a backend server with that many slots; its record lists what it ran.
 pub async fn spawn_server(slots: u16) -> (SocketAddr, Record) {
     let (listener, address) = bind().await;
     let record = Record::open(None).unwrap();
@@ -181,27 +181,27 @@
         cold: Duration::ZERO,
         deadly: None,
     };
-    // It serves as long as the runtime; only its record is looked at.
+    // It serves until the runtime ends; only its record is inspected.
     let _running = Server::spawn(listener, plan, record.clone(), 1);
     (address, record)
 }
 
-/// Waits until the record shows a run for which `is_it` holds.
-pub async fn wait_recorded<F>(record: &Record, is_it: F)
+/// Waits until the record contains a run that `matches`.
+pub async fn wait_recorded<F>(record: &Record, matches: F)
 where
     F: Fn(&Entry) -> bool,
 {
-    let seen = async {
-        while !record.entries().iter().any(&is_it) {
+    let recorded = async {
+        while !record.entries().iter().any(&matches) {
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(5), seen)
+    tokio::time::timeout(Duration::from_secs(5), recorded)
         .await
-        .expect("it is recorded");
+        .expect("run was not recorded in time");
 }
 
-/// What a caller received.
+/// The answer that a caller received.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -210,14 +210,14 @@
 }
 
 impl Answer {
-    /// Gives the verdict header.
+    /// Returns the verdict header; empty when there is none.
     pub fn verdict(&self) -> &str {
         let value = self.headers.get(call::Verdict::HEADER);
         value.map_or("", |value| value.to_str().unwrap())
     }
 }
 
-/// Calls a node as a caller would, over a connection of its own.
+/// Calls a node as a caller would, over a new connection.
 pub async fn call(
     address: SocketAddr,
     method: Method,
--- a/crates/node/tests/calls/misbehaving_peer.rs
+++ b/crates/node/tests/calls/misbehaving_peer.rs
@@ -1,4 +1,4 @@
-//! Peers that say a whole hello and then feed their link badly.
+//! Peers that complete the hello and then send malformed or abusive input.
 
 use crate::mesh::{call, spawn_node, spawn_server};
 use crate::raw_peer::{encode, open_link};
@@ -10,27 +10,27 @@
 use wire::call::Frame;
 use wire::codec::{self, MAX_FRAME};
 
-/// Calls of good callers beside each bad peer.
+/// Calls of well-behaved callers beside each misbehaving peer.
 const CALLS: usize = 20;
 
-/// Longest time for one of them: it takes a millisecond or two.
+/// Time limit for one of these calls, which takes a millisecond or two.
 const CALL_LIMIT: Duration = Duration::from_secs(1);
 
-fn unknown(sequence: u64) -> ::call::Id {
+fn unknown_id(sequence: u64) -> ::call::Id {
     ::call::Id {
         origin: 9,
         sequence,
     }
 }
 
-/// A frame's length that is never followed by the frame.
-fn promise(length: usize) -> Vec<u8> {
+/// The length prefix of a frame that never follows.
+fn length_prefix(length: usize) -> Vec<u8> {
     u32::try_from(length).unwrap().to_le_bytes().to_vec()
 }
 
-fn strangers() -> Vec<u8> {
+fn unknown_calls_frames() -> Vec<u8> {
     let frames = (0..2_000).flat_map(|number| {
-        let id = unknown(number);
+        let id = unknown_id(number);
         let bytes = Bytes::from_static(&[7; 100]);
         [
             encode(Frame::Body {
@@ -44,8 +44,8 @@
     frames.flatten().collect()
 }
 
-fn credit() -> Vec<u8> {
-    let id = unknown(1);
+fn credit_frames() -> Vec<u8> {
+    let id = unknown_id(1);
     let frame = encode(Frame::Credit {
         id,
         bytes: u32::MAX,
@@ -53,19 +53,19 @@
     frame.repeat(10_000)
 }
 
-// A node of another build, or one that was taken over, feeds its link byte by
-// byte, promises a frame that never comes, or sends frames of calls that
-// nobody made. Clerks at other nodes must get their answers as before, since
-// all links come in at one listener and share the table of calls.
+// A node of another build, or a compromised one, sends its input byte by byte,
+// announces a frame that never arrives, or sends frames of calls that nobody
+// made. Callers at other nodes must still get their answers, although all
+// links share one listener and one table of calls.
 #[yare::parameterized(
     byte_by_byte = { encode(Frame::Ping), true },
-    never_ends = { promise(MAX_FRAME), false },
-    too_long = { promise(MAX_FRAME + 1), false },
-    unknown_calls = { strangers(), false },
-    endless_credit = { credit(), false },
+    never_ends = { length_prefix(MAX_FRAME), false },
+    too_long = { length_prefix(MAX_FRAME + 1), false },
+    unknown_calls = { unknown_calls_frames(), false },
+    endless_credit = { credit_frames(), false },
 )]
 #[test_macro(tokio::test)]
-async fn others_unaffected(feed: Vec<u8>, is_slow: bool) {
+async fn other_calls_unaffected(input: Vec<u8>, is_slow: bool) {
     let (address, record) = spawn_server(6).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
@@ -77,10 +77,10 @@
         &[far.endpoint("jobs", far.nodes_address)],
     );
     let mut stream = open_link(&bad, &far).await;
-    let is_over = feed == promise(MAX_FRAME + 1);
-    let feeding = async {
-        let size = if is_slow { 1 } else { feed.len() };
-        for part in feed.chunks(size) {
+    let is_too_long = input == length_prefix(MAX_FRAME + 1);
+    let sending = async {
+        let size = if is_slow { 1 } else { input.len() };
+        for part in input.chunks(size) {
             // The node may close the link at what it reads.
             if stream.write_all(part).await.is_err() {
                 break;
@@ -96,7 +96,7 @@
             assert_eq!(answer.unwrap().status, StatusCode::OK);
         }
     };
-    tokio::join!(feeding, calling);
+    tokio::join!(sending, calling);
     assert_eq!(record.entries().len(), CALLS);
     if is_slow {
         let mut scratch = Vec::new();
@@ -104,12 +104,12 @@
         assert_eq!(
             pong.unwrap(),
             wire::Frame::Call(Frame::Pong),
-            "slow, and whole in the end"
+            "frames sent byte by byte are decoded"
         );
     }
-    if is_over {
+    if is_too_long {
         let mut rest = Vec::new();
         let ended = tokio::time::timeout(CALL_LIMIT, stream.read_to_end(&mut rest)).await;
-        assert!(ended.is_ok(), "a length over the limit ends the link");
+        assert!(ended.is_ok(), "a length over the limit closes the link");
     }
 }
--- a/crates/node/tests/calls/raw_peer.rs
+++ b/crates/node/tests/calls/raw_peer.rs
@@ -1,4 +1,4 @@
-//! A peer of a node that speaks the inner protocol frame by frame.
+//! A peer that speaks the protocol between nodes frame by frame.
 
 use crate::mesh::Node;
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use wire::call::{Frame, Header, Request};
 use wire::codec;
 
-/// Opens a call link to `far`, as the node `peer` does.
+/// Opens a call link to `far` in the name of the node `peer`.
 pub async fn open_link(peer: &Node, far: &Node) -> TcpStream {
     let mut stream = TcpStream::connect(far.nodes_address).await.unwrap();
     let hello = make_hello(&peer.shared, Link::Call);
@@ -21,22 +21,22 @@
     stream
 }
 
-/// Encodes a frame of a call.
+/// Encodes a call frame.
 pub fn encode(frame: Frame) -> Vec<u8> {
     let mut bytes = Vec::new();
     codec::encode(&wire::Frame::Call(frame), &mut bytes).unwrap();
     bytes
 }
 
-/// Reads the next frame of a call.
+/// Reads the next call frame.
 pub async fn read_frame(stream: &mut TcpStream) -> Frame {
     match codec::read::<_, wire::Frame>(stream, &mut Vec::new()).await {
         Ok(wire::Frame::Call(frame)) => frame,
-        other => panic!("no frame of a call: {other:?}"),
+        other => panic!("not a call frame: {other:?}"),
     }
 }
 
-/// Makes a request of `peer` for an answer of `answer` bytes.
+/// Makes a request from `peer` for an answer of `answer` bytes.
 pub fn make_request(peer: &Node, class: Class, answer: usize, timeout_ms: u32) -> Request {
     Request {
         id: ::call::Id {
