--- a/crates/node/src/announce.rs
+++ b/crates/node/src/announce.rs
@@ -1,21 +1,19 @@
-//! Where the backend server on the same VM announces itself.
+//! The listener where the backend server on the same VM announces itself.
 //!
-//! `PUT /v1/announce` says which service it belongs to, where it takes calls
-//! and how many at once; it is repeated as a heartbeat. `DELETE /v1/announce`
-//! says that it is leaving: from that instant it gets no new call. `GET`
-//! tells it how many calls are still in flight, so that it knows when to end.
-//! Words come over several connections, and a pause of the node may turn their
-//! order: [`process`] tells an older one from a newer one.
-//! With `interface = platform` it announces itself in the platform's words as
-//! well, which [`platform::announce`] reads.
+//! `PUT /v1/announce` registers its service, its address and its number of slots, and is repeated
+//! as a heartbeat. `DELETE /v1/announce` says that it is leaving: from then on it gets no new call.
+//! `GET /v1/announce` returns how many of its calls are in flight, so that it knows when it can
+//! exit. These requests come over several connections, and a pause of the node may reorder them;
+//! [`process`] tells stale ones from current ones. With `interface = platform` a backend server may
+//! also announce itself in the platform's format, which [`platform::announce`] decodes.
 //!
-//! Silence is no departure. A backend server that is paused or cut off for a
-//! moment would otherwise lose all its work at once; one that is really gone
-//! refuses connections, which the inbound proxy sees at its next call.
+//! Missing heartbeats don't remove a backend server: one that is paused or partitioned for a moment
+//! would otherwise lose all its work at once. A backend server that is really gone refuses
+//! connections, which the inbound proxy notices at its next call.
 
 mod process;
 
-use crate::announce::process::{Known, Process, Word};
+use crate::announce::process::{Message, Process, ProcessTracker};
 use crate::listener::{self, Answer, Handle, Limits, answer_json, refuse};
 use crate::millis::whole_ms;
 use crate::shared::{Backend, Shared};
@@ -33,58 +31,58 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Path of the announcements.
+/// Path of announcements.
 const PATH: &str = "/v1/announce";
 
 /// Name of this listener in settings, metrics and logs.
 const LISTENER: &str = "backend";
 
-/// Longest name of a service: that of a DNS label.
-const MAX_SERVICE: usize = 63;
+/// Maximum length of a service name in bytes, that of a DNS label.
+const MAX_SERVICE_LENGTH: usize = 63;
 
-/// Longest version of a backend server's software, in bytes.
-const MAX_VERSION: usize = 64;
+/// Maximum length of a backend server's software version in bytes.
+const MAX_VERSION_LENGTH: usize = 64;
 
-/// What a backend server says of itself.
+/// Body of an announcement: the backend server's description of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// Service that it belongs to.
+    /// Service that the backend server belongs to.
     pub service: SmolStr,
-    /// Where it takes calls, on loopback.
+    /// Loopback address where it accepts calls.
     pub address: SocketAddr,
-    /// Calls that it runs at once.
+    /// Number of calls that it can run concurrently.
     pub slots: u16,
-    /// Version of its software, which roll-outs tell it by.
+    /// Version of its software, which roll-outs refer to.
     #[serde(default)]
     pub version: SmolStr,
-    /// Number of its process; a restart gives a new one.
+    /// Number of its process, which changes with each restart.
     #[serde(default)]
     pub incarnation: Option<u64>,
-    /// Grows with each announcement of one process, so that a late one shows.
+    /// Increases with each announcement of a process, so that late ones are recognized.
     #[serde(default)]
     pub sequence: Option<u64>,
 }
 
-/// What a backend server says when it leaves, if it says whose farewell it is.
+/// Optional body of a leave request: the process that is leaving.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Farewell {
-    /// Number of its process.
+pub struct LeaveRequest {
+    /// Number of the process.
     #[serde(default)]
     pub incarnation: Option<u64>,
 }
 
-/// What a backend server is told.
+/// Response to the backend server: its state as seen by the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Calls that it has not answered yet.
+    /// Number of calls that it has not answered yet.
     pub in_flight: usize,
-    /// Whether it is leaving, and gets no new call.
+    /// Whether it is leaving and gets no new calls.
     pub leaving: bool,
 }
 
-/// Listens for the backend server on `tcp`.
+/// Starts the listener for the backend server on `tcp`.
 ///
 /// # Errors
 ///
@@ -96,7 +94,7 @@
     spawn_with_limits(tcp, shared, Limits::default())
 }
 
-/// Listens as [`spawn`] does, with other limits.
+/// Starts the listener as [`spawn`] does, with other limits.
 ///
 /// # Errors
 ///
@@ -111,100 +109,113 @@
 {
     let bad_requests = shared.metrics.bad_requests(LISTENER);
     tokio::spawn(tell_backend_waits(Arc::downgrade(&shared)));
-    let desk = Arc::new(Desk {
+    let state = Arc::new(ListenerState {
         shared,
         limits,
-        known: Mutex::default(),
+        processes: Mutex::default(),
     });
     listener::spawn(tcp, limits, bad_requests, move |request| {
-        let desk = Arc::clone(&desk);
-        async move { answer(request, &desk).await }
+        let state = Arc::clone(&state);
+        async move { handle_request(request, &state).await }
     })
 }
 
-/// What the answers are made from.
-struct Desk<C>
+/// State that the requests of the listener share.
+struct ListenerState<C>
 where
     C: Clock,
 {
     shared: Arc<Shared<C>>,
     limits: Limits,
-    known: Mutex<Known>,
+    processes: Mutex<ProcessTracker>,
 }
 
-async fn answer<C>(request: Request<Incoming>, desk: &Desk<C>) -> Answer
+async fn handle_request<C>(request: Request<Incoming>, state: &ListenerState<C>) -> Answer
 where
     C: Clock,
 {
-    let shared = &*desk.shared;
+    let shared = &*state.shared;
     if shared.is_on_platform()
         && let Some(instance) = platform::announce::find_instance(request.uri().path())
     {
         let instance = SmolStr::new(instance);
-        return answer_notice(request, desk, &instance).await;
+        return handle_notice(request, state, &instance).await;
     }
     if request.uri().path() != PATH {
-        return refuse(StatusCode::NOT_FOUND, "only /v1/announce is here");
+        return refuse(
+            StatusCode::NOT_FOUND,
+            "not found; this listener serves /v1/announce",
+        );
     }
     match *request.method() {
-        Method::GET => answer_json(StatusCode::OK, &read_status(desk)),
-        Method::DELETE => match take_farewell(request, desk.limits).await {
-            Ok(farewell) => answer_json(StatusCode::OK, &leave(desk, farewell)),
+        Method::GET => answer_json(StatusCode::OK, &status(state)),
+        Method::DELETE => match read_leave_request(request, state.limits).await {
+            Ok(leave_request) => {
+                answer_json(StatusCode::OK, &apply_leave_request(state, leave_request))
+            }
             Err(refusal) => refusal,
         },
-        Method::PUT => match take_announcement(request, desk.limits).await {
-            Ok(announcement) if enter(desk, &announcement) => {
-                answer_json(StatusCode::OK, &read_status(desk))
+        Method::PUT => match read_announcement(request, state.limits).await {
+            Ok(announcement) if apply_announcement(state, &announcement) => {
+                answer_json(StatusCode::OK, &status(state))
             }
             Ok(_) => refuse(
                 StatusCode::CONFLICT,
-                "an older announcement, or one of a process that has left",
+                "the announcement is out of date, or its process has left",
             ),
             Err(refusal) => refusal,
         },
-        _ => refuse(StatusCode::METHOD_NOT_ALLOWED, "want GET, PUT or DELETE"),
+        _ => refuse(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "method not allowed; use GET, PUT or DELETE",
+        ),
     }
 }
 
-/// Answers what a backend server says in the platform's words; whatever is understood is acknowledged.
-async fn answer_notice<C>(request: Request<Incoming>, desk: &Desk<C>, instance: &str) -> Answer
+/// Handles an announcement or leave request in the platform's format. Every one that can be decoded
+/// is acknowledged, also when it is out of date.
+async fn handle_notice<C>(
+    request: Request<Incoming>,
+    state: &ListenerState<C>,
+    instance: &str,
+) -> Answer
 where
     C: Clock,
 {
     let method = request.method().clone();
-    let body = match listener::read_body(request.into_body(), desk.limits).await {
+    let body = match listener::read_body(request.into_body(), state.limits).await {
         Ok(body) => body,
         Err(refusal) => return refusal,
     };
     match platform::announce::decode(&method, instance, &body) {
         Ok(notice) => {
-            take_notice(desk, notice);
+            apply_notice(state, notice);
             answer_json(StatusCode::OK, &serde_json::Map::new())
         }
         Err(error) => refuse(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
-fn take_notice<C>(desk: &Desk<C>, notice: Notice)
+fn apply_notice<C>(state: &ListenerState<C>, notice: Notice)
 where
     C: Clock,
 {
-    let said = notice.announcement.as_ref();
-    let leaves = said.is_none_or(|one| one.leaving);
-    let mut known = desk.known.lock();
-    let process = Process::on_platform(notice.instance.clone(), notice.born);
-    let is_unnamed = said.is_none() && notice.born.is_none();
-    let process = if is_unnamed {
-        known.find_namesake(process)
+    let announcement = notice.announcement.as_ref();
+    let is_leave = announcement.is_none_or(|announcement| announcement.leaving);
+    let mut processes = state.processes.lock();
+    let process = Process::from_platform(notice.instance.clone(), notice.born);
+    let has_only_name = announcement.is_none() && notice.born.is_none();
+    let process = if has_only_name {
+        processes.match_by_name(process)
     } else {
         process
     };
-    let word = Word {
-        sequence: said.map(|one| one.sequence),
-        leaves,
-        at: desk.shared.clock.now(),
+    let message = Message {
+        sequence: announcement.map(|announcement| announcement.sequence),
+        is_leave,
+        received_at: state.shared.clock.now(),
     };
-    if !known.take(&process, &word) {
+    if !processes.accept(&process, &message) {
         return;
     }
     match notice.announcement {
@@ -220,62 +231,68 @@
                 cold_ms: announcement.cold_for.map(whole_ms),
                 leaving: false,
             };
-            install(desk, &backend);
+            update_backend(state, &backend);
         }
-        Some(_) | None => begin_leave(desk),
+        Some(_) | None => mark_leaving(state),
     }
 }
 
-async fn take_farewell(request: Request<Incoming>, limits: Limits) -> Result<Farewell, Answer> {
+async fn read_leave_request(
+    request: Request<Incoming>,
+    limits: Limits,
+) -> Result<LeaveRequest, Answer> {
     let body = listener::read_body(request.into_body(), limits).await?;
     if body.is_empty() {
-        return Ok(Farewell::default());
+        return Ok(LeaveRequest::default());
     }
     serde_json::from_slice(&body)
         .map_err(|error| refuse(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
-async fn take_announcement(
+async fn read_announcement(
     request: Request<Incoming>,
     limits: Limits,
 ) -> Result<Announcement, Answer> {
     let body = listener::read_body(request.into_body(), limits).await?;
     let announcement = serde_json::from_slice::<Announcement>(&body)
         .map_err(|error| refuse(StatusCode::BAD_REQUEST, &error.to_string()))?;
-    match find_fault(&announcement) {
-        Some(fault) => Err(refuse(StatusCode::BAD_REQUEST, fault)),
+    match find_violation(&announcement) {
+        Some(violation) => Err(refuse(StatusCode::BAD_REQUEST, violation)),
         None => Ok(announcement),
     }
 }
 
-fn find_fault(announcement: &Announcement) -> Option<&'static str> {
-    if announcement.service.is_empty() || announcement.service.len() > MAX_SERVICE {
-        return Some("service: want a name of 1 to 63 bytes");
+fn find_violation(announcement: &Announcement) -> Option<&'static str> {
+    if announcement.service.is_empty() || announcement.service.len() > MAX_SERVICE_LENGTH {
+        return Some("service: must be 1 to 63 bytes long");
     }
     if !announcement.address.ip().is_loopback() || announcement.address.port() == 0 {
-        return Some("address: want a loopback address with a port, such as 127.0.0.1:9000");
+        return Some("address: must be a loopback address with a port, such as 127.0.0.1:9000");
     }
-    if announcement.version.len() > MAX_VERSION {
-        return Some("version: want at most 64 bytes");
+    if announcement.version.len() > MAX_VERSION_LENGTH {
+        return Some("version: must be at most 64 bytes long");
     }
     if announcement.slots == 0 {
-        return Some("slots: want at least 1");
+        return Some("slots: must be at least 1");
     }
     None
 }
 
-/// Takes an announcement, or gives false for one that is not news.
-fn enter<C>(desk: &Desk<C>, announcement: &Announcement) -> bool
+/// Applies an announcement; returns false if it is out of date.
+fn apply_announcement<C>(state: &ListenerState<C>, announcement: &Announcement) -> bool
 where
     C: Clock,
 {
-    let word = Word {
+    let message = Message {
         sequence: announcement.sequence,
-        leaves: false,
-        at: desk.shared.clock.now(),
+        is_leave: false,
+        received_at: state.shared.clock.now(),
     };
-    let mut known = desk.known.lock();
-    if !known.take(&Process::of_product(announcement.incarnation), &word) {
+    let mut processes = state.processes.lock();
+    if !processes.accept(
+        &Process::from_incarnation(announcement.incarnation),
+        &message,
+    ) {
         info!(
             incarnation:? = announcement.incarnation,
             sequence:? = announcement.sequence;
@@ -294,24 +311,25 @@
         cold_ms: None,
         leaving: false,
     };
-    install(desk, &backend);
+    update_backend(state, &backend);
     true
 }
 
-fn install<C>(desk: &Desk<C>, backend: &Backend)
+fn update_backend<C>(state: &ListenerState<C>, backend: &Backend)
 where
     C: Clock,
 {
-    let changed = desk.shared.backend.send_if_modified(|held| {
-        // How cold it still is counts from its first announcement: told anew with
-        // each heartbeat, every one of them would go out to the whole fleet.
-        let known = held.as_ref().map(|held| Backend {
+    let changed = state.shared.backend.send_if_modified(|current| {
+        // The warm-up time counts from the first announcement. Heartbeats repeat it with the
+        // time that remains; if that counted as a change, each heartbeat would be propagated to
+        // the whole fleet.
+        let comparable = current.as_ref().map(|current| Backend {
             cold_ms: backend.cold_ms,
-            ..held.clone()
+            ..current.clone()
         });
-        let changed = known.as_ref() != Some(backend);
+        let changed = comparable.as_ref() != Some(backend);
         if changed {
-            *held = Some(backend.clone());
+            *current = Some(backend.clone());
         }
         changed
     });
@@ -325,54 +343,59 @@
     }
 }
 
-/// Takes a farewell, and gives what its sender is told: it leaves, whoever is here now.
-fn leave<C>(desk: &Desk<C>, farewell: Farewell) -> Status
+/// Applies a leave request. The response always says that the sender is leaving, even if another
+/// process is current.
+fn apply_leave_request<C>(state: &ListenerState<C>, leave_request: LeaveRequest) -> Status
 where
     C: Clock,
 {
-    let word = Word {
+    let message = Message {
         sequence: None,
-        leaves: true,
-        at: desk.shared.clock.now(),
+        is_leave: true,
+        received_at: state.shared.clock.now(),
     };
-    let mut known = desk.known.lock();
-    let process = match farewell.incarnation {
-        Some(_) => Process::of_product(farewell.incarnation),
-        None => known.find_present(),
+    let mut processes = state.processes.lock();
+    let process = match leave_request.incarnation {
+        Some(_) => Process::from_incarnation(leave_request.incarnation),
+        None => processes.current(),
     };
-    if known.take(&process, &word) {
-        begin_leave(desk);
+    if processes.accept(&process, &message) {
+        mark_leaving(state);
     }
-    drop(known);
+    drop(processes);
     Status {
         leaving: true,
-        ..read_status(desk)
+        ..status(state)
     }
 }
 
-fn begin_leave<C>(desk: &Desk<C>)
+fn mark_leaving<C>(state: &ListenerState<C>)
 where
     C: Clock,
 {
-    let changed = desk.shared.backend.send_if_modified(|held| match held {
-        Some(backend) if !backend.leaving => {
-            backend.leaving = true;
-            true
-        }
-        _ => false,
-    });
+    let changed = state
+        .shared
+        .backend
+        .send_if_modified(|current| match current {
+            Some(backend) if !backend.leaving => {
+                backend.leaving = true;
+                true
+            }
+            _ => false,
+        });
     if changed {
         info!("backend_leaving");
     }
 }
 
-fn read_status<C>(desk: &Desk<C>) -> Status
+fn status<C>(state: &ListenerState<C>) -> Status
 where
     C: Clock,
 {
     Status {
-        in_flight: *desk.shared.in_flight.borrow(),
-        // Also one that left before it was heard of, by a node that is new itself.
-        leaving: desk.known.lock().has_left(),
+        in_flight: *state.shared.in_flight.borrow(),
+        // Also true for a backend server that sent its leave request before any announcement, to a
+        // node that had just started.
+        leaving: state.processes.lock().has_left(),
     }
 }
--- a/crates/node/src/announce/process.rs
+++ b/crates/node/src/announce/process.rs
@@ -1,168 +1,178 @@
-//! Which process of the backend server a word is from, and whether it is news.
+//! Tracks the processes of the backend server and rejects messages that are out of date.
 //!
-//! Announcements and farewells come over several connections, so that a pause
-//! of the node or a cut may turn their order. Taken as they come, a heartbeat
-//! that trails the farewell announces a server that leaves as ready again: it
-//! got new calls for 25 s, as long as it waited to end.
+//! Announcements and leave requests come over several connections, so a pause of the node or a
+//! network partition can reorder them. If they were applied in order of arrival, a heartbeat that
+//! comes after the leave request would announce the leaving server as ready again. One such server
+//! got new calls for 25 s, as long as it waited to exit.
 
 use smol_str::{SmolStr, ToSmolStr};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Former processes of the backend server that are remembered: restarts within an hour, at most.
-const MAX_FORMER: usize = 32;
+/// Maximum number of former processes that are remembered; enough for the restarts of an hour.
+const MAX_FORMER_PROCESSES: usize = 32;
 
-/// Announcements after which one whose place was taken is the living one after
-/// all: what a cut has held up comes once, a heartbeat goes on.
-const ALIVE: u8 = 2;
+/// Number of announcements after which a process that was replaced counts as the running one again.
+/// A message that was delayed by a partition comes once; the heartbeats of a running process go on.
+const MESSAGES_TO_RETURN: u8 = 2;
 
-/// Time after a farewell for which one without a name is not believed to be back.
+/// Time after a leave request during which announcements of unnamed processes are ignored.
 ///
-/// Nothing in it tells a restart from a late heartbeat. The listener takes at most
-/// 5 s for the head and 5 s for the body of what was under way as the farewell came.
-const NAMELESS_WAIT: Duration = Duration::from_secs(10);
+/// Nothing in such an announcement distinguishes a restart from a late heartbeat. A request that
+/// was in progress when the leave request came is over by then: the listener allows at most 5 s for
+/// its head and 5 s for its body.
+const UNNAMED_RETURN_DELAY: Duration = Duration::from_secs(10);
 
-/// What names a process of the backend server.
+/// Identifies a process of the backend server.
 ///
-/// A backend server may start again under the name that it had, and then counts
-/// its announcements anew: by its name alone, its heartbeats would pass for late
-/// ones of the former process, and a departure of that one would end it.
+/// A backend server may restart under the same name, with sequence numbers that start over. With
+/// the name alone, its heartbeats would be taken for late ones of the former process, and a leave
+/// request of the former process would remove it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Process {
-    /// Its name; empty for one that gives none.
+    /// Name of the process; empty if it gives none.
     name: SmolStr,
-    /// When it started, by its VM's clock, if it says so.
+    /// Start time by the clock of its VM, if it is given.
     born: Option<u64>,
 }
 
 impl Process {
-    /// Names a process that speaks the platform's words.
-    pub(super) fn on_platform(instance: SmolStr, born: Option<u64>) -> Self {
+    /// Identifies a process that announces itself in the platform's format.
+    pub(super) fn from_platform(instance: SmolStr, born: Option<u64>) -> Self {
         Self {
             name: instance,
             born,
         }
     }
 
-    /// Names a process by its incarnation, if it gives one.
-    pub(super) fn of_product(incarnation: Option<u64>) -> Self {
+    /// Identifies a process by its incarnation, if it gives one.
+    pub(super) fn from_incarnation(incarnation: Option<u64>) -> Self {
         Self {
             name: incarnation.map_or_else(SmolStr::default, |number| number.to_smolstr()),
             born: None,
         }
     }
 
-    fn is_nameless(&self) -> bool {
+    fn is_unnamed(&self) -> bool {
         self.name.is_empty()
     }
 
-    /// Tells whether it started before another, as far as both say when.
+    /// Returns whether this process started before `other`; false if a start time is missing.
     ///
-    /// The clock may have been set back in between: it is a hint, not a proof.
-    fn is_older(&self, other: &Self) -> bool {
+    /// This is only a hint, since the clock may have been set back in between.
+    fn started_before(&self, other: &Self) -> bool {
         match (self.born, other.born) {
-            (Some(born), Some(others)) => born < others,
+            (Some(born), Some(other)) => born < other,
             _ => false,
         }
     }
 }
 
-/// What a process says, as far as its order matters.
+/// The parts of an announcement or leave request that decide whether it is current.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Word {
-    /// Number of the word among those of its process, if it has one.
+pub(super) struct Message {
+    /// Sequence number among the messages of its process, if it has one.
     pub(super) sequence: Option<u64>,
-    /// Whether the process takes no more work.
-    pub(super) leaves: bool,
-    /// When it was read.
-    pub(super) at: Instant,
+    /// Whether the process is leaving and takes no more calls.
+    pub(super) is_leave: bool,
+    /// When the message was read.
+    pub(super) received_at: Instant,
 }
 
-/// The backend server's process that announced itself last, and those before it.
+/// The current process of the backend server and the former ones.
 #[derive(Debug, Default)]
-pub(super) struct Known {
-    process: Option<Process>,
+pub(super) struct ProcessTracker {
+    current: Option<Process>,
     sequence: u64,
-    /// When it said that it leaves, if it did.
-    left: Option<Instant>,
+    /// When the current process sent its leave request, if it did.
+    left_at: Option<Instant>,
     former: VecDeque<Former>,
 }
 
-/// A process of the backend server that is taken for gone.
+/// A process of the backend server that is considered gone.
 #[derive(Debug)]
 struct Former {
     process: Process,
-    /// Whether it said so itself; otherwise another one took its place.
-    left: bool,
-    /// Announcements that came from it since.
-    heard: u8,
+    /// Whether it sent a leave request; otherwise another process replaced it.
+    has_left: bool,
+    /// Number of messages from it since then.
+    messages: u8,
 }
 
-impl Known {
-    /// Takes in a word; tells whether it is news of the process that counts now.
-    pub(super) fn take(&mut self, process: &Process, word: &Word) -> bool {
-        if self.is_past(process) {
-            self.forget(process.clone(), word.leaves, 1);
+impl ProcessTracker {
+    /// Records a message; returns whether it is current and comes from the current process.
+    pub(super) fn accept(&mut self, process: &Process, message: &Message) -> bool {
+        if self.seems_outdated(process) {
+            self.add_former(process.clone(), message.is_leave, 1);
             return false;
         }
-        if !self.is_news(process, word) {
+        if !self.is_newer(process, message) {
             return false;
         }
-        if word.leaves && self.process.as_ref().is_some_and(|known| known != process) {
-            // An announcement that comes late must not bring it back, nor may its
-            // departure end the one that is here.
-            self.forget(process.clone(), true, 0);
+        if message.is_leave
+            && self
+                .current
+                .as_ref()
+                .is_some_and(|current| current != process)
+        {
+            // The leave request of another process must not remove the current one, and a late
+            // announcement must not bring that other process back.
+            self.add_former(process.clone(), true, 0);
             return false;
         }
-        self.note(process, word);
+        self.record(process, message);
         true
     }
 
-    /// Tells whether the process that was heard of last has said that it leaves.
+    /// Returns whether the current process has sent a leave request.
     pub(super) fn has_left(&self) -> bool {
-        self.left.is_some()
+        self.left_at.is_some()
     }
 
-    /// Gives the process that is here now.
-    pub(super) fn find_present(&self) -> Process {
-        let nameless = || Process::of_product(None);
-        self.process.clone().unwrap_or_else(nameless)
+    /// Returns the current process, or an unnamed one if none is known.
+    pub(super) fn current(&self) -> Process {
+        let unnamed = || Process::from_incarnation(None);
+        self.current.clone().unwrap_or_else(unnamed)
     }
 
-    /// Gives the process of that name which is here, if there is one.
+    /// Returns the current process if it has the same name, otherwise `process` itself.
     ///
-    /// A farewell that doesn't say when its sender started is of that process:
-    /// not to believe it would send calls to one that leaves.
-    pub(super) fn find_namesake(&self, process: Process) -> Process {
-        let here = self.process.as_ref();
-        let here = here.filter(|known| known.name == process.name);
-        here.cloned().unwrap_or(process)
+    /// A leave request without a start time is attributed to the current process of that name.
+    /// Ignoring it would send calls to a process that is leaving.
+    pub(super) fn match_by_name(&self, process: Process) -> Process {
+        let current = self.current.as_ref();
+        let current = current.filter(|current| current.name == process.name);
+        current.cloned().unwrap_or(process)
     }
 
-    /// Tells whether a word of a process is newer than what is known.
+    /// Returns whether a message is newer than what is known of its process.
     ///
-    /// Guards against one that a cut or a pause has held up: it may come after
-    /// its sender has left or crashed and another process has its address, and
-    /// calls would be addressed to a process that is gone.
-    fn is_news(&mut self, process: &Process, word: &Word) -> bool {
-        if let Some(place) = self.former.iter().position(|one| one.process == *process) {
-            let former = &mut self.former[place];
-            former.heard = former.heard.saturating_add(1);
-            // A farewell is no sign of life: with it counted as one, a late heartbeat
-            // was the second, and had the process back that leaves.
-            former.left |= word.leaves;
-            if former.left || former.heard < ALIVE {
+    /// A message that was delayed by a partition or a pause may come after its sender has left or
+    /// crashed and another process has its address. If it were applied, calls would be addressed to
+    /// a process that is gone.
+    fn is_newer(&mut self, process: &Process, message: &Message) -> bool {
+        if let Some(index) = self
+            .former
+            .iter()
+            .position(|former| former.process == *process)
+        {
+            let former = &mut self.former[index];
+            former.messages = former.messages.saturating_add(1);
+            // A leave request doesn't show that the process keeps running. When it counted, a late
+            // heartbeat was the second message and brought the leaving process back.
+            former.has_left |= message.is_leave;
+            if former.has_left || former.messages < MESSAGES_TO_RETURN {
                 return false;
             }
-            self.former.remove(place);
+            self.former.remove(index);
         }
-        match &self.process {
-            Some(known) if known == process => match self.left {
-                Some(left) => {
-                    let since = word.at.saturating_duration_since(left);
-                    word.leaves || process.is_nameless() && since >= NAMELESS_WAIT
+        match &self.current {
+            Some(current) if current == process => match self.left_at {
+                Some(left_at) => {
+                    let since = message.received_at.saturating_duration_since(left_at);
+                    message.is_leave || process.is_unnamed() && since >= UNNAMED_RETURN_DELAY
                 }
-                None => word
+                None => message
                     .sequence
                     .is_none_or(|sequence| sequence > self.sequence),
             },
@@ -170,41 +180,43 @@
         }
     }
 
-    /// Tells whether a process that was not heard of before seems to be of the past.
+    /// Returns whether an unknown process seems to have started before the current one.
     ///
-    /// It is then heard a second time before it is believed: a word of the former
-    /// process that comes late is alone, the heartbeats of one whose clock was set
-    /// back before it started go on.
-    fn is_past(&self, process: &Process) -> bool {
-        let known = self.process.as_ref();
-        known.is_some_and(|known| known != process && process.is_older(known))
-            && !self.former.iter().any(|one| one.process == *process)
+    /// Such a process is accepted from its second message on. A late message of a former process
+    /// comes alone, while the heartbeats of a process whose clock was set back before it started
+    /// go on.
+    fn seems_outdated(&self, process: &Process) -> bool {
+        let current = self.current.as_ref();
+        current.is_some_and(|current| current != process && process.started_before(current))
+            && !self.former.iter().any(|former| former.process == *process)
     }
 
-    fn note(&mut self, process: &Process, word: &Word) {
-        if self.process.as_ref() != Some(process)
-            && let Some(former) = self.process.replace(process.clone())
+    fn record(&mut self, process: &Process, message: &Message) {
+        if self.current.as_ref() != Some(process)
+            && let Some(former) = self.current.replace(process.clone())
         {
-            self.forget(former, self.left.is_some(), 0);
+            self.add_former(former, self.left_at.is_some(), 0);
             self.sequence = 0;
         }
-        self.left = word.leaves.then(|| self.left.unwrap_or(word.at));
-        self.sequence = word.sequence.unwrap_or(self.sequence);
+        self.left_at = message
+            .is_leave
+            .then(|| self.left_at.unwrap_or(message.received_at));
+        self.sequence = message.sequence.unwrap_or(self.sequence);
     }
 
-    /// Takes a process for gone that was `heard` so often since.
+    /// Adds a process to the former ones, with the number of messages already received from it.
     ///
-    /// One without a name is not remembered: the next one without is another.
-    fn forget(&mut self, process: Process, left: bool, heard: u8) {
-        if process.is_nameless() {
+    /// An unnamed process is not remembered, since the next unnamed one may be another process.
+    fn add_former(&mut self, process: Process, has_left: bool, messages: u8) {
+        if process.is_unnamed() {
             return;
         }
         self.former.push_back(Former {
             process,
-            left,
-            heard,
+            has_left,
+            messages,
         });
-        if self.former.len() > MAX_FORMER {
+        if self.former.len() > MAX_FORMER_PROCESSES {
             self.former.pop_front();
         }
     }
--- a/crates/node/tests/announce.rs
+++ b/crates/node/tests/announce.rs
@@ -10,11 +10,11 @@
 const PUT: &str = "PUT /v1/announce";
 
 #[tokio::test]
-async fn whole_life() {
+async fn announce_and_leave() {
     let shared = make_shared();
     let handle = announce::spawn(bind().await, std::sync::Arc::clone(&shared)).unwrap();
     let address = handle.address();
-    let mut news = shared.backend.subscribe();
+    let mut changes = shared.backend.subscribe();
     let body = r#"{"service":"records","address":"127.0.0.1:9000","slots":6}"#;
 
     let (status, text) = request(address, PUT, body).await;
@@ -22,26 +22,26 @@
         (status, text.trim()),
         (200, r#"{"in_flight":0,"leaving":false}"#)
     );
-    let backend = news.borrow_and_update().clone().unwrap();
+    let backend = changes.borrow_and_update().clone().unwrap();
     assert_eq!((backend.service.as_str(), backend.slots), ("records", 6));
 
     request(address, PUT, body).await;
-    assert!(!news.has_changed().unwrap(), "a heartbeat is no change");
+    assert!(!changes.has_changed().unwrap(), "a heartbeat is no change");
 
     shared.in_flight.send_replace(2);
     let (_, text) = request(address, "DELETE /v1/announce", "").await;
     assert_eq!(text.trim(), r#"{"in_flight":2,"leaving":true}"#);
-    assert!(news.borrow_and_update().as_ref().unwrap().leaving);
+    assert!(changes.borrow_and_update().as_ref().unwrap().leaving);
     let (_, text) = request(address, "GET /v1/announce", "").await;
     assert_eq!(text.trim(), r#"{"in_flight":2,"leaving":true}"#);
     handle.stop(Duration::from_secs(1)).await;
 }
 
-// A backend server says that it leaves, and ends; a clerk's next call is still
-// sent to it and fails. Cause: its heartbeat thread had one more announcement
-// under way on another connection, which arrived after the departure.
+// A backend server that has left and exited must get no further calls, which would fail. Its
+// heartbeat thread had one more announcement in flight on another connection, which arrived after
+// the leave request.
 #[tokio::test]
-async fn late_heartbeat() {
+async fn heartbeat_after_leave() {
     let shared = make_shared();
     let handle = announce::spawn(bind().await, std::sync::Arc::clone(&shared)).unwrap();
     let old = r#"{"service":"jobs","address":"127.0.0.1:9000","slots":6,"incarnation":1}"#;
@@ -57,28 +57,27 @@
     assert!(!shared.backend.borrow().as_ref().unwrap().leaving);
 }
 
-// A node is killed and started again, and its backend server is told to stop
-// before the next heartbeat. The stop took 30 s, until whoever asked for it lost
-// patience. Cause: the departure of one that the new node had not heard of left
-// no trace, and the backend server waited for its node to say that it leaves.
+// A node restarts, and its backend server is stopped before its next heartbeat. The new node
+// ignored the leave request of a server that it did not know yet. The server waited for the node to
+// report it as leaving, and the stop took 30 s, until it timed out.
 #[tokio::test]
-async fn leaves_unheard() {
+async fn leave_before_announcement() {
     let shared = make_shared();
     let handle = announce::spawn(bind().await, std::sync::Arc::clone(&shared)).unwrap();
-    let wanted = r#"{"in_flight":0,"leaving":true}"#;
-    for question in ["DELETE /v1/announce", "GET /v1/announce"] {
-        let (_, text) = request(handle.address(), question, "").await;
-        assert_eq!(text.trim(), wanted, "{question}");
+    let expected = r#"{"in_flight":0,"leaving":true}"#;
+    for request_line in ["DELETE /v1/announce", "GET /v1/announce"] {
+        let (_, text) = request(handle.address(), request_line, "").await;
+        assert_eq!(text.trim(), expected, "{request_line}");
     }
 }
 
 #[parameterized(
     not_json = { "records", "expected value" },
     unknown_field = { r#"{"service":"a","address":"127.0.0.1:9","slots":1,"zone":"b"}"#, "unknown field `zone`" },
-    no_service = { r#"{"service":"","address":"127.0.0.1:9","slots":1}"#, "service: want a name" },
-    off_loopback = { r#"{"service":"a","address":"10.0.0.1:9","slots":1}"#, "address: want a loopback address" },
-    no_port = { r#"{"service":"a","address":"127.0.0.1:0","slots":1}"#, "address: want a loopback address" },
-    no_slots = { r#"{"service":"a","address":"127.0.0.1:9","slots":0}"#, "slots: want at least 1" },
+    no_service = { r#"{"service":"","address":"127.0.0.1:9","slots":1}"#, "service: must be 1 to 63 bytes long" },
+    off_loopback = { r#"{"service":"a","address":"10.0.0.1:9","slots":1}"#, "address: must be a loopback address" },
+    no_port = { r#"{"service":"a","address":"127.0.0.1:0","slots":1}"#, "address: must be a loopback address" },
+    no_slots = { r#"{"service":"a","address":"127.0.0.1:9","slots":0}"#, "slots: must be at least 1" },
 )]
 #[test_macro(tokio::test)]
 async fn refused(body: &str, message: &str) {
