--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,8 +1,8 @@
-//! How a node learns of configuration and endpoints.
+//! Receives configuration and endpoints from the fleet.
 //!
-//! By default it takes its place in its zone's tree of relays
-//! ([`fleet::Node`] decides, [`tree`] carries it out). The settings may
-//! have it watch the platform itself instead, as a baseline for measurements.
+//! By default a node joins the distribution tree of its zone: [`fleet::Node`] makes the decisions
+//! and [`tree`] does the I/O. With `distribution = watch` in the settings it watches the platform
+//! directly instead, as a baseline for measurements.
 
 pub(crate) mod desk;
 pub(crate) mod link;
@@ -25,10 +25,10 @@
 use tokio::task::JoinHandle;
 use wire::Hello;
 
-/// Inputs that wait for the state machine; readers of links wait when it is full.
-const INBOX: usize = 1_024;
+/// Capacity of the state machine's inbox in inputs; readers of links wait when it is full.
+const INBOX_CAPACITY: usize = 1_024;
 
-/// The running control part of a node; clones share it.
+/// Handle to the running control part of a node; clones share it.
 #[derive(Debug, Clone)]
 pub struct Handle<C>
 where
@@ -39,7 +39,7 @@
     task: Arc<JoinHandle<()>>,
 }
 
-/// Starts to learn, and to announce the own backend server.
+/// Starts to receive configuration and endpoints, and to announce the local backend server.
 #[must_use]
 pub fn spawn<C, S>(shared: Arc<Shared<C>>, store: S) -> Handle<C>
 where
@@ -52,7 +52,7 @@
             (None, task)
         }
         Distribution::Tree | Distribution::Whole => {
-            let (sender, receiver) = mpsc::channel(INBOX);
+            let (sender, receiver) = mpsc::channel(INBOX_CAPACITY);
             let run = tree::run(Arc::clone(&shared), store, sender.clone(), receiver);
             (Some(sender), tokio::spawn(run))
         }
@@ -68,12 +68,12 @@
 where
     C: Clock,
 {
-    /// Takes over an accepted control link, whose hellos are done both ways.
+    /// Takes over an accepted control link whose hellos have been exchanged.
     ///
     /// # Errors
     ///
-    /// When the node watches the platform itself, and thus has no children, or
-    /// has no time for a further link now.
+    /// Fails when the node watches the platform directly and thus has no children, or when its
+    /// inbox is full.
     pub fn accept(&self, stream: TcpStream, hello: &Hello) -> io::Result<()> {
         let Some(inbox) = &self.inbox else {
             return Err(io::ErrorKind::Unsupported.into());
@@ -81,7 +81,7 @@
         let peer = Peer {
             node: hello.node.clone(),
             zone: hello.zone.clone(),
-            // Where it listens comes with its first frame.
+            // The address where the peer listens comes with its first frame.
             address: stream.peer_addr()?,
         };
         match inbox.try_send(Input::Accepted { stream, peer }) {
@@ -90,22 +90,22 @@
         }
     }
 
-    /// Ends, once the others have been told that this node has left, or after `limit`.
+    /// Tells the other nodes that this node leaves, within `limit`, and stops the control part.
     pub async fn leave(&self, limit: Duration) {
         match &self.inbox {
             None => {
-                let farewell = watch::announce_gone(&self.shared);
-                drop(tokio::time::timeout(limit, farewell).await);
+                let leave = watch::announce_gone(&self.shared);
+                drop(tokio::time::timeout(limit, leave).await);
             }
             Some(inbox) => {
-                let (done, told) = oneshot::channel();
-                let farewell = async {
+                let (done, completed) = oneshot::channel();
+                let leave = async {
                     if inbox.send(Input::Leave(done)).await.is_ok() {
-                        // An error means that the task has ended, so all is told.
-                        drop(told.await);
+                        // An error means that the task has ended, so all frames are written.
+                        drop(completed.await);
                     }
                 };
-                drop(tokio::time::timeout(limit, farewell).await);
+                drop(tokio::time::timeout(limit, leave).await);
             }
         }
         self.task.abort();
--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -1,7 +1,7 @@
-//! What the state machine asks of the platform, carried out one by one.
+//! Executes the state machine's platform operations, one after the other.
 
 use crate::control::tree::Input;
-use crate::control::{removal, rollout as rollout_desk};
+use crate::control::{removal, rollout as rollout_store};
 use crate::shared::Shared;
 use call::Crash;
 use clock::Clock;
@@ -23,76 +23,76 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// Prefix of the names of roots' leases.
-const ROOTS: &str = "roots/";
+/// Name prefix of the leases of roots.
+const ROOT_LEASE_PREFIX: &str = "roots/";
 
-/// Bounds of the wait before crashes are written again: zones that are cut from each other
-/// are to know them within 3 s.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-const LAST_WAIT: Duration = Duration::from_millis(800);
+/// Backoff before the crashes are written again. Zones that are partitioned from each other have to
+/// learn of them within 3 s.
+const BACKOFF_BASE: Duration = Duration::from_millis(100);
+const BACKOFF_CAP: Duration = Duration::from_millis(800);
 
-/// Carries out orders until their sender is gone.
+/// Executes commands until their sender is dropped.
 pub(crate) async fn run<C, S>(
     shared: Arc<Shared<C>>,
     store: S,
-    mut orders: mpsc::UnboundedReceiver<Order>,
+    mut commands: mpsc::UnboundedReceiver<Command>,
     inbox: mpsc::Sender<Input>,
 ) where
     C: Clock,
     S: Store,
 {
-    let mut desk = Desk {
+    let mut worker = PlatformWorker {
         board: Board::open(store.clone(), shared.clock.clone()),
         shared,
         store,
         inbox,
         leases: BTreeMap::new(),
-        seen: BTreeMap::new(),
-        follower: None,
-        poster: None,
-        reporters: BTreeMap::new(),
+        observed: BTreeMap::new(),
+        watch_task: None,
+        crash_writer: None,
+        rollout_writers: BTreeMap::new(),
     };
-    let mut eras = desk.store.eras();
+    let mut eras = worker.store.eras();
     let mut era = *eras.borrow_and_update();
     loop {
-        let order = tokio::select! {
-            order = orders.recv() => order,
+        let command = tokio::select! {
+            command = commands.recv() => command,
             Ok(()) = eras.changed() => {
                 let former = std::mem::replace(&mut era, *eras.borrow_and_update());
-                // The first answer tells which era it is; none has begun.
+                // The first era is only learned. A later change means a restored platform.
                 if former.is_some() {
-                    desk.tell(PlatformResponse::Restored).await;
+                    worker.send_response(PlatformResponse::Restored).await;
                 }
                 continue;
             }
         };
-        let Some(order) = order else {
+        let Some(command) = command else {
             return;
         };
-        match order {
-            Order::Ask(request) => {
-                if let Some(answer) = desk.carry_out(request).await {
-                    drop(desk.inbox.send(Input::Answer(answer)).await);
+        match command {
+            Command::Query(request) => {
+                if let Some(response) = worker.execute(request).await {
+                    drop(worker.inbox.send(Input::Response(response)).await);
                 }
             }
-            Order::Post { slot, list } => desk.post(slot, list),
-            Order::Report(rollout) => desk.report(rollout),
+            Command::WriteCrashes { slot, list } => worker.write_crashes(slot, list),
+            Command::WriteRollout(rollout) => worker.write_rollout(rollout),
         }
     }
 }
 
-/// What the state machine wants of the platform.
+/// An operation on the platform that the state machine requests.
 #[derive(Debug)]
-pub(crate) enum Order {
-    /// An answer to this.
-    Ask(PlatformRequest),
-    /// That these crashes stand there, as those that the holder of a lease remembers.
-    Post { slot: u8, list: Vec<Crash> },
-    /// That how far a roll-out has come stands there.
-    Report(Rollout),
+pub(crate) enum Command {
+    /// Sends a request and returns its response.
+    Query(PlatformRequest),
+    /// Writes the crashes that the holder of a root lease remembers, until that succeeds.
+    WriteCrashes { slot: u8, list: Vec<Crash> },
+    /// Writes the progress of a roll-out, until that succeeds or another outcome is stored.
+    WriteRollout(Rollout),
 }
 
-/// A task that ends with its handle.
+/// A task that is aborted when its handle is dropped.
 #[derive(Debug)]
 struct Task(JoinHandle<()>);
 
@@ -102,15 +102,15 @@
     }
 }
 
-/// A lease as it was last read, and since when it has stood so.
+/// A lease as last read, and the time since which it has been unchanged.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct ObservedLease {
     revision: Revision,
     since: Instant,
 }
 
 #[derive(Debug)]
-struct Desk<C, S>
+struct PlatformWorker<C, S>
 where
     C: Clock,
     S: Store,
@@ -119,40 +119,43 @@
     store: S,
     inbox: mpsc::Sender<Input>,
     leases: BTreeMap<u8, Lease<S, C>>,
-    seen: BTreeMap<SmolStr, Seen>,
-    follower: Option<Task>,
+    observed: BTreeMap<SmolStr, ObservedLease>,
+    watch_task: Option<Task>,
     board: Board<S, C>,
-    /// What writes crashes; the next list replaces one that could not be written yet.
-    poster: Option<Task>,
-    /// What writes of each service's roll-out; the next report replaces one under way.
-    reporters: BTreeMap<SmolStr, Task>,
+    /// Task that writes crashes; the next list replaces one that could not be written yet.
+    crash_writer: Option<Task>,
+    /// Tasks that write the progress of roll-outs, by service; the next report replaces a pending
+    /// one.
+    rollout_writers: BTreeMap<SmolStr, Task>,
 }
 
-impl<C, S> Desk<C, S>
+impl<C, S> PlatformWorker<C, S>
 where
     C: Clock,
     S: Store,
 {
-    async fn carry_out(&mut self, request: PlatformRequest) -> Option<PlatformResponse> {
+    async fn execute(&mut self, request: PlatformRequest) -> Option<PlatformResponse> {
         let outcome = match request {
             PlatformRequest::Leases { is_exact } => self.read_leases(is_exact).await,
-            PlatformRequest::AcquireLease { slot, is_forced } => self.take(slot, is_forced).await,
-            PlatformRequest::RenewLease { slot } => self.tend(slot).await,
-            PlatformRequest::LatestVersion { after } => self.read_head(after).await,
-            PlatformRequest::FetchLatest { after } => self.read_newest(after).await,
+            PlatformRequest::AcquireLease { slot, is_forced } => {
+                self.acquire_lease(slot, is_forced).await
+            }
+            PlatformRequest::RenewLease { slot } => self.renew_lease(slot).await,
+            PlatformRequest::LatestVersion { after } => self.read_latest_version(after).await,
+            PlatformRequest::FetchLatest { after } => self.fetch_latest(after).await,
             PlatformRequest::ReleaseLease { slot } => {
                 if let Some(mut lease) = self.leases.remove(&slot) {
-                    // One that can't be given back lapses by itself.
+                    // A lease that can't be released expires by itself.
                     drop(lease.release().await);
                 }
                 return None;
             }
             PlatformRequest::Watch { after, is_first } => {
-                self.follow(after, is_first);
+                self.watch(after, is_first);
                 return None;
             }
             PlatformRequest::Unwatch => {
-                self.follower = None;
+                self.watch_task = None;
                 return None;
             }
             PlatformRequest::Rollouts => self.read_rollouts().await,
@@ -161,22 +164,22 @@
         Some(outcome.unwrap_or(PlatformResponse::Failed(request)))
     }
 
-    /// Reads the highest version, given one that is known; the log is read from there only.
-    async fn read_head(&self, after: config::Version) -> Result<PlatformResponse, Error> {
+    /// Reads the highest version; the journal is read only from the known version `after`.
+    async fn read_latest_version(&self, after: config::Version) -> Result<PlatformResponse, Error> {
         if self.shared.is_on_platform() {
-            // Nearly always what is held already: reading and taking the whole of
-            // it on each VM after a restart of all took 0.6 s on a tenth of a core.
-            let text = self.read_text().await?;
+            // The version is nearly always the known one. After a restart of all nodes, parsing
+            // and applying the full configuration on each VM took 0.6 s on a tenth of a core.
+            let text = self.read_configuration().await?;
             let version = platform::mesh::parse_version(&text).map_err(as_invalid)?;
             if version <= after {
                 return Ok(PlatformResponse::LatestVersion(version));
             }
-            return Ok(self.take_text(version, &text).await);
+            return Ok(self.parse_configuration(version, &text).await);
         }
         let journal = Journal::open(self.store.clone(), self.shared.clock.clone(), JOURNAL);
         let last = match journal.read(after.0).await? {
             Some(tail) => tail.records.last().map(|record| record.number),
-            // So far behind that the log no longer reaches back: not the head, surely.
+            // The journal no longer reaches back to `after`, so there is surely a newer version.
             None => Some(after.0 + 1),
         };
         Ok(PlatformResponse::LatestVersion(config::Version(
@@ -184,92 +187,101 @@
         )))
     }
 
-    /// Reads what leads to the newest version there is; gives the last part of it.
-    async fn read_newest(&self, after: config::Version) -> Result<PlatformResponse, Error> {
-        let mut answers = if self.shared.is_on_platform() {
-            let text = self.read_text().await?;
+    /// Reads all that leads to the latest version; sends all responses but the last, which it
+    /// returns.
+    async fn fetch_latest(&self, after: config::Version) -> Result<PlatformResponse, Error> {
+        let mut responses = if self.shared.is_on_platform() {
+            let text = self.read_configuration().await?;
             let version = platform::mesh::parse_version(&text).map_err(as_invalid)?;
-            vec![self.take_text(version, &text).await]
+            vec![self.parse_configuration(version, &text).await]
         } else {
             let journal = Journal::open(self.store.clone(), self.shared.clock.clone(), JOURNAL);
-            read_after(&journal, after).await?
+            read_journal_after(&journal, after).await?
         };
-        let last = answers.pop().ok_or(Error::NotFound)?;
-        for answer in answers {
-            self.tell(answer).await;
+        let last = responses.pop().ok_or(Error::NotFound)?;
+        for response in responses {
+            self.send_response(response).await;
         }
         Ok(last)
     }
 
-    /// Reads the whole of a version, and tells of its number first if it can be taken.
-    async fn take_text(&self, version: config::Version, text: &str) -> PlatformResponse {
+    /// Parses a full configuration; if it is valid, sends its version first.
+    async fn parse_configuration(&self, version: config::Version, text: &str) -> PlatformResponse {
         match platform::mesh::parse(text) {
             Ok((version, mesh)) => {
-                self.tell(PlatformResponse::LatestVersion(version)).await;
+                self.send_response(PlatformResponse::LatestVersion(version))
+                    .await;
                 PlatformResponse::Full { version, mesh }
             }
-            Err(error) => tell_unreadable(version, &error),
+            Err(error) => report_invalid_version(version, &error),
         }
     }
 
-    async fn tell(&self, answer: PlatformResponse) {
-        // An error means that the node has left.
-        drop(self.inbox.send(Input::Answer(answer)).await);
+    async fn send_response(&self, response: PlatformResponse) {
+        // An error means that the node is leaving.
+        drop(self.inbox.send(Input::Response(response)).await);
     }
 
-    /// Reads the operators' configuration.
-    async fn read_text(&self) -> Result<String, Error> {
+    /// Reads the configuration that the operators have written.
+    async fn read_configuration(&self) -> Result<String, Error> {
         let text = self.store.get_text(platform::mesh::NAME).await?;
         text.ok_or(Error::NotFound)
     }
 
     async fn read_leases(&mut self, is_exact: bool) -> Result<PlatformResponse, Error> {
-        let standings = lease::list(&self.store, ROOTS, is_exact).await?;
+        let standings = lease::list(&self.store, ROOT_LEASE_PREFIX, is_exact).await?;
         let now = self.shared.clock.now();
-        let mut seats = Vec::new();
+        let mut root_leases = Vec::new();
         for standing in &standings {
-            let since = self.note(standing, now);
+            let since = self.observe_lease(standing, now);
             let is_live = now.duration_since(since) < standing.duration;
-            seats.extend(read_seat(standing, is_live));
+            root_leases.extend(parse_root_lease(standing, is_live));
         }
-        Ok(PlatformResponse::Leases(seats))
+        Ok(PlatformResponse::Leases(root_leases))
     }
 
-    /// Gives since when a lease has stood unchanged, as far as this process saw.
-    fn note(&mut self, standing: &Standing, now: Instant) -> Instant {
-        let seen = Seen {
+    /// Returns since when this process has seen the lease unchanged.
+    fn observe_lease(&mut self, standing: &Standing, now: Instant) -> Instant {
+        let observed = ObservedLease {
             revision: standing.revision,
             since: now,
         };
-        let known = self.seen.entry(standing.name.clone()).or_insert(seen);
+        let known = self
+            .observed
+            .entry(standing.name.clone())
+            .or_insert(observed);
         if known.revision != standing.revision {
-            *known = seen;
+            *known = observed;
         }
         known.since
     }
 
-    async fn take(&mut self, slot: u8, is_forced: bool) -> Result<PlatformResponse, Error> {
-        let name = self.name_lease(slot);
-        let seen = self.seen.get(&name).map(|seen| seen.revision);
+    async fn acquire_lease(
+        &mut self,
+        slot: u8,
+        is_forced: bool,
+    ) -> Result<PlatformResponse, Error> {
+        let name = self.lease_name(slot);
+        let revision = self.observed.get(&name).map(|observed| observed.revision);
         let lease = self.lease(slot);
-        let is_held = match seen.filter(|_| is_forced) {
+        let is_held = match revision.filter(|_| is_forced) {
             Some(revision) => lease.seize(revision).await?,
             None => lease.tend().await?,
         };
-        Ok(tell_held(slot, is_held))
+        Ok(lease_response(slot, is_held))
     }
 
-    async fn tend(&mut self, slot: u8) -> Result<PlatformResponse, Error> {
+    async fn renew_lease(&mut self, slot: u8) -> Result<PlatformResponse, Error> {
         let is_held = self.lease(slot).tend().await?;
-        Ok(tell_held(slot, is_held))
+        Ok(lease_response(slot, is_held))
     }
 
-    fn name_lease(&self, slot: u8) -> SmolStr {
-        format_smolstr!("{ROOTS}{}.{slot}", self.shared.settings.zone)
+    fn lease_name(&self, slot: u8) -> SmolStr {
+        format_smolstr!("{ROOT_LEASE_PREFIX}{}.{slot}", self.shared.settings.zone)
     }
 
     fn lease(&mut self, slot: u8) -> &mut Lease<S, C> {
-        let name = self.name_lease(slot);
+        let name = self.lease_name(slot);
         let settings = &self.shared.settings;
         let holder = format!("{} {} {}", settings.name, settings.zone, settings.address());
         let (store, clock) = (self.store.clone(), self.shared.clock.clone());
@@ -278,7 +290,7 @@
         })
     }
 
-    fn follow(&mut self, after: config::Version, is_first: bool) {
+    fn watch(&mut self, after: config::Version, is_first: bool) {
         if self.shared.is_on_platform() {
             let store = if is_first {
                 self.store.clone()
@@ -286,11 +298,11 @@
                 self.store.relaxed()
             };
             let latest = Latest::open(store, platform::mesh::NAME);
-            let follow = follow_latest(latest, self.inbox.clone());
-            let crashes = self.follow_crashes(is_first);
-            let rollouts = self.follow_rollouts(is_first);
-            self.follower = Some(Task(tokio::spawn(async move {
-                tokio::join!(follow, crashes, rollouts);
+            let configurations = forward_configurations(latest, self.inbox.clone());
+            let crashes = self.watch_crashes(is_first);
+            let rollouts = self.watch_rollouts(is_first);
+            self.watch_task = Some(Task(tokio::spawn(async move {
+                tokio::join!(configurations, crashes, rollouts);
             })));
             return;
         }
@@ -298,19 +310,20 @@
         let position = (after > config::Version::ZERO).then_some(after.0);
         let follower = Follower::open(journal.clone(), position);
         let inbox = self.inbox.clone();
-        let crashes = self.follow_crashes(is_first);
-        let rollouts = self.follow_rollouts(is_first);
-        self.follower = Some(Task(tokio::spawn(async move {
+        let crashes = self.watch_crashes(is_first);
+        let rollouts = self.watch_rollouts(is_first);
+        self.watch_task = Some(Task(tokio::spawn(async move {
             tokio::select! {
-                () = pass_on(follower, inbox) => {}
+                () = forward_versions(follower, inbox) => {}
                 () = removal::run(journal) => {}
                 () = async { tokio::join!(crashes, rollouts); pending().await } => {}
             }
         })));
     }
 
-    /// Passes on what roots write of crashes; one reader a zone does, as its links reach the others.
-    fn follow_crashes(&self, is_first: bool) -> impl Future<Output = ()> + use<C, S> {
+    /// Forwards the crashes that roots write. One reader per zone is enough, since its links carry
+    /// them to the others.
+    fn watch_crashes(&self, is_first: bool) -> impl Future<Output = ()> + use<C, S> {
         let (board, inbox) = (self.board.clone(), self.inbox.clone());
         let mut objects = Latest::open_all(self.store.relaxed(), board::FOLDER);
         async move {
@@ -319,18 +332,19 @@
             }
             loop {
                 let crashes = board.read(&objects.next().await);
-                let answer = Input::Answer(PlatformResponse::Crashes(crashes));
-                if inbox.send(answer).await.is_err() {
+                let response = Input::Response(PlatformResponse::Crashes(crashes));
+                if inbox.send(response).await.is_err() {
                     return;
                 }
             }
         }
     }
 
-    /// Passes on what operators order and what is reported of it.
+    /// Forwards the roll-outs that operators order, with their reported progress.
     ///
-    /// Every root reads it: one that no other has met yet would go on by what it knew.
-    fn follow_rollouts(&self, is_first: bool) -> impl Future<Output = ()> + use<C, S> {
+    /// Every root reads them: one that is not connected to another root yet would otherwise
+    /// continue with outdated ones.
+    fn watch_rollouts(&self, is_first: bool) -> impl Future<Output = ()> + use<C, S> {
         let is_on = self.shared.settings.canary_share.is_some();
         let (shared, inbox) = (Arc::clone(&self.shared), self.inbox.clone());
         let store = if is_first {
@@ -339,19 +353,19 @@
             self.store.relaxed()
         };
         let mut objects = Latest::open_all(store, rollout::FOLDER);
-        let book = self.rollout_book();
+        let rollouts = self.open_rollout_store();
         async move {
             if !is_on {
                 return;
             }
             loop {
                 let object = objects.next().await;
-                let Some(standing) = rollout_desk::read(&shared, &object) else {
+                let Some(standing) = rollout_store::read(&shared, &object) else {
                     continue;
                 };
-                let found = book.settle(standing, object.revision).await;
-                let answer = Input::Answer(PlatformResponse::Rollouts(vec![found]));
-                if inbox.send(answer).await.is_err() {
+                let rollout = rollouts.mark_in_progress(standing, object.revision).await;
+                let response = Input::Response(PlatformResponse::Rollouts(vec![rollout]));
+                if inbox.send(response).await.is_err() {
                     return;
                 }
             }
@@ -359,39 +373,39 @@
     }
 
     async fn read_rollouts(&self) -> Result<PlatformResponse, Error> {
-        self.rollout_book()
+        self.open_rollout_store()
             .list()
             .await
             .map(PlatformResponse::Rollouts)
     }
 
-    fn rollout_book(&self) -> rollout_desk::Book<C, S> {
-        rollout_desk::Book::open(Arc::clone(&self.shared), self.store.clone())
+    fn open_rollout_store(&self) -> rollout_store::RolloutStore<C, S> {
+        rollout_store::RolloutStore::open(Arc::clone(&self.shared), self.store.clone())
     }
 
-    /// Writes how far a roll-out has come, again and again until it stands there or another end does.
-    fn report(&mut self, rollout: Rollout) {
-        let (book, inbox) = (self.rollout_book(), self.inbox.clone());
+    /// Writes the progress of a roll-out, with retries until it or another outcome is stored.
+    fn write_rollout(&mut self, rollout: Rollout) {
+        let (rollouts, inbox) = (self.open_rollout_store(), self.inbox.clone());
         let service = rollout.service.clone();
         let task = tokio::spawn(async move {
-            let stands = book.report(rollout).await;
+            let stored = rollouts.report(rollout).await;
             drop(
                 inbox
-                    .send(Input::Answer(PlatformResponse::Rollouts(stands)))
+                    .send(Input::Response(PlatformResponse::Rollouts(stored)))
                     .await,
             );
         });
-        self.reporters.insert(service, Task(task));
+        self.rollout_writers.insert(service, Task(task));
     }
 
-    /// Writes crashes to the platform, again and again until they stand there.
-    fn post(&mut self, slot: u8, list: Vec<Crash>) {
+    /// Writes crashes to the platform, with retries until that succeeds.
+    fn write_crashes(&mut self, slot: u8, list: Vec<Crash>) {
         let board = self.board.clone();
-        let seat = format!("{}.{slot}", self.shared.settings.zone);
-        self.poster = Some(Task(tokio::spawn(async move {
-            let mut backoff = Backoff::new(FIRST_WAIT, LAST_WAIT);
-            while let Err(error) = board.post(&seat, &list).await {
-                warn!(seat = seat.as_str(), error:%; "board_not_written");
+        let lease = format!("{}.{slot}", self.shared.settings.zone);
+        self.crash_writer = Some(Task(tokio::spawn(async move {
+            let mut backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP);
+            while let Err(error) = board.post(&lease, &list).await {
+                warn!(seat = lease.as_str(), error:%; "board_not_written");
                 let wait = backoff.next_delay(&mut rand::rng());
                 tokio::time::sleep(wait).await;
             }
@@ -399,12 +413,12 @@
     }
 }
 
-/// Reads an operators' configuration into what the state machine is told of it.
+/// Decodes a configuration written by operators into responses for the state machine.
 ///
 /// # Errors
 ///
-/// When it has not even a version.
-fn read_whole(object: &Object) -> Result<Vec<PlatformResponse>, Error> {
+/// Fails when not even the version can be read.
+fn decode_configuration(object: &Object) -> Result<Vec<PlatformResponse>, Error> {
     match platform::mesh::decode(&object.value) {
         Ok((version, mesh)) => Ok(vec![
             PlatformResponse::LatestVersion(version),
@@ -412,12 +426,12 @@
         ]),
         Err(error) => {
             let version = platform::mesh::read_version_of(&object.value).map_err(as_invalid)?;
-            Ok(vec![tell_unreadable(version, &error)])
+            Ok(vec![report_invalid_version(version, &error)])
         }
     }
 }
 
-fn tell_unreadable(version: config::Version, error: &platform::Error) -> PlatformResponse {
+fn report_invalid_version(version: config::Version, error: &platform::Error) -> PlatformResponse {
     warn!(version = version.0, error:%; "version_unreadable");
     PlatformResponse::InvalidVersion {
         version,
@@ -433,8 +447,8 @@
     Error::Invalid(error.to_string())
 }
 
-/// Reads the versions of a journal after the one held.
-async fn read_after<C, S>(
+/// Reads the versions of a journal after `after`, or the full configuration if some are gone.
+async fn read_journal_after<C, S>(
     journal: &Journal<S, C>,
     after: config::Version,
 ) -> Result<Vec<PlatformResponse>, Error>
@@ -443,50 +457,50 @@
     S: Store,
 {
     let Some(tail) = journal.read(after.0).await? else {
-        return read_news(News::Reset(journal.load().await?));
+        return decode_update(News::Reset(journal.load().await?));
     };
-    let mut answers = vec![PlatformResponse::LatestVersion(after)];
+    let mut responses = vec![PlatformResponse::LatestVersion(after)];
     for record in tail.records {
-        answers.extend(read_news(News::Record(record))?);
+        responses.extend(decode_update(News::Record(record))?);
     }
-    Ok(answers)
+    Ok(responses)
 }
 
-/// Passes the operators' configurations on until it is dropped.
+/// Forwards the configurations written by operators until it is dropped.
 ///
-/// One that can't be read is passed over: the version held stays in force.
-async fn follow_latest<S>(mut latest: Latest<S>, inbox: mpsc::Sender<Input>)
+/// One that can't be read is skipped: the current version stays in force.
+async fn forward_configurations<S>(mut latest: Latest<S>, inbox: mpsc::Sender<Input>)
 where
     S: Store,
 {
     loop {
         let object = latest.next().await;
-        let answers = match read_whole(&object) {
-            Ok(answers) => answers,
+        let responses = match decode_configuration(&object) {
+            Ok(responses) => responses,
             Err(error) => {
                 warn!(revision:% = object.revision, error:%; "version_unreadable");
                 continue;
             }
         };
-        for answer in answers {
-            if inbox.send(Input::Answer(answer)).await.is_err() {
+        for response in responses {
+            if inbox.send(Input::Response(response)).await.is_err() {
                 return;
             }
         }
     }
 }
 
-/// Passes versions on until the follower is dropped.
-async fn pass_on<C, S>(mut follower: Follower<S, C>, inbox: mpsc::Sender<Input>)
+/// Forwards versions of the journal until it is dropped.
+async fn forward_versions<C, S>(mut follower: Follower<S, C>, inbox: mpsc::Sender<Input>)
 where
     C: Clock,
     S: Store,
 {
     loop {
-        match read_news(follower.next().await) {
-            Ok(answers) => {
-                for answer in answers {
-                    if inbox.send(Input::Answer(answer)).await.is_err() {
+        match decode_update(follower.next().await) {
+            Ok(responses) => {
+                for response in responses {
+                    if inbox.send(Input::Response(response)).await.is_err() {
                         return;
                     }
                 }
@@ -496,8 +510,8 @@
     }
 }
 
-fn read_news(news: News) -> Result<Vec<PlatformResponse>, Error> {
-    match news {
+fn decode_update(update: News) -> Result<Vec<PlatformResponse>, Error> {
+    match update {
         News::Record(record) => {
             let step = version::Step::parse(&record)?;
             Ok(vec![PlatformResponse::Step {
@@ -508,16 +522,16 @@
         }
         News::Reset(loaded) => {
             let state = version::State::build(&loaded)?;
-            let whole = PlatformResponse::Full {
+            let full = PlatformResponse::Full {
                 version: state.version,
                 mesh: state.mesh,
             };
-            Ok(vec![PlatformResponse::LatestVersion(state.version), whole])
+            Ok(vec![PlatformResponse::LatestVersion(state.version), full])
         }
     }
 }
 
-fn tell_held(slot: u8, is_held: bool) -> PlatformResponse {
+fn lease_response(slot: u8, is_held: bool) -> PlatformResponse {
     if is_held {
         PlatformResponse::LeaseGranted { slot }
     } else {
@@ -525,14 +539,14 @@
     }
 }
 
-/// Reads the lease of a root; its holder is a name, a zone and an address.
-fn read_seat(standing: &Standing, is_live: bool) -> Option<RootLease> {
+/// Parses the lease of a root, whose holder is given as name, zone and address.
+fn parse_root_lease(standing: &Standing, is_live: bool) -> Option<RootLease> {
     let slot = standing.name.rsplit_once('.')?.1.parse().ok()?;
-    let mut words = standing.holder.split(' ');
+    let mut fields = standing.holder.split(' ');
     let holder = Peer {
-        node: words.next()?.into(),
-        zone: words.next()?.into(),
-        address: words.next()?.parse().ok()?,
+        node: fields.next()?.into(),
+        zone: fields.next()?.into(),
+        address: fields.next()?.parse().ok()?,
     };
     Some(RootLease {
         slot,
--- a/crates/node/src/control/link.rs
+++ b/crates/node/src/control/link.rs
@@ -1,4 +1,4 @@
-//! The socket side of control links: connecting, reading and writing.
+//! Sockets of control links: connecting, reading and writing.
 
 use crate::control::tree::Input;
 use crate::nodes::make_hello;
@@ -17,22 +17,21 @@
 use wire::control::Frame;
 use wire::{Error, Hello, Link, codec};
 
-/// Frames that wait for a link's socket: all chunks of the largest
-/// configuration and lists of 14,000 endpoints fit. They share their contents
-/// with other links' queues.
-const QUEUE: usize = 512;
+/// Capacity of a link's send queue in frames: all chunks of the largest configuration and lists of
+/// 14,000 endpoints fit. Queued frames share their contents with the queues of other links.
+const SEND_QUEUE_LENGTH: usize = 512;
 
-/// Frames put together in one write.
-const BATCH: usize = 32;
+/// Maximum number of frames that are taken from the send queue at once.
+const MAX_BATCH_LENGTH: usize = 32;
 
-/// Buffer that is kept between frames; a longer one is given back.
-const KEPT: usize = 16 << 10;
+/// Maximum size in bytes of a buffer that is kept between frames; larger ones are freed.
+const MAX_KEPT_BUFFER: usize = 16 << 10;
 
-/// Longest wait for a link's socket to take one batch of frames.
+/// Timeout for one write to a link's socket.
 ///
-/// Guards against a node that lives and reads nothing: the state machine has long
-/// closed its link, and its writer stayed with the socket. The longest frame, of
-/// 1 MB, takes 1.7 s at 5 Mbit/s.
+/// Guards against a peer that runs but reads nothing: the writer task and the socket would remain
+/// long after the state machine has closed the link. The longest frame, of 1 MB, takes 1.7 s at
+/// 5 Mbit/s.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The sending side of a link.
@@ -44,19 +43,20 @@
 }
 
 impl Sender {
-    /// Puts a frame in the queue; tells whether there was room.
+    /// Adds a frame to the send queue; returns false if the queue is full or the link has ended.
     pub(crate) fn send(&self, frame: Frame) -> bool {
         self.frames.try_send(frame).is_ok()
     }
 
-    /// Reads no more, and ends once all frames are out; gives the task that writes them.
-    pub(crate) fn finish(self) -> JoinHandle<()> {
+    /// Stops reading, and closes the link once all queued frames are written; returns the task that
+    /// writes them.
+    pub(crate) fn close(self) -> JoinHandle<()> {
         self.reader.abort();
         self.writer
     }
 }
 
-/// Opens a link and exchanges hellos.
+/// Connects to a peer and exchanges hellos.
 pub(crate) async fn connect<C>(
     shared: &Shared<C>,
     address: SocketAddr,
@@ -76,7 +76,7 @@
     Ok((stream, peer))
 }
 
-/// Starts to read and write a link.
+/// Starts the tasks that read and write a link.
 pub(crate) fn spawn<C>(
     shared: &Shared<C>,
     key: LinkKey,
@@ -86,11 +86,11 @@
 where
     C: Clock,
 {
-    let (frames, queue) = mpsc::channel(QUEUE);
+    let (frames, queue) = mpsc::channel(SEND_QUEUE_LENGTH);
     let (source, sink) = stream.into_split();
     let received = shared.metrics.control_received();
     let reader = tokio::spawn(async move {
-        // Whatever ended it, the state machine only has to know that it did.
+        // The state machine handles all ends of a link alike, so the error is dropped.
         drop(read(key, source, &inbox, &received).await);
         drop(inbox.send(Input::Closed { link: key }).await);
     });
@@ -125,7 +125,7 @@
             }
         }
         buffer.drain(..used);
-        if buffer.is_empty() && buffer.capacity() > KEPT {
+        if buffer.is_empty() && buffer.capacity() > MAX_KEPT_BUFFER {
             buffer = Vec::new();
         }
     }
@@ -134,13 +134,15 @@
 async fn write(mut sink: OwnedWriteHalf, mut queue: mpsc::Receiver<Frame>, sent: Counter) {
     let mut batch = Vec::new();
     let mut buffer = Vec::new();
-    while queue.recv_many(&mut batch, BATCH).await > 0 {
+    while queue.recv_many(&mut batch, MAX_BATCH_LENGTH).await > 0 {
         for frame in batch.drain(..) {
             if let Err(error) = codec::encode(&wire::Frame::Control(frame), &mut buffer) {
                 log::warn!(error:%; "control_frame_too_long");
             }
-            // Else a batch of long frames would be held in memory twice.
-            if buffer.len() >= KEPT && flush(&mut sink, &mut buffer, &sent).await.is_err() {
+            // Otherwise a batch of long frames would be held in memory twice.
+            if buffer.len() >= MAX_KEPT_BUFFER
+                && flush(&mut sink, &mut buffer, &sent).await.is_err()
+            {
                 return;
             }
         }
@@ -162,11 +164,11 @@
     }
     sent.inc_by(buffer.len() as u64);
     buffer.clear();
-    buffer.shrink_to(KEPT);
+    buffer.shrink_to(MAX_KEPT_BUFFER);
     Ok(())
 }
 
-/// Opens a link in a task of its own and tells the state machine how that went.
+/// Opens a link in a separate task and sends the result to the state machine.
 pub(crate) fn dial<C>(
     shared: &Arc<Shared<C>>,
     key: LinkKey,
@@ -187,7 +189,7 @@
             },
             Ok(Err(_)) | Err(_) => Input::Closed { link: key },
         };
-        // The node may have ended meanwhile.
+        // The node may have stopped in the meantime.
         drop(inbox.send(input).await);
     });
 }
--- a/crates/node/src/control/removal.rs
+++ b/crates/node/src/control/removal.rs
@@ -1,4 +1,4 @@
-//! Removal of old versions from the platform, by those that follow them.
+//! Removal of old versions from the platform, by the roots that watch them.
 
 use clock::Clock;
 use log::debug;
@@ -7,16 +7,16 @@
 use store::retain::Retention;
 use store::{Journal, Store};
 
-/// Mean time between two rounds; each root waits for a time of its own.
+/// Mean time between two rounds, jittered per root.
 ///
-/// A day's 3,700 versions are some three a minute, and a round removes eight
-/// at a time until none is left.
-const ROUND: Duration = Duration::from_mins(1);
+/// 3,700 versions a day are about three per minute. A round removes eight at a time until no old
+/// version is left.
+const ROUND_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Versions that stay, for operators who look back: some six hours of 3,700 a day.
-const KEPT: u64 = 1_000;
+/// Number of versions that are kept for operators who look back: about six hours at 3,700 a day.
+const KEPT_VERSIONS: u64 = 1_000;
 
-/// Removes old versions until it is dropped. Others may do so too; it does no harm.
+/// Removes old versions until it is dropped. Several roots may safely do so at once.
 pub(crate) async fn run<S, C>(journal: Journal<S, C>)
 where
     S: Store,
@@ -24,10 +24,10 @@
 {
     let mut retention = Retention::default();
     loop {
-        let share = rand::rng().random_range(0.5..1.5);
-        tokio::time::sleep(ROUND.mul_f64(share)).await;
+        let factor = rand::rng().random_range(0.5..1.5);
+        tokio::time::sleep(ROUND_INTERVAL.mul_f64(factor)).await;
         loop {
-            match journal.remove_old(&mut retention, KEPT).await {
+            match journal.remove_old(&mut retention, KEPT_VERSIONS).await {
                 Ok(true) => {}
                 Ok(false) => break,
                 Err(error) => {
--- a/crates/node/src/control/rollout.rs
+++ b/crates/node/src/control/rollout.rs
@@ -1,4 +1,4 @@
-//! Reads operators' roll-outs in the platform, and writes there how far they have come.
+//! Reads the roll-outs that operators order in the platform, and writes their progress there.
 
 use crate::shared::Shared;
 use clock::Clock;
@@ -10,16 +10,16 @@
 use std::time::{Duration, UNIX_EPOCH};
 use store::{Error, Object, Revision, Store};
 
-/// Orders read at once.
-const PAGE: usize = 100;
+/// Number of orders read per request.
+const PAGE_SIZE: usize = 100;
 
-/// Bounds of the wait before the platform is asked again.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-const LAST_WAIT: Duration = Duration::from_millis(800);
+/// Backoff between attempts to write to the platform.
+const BACKOFF_BASE: Duration = Duration::from_millis(100);
+const BACKOFF_CAP: Duration = Duration::from_millis(800);
 
-/// The place of roll-outs in the platform.
+/// Access to the roll-outs stored in the platform.
 #[derive(Debug)]
-pub(crate) struct Book<C, S>
+pub(crate) struct RolloutStore<C, S>
 where
     C: Clock,
 {
@@ -27,7 +27,7 @@
     store: S,
 }
 
-impl<C, S> Book<C, S>
+impl<C, S> RolloutStore<C, S>
 where
     C: Clock,
     S: Store,
@@ -38,16 +38,17 @@
 
     /// Reads all roll-outs.
     pub(crate) async fn list(&self) -> Result<Vec<Rollout>, Error> {
-        let page = self.store.list(rollout::FOLDER, "", PAGE).await?;
+        let page = self.store.list(rollout::FOLDER, "", PAGE_SIZE).await?;
         let objects = page.items.iter();
         let standings = objects.filter_map(|object| read(&self.shared, object));
         Ok(standings.map(|standing| standing.rollout).collect())
     }
 
-    /// Reports that an order of which nothing is reported yet is in progress.
+    /// Reports an order as in progress if nothing has been reported on it yet.
     ///
-    /// One that others report on at the same moment is left to them.
-    pub(crate) async fn settle(&self, standing: Standing, revision: Revision) -> Rollout {
+    /// A write that fails is not retried: another root may have reported on the order at the same
+    /// time.
+    pub(crate) async fn mark_in_progress(&self, standing: Standing, revision: Revision) -> Rollout {
         if !standing.is_reported
             && let Err(error) = self.write(&standing.rollout, revision).await
         {
@@ -56,15 +57,16 @@
         standing.rollout
     }
 
-    /// Writes how far a roll-out has come, until that or another verdict stands there.
+    /// Writes the progress of a roll-out, with retries until it or another outcome is stored.
     ///
-    /// Each write is bound to the revision just read, so that of two verdicts one stands. Gives
-    /// what stands then; nothing when the order is gone or another one has taken its place.
+    /// Each write is conditional on the revision just read, so that of two concurrent outcomes only
+    /// one is stored. Returns what is stored then, which may be a newer order, or nothing if the
+    /// order is gone or can't be read.
     pub(crate) async fn report(&self, wanted: Rollout) -> Vec<Rollout> {
-        let mut backoff = Backoff::new(FIRST_WAIT, LAST_WAIT);
+        let mut backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP);
         loop {
             match self.try_report(&wanted).await {
-                Ok(stands) => return stands.into_iter().collect(),
+                Ok(stored) => return stored.into_iter().collect(),
                 Err(error) => {
                     warn!(service = wanted.service.as_str(), error:%; "rollout_not_written");
                 }
@@ -82,8 +84,8 @@
         let Some(standing) = read(&self.shared, &object) else {
             return Ok(None);
         };
-        let is_other = standing.rollout.target != wanted.target;
-        if is_other || standing.rollout.stage.is_final() {
+        let is_replaced = standing.rollout.target != wanted.target;
+        if is_replaced || standing.rollout.stage.is_final() {
             return Ok(Some(standing.rollout));
         }
         self.write(wanted, object.revision).await?;
@@ -104,7 +106,7 @@
     }
 }
 
-/// Reads one roll-out; one that can't be read is told and left out.
+/// Decodes one roll-out; one that can't be decoded is logged and skipped.
 pub(crate) fn read<C>(shared: &Shared<C>, object: &Object) -> Option<Standing>
 where
     C: Clock,
@@ -122,7 +124,7 @@
 where
     C: Clock,
 {
-    let since = shared.clock.wall().duration_since(UNIX_EPOCH);
-    let millis = since.unwrap_or_default().as_millis();
+    let elapsed = shared.clock.wall().duration_since(UNIX_EPOCH);
+    let millis = elapsed.unwrap_or_default().as_millis();
     u64::try_from(millis).unwrap_or(u64::MAX)
 }
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -1,6 +1,6 @@
-//! Runs the state machine of distribution: sockets, timers and the platform around it.
+//! Drives the distribution state machine: connects it to sockets, timers and the platform.
 
-use crate::control::desk::{self, Order};
+use crate::control::desk::{self, Command};
 use crate::control::link::{self, Sender};
 use crate::shared::Shared;
 use clock::Clock;
@@ -18,10 +18,10 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use wire::control::Frame;
 
-/// Time between looks at what operators are told.
-const TELL: Duration = Duration::from_millis(250);
+/// Interval at which the status and metrics for operators are updated.
+const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What comes to the state machine from outside.
+/// Inputs to the state machine.
 #[derive(Debug)]
 pub(crate) enum Input {
     Accepted {
@@ -40,7 +40,7 @@
         link: LinkKey,
         frame: Frame,
     },
-    Answer(PlatformResponse),
+    Response(PlatformResponse),
     Leave(oneshot::Sender<()>),
 }
 
@@ -54,49 +54,49 @@
     C: Clock,
     S: Store,
 {
-    let (orders, ordered) = mpsc::unbounded_channel();
-    let desk = desk::run(Arc::clone(&shared), store, ordered, sender.clone());
-    let desk = tokio::spawn(desk);
+    let (commands, command_receiver) = mpsc::unbounded_channel();
+    let worker = desk::run(Arc::clone(&shared), store, command_receiver, sender.clone());
+    let worker = tokio::spawn(worker);
     let mut backend = shared.backend.subscribe();
-    // A backend server may have announced itself before this task ran; what
-    // stands at the subscription counts as seen, and it would never be told.
+    // The backend server may have announced itself before this task ran. The value at the time of
+    // the subscription counts as seen, so without this it would never be propagated.
     backend.mark_changed();
     let mut leaving = shared.leaving.subscribe();
-    let mut tree = Tree::new(Arc::clone(&shared), orders, sender);
+    let mut driver = Driver::new(Arc::clone(&shared), commands, sender);
     let done = loop {
-        let wait = tree.wait();
+        let wait = driver.until_next_wake();
         tokio::select! {
             input = inbox.recv() => match input {
                 Some(Input::Leave(done)) => break Some(done),
-                Some(input) => tree.take(input),
+                Some(input) => driver.handle_input(input),
                 None => break None,
             },
-            changed = backend.changed() => if changed.is_ok() { tree.announce(&mut backend) },
+            changed = backend.changed() => if changed.is_ok() { driver.announce(&mut backend) },
             changed = leaving.changed() => if changed.is_ok() {
                 leaving.mark_unchanged();
-                tree.announce(&mut backend);
+                driver.announce(&mut backend);
             },
-            crashes = shared.quarantine.next_updates() => tree.handle(Event::LocalCrashes(crashes)),
-            () = tokio::time::sleep(wait) => tree.wake(),
+            list = shared.quarantine.next_updates() => driver.handle(Event::LocalCrashes(list)),
+            () = tokio::time::sleep(wait) => driver.wake(),
         }
-        tree.tell();
+        driver.publish_status();
     };
-    tree.leave().await;
-    // The lease is given back before the sender of requests goes.
-    drop(tree);
-    drop(desk.await);
+    driver.leave().await;
+    // The release of the lease is queued before the sender of commands is dropped.
+    drop(driver);
+    drop(worker.await);
     if let Some(done) = done {
-        // An error means that nobody waits any more.
-        let _told = done.send(());
+        // An error means that the receiver no longer waits.
+        let _sent = done.send(());
     }
 }
 
-/// Tells why a version gets nothing more, with what was counted of both versions.
-fn tell_stopped(rollout: &Rollout, fault: StopReason, tally: &Tally) {
-    let sum = |counts: &[Counts]| {
-        let ended: u32 = counts.iter().map(|one| one.ended).sum();
-        let failed: u32 = counts.iter().map(|one| one.failed).sum();
-        let slow: u32 = counts.iter().map(|one| one.slow).sum();
+/// Logs why a version gets no more calls, with the counts of both versions.
+fn log_stopped_rollout(rollout: &Rollout, reason: StopReason, tally: &Tally) {
+    let sum = |kinds: &[Counts]| {
+        let ended: u32 = kinds.iter().map(|counts| counts.ended).sum();
+        let failed: u32 = kinds.iter().map(|counts| counts.failed).sum();
+        let slow: u32 = kinds.iter().map(|counts| counts.slow).sum();
         format!("{ended} ended, {failed} failed, {slow} slow")
     };
     warn!(
@@ -104,92 +104,95 @@
         target = rollout.target.as_str(),
         stage:? = rollout.stage,
         age_ms = rollout.age_ms,
-        fault = fault.as_str(),
+        fault = reason.as_str(),
         trial = sum(&tally.trial),
         stable = sum(&tally.stable);
         "rollout_stopped"
     );
 }
 
-struct Tree<C>
+struct Driver<C>
 where
     C: Clock,
 {
     shared: Arc<Shared<C>>,
     node: Node,
     links: BTreeMap<LinkKey, Sender>,
-    orders: mpsc::UnboundedSender<Order>,
+    commands: mpsc::UnboundedSender<Command>,
     inbox: mpsc::Sender<Input>,
-    told_at: Instant,
-    finished: Vec<tokio::task::JoinHandle<()>>,
+    status_at: Instant,
+    closing_writers: Vec<tokio::task::JoinHandle<()>>,
 }
 
-impl<C> Tree<C>
+impl<C> Driver<C>
 where
     C: Clock,
 {
     fn new(
         shared: Arc<Shared<C>>,
-        orders: mpsc::UnboundedSender<Order>,
+        commands: mpsc::UnboundedSender<Command>,
         inbox: mpsc::Sender<Input>,
     ) -> Self {
         let now = shared.clock.now();
         let started = shared.clock.wall().duration_since(UNIX_EPOCH);
         let started = started.unwrap_or_default().as_millis();
-        let own = &shared.settings;
+        let node_settings = &shared.settings;
         let settings = Settings {
             local: Peer {
-                node: own.name.clone(),
-                zone: own.zone.clone(),
-                address: own.address(),
+                node: node_settings.name.clone(),
+                zone: node_settings.zone.clone(),
+                address: node_settings.address(),
             },
-            region: own.region.clone(),
+            region: node_settings.region.clone(),
             incarnation: shared.incarnation,
             started_ms: u64::try_from(started).unwrap_or_default(),
-            seeds: own.seeds.clone(),
-            follows_rollouts: own.canary_share.is_some(),
-            sends_full: own.distribution == Distribution::Whole,
+            seeds: node_settings.seeds.clone(),
+            follows_rollouts: node_settings.canary_share.is_some(),
+            sends_full: node_settings.distribution == Distribution::Whole,
         };
         let node = Node::new(settings, rand::random(), now);
         Self {
             shared,
             node,
             links: BTreeMap::new(),
-            orders,
+            commands,
             inbox,
-            told_at: now,
-            finished: Vec::new(),
+            status_at: now,
+            closing_writers: Vec::new(),
         }
     }
 
-    /// Gives the time until the state machine is to be woken.
-    fn wait(&self) -> Duration {
+    /// Returns the time until the next timer of the state machine or status update.
+    fn until_next_wake(&self) -> Duration {
         let now = self.shared.clock.now();
-        let next = self.node.next_wake(now).min(self.told_at + TELL);
+        let next = self
+            .node
+            .next_wake(now)
+            .min(self.status_at + STATUS_INTERVAL);
         next.saturating_duration_since(now)
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let event = match input {
             Input::Accepted { stream, peer } => {
                 let now = self.shared.clock.now();
                 let key = self.node.accept(peer, now);
-                self.open(key, stream);
+                self.open_link(key, stream);
                 return;
             }
             Input::Connected { link, stream, peer } => {
-                self.open(link, stream);
+                self.open_link(link, stream);
                 Event::Connected { link, peer }
             }
             Input::Closed { link } => Event::Closed { link },
             Input::Frame { link, frame } => Event::Frame { link, frame },
-            Input::Answer(answer) => Event::Platform(answer),
+            Input::Response(response) => Event::Platform(response),
             Input::Leave(_) => Event::Leave,
         };
         self.handle(event);
     }
 
-    fn open(&mut self, key: LinkKey, stream: TcpStream) {
+    fn open_link(&mut self, key: LinkKey, stream: TcpStream) {
         let sender = link::spawn(&self.shared, key, stream, self.inbox.clone());
         self.links.insert(key, sender);
     }
@@ -200,10 +203,10 @@
             Event::Closed { link } => self.links.remove(link),
             _ => None,
         };
-        drop(closed.map(Sender::finish));
+        drop(closed.map(Sender::close));
         let actions = self.node.handle(now, event);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
@@ -215,7 +218,7 @@
         self.handle(Event::Wake);
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Connect { link, address } => {
                 link::dial(&self.shared, link, address, self.inbox.clone());
@@ -223,14 +226,14 @@
             Action::Send { link, frame } => self.send(link, frame),
             Action::Close { link } => {
                 if let Some(sender) = self.links.remove(&link) {
-                    self.finished.retain(|task| !task.is_finished());
-                    self.finished.push(sender.finish());
+                    self.closing_writers.retain(|task| !task.is_finished());
+                    self.closing_writers.push(sender.close());
                 }
             }
-            // The desk ends after this task.
-            Action::QueryPlatform(request) => drop(self.orders.send(Order::Ask(request))),
+            // The worker that receives the commands ends after this task.
+            Action::QueryPlatform(request) => drop(self.commands.send(Command::Query(request))),
             Action::WriteCrashes { slot, list } => {
-                drop(self.orders.send(Order::Post { slot, list }));
+                drop(self.commands.send(Command::WriteCrashes { slot, list }));
             }
             Action::UpdateQuarantine(list) => {
                 let shared = &self.shared;
@@ -239,27 +242,29 @@
                     .merge(&shared.clock, &shared.metrics, &list);
             }
             Action::ApplyRollouts(list) => self.shared.rollouts.set(list),
-            Action::WriteRollout(rollout) => drop(self.orders.send(Order::Report(rollout))),
+            Action::WriteRollout(rollout) => {
+                drop(self.commands.send(Command::WriteRollout(rollout)));
+            }
             Action::RolloutStopped {
                 rollout,
                 reason,
                 tally,
-            } => tell_stopped(&rollout, reason, &tally),
-            Action::InstallView(view) => self.install(view),
+            } => log_stopped_rollout(&rollout, reason, &tally),
+            Action::InstallView(view) => self.install_view(view),
         }
     }
 
-    /// Sends a frame; a link that takes nothing more is closed.
+    /// Sends a frame; closes the link if its send queue is full.
     ///
-    /// Guards against a peer that stopped reading: its queue would grow
-    /// without end. It asks anew for what it lacks once it is back.
+    /// Guards against a peer that has stopped reading, whose queue would grow without limit. The
+    /// peer requests what it has missed when it reconnects.
     fn send(&mut self, link: LinkKey, frame: Frame) {
         let Some(sender) = self.links.get(&link) else {
             return;
         };
         if !sender.send(frame) {
             self.shared.metrics.control.overflows.inc();
-            drop(self.links.remove(&link).map(Sender::finish));
+            drop(self.links.remove(&link).map(Sender::close));
             let inbox = self.inbox.clone();
             tokio::spawn(async move {
                 drop(inbox.send(Input::Closed { link }).await);
@@ -267,8 +272,8 @@
         }
     }
 
-    /// Serves by a view from now on, whole: one swap.
-    fn install(&self, view: Arc<View>) {
+    /// Atomically replaces the view that calls are routed by.
+    fn install_view(&self, view: Arc<View>) {
         let before = self.shared.view.load().version();
         if view.version() < before {
             self.shared.metrics.control.reverts.inc();
@@ -282,16 +287,16 @@
     }
 
     fn announce(&mut self, backend: &mut watch::Receiver<Option<crate::shared::Backend>>) {
-        let Some(own) = backend.borrow_and_update().clone() else {
+        let Some(local) = backend.borrow_and_update().clone() else {
             return;
         };
-        let is_leaving = own.leaving || *self.shared.leaving.borrow();
+        let is_leaving = local.leaving || *self.shared.leaving.borrow();
         self.handle(Event::BackendAnnounced(fleet::Backend {
-            process: own.process(),
-            service: own.service,
-            version: own.version,
-            slots: own.slots,
-            cold_ms: own.cold_ms,
+            process: local.process(),
+            service: local.service,
+            version: local.version,
+            slots: local.slots,
+            cold_ms: local.cold_ms,
             state: if is_leaving {
                 State::Leaving
             } else {
@@ -300,15 +305,15 @@
         }));
     }
 
-    /// Tells operators and metrics how the node stands.
-    fn tell(&mut self) {
+    /// Updates the status and metrics for operators.
+    fn publish_status(&mut self) {
         let now = self.shared.clock.now();
-        if now < self.told_at + TELL {
+        if now < self.status_at + STATUS_INTERVAL {
             return;
         }
-        self.told_at = now;
+        self.status_at = now;
         let before = self.shared.distribution.load();
-        let next = self.read_distribution();
+        let next = self.distribution_status();
         let control = &self.shared.metrics.control;
         control.versions.inc_by(next.versions - before.versions);
         control.refusals.inc_by(next.refusals - before.refusals);
@@ -318,8 +323,12 @@
             .inc_by(next.departures - before.departures);
         control.views.inc_by(next.views - before.views);
         if next.refusals > before.refusals {
-            let own = &self.shared.settings.name;
-            let refusal = next.fleet.refusals.iter().find(|one| one.node == *own);
+            let local = &self.shared.settings.name;
+            let refusal = next
+                .fleet
+                .refusals
+                .iter()
+                .find(|refusal| refusal.node == *local);
             let reason = refusal.map_or("", |refusal| refusal.reason.as_str());
             warn!(reason, held = next.held.0; "version_refused");
         }
@@ -332,7 +341,7 @@
         }
     }
 
-    fn read_distribution(&self) -> status::Distribution {
+    fn distribution_status(&self) -> status::Distribution {
         let counters = self.node.counters();
         status::Distribution {
             held: self.node.version(),
@@ -349,11 +358,11 @@
         }
     }
 
-    /// Tells the neighbours, and waits until that is out.
+    /// Tells the linked nodes that this node leaves, and waits until the frames are written.
     async fn leave(&mut self) {
         self.handle(Event::Leave);
-        for task in std::mem::take(&mut self.finished) {
-            // A writer that broke off has nobody left to tell.
+        for task in std::mem::take(&mut self.closing_writers) {
+            // A writer that failed has lost its peer, so the error is ignored.
             drop(task.await);
         }
     }
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -1,7 +1,7 @@
-//! The baseline: every node reads and watches the platform itself.
+//! Baseline distribution: every node reads and watches the platform directly.
 //!
-//! The platform's load then grows with the nodes, which is why it is not the
-//! way to run a fleet; it is the measure that others are set against.
+//! The load on the platform then grows with the number of nodes. This mode is therefore not meant
+//! for production; other modes are measured against it.
 
 use crate::shared::Shared;
 use clock::Clock;
@@ -17,106 +17,109 @@
 use store::{Error, Event, Follower, Journal, Store};
 use tokio::sync::mpsc;
 
-/// Prefix of the endpoints' objects.
-const PREFIX: &str = "endpoints/";
+/// Name prefix of the objects of endpoints.
+const ENDPOINT_PREFIX: &str = "endpoints/";
 
-/// Endpoints read at once.
-const PAGE: usize = 100;
+/// Number of endpoints read per request.
+const PAGE_SIZE: usize = 100;
 
-/// Wait before the platform is asked again.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a failed platform operation is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// News that wait to be taken in.
-const BUFFER: usize = 64;
+/// Capacity of the queue of changes that wait to be applied.
+const CHANGE_BUFFER: usize = 64;
 
-/// What may change a view.
+/// A change from which a new view is built.
 #[derive(Debug)]
 enum Change {
     Configuration(Box<VersionedMesh>),
     Endpoint(Box<Endpoint>),
 }
 
-/// Follows versions and endpoints and swaps views, for as long as the node runs.
+/// Watches versions and endpoints and installs views, for as long as the node runs.
 pub(crate) async fn run<C, S>(shared: Arc<Shared<C>>, store: S)
 where
     C: Clock,
     S: Store,
 {
-    let (sender, mut changes) = mpsc::channel(BUFFER);
-    let versions = follow_versions(Arc::clone(&shared), store.clone(), sender.clone());
-    let endpoints = follow_endpoints(store.clone(), sender);
-    let announce = announce(Arc::clone(&shared), store);
+    let (sender, mut changes) = mpsc::channel(CHANGE_BUFFER);
+    let versions = watch_versions(Arc::clone(&shared), store.clone(), sender.clone());
+    let endpoints = watch_endpoints(store.clone(), sender);
+    let announcements = announce(Arc::clone(&shared), store);
     let install = async {
-        let mut held = VersionedMesh::default();
-        let mut known = BTreeMap::new();
+        let mut mesh = VersionedMesh::default();
+        let mut endpoints = BTreeMap::new();
         while let Some(change) = changes.recv().await {
             match change {
-                Change::Configuration(next) => held = *next,
-                Change::Endpoint(endpoint) => merge(&mut known, *endpoint),
+                Change::Configuration(next) => mesh = *next,
+                Change::Endpoint(endpoint) => merge(&mut endpoints, *endpoint),
             }
-            install_view(&shared, &held, &known);
+            install_view(&shared, &mesh, &endpoints);
         }
     };
-    tokio::join!(versions, endpoints, announce, install);
+    tokio::join!(versions, endpoints, announcements, install);
 }
 
 fn install_view<C>(
     shared: &Shared<C>,
-    held: &VersionedMesh,
-    known: &BTreeMap<SmolStr, Arc<Endpoint>>,
+    mesh: &VersionedMesh,
+    endpoints: &BTreeMap<SmolStr, Arc<Endpoint>>,
 ) where
     C: Clock,
 {
-    let view = View::join(held, known.values().cloned());
+    let view = View::join(mesh, endpoints.values().cloned());
     let before = shared.view.load().version();
-    assert!(view.version() >= before, "a view never falls back");
+    assert!(
+        view.version() >= before,
+        "the version of the view must not decrease"
+    );
     if view.version() > before {
         info!(version = view.version().0; "version_installed");
     }
     shared.view.store(Arc::new(view));
 }
 
-/// Keeps the newest news of each node.
-fn merge(known: &mut BTreeMap<SmolStr, Arc<Endpoint>>, news: Endpoint) {
+/// Merges an endpoint, of which only the latest announcement per node is kept.
+fn merge(endpoints: &mut BTreeMap<SmolStr, Arc<Endpoint>>, new: Endpoint) {
     let order =
         |endpoint: &Endpoint| (endpoint.started_ms, endpoint.incarnation, endpoint.sequence);
-    match known.get(&news.node) {
-        Some(old) if order(old) >= order(&news) => {}
-        _ => drop(known.insert(news.node.clone(), Arc::new(news))),
+    match endpoints.get(&new.node) {
+        Some(old) if order(old) >= order(&new) => {}
+        _ => drop(endpoints.insert(new.node.clone(), Arc::new(new))),
     }
 }
 
-async fn follow_versions<C, S>(shared: Arc<Shared<C>>, store: S, changes: mpsc::Sender<Change>)
+async fn watch_versions<C, S>(shared: Arc<Shared<C>>, store: S, changes: mpsc::Sender<Change>)
 where
     C: Clock,
     S: Store,
 {
     let journal = Journal::open(store, shared.clock.clone(), JOURNAL);
     let mut follower = Follower::open(journal, None);
-    let mut held = VersionedMesh::default();
+    let mut mesh = VersionedMesh::default();
     loop {
-        match take_news(&mut held, follower.next().await) {
+        match apply_update(&mut mesh, follower.next().await) {
             Ok(()) => {}
             Err(error) => {
                 warn!(error:%; "version_refused");
                 continue;
             }
         }
-        let change = Change::Configuration(Box::new(held.clone()));
+        let change = Change::Configuration(Box::new(mesh.clone()));
         if changes.send(change).await.is_err() {
             return;
         }
     }
 }
 
-fn take_news(held: &mut VersionedMesh, news: News) -> Result<(), Error> {
+fn apply_update(mesh: &mut VersionedMesh, update: News) -> Result<(), Error> {
     let invalid = |error: config::Error| Error::Invalid(error.to_string());
-    match news {
+    match update {
         News::Record(record) => {
             let step = Step::parse(&record)?;
             let entry = &step.entry;
             let base = Version(step.version.0.saturating_sub(1));
-            held.apply_patch(base, step.version, &entry.patch, entry.digest)
+            mesh.apply_patch(base, step.version, &entry.patch, entry.digest)
                 .map_err(invalid)
         }
         News::Reset(loaded) => {
@@ -125,13 +128,13 @@
                 return Ok(());
             }
             let digest = config::Digest::of(&state.mesh);
-            held.replace(state.version, state.mesh, digest)
+            mesh.replace(state.version, state.mesh, digest)
                 .map_err(invalid)
         }
     }
 }
 
-async fn follow_endpoints<S>(store: S, changes: mpsc::Sender<Change>)
+async fn watch_endpoints<S>(store: S, changes: mpsc::Sender<Change>)
 where
     S: Store,
 {
@@ -139,7 +142,7 @@
         if let Err(error) = read_endpoints(&store, &changes).await {
             info!(error:%; "endpoints_lost");
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -149,7 +152,7 @@
 {
     let mut after = String::new();
     let revision = loop {
-        let page = store.list(PREFIX, &after, PAGE).await?;
+        let page = store.list(ENDPOINT_PREFIX, &after, PAGE_SIZE).await?;
         for object in &page.items {
             send(changes, &object.value).await?;
         }
@@ -158,7 +161,7 @@
             _ => break page.revision,
         }
     };
-    let mut watch = store.watch(PREFIX, revision).await?;
+    let mut watch = store.watch(ENDPOINT_PREFIX, revision).await?;
     loop {
         if let Event::Put(object) = watch.next().await? {
             send(changes, &object.value).await?;
@@ -169,12 +172,12 @@
 async fn send(changes: &mpsc::Sender<Change>, value: &serde_json::Value) -> Result<(), Error> {
     let endpoint =
         serde_json::from_value(value.clone()).map_err(|error| Error::Invalid(error.to_string()))?;
-    // The receiver ends with the node.
-    let _received = changes.send(Change::Endpoint(Box::new(endpoint))).await;
+    // Sending fails only when the node stops.
+    let _sent = changes.send(Change::Endpoint(Box::new(endpoint))).await;
     Ok(())
 }
 
-/// Writes the own endpoint whenever it changes.
+/// Writes the endpoint of this node whenever it changes.
 async fn announce<C, S>(shared: Arc<Shared<C>>, store: S)
 where
     C: Clock,
@@ -185,11 +188,11 @@
     let mut sequence = 0;
     loop {
         sequence += 1;
-        let own = build_endpoint(&shared, sequence);
-        if let Some(endpoint) = own {
+        let local = build_endpoint(&shared, sequence);
+        if let Some(endpoint) = local {
             while let Err(error) = put(&store, &endpoint).await {
                 info!(error:%; "announcement_lost");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
         tokio::select! {
@@ -206,11 +209,11 @@
     let backend = shared.backend.borrow().clone()?;
     let is_leaving = backend.leaving || *shared.leaving.borrow();
     let settings = &shared.settings;
-    let started = shared.clock.wall().duration_since(UNIX_EPOCH);
+    let since_epoch = shared.clock.wall().duration_since(UNIX_EPOCH);
     Some(Endpoint {
         node: settings.name.clone(),
         incarnation: shared.incarnation,
-        started_ms: started.map_or(0, |age| u64::try_from(age.as_millis()).unwrap_or(0)),
+        started_ms: since_epoch.map_or(0, |age| u64::try_from(age.as_millis()).unwrap_or(0)),
         sequence,
         process: backend.process(),
         service: backend.service,
@@ -232,7 +235,7 @@
 where
     S: Store,
 {
-    let name = format!("{PREFIX}{}", endpoint.node);
+    let name = format!("{ENDPOINT_PREFIX}{}", endpoint.node);
     let value =
         serde_json::to_value(endpoint).map_err(|error| Error::Invalid(error.to_string()))?;
     match store.get(&name).await? {
@@ -242,7 +245,7 @@
     Ok(())
 }
 
-/// Tells the others that this node has left for good.
+/// Tells the other nodes that this node has left for good: writes its endpoint as gone.
 pub(crate) async fn announce_gone<C>(shared: &Shared<C>)
 where
     C: Clock,
--- a/crates/node/tests/control.rs
+++ b/crates/node/tests/control.rs
@@ -1,4 +1,4 @@
-//! How a node takes part in the distribution of endpoints.
+//! Participation of a node in the distribution of endpoints.
 
 use clock::System;
 use config::State;
@@ -14,12 +14,12 @@
     nodes = 127.0.0.1:3\noperators = 127.0.0.1:4\n\
     [fleet]\nplatform = 127.0.0.1:5\n[operators]\ntoken = 0123456789abcdef\n";
 
-// A backend server starts before its node and announces itself as soon as the
-// node listens. Callers everywhere are told that its service is not there, for
-// as long as the node runs. Cause: the part that tells the others subscribed
-// to announcements a moment later, and waited for the next change.
+// A backend server that announces itself before the control part of its node has started must
+// still be propagated to other nodes. The control part subscribed to announcements a moment later
+// and waited for the next change, so that callers found no backend server of the service for as
+// long as the node ran.
 #[tokio::test]
-async fn announced_before() {
+async fn announced_before_start() {
     let shared = Shared::new(Settings::parse(SETTINGS, "test").unwrap(), 7, System);
     shared.backend.send_replace(Some(Backend {
         instance: None,
@@ -37,12 +37,12 @@
         loop {
             let view = shared.view.load_full();
             let mut endpoints = view.endpoints().iter();
-            if endpoints.any(|known| known.state == State::Serving) {
+            if endpoints.any(|endpoint| endpoint.state == State::Serving) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
     let found = tokio::time::timeout(Duration::from_secs(20), is_serving).await;
-    assert!(found.is_ok(), "the announcement was never told");
+    assert!(found.is_ok(), "the announcement was not propagated");
 }
