--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -1,4 +1,5 @@
-//! What this node knows of roll-outs: which endpoints its calls go to, and what they came to.
+//! Roll-outs as seen by the outbound proxy: which endpoints calls may go to, and the results of
+//! those calls.
 
 use config::rollout::{Counts, KIND_COUNT, Stage, Tally};
 use config::{Endpoint, Rollout, ServiceKey, View};
@@ -9,127 +10,138 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// What a call at one version of a service under trial came to.
+/// Result of a call to a service with a roll-out, counted for the version that served it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallResult {
-    /// It was answered in the usual time.
+    /// The call was answered in the usual time.
     Normal,
-    /// It failed.
+    /// The call failed.
     Failed,
-    /// It took several times as long as usual.
+    /// The call took several times as long as usual.
     Slow,
 }
 
-/// Roll-outs as calls see them.
+/// The roll-outs known to this node, with the results of its calls.
 #[derive(Debug, Default)]
 pub struct Rollouts {
-    /// Share of a service's calls that try a new version.
-    share: f64,
-    known: RwLock<BTreeMap<SmolStr, Rollout>>,
-    /// Whether there are any; spares most calls the lock.
-    is_any: AtomicBool,
-    /// Grows with each change.
+    /// Share of a service's calls that go to the new version during its trial.
+    trial_share: f64,
+    by_service: RwLock<BTreeMap<SmolStr, Rollout>>,
+    /// Whether any roll-out is known; lets most calls avoid the lock.
+    has_any: AtomicBool,
+    /// Increases with each change.
     generation: AtomicU64,
-    trials: Mutex<BTreeMap<SmolStr, Trial>>,
+    trials: Mutex<BTreeMap<SmolStr, TrialStats>>,
 }
 
-/// What the calls of one service came to, for one roll-out.
+/// Call results of one service in one roll-out.
 #[derive(Debug)]
-struct Trial {
+struct TrialStats {
     target: SmolStr,
     tally: Tally,
     sampler: Sampler,
 }
 
-/// Where the calls of a service may go.
+/// Decides which endpoints of a service calls may go to during its roll-out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct TrafficSplit {
     target: SmolStr,
     stage: Stage,
-    /// Whether there are endpoints of other versions.
-    has_old: bool,
-    /// Nodes whose endpoints the trial goes to.
-    tried: BTreeSet<SmolStr>,
+    /// Whether there are endpoints of other versions than the target.
+    has_stable: bool,
+    /// Nodes whose endpoints take part in the trial.
+    trial_nodes: BTreeSet<SmolStr>,
 }
 
 impl Rollouts {
-    /// Knows no roll-out; `allowed` is the share of a service's calls that may reach a bad version.
+    /// Creates an empty set; `allowed_share` is the share of a service's calls that may reach a bad
+    /// version.
     #[must_use]
-    pub fn new(allowed: f64) -> Self {
+    pub fn new(allowed_share: f64) -> Self {
         Self {
-            share: trial_share(allowed),
+            trial_share: trial_share(allowed_share),
             ..Self::default()
         }
     }
 
-    /// Takes in how all roll-outs stand.
+    /// Replaces all roll-outs by their current states.
     pub(crate) fn set(&self, list: Vec<Rollout>) {
         let mut trials = self.trials.lock();
-        trials.retain(|service, one| {
+        trials.retain(|service, trial| {
             list.iter()
-                .any(|rollout| rollout.service == *service && rollout.target == one.target)
+                .any(|rollout| rollout.service == *service && rollout.target == trial.target)
         });
         drop(trials);
-        let mut known = self.known.write();
-        self.is_any.store(!list.is_empty(), Ordering::Relaxed);
+        let mut rollouts = self.by_service.write();
+        self.has_any.store(!list.is_empty(), Ordering::Relaxed);
         let list = list.into_iter();
-        let next: BTreeMap<_, _> = list.map(|one| (one.service.clone(), one)).collect();
-        let stands = |rollout: &Rollout| (rollout.target.clone(), rollout.stage);
-        let is_same = known.len() == next.len()
-            && next.iter().all(|(service, one)| {
-                known
+        let next: BTreeMap<_, _> = list
+            .map(|rollout| (rollout.service.clone(), rollout))
+            .collect();
+        let state = |rollout: &Rollout| (rollout.target.clone(), rollout.stage);
+        let is_same = rollouts.len() == next.len()
+            && next.iter().all(|(service, rollout)| {
+                rollouts
                     .get(service)
-                    .is_some_and(|old| stands(old) == stands(one))
+                    .is_some_and(|old| state(old) == state(rollout))
             });
-        *known = next;
+        *rollouts = next;
         if !is_same {
             self.generation.fetch_add(1, Ordering::Release);
         }
     }
 
-    /// Gives a number that grows with each change.
+    /// Returns a number that increases with each change.
     pub(crate) fn generation(&self) -> u64 {
         self.generation.load(Ordering::Acquire)
     }
 
-    /// Gives the roll-out of a service, if there is one.
+    /// Returns the roll-out of a service, if there is one.
     pub(crate) fn get(&self, service: &str) -> Option<Rollout> {
-        if !self.is_any.load(Ordering::Relaxed) {
+        if !self.has_any.load(Ordering::Relaxed) {
             return None;
         }
-        self.known.read().get(service).cloned()
+        self.by_service.read().get(service).cloned()
     }
 
-    /// Tells where the calls of a service may go by the endpoints of a view.
+    /// Returns the traffic split for a service's endpoints in a view, if it has a roll-out.
     pub(crate) fn split(&self, view: &View, service: ServiceKey) -> Option<TrafficSplit> {
         let service = view.service(service);
         let rollout = self.get(&service.name)?;
         let endpoints = service.endpoints.iter();
         let endpoints = endpoints.map(|endpoint| view.endpoint(*endpoint));
-        let (new, old): (Vec<_>, Vec<_>) =
+        let (new, stable): (Vec<_>, Vec<_>) =
             endpoints.partition(|endpoint| endpoint.version == rollout.target);
-        let mut new: Vec<_> = new.into_iter().map(|one| one.node.clone()).collect();
-        // All proxies choose the same ones, spread over zones as the names are.
+        let mut new: Vec<_> = new
+            .into_iter()
+            .map(|endpoint| endpoint.node.clone())
+            .collect();
+        // All proxies choose the same nodes, spread over zones by the hashes of their names.
         new.sort_by_cached_key(|node| (policy::hash(node), node.clone()));
-        new.truncate(trial_endpoint_count(self.share, old.len(), new.len()));
+        new.truncate(trial_endpoint_count(
+            self.trial_share,
+            stable.len(),
+            new.len(),
+        ));
         Some(TrafficSplit {
             target: rollout.target,
             stage: rollout.stage,
-            has_old: !old.is_empty(),
-            tried: new.into_iter().collect(),
+            has_stable: !stable.is_empty(),
+            trial_nodes: new.into_iter().collect(),
         })
     }
 
-    /// Tells whether a call of a service is to try the version under trial.
+    /// Returns whether a call of a service should go to the version under trial.
     pub(crate) fn sample(&self, service: &str) -> bool {
         let Some(rollout) = self.get(service) else {
             return false;
         };
         rollout.stage == Stage::Canary
-            && self.with_trial(&rollout, |trial| trial.sampler.sample(self.share))
+            && self.with_trial(&rollout, |trial| trial.sampler.sample(self.trial_share))
     }
 
-    /// Counts a call that begins at an endpoint; gives what is to be told of its end.
+    /// Counts the start of a call at an endpoint; returns the handle that its end and result are
+    /// recorded with.
     pub(crate) fn begin_call(&self, endpoint: &Endpoint) -> Option<RolloutCall> {
         let rollout = self.get(&endpoint.service)?;
         if rollout.stage.is_final() {
@@ -142,50 +154,50 @@
         Some(RolloutCall { rollout, is_trial })
     }
 
-    /// Takes in that a call has left its endpoint.
-    pub(crate) fn end_call(&self, begun: &RolloutCall) {
-        if !begun.is_trial {
-            self.with_trial(&begun.rollout, |trial| {
+    /// Records that a call has ended at its endpoint.
+    pub(crate) fn end_call(&self, call: &RolloutCall) {
+        if !call.is_trial {
+            self.with_trial(&call.rollout, |trial| {
                 trial.tally.pending = trial.tally.pending.saturating_sub(1);
             });
         }
     }
 
-    /// Takes in what a call of a kind came to.
-    pub(crate) fn record_result(&self, begun: &RolloutCall, kind: usize, ending: CallResult) {
-        self.with_trial(&begun.rollout, |trial| {
-            let counts = if begun.is_trial {
+    /// Records the result of a call of the given kind.
+    pub(crate) fn record_result(&self, call: &RolloutCall, kind: usize, result: CallResult) {
+        self.with_trial(&call.rollout, |trial| {
+            let counts = if call.is_trial {
                 &mut trial.tally.trial
             } else {
                 &mut trial.tally.stable
             };
-            note(&mut counts[kind.min(KIND_COUNT - 1)], ending);
+            count_result(&mut counts[kind.min(KIND_COUNT - 1)], result);
         });
     }
 
-    /// Gives what was counted of all services.
+    /// Returns the tallies of all services.
     pub(crate) fn tallies(&self) -> Vec<(SmolStr, Tally)> {
         let trials = self.trials.lock();
         let all = trials.iter();
-        all.map(|(service, one)| (service.clone(), one.tally))
+        all.map(|(service, trial)| (service.clone(), trial.tally))
             .collect()
     }
 
-    fn with_trial<T, F>(&self, rollout: &Rollout, act: F) -> T
+    fn with_trial<T, F>(&self, rollout: &Rollout, update: F) -> T
     where
-        F: FnOnce(&mut Trial) -> T,
+        F: FnOnce(&mut TrialStats) -> T,
     {
         let mut trials = self.trials.lock();
         let entry = trials.entry(rollout.service.clone());
-        let entry = entry.or_insert_with(|| Trial::new(&rollout.target));
+        let entry = entry.or_insert_with(|| TrialStats::new(&rollout.target));
         if entry.target != rollout.target {
-            *entry = Trial::new(&rollout.target);
+            *entry = TrialStats::new(&rollout.target);
         }
-        act(entry)
+        update(entry)
     }
 }
 
-impl Trial {
+impl TrialStats {
     fn new(target: &SmolStr) -> Self {
         Self {
             target: target.clone(),
@@ -195,7 +207,7 @@
     }
 }
 
-/// A call that runs at an endpoint of a service under trial.
+/// A call at an endpoint of a service that has a roll-out in progress.
 #[derive(Debug, Clone)]
 pub(crate) struct RolloutCall {
     rollout: Rollout,
@@ -203,19 +215,19 @@
 }
 
 impl TrafficSplit {
-    /// Tells which calls an endpoint takes.
+    /// Returns which calls an endpoint takes.
     pub(crate) fn track(&self, endpoint: &Endpoint) -> Track {
         let endpoint = rollout::Endpoint {
             is_new: endpoint.version == self.target,
-            is_in_trial: self.tried.contains(&endpoint.node),
+            is_in_trial: self.trial_nodes.contains(&endpoint.node),
         };
-        track_of(self.stage, endpoint, self.has_old)
+        track_of(self.stage, endpoint, self.has_stable)
     }
 }
 
-fn note(counts: &mut Counts, ending: CallResult) {
+fn count_result(counts: &mut Counts, result: CallResult) {
     counts.ended = counts.ended.saturating_add(1);
-    match ending {
+    match result {
         CallResult::Normal => {}
         CallResult::Failed => counts.failed = counts.failed.saturating_add(1),
         CallResult::Slow => counts.slow = counts.slow.saturating_add(1),
