--- a/crates/node/src/inbound.rs
+++ b/crates/node/src/inbound.rs
@@ -1,7 +1,8 @@
-//! The inbound proxy: gives calls to the node's own backend server.
+//! The inbound proxy: runs calls on the backend server of this node.
 //!
-//! It alone talks to that backend server, and holds the table of calls that
-//! settles what became of one when a link has gone silent.
+//! It is the only component that talks to that backend server. It also keeps the table of
+//! received attempts, from which an outbound proxy learns the outcome of an attempt after a link
+//! went silent.
 
 pub(crate) mod admission_gate;
 pub(crate) mod body_receiver;
@@ -15,8 +16,8 @@
 pub(crate) mod running_calls;
 
 use crate::backend::Pool;
-use crate::inbound::admission_gate::Gate;
-use crate::inbound::body_receiver::Bodies;
+use crate::inbound::admission_gate::AdmissionGate;
+use crate::inbound::body_receiver::BodyReceiver;
 use crate::inbound::inbound_call::InboundCall;
 use crate::inbound::link::run_link;
 use crate::inbound::run::{BackendResponse, Refused};
@@ -39,16 +40,18 @@
 use wire::Hello;
 use wire::call::{Frame, Look, Reason, Request};
 
-/// Parts of the table of calls, each under its own lock; a peer's calls are all in one.
-const SHARDS: usize = 16;
+/// Number of shards of the attempt table, each with its own lock; all attempts of a peer are in
+/// one shard.
+const SHARD_COUNT: usize = 16;
 
-/// Time between two rounds of forgetting peers and outcomes.
-const FORGET_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval at which expired peers and outcomes are removed.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Longest wait at a stop for links whose peers read nothing; one that lives reads within milliseconds.
-const FLUSH_LIMIT: Duration = Duration::from_secs(5);
+/// Longest wait at a stop for links whose peers read nothing; a live peer reads within
+/// milliseconds.
+const MAX_FLUSH_WAIT: Duration = Duration::from_secs(5);
 
-/// The inbound proxy.
+/// Handle to the inbound proxy.
 #[derive(Debug, Clone)]
 pub struct Handle<C>
 where
@@ -64,18 +67,18 @@
 {
     pub(crate) shared: Arc<Shared<C>>,
     pub(crate) pool: Arc<Pool<C>>,
-    tables: [Mutex<AttemptTable<Arc<InboundCall>>>; SHARDS],
+    attempt_tables: [Mutex<AttemptTable<Arc<InboundCall>>>; SHARD_COUNT],
     links: Mutex<Vec<Weak<Sender>>>,
-    pub(crate) gate: Arc<Gate<C>>,
-    pub(crate) bodies: Arc<Bodies<C>>,
-    /// The calls that the backend server runs.
-    pub(crate) parents: Arc<RunningCalls>,
-    /// The calls that are in flight at the backend server, and may be as it ends.
+    pub(crate) gate: Arc<AdmissionGate<C>>,
+    pub(crate) body_receiver: Arc<BodyReceiver<C>>,
+    /// The calls that the backend server is running, as parents of nested calls.
+    pub(crate) running_calls: Arc<RunningCalls>,
+    /// The calls in flight at the backend server; if its process ends, they are suspects.
     pub(crate) in_flight: Mutex<in_flight::Table>,
-    /// The permit is out while a request under suspicion is in flight.
-    pub(crate) suspects: Arc<Semaphore>,
-    /// A permit is out for each answer that is held ahead of its reader.
-    pub(crate) ahead: Arc<Semaphore>,
+    /// Holds one permit, which is taken while a suspect request is in flight.
+    pub(crate) suspect_permits: Arc<Semaphore>,
+    /// Each response that is read ahead of its reader takes a permit.
+    pub(crate) read_ahead_permits: Arc<Semaphore>,
 }
 
 /// Starts the inbound proxy.
@@ -85,20 +88,25 @@
     C: Clock,
 {
     let rate = shared.settings.link_mbps.map(Rate::bytes_per_second);
-    let most_held = u64::from(shared.settings.body_kb) << 10;
+    let max_held = u64::from(shared.settings.body_kb) << 10;
     let inner = Arc::new(Inner {
         pool: Pool::new(shared.clock.clone()),
-        gate: Gate::spawn(shared.clock.clone(), shared.incarnation),
-        bodies: Bodies::spawn(shared.clock.clone(), rate, most_held, shared.incarnation),
+        gate: AdmissionGate::spawn(shared.clock.clone(), shared.incarnation),
+        body_receiver: BodyReceiver::spawn(
+            shared.clock.clone(),
+            rate,
+            max_held,
+            shared.incarnation,
+        ),
         shared,
-        tables: Default::default(),
+        attempt_tables: Default::default(),
         links: Mutex::default(),
-        parents: Arc::default(),
+        running_calls: Arc::default(),
         in_flight: Mutex::default(),
-        suspects: Arc::new(Semaphore::new(1)),
-        ahead: Arc::new(Semaphore::new(deliver::MAX_AHEAD)),
+        suspect_permits: Arc::new(Semaphore::new(1)),
+        read_ahead_permits: Arc::new(Semaphore::new(deliver::MAX_READ_AHEAD_RESPONSES)),
     });
-    tokio::spawn(forget(Arc::downgrade(&inner)));
+    tokio::spawn(run_expiry(Arc::downgrade(&inner)));
     tokio::spawn(announce_leaving(Arc::downgrade(&inner)));
     Handle { inner }
 }
@@ -107,19 +115,19 @@
 where
     C: Clock,
 {
-    /// Takes over an accepted call link, whose hellos are done both ways.
+    /// Serves an accepted call link on which both sides have exchanged their hellos.
     ///
     /// # Errors
     ///
-    /// When the socket's options can't be set.
+    /// Fails if the socket options can't be set.
     pub fn accept(&self, stream: TcpStream, hello: &Hello) -> io::Result<()> {
         let (sender, receiver) = crate::link::open(stream)?;
         let mut links = self.inner.links.lock();
         links.retain(|known| known.strong_count() > 0);
         links.push(Arc::downgrade(&sender));
-        // Looked at under the lock, as by the task that tells of changes: a server
-        // that came back in between would be told of first, and count as leaving
-        // at this peer for as long as the link lives.
+        // Checked under the lock that `announce_leaving` also takes. Otherwise, the peer could
+        // receive the announcement of a backend server that is back before this frame, and would
+        // regard it as leaving for as long as the link is open.
         if self.inner.is_leaving() {
             drop(sender.send([Frame::Leaving(true)]));
         }
@@ -129,12 +137,12 @@
         Ok(())
     }
 
-    /// Tells how a call runs on the backend server, if it does now.
+    /// Returns the running call with this name, if there is one.
     pub(crate) fn find_running(&self, name: &str) -> Option<RunningCall> {
-        self.inner.parents.find(policy::hash(name))
+        self.inner.running_calls.find(policy::hash(name))
     }
 
-    /// Gives what would become of a call that enters on this VM.
+    /// Estimates what would happen to a call that enters on this VM.
     pub(crate) fn estimate(&self, look: &Look) -> Estimate {
         load_probe::estimate(&self.inner, look)
     }
@@ -151,8 +159,8 @@
             started.store(true, Ordering::Relaxed);
             true
         };
-        let came = self.inner.shared.clock.now();
-        let run = run::run(&self.inner, request, upload, deadline, came, start);
+        let received_at = self.inner.shared.clock.now();
+        let run = run::run(&self.inner, request, upload, deadline, received_at, start);
         tokio::select! {
             biased;
             ended = run => ended,
@@ -164,7 +172,8 @@
         }
     }
 
-    /// Runs a call that entered on this VM, on past its deadline for as long as the receiver is held.
+    /// Runs a call that entered on this VM. It may continue past its deadline, for as long as the
+    /// receiver is held.
     pub(crate) fn spawn_local(
         &self,
         request: Request,
@@ -174,8 +183,8 @@
         let (mut sender, receiver) = oneshot::channel();
         let inner = Arc::clone(&self.inner);
         tokio::spawn(async move {
-            let came = inner.shared.clock.now();
-            let run = run::run(&inner, request, upload, deadline, came, || true);
+            let received_at = inner.shared.clock.now();
+            let run = run::run(&inner, request, upload, deadline, received_at, || true);
             let overdue = async {
                 run::sleep_until(&inner, deadline).await;
                 tokio::time::sleep(run::MAX_COMMIT_OVERRUN).await;
@@ -183,7 +192,7 @@
             let ended = tokio::select! {
                 biased;
                 ended = run => Some(ended),
-                // What nobody waits for any more is dropped with its connection.
+                // The receiver is gone: drop the call and its connection.
                 () = sender.closed() => None,
                 () = overdue => None,
             };
@@ -194,15 +203,15 @@
         receiver
     }
 
-    /// Waits until nothing is in flight, and gives what is left of it at `timeout`.
+    /// Waits until nothing is in flight; returns how many calls are left at `timeout`.
     pub async fn drain(&self, timeout: Duration) -> usize {
         let mut active = self.inner.shared.in_flight.subscribe();
         let mut answers = self.inner.shared.answers.subscribe();
         let ended = async {
             drop(active.wait_for(|count| *count == 0).await);
             drop(answers.wait_for(|count| *count == 0).await);
-            // A peer that reads nothing is given up as its answers are.
-            drop(tokio::time::timeout(FLUSH_LIMIT, self.flush()).await);
+            // A peer that reads nothing is abandoned, as its responses are.
+            drop(tokio::time::timeout(MAX_FLUSH_WAIT, self.flush()).await);
         };
         if tokio::time::timeout(timeout, ended).await.is_ok() {
             return 0;
@@ -211,7 +220,7 @@
         in_flight.max(*self.inner.shared.answers.borrow()).max(1)
     }
 
-    /// Waits until the sockets of all links have taken what was sent.
+    /// Waits until everything that was sent has been written to the sockets of all links.
     async fn flush(&self) {
         let links = self.inner.links.lock().clone();
         for sender in links.iter().filter_map(Weak::upgrade) {
@@ -224,7 +233,7 @@
 where
     C: Clock,
 {
-    /// Tells whether new work is refused.
+    /// Returns whether new calls are refused.
     pub(crate) fn is_leaving(&self) -> bool {
         *self.shared.leaving.borrow()
             || self
@@ -232,61 +241,61 @@
                 .backend
                 .borrow()
                 .as_ref()
-                .is_some_and(|own| own.leaving)
+                .is_some_and(|backend| backend.leaving)
     }
 
-    /// Waits until new work is refused.
-    pub(crate) async fn left(&self) {
+    /// Waits until new calls are refused.
+    pub(crate) async fn wait_leaving(&self) {
         let mut node = self.shared.leaving.subscribe();
         let mut backend = self.shared.backend.subscribe();
-        // The senders live as long as the shared state.
+        // The senders live as long as the shared state, so `wait_for` doesn't fail.
         tokio::select! {
             _ = node.wait_for(|leaving| *leaving) => {}
-            _ = backend.wait_for(|own| own.as_ref().is_none_or(|own| own.leaving)) => {}
+            _ = backend.wait_for(|backend| backend.as_ref().is_none_or(|backend| backend.leaving)) => {}
         }
     }
 
-    /// Gives the backend server that takes calls of `service` now.
+    /// Returns the backend server if it currently accepts calls of `service`.
     pub(crate) fn find_backend(&self, service: &str) -> Result<Backend, Reason> {
         if *self.shared.leaving.borrow() {
             return Err(Reason::Leaving);
         }
         match &*self.shared.backend.borrow() {
-            Some(own) if own.service != service => Err(Reason::NoService),
-            Some(own) if own.leaving => Err(Reason::Leaving),
-            Some(own) => Ok(own.clone()),
+            Some(backend) if backend.service != service => Err(Reason::NoService),
+            Some(backend) if backend.leaving => Err(Reason::Leaving),
+            Some(backend) => Ok(backend.clone()),
             None => Err(Reason::NoService),
         }
     }
 
-    pub(crate) fn table(&self, origin: u64) -> &Mutex<AttemptTable<Arc<InboundCall>>> {
+    pub(crate) fn attempt_table(&self, origin: u64) -> &Mutex<AttemptTable<Arc<InboundCall>>> {
         #[expect(
             clippy::cast_possible_truncation,
             reason = "only the low bits choose the shard"
         )]
-        &self.tables[origin as usize % SHARDS]
+        &self.attempt_tables[origin as usize % SHARD_COUNT]
     }
 
-    /// Marks a call as over.
+    /// Marks an attempt as finished.
     pub(crate) fn finish(&self, id: Id) {
-        self.table(id.origin)
+        self.attempt_table(id.origin)
             .lock()
             .finish(id, self.shared.clock.now());
     }
 }
 
-async fn forget<C>(inner: Weak<Inner<C>>)
+async fn run_expiry<C>(inner: Weak<Inner<C>>)
 where
     C: Clock,
 {
-    let mut rounds = tokio::time::interval(FORGET_INTERVAL);
+    let mut interval = tokio::time::interval(EXPIRY_INTERVAL);
     loop {
-        rounds.tick().await;
+        interval.tick().await;
         let Some(inner) = inner.upgrade() else {
             return;
         };
         let now = inner.shared.clock.now();
-        for table in &inner.tables {
+        for table in &inner.attempt_tables {
             let mut table = table.lock();
             table.expire_outcomes(now);
             table.expire_peers(now);
@@ -294,7 +303,7 @@
     }
 }
 
-/// Tells every peer when this node or its backend server begins to leave, or is back.
+/// Tells every peer when this node or its backend server starts to leave or is back.
 async fn announce_leaving<C>(inner: Weak<Inner<C>>)
 where
     C: Clock,
@@ -307,8 +316,8 @@
     }) else {
         return;
     };
-    let mut told = false;
-    let mut here = backend.borrow().clone();
+    let mut sent = false;
+    let mut previous = backend.borrow().clone();
     loop {
         let changed = tokio::select! {
             changed = node.changed() => changed,
@@ -317,14 +326,15 @@
         let Some(inner) = inner.upgrade().filter(|_| changed.is_ok()) else {
             return;
         };
-        // One that is back is another process; what the former one closed goes.
+        // A backend server that is back is a new process: drop the connections that the previous
+        // one closed.
         inner.pool.drop_ended();
-        let now_here = inner.shared.backend.borrow().clone();
-        note_replaced(&inner, here.as_ref(), now_here.as_ref());
-        here = now_here;
+        let current = inner.shared.backend.borrow().clone();
+        record_replaced_process(&inner, previous.as_ref(), current.as_ref());
+        previous = current;
         let links = inner.links.lock();
         let leaving = inner.is_leaving();
-        if std::mem::replace(&mut told, leaving) == leaving {
+        if std::mem::replace(&mut sent, leaving) == leaving {
             continue;
         }
         for sender in links.iter().filter_map(Weak::upgrade) {
@@ -333,15 +343,19 @@
     }
 }
 
-/// Takes in that a process of the backend server has another in its place, and said no farewell.
-fn note_replaced<C>(inner: &Inner<C>, former: Option<&Backend>, present: Option<&Backend>)
-where
+/// Records a crash if another process has replaced one of the backend server that didn't announce
+/// that it leaves.
+fn record_replaced_process<C>(
+    inner: &Inner<C>,
+    previous: Option<&Backend>,
+    current: Option<&Backend>,
+) where
     C: Clock,
 {
-    if let (Some(former), Some(present)) = (former, present)
-        && former.process() != present.process()
-        && !former.leaving
+    if let (Some(previous), Some(current)) = (previous, current)
+        && previous.process() != current.process()
+        && !previous.leaving
     {
-        crash::note_end(inner, former);
+        crash::record_crash(inner, previous);
     }
 }
--- a/crates/node/src/inbound/admission_gate.rs
+++ b/crates/node/src/inbound/admission_gate.rs
@@ -1,4 +1,5 @@
-//! The gate in front of the own backend server: runs `policy::admission` for calls that wait.
+//! Admission to the backend server of this node: runs `policy::admission` and holds the calls
+//! that wait.
 
 use clock::Clock;
 use parking_lot::Mutex;
@@ -14,15 +15,15 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, oneshot};
 
-/// Longest sleep of the task that gives up on calls when none waits.
+/// Longest sleep of the timer task while no call waits.
 const IDLE_SLEEP: Duration = Duration::from_mins(1);
 
-/// The gate in front of the own backend server.
-pub(crate) struct Gate<C> {
+/// Admits calls to the backend server of this node.
+pub(crate) struct AdmissionGate<C> {
     clock: C,
     state: Mutex<State>,
-    /// Told when a call begins to wait.
-    waiting: Notify,
+    /// Wakes the timer task when a call starts to wait.
+    timer_wakeup: Notify,
 }
 
 #[derive(Debug)]
@@ -33,74 +34,74 @@
     rng: SmallRng,
 }
 
-/// The right to run one call; dropping it lets the next one run.
+/// Permission to run one call; dropping it frees the slot for the next call.
 #[derive(Debug)]
 pub(crate) struct Permit<C>
 where
     C: Clock,
 {
-    gate: Arc<Gate<C>>,
+    gate: Arc<AdmissionGate<C>>,
     ticket: Option<Ticket>,
-    /// How the call has ended, for the limit that is found from it.
+    /// How the call ended, as input to the concurrency limit.
     pub(crate) outcome: Outcome,
 }
 
-/// What becomes of a call at the gate.
+/// What the gate decides on a call.
 #[derive(Debug)]
-pub(crate) enum Offer<C>
+pub(crate) enum GateDecision<C>
 where
     C: Clock,
 {
     Run(Permit<C>),
-    Wait(Waiting<C>),
+    Wait(WaitingCall<C>),
     Refuse(Refusal),
 }
 
-/// A call that waits at the gate; dropping it withdraws it.
+/// A call that waits for a slot; dropping it withdraws the call.
 #[derive(Debug)]
-pub(crate) struct Waiting<C>
+pub(crate) struct WaitingCall<C>
 where
     C: Clock,
 {
-    gate: Arc<Gate<C>>,
+    gate: Arc<AdmissionGate<C>>,
     key: Key,
     receiver: oneshot::Receiver<Result<Ticket, Refusal>>,
 }
 
-impl<C> fmt::Debug for Gate<C> {
+impl<C> fmt::Debug for AdmissionGate<C> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Gate").finish_non_exhaustive()
+        f.debug_struct("AdmissionGate").finish_non_exhaustive()
     }
 }
 
 impl State {
-    fn tell_slots(&mut self, slots: u16) {
+    fn set_slots(&mut self, slots: u16) {
         if self.slots != slots {
             self.slots = slots;
             self.admission.set_advertised_slots(slots);
         }
     }
 
-    /// Lets the calls run that may, and refuses those that are given up on.
+    /// Admits the waiting calls that may run, and refuses those that have run out of time.
     fn advance(&mut self, now: Instant) {
         while let Some(next) = self.admission.next(now, &mut self.rng) {
             let (key, result) = match next {
                 Next::Run(key, ticket) => (key, Ok(ticket)),
                 Next::Refuse(key, refusal) => (key, Err(refusal)),
             };
-            let unsent = match self.waiting.remove(&key) {
+            let undelivered = match self.waiting.remove(&key) {
                 Some(sender) => sender.send(result).err(),
                 None => Some(result),
             };
-            // Nobody waits for it any more: its slot is for the next one.
-            if let Some(Ok(ticket)) = unsent {
+            // The caller has stopped waiting: free the slot for the next call.
+            if let Some(Ok(ticket)) = undelivered {
                 self.admission.finish(now, ticket, Outcome::Failed);
             }
         }
     }
 }
 
-impl<C> Gate<C>
+impl<C> AdmissionGate<C>
 where
     C: Clock,
 {
@@ -114,26 +115,26 @@
                 waiting: HashMap::new(),
                 rng: SmallRng::seed_from_u64(seed),
             }),
-            waiting: Notify::new(),
+            timer_wakeup: Notify::new(),
         });
-        tokio::spawn(give_up(Arc::downgrade(&gate)));
+        tokio::spawn(run_timer(Arc::downgrade(&gate)));
         gate
     }
 
-    /// Offers a call to the backend server, which says that it has `slots`.
-    pub(crate) fn offer(self: &Arc<Self>, slots: u16, request: &Request) -> Offer<C> {
+    /// Offers a call to the backend server, which advertises `slots`.
+    pub(crate) fn offer(self: &Arc<Self>, slots: u16, request: &Request) -> GateDecision<C> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let state = &mut *state;
-        state.tell_slots(slots);
+        state.set_slots(slots);
         match state.admission.offer(now, request, &mut state.rng) {
-            Decision::Run(ticket) => Offer::Run(self.permit(ticket)),
-            Decision::Refuse(refusal) => Offer::Refuse(refusal),
+            Decision::Run(ticket) => GateDecision::Run(self.permit(ticket)),
+            Decision::Refuse(refusal) => GateDecision::Refuse(refusal),
             Decision::Wait(key) => {
                 let (sender, receiver) = oneshot::channel();
                 state.waiting.insert(key, sender);
-                self.waiting.notify_one();
-                Offer::Wait(Waiting {
+                self.timer_wakeup.notify_one();
+                GateDecision::Wait(WaitingCall {
                     gate: Arc::clone(self),
                     key,
                     receiver,
@@ -142,28 +143,28 @@
         }
     }
 
-    /// Gives what would become of a call at the backend server, which says that it has `slots`.
-    pub(crate) fn outlook(&self, slots: u16, request: &Request) -> Estimate {
+    /// Estimates what would happen to a call at the backend server, which advertises `slots`.
+    pub(crate) fn estimate(&self, slots: u16, request: &Request) -> Estimate {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        state.tell_slots(slots);
+        state.set_slots(slots);
         state.admission.estimate(now, request)
     }
 
-    /// Refuses a call that would be refused now, before its body is asked for.
-    pub(crate) fn foresee(&self, request: &Request) -> Option<Refusal> {
+    /// Returns the refusal of a call that would be refused now, before its body is requested.
+    pub(crate) fn precheck(&self, request: &Request) -> Option<Refusal> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let state = &mut *state;
         state.admission.precheck(now, request, &mut state.rng)
     }
 
-    /// Gives how long a call of `route` is expected to run.
-    pub(crate) fn expect(&self, route: u64) -> Duration {
+    /// Returns how long a call of `route` is expected to run.
+    pub(crate) fn expected_duration(&self, route: u64) -> Duration {
         self.state.lock().admission.expected_duration(route)
     }
 
-    /// Gives calls running and waiting over slots.
+    /// Returns the number of running and waiting calls over the number of slots.
     pub(crate) fn load(&self) -> f64 {
         self.state.lock().admission.load()
     }
@@ -184,20 +185,20 @@
     }
 }
 
-impl<C> Waiting<C>
+impl<C> WaitingCall<C>
 where
     C: Clock,
 {
-    /// Waits until the call may run or is refused.
-    pub(crate) async fn decided(mut self) -> Result<Permit<C>, Refusal> {
+    /// Waits until the call is admitted or refused.
+    pub(crate) async fn wait(mut self) -> Result<Permit<C>, Refusal> {
         let decided = (&mut self.receiver).await;
-        // The gate answers all that wait, and outlives them.
+        // The gate outlives all waiting calls and decides on each of them.
         let ticket = decided.expect("the gate decides on every call")?;
         Ok(self.gate.permit(ticket))
     }
 }
 
-impl<C> Drop for Waiting<C>
+impl<C> Drop for WaitingCall<C>
 where
     C: Clock,
 {
@@ -207,7 +208,7 @@
         if state.waiting.remove(&self.key).is_some() {
             state.admission.withdraw(now, self.key);
         } else if let Ok(Ok(ticket)) = self.receiver.try_recv() {
-            // It was let in while it went away.
+            // The call was admitted while it was being dropped.
             state.admission.finish(now, ticket, Outcome::Failed);
             state.advance(now);
         }
@@ -218,7 +219,7 @@
 where
     C: Clock,
 {
-    /// Gives calls running and waiting over slots.
+    /// Returns the number of running and waiting calls over the number of slots.
     pub(crate) fn load(&self) -> f64 {
         self.gate.load()
     }
@@ -235,24 +236,24 @@
     }
 }
 
-/// Refuses waiting calls as their time at the gate is over.
-async fn give_up<C>(gate: Weak<Gate<C>>)
+/// Timer task: refuses waiting calls whose time at the gate is over.
+async fn run_timer<C>(gate: Weak<AdmissionGate<C>>)
 where
     C: Clock,
 {
     loop {
-        let Some(held) = gate.upgrade() else {
+        let Some(gate) = gate.upgrade() else {
             return;
         };
-        let now = held.clock.now();
+        let now = gate.clock.now();
         let wake_at = {
-            let mut state = held.state.lock();
+            let mut state = gate.state.lock();
             state.advance(now);
             state.admission.wake_at()
         };
         let sleep = wake_at.map_or(IDLE_SLEEP, |at| at.saturating_duration_since(now));
         tokio::select! {
-            () = held.waiting.notified() => {}
+            () = gate.timer_wakeup.notified() => {}
             () = tokio::time::sleep(sleep) => {}
         }
     }
--- a/crates/node/src/inbound/body_receiver.rs
+++ b/crates/node/src/inbound/body_receiver.rs
@@ -1,4 +1,5 @@
-//! The bodies that other nodes send: runs `policy::body_scheduler` for calls whose bodies come in.
+//! Receives request bodies from other nodes: runs `policy::body_scheduler`, which decides whose
+//! sender gets credit.
 
 use crate::inbound::inbound_call::InboundCall;
 use call::Id;
@@ -14,223 +15,225 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, oneshot};
 
-/// Longest sleep of the task that gives up on bodies when none is on its way.
+/// Longest sleep of the timer task while no body is pending.
 const IDLE_SLEEP: Duration = Duration::from_mins(1);
 
-/// Why a body is not here.
+/// Why a body wasn't received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Error {
-    /// It could not be whole in time, and nothing more of it is asked for.
+    /// The body can't arrive in time; its sender gets no more credit.
     Refused(Refusal),
-    /// Its link ended before it.
-    BrokenOff,
+    /// The link or the body ended early.
+    Aborted,
 }
 
-/// The bodies that come in over the VM's link.
-pub(crate) struct Bodies<C> {
+/// Receives the request bodies that arrive over the VM's link.
+pub(crate) struct BodyReceiver<C> {
     clock: C,
     state: Mutex<State>,
-    /// Told when a body is asked for.
-    asked: Notify,
+    /// Wakes the timer task when a body is offered.
+    timer_wakeup: Notify,
 }
 
 struct State {
-    intake: BodyScheduler,
-    pulls: HashMap<Key, Pull>,
+    scheduler: BodyScheduler,
+    pending: HashMap<Key, PendingBody>,
     keys: HashMap<Id, Key>,
     rng: SmallRng,
 }
 
-/// Tells when a body is here, or why it is not.
-type Ended = oneshot::Receiver<Result<(), Error>>;
+/// Receives the result when the body is complete or was given up.
+type ResultReceiver = oneshot::Receiver<Result<(), Error>>;
 
-/// A body on its way.
-struct Pull {
+/// A body that is being received.
+struct PendingBody {
     call: Arc<InboundCall>,
-    ended: oneshot::Sender<Result<(), Error>>,
+    result_sender: oneshot::Sender<Result<(), Error>>,
 }
 
-/// A body that is here; dropping it makes room for another one.
+/// A body that was received; dropping it frees its memory for another one.
 #[derive(Debug)]
-pub(crate) struct Held<C>
+pub(crate) struct HeldBody<C>
 where
     C: Clock,
 {
-    bodies: Arc<Bodies<C>>,
+    receiver: Arc<BodyReceiver<C>>,
     length: u64,
 }
 
-impl<C> Drop for Held<C>
+impl<C> Drop for HeldBody<C>
 where
     C: Clock,
 {
     fn drop(&mut self) {
-        let now = self.bodies.clock.now();
-        let mut state = self.bodies.state.lock();
-        state.intake.release(self.length);
+        let now = self.receiver.clock.now();
+        let mut state = self.receiver.state.lock();
+        state.scheduler.release(self.length);
         state.advance(now);
     }
 }
 
-/// A body that is waited for; dropping it gives it up.
-struct Waiting<'a, C>
+/// Waits for a body; dropping it gives the body up.
+struct ReceiveGuard<'a, C>
 where
     C: Clock,
 {
-    bodies: &'a Bodies<C>,
+    receiver: &'a BodyReceiver<C>,
     id: Id,
 }
 
-impl<C> fmt::Debug for Bodies<C> {
+impl<C> fmt::Debug for BodyReceiver<C> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Bodies").finish_non_exhaustive()
+        f.debug_struct("BodyReceiver").finish_non_exhaustive()
     }
 }
 
 impl State {
-    /// Asks for what may come now, and ends what can't be whole in time.
+    /// Grants the credit that is due, and ends the bodies that can't be complete in time.
     fn advance(&mut self, now: Instant) {
-        while let Some(next) = self.intake.next(now, &mut self.rng) {
+        while let Some(next) = self.scheduler.next(now, &mut self.rng) {
             match next {
                 Next::Credit(key, bytes) => {
-                    if let Some(pull) = self.pulls.get(&key) {
-                        pull.call.ask_more(bytes);
+                    if let Some(pending) = self.pending.get(&key) {
+                        pending.call.grant_credit(bytes);
                     }
                 }
-                Next::Refuse(key, refusal) => self.end(key, Err(Error::Refused(refusal))),
+                Next::Refuse(key, refusal) => self.finish(key, Err(Error::Refused(refusal))),
             }
         }
     }
 
-    fn end(&mut self, key: Key, result: Result<(), Error>) {
-        self.intake.remove(key);
-        if let Some(pull) = self.pulls.remove(&key) {
-            self.keys.remove(&pull.call.id);
-            // When nobody waits for it any more, it is given up already.
-            let _heard = pull.ended.send(result);
+    fn finish(&mut self, key: Key, result: Result<(), Error>) {
+        self.scheduler.remove(key);
+        if let Some(pending) = self.pending.remove(&key) {
+            self.keys.remove(&pending.call.id);
+            // If nobody waits any more, the body was already given up.
+            let _undelivered = pending.result_sender.send(result);
         }
     }
 }
 
-impl<C> Bodies<C>
+impl<C> BodyReceiver<C>
 where
     C: Clock,
 {
-    /// Starts with a link of so many bytes a second, if that is known, and room for `most_held` bytes.
-    pub(crate) fn spawn(clock: C, rate: Option<f64>, most_held: u64, seed: u64) -> Arc<Self> {
-        let bodies = Arc::new(Self {
+    /// Starts with the link's `rate` in bytes per second, if it is known, and a limit of
+    /// `max_held` bytes in memory.
+    pub(crate) fn spawn(clock: C, rate: Option<f64>, max_held: u64, seed: u64) -> Arc<Self> {
+        let receiver = Arc::new(Self {
             state: Mutex::new(State {
-                intake: BodyScheduler::new(clock.now(), rate, most_held),
-                pulls: HashMap::new(),
+                scheduler: BodyScheduler::new(clock.now(), rate, max_held),
+                pending: HashMap::new(),
                 keys: HashMap::new(),
                 rng: SmallRng::seed_from_u64(seed),
             }),
             clock,
-            asked: Notify::new(),
+            timer_wakeup: Notify::new(),
         });
-        tokio::spawn(give_up(Arc::downgrade(&bodies)));
-        bodies
+        tokio::spawn(run_timer(Arc::downgrade(&receiver)));
+        receiver
     }
 
-    /// Waits until the body of a call is here, as far as its length is known.
-    pub(crate) async fn pull(
+    /// Waits until the body of a call has been received, up to the length in its offer.
+    pub(crate) async fn receive(
         self: &Arc<Self>,
         call: &Arc<InboundCall>,
-        ask: &BodyOffer,
-    ) -> Result<Held<C>, Error> {
-        let receiver = self.ask(call, ask).map_err(Error::Refused)?;
-        let _waiting = Waiting {
-            bodies: self,
+        offer: &BodyOffer,
+    ) -> Result<HeldBody<C>, Error> {
+        let receiver = self.offer(call, offer).map_err(Error::Refused)?;
+        let _guard = ReceiveGuard {
+            receiver: self,
             id: call.id,
         };
-        receiver.await.unwrap_or(Err(Error::BrokenOff))?;
-        Ok(Held {
-            bodies: Arc::clone(self),
-            length: ask.length,
+        receiver.await.unwrap_or(Err(Error::Aborted))?;
+        Ok(HeldBody {
+            receiver: Arc::clone(self),
+            length: offer.length,
         })
     }
 
-    fn ask(&self, call: &Arc<InboundCall>, ask: &BodyOffer) -> Result<Ended, Refusal> {
+    fn offer(&self, call: &Arc<InboundCall>, offer: &BodyOffer) -> Result<ResultReceiver, Refusal> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let state = &mut *state;
-        let key = state.intake.offer(now, ask, &mut state.rng)?;
+        let key = state.scheduler.offer(now, offer, &mut state.rng)?;
         let (sender, receiver) = oneshot::channel();
-        let pull = Pull {
+        let pending = PendingBody {
             call: Arc::clone(call),
-            ended: sender,
+            result_sender: sender,
         };
-        state.pulls.insert(key, pull);
+        state.pending.insert(key, pending);
         state.keys.insert(call.id, key);
         state.advance(now);
-        self.asked.notify_one();
+        self.timer_wakeup.notify_one();
         Ok(receiver)
     }
 
-    /// Takes in that bytes of a call's body came.
-    pub(crate) fn take(&self, id: Id, bytes: usize, end: bool) {
+    /// Records that bytes of a call's body were received.
+    pub(crate) fn record_received(&self, id: Id, bytes: usize, end: bool) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let Some(key) = state.keys.get(&id).copied() else {
             return;
         };
-        state.intake.receive(now, key, bytes as u64);
-        if !state.intake.is_pending(key) {
-            state.end(key, Ok(()));
+        state.scheduler.receive(now, key, bytes as u64);
+        if !state.scheduler.is_pending(key) {
+            state.finish(key, Ok(()));
         } else if end {
-            // Shorter than its sender said it would be.
-            state.end(key, Err(Error::BrokenOff));
+            // The body is shorter than its announced length.
+            state.finish(key, Err(Error::Aborted));
         }
         state.advance(now);
     }
 
-    /// Takes in that no more of a call's body will come.
-    pub(crate) fn break_off(&self, id: Id) {
-        self.end(id, Err(Error::BrokenOff));
+    /// Ends the body of a call of which no more will arrive.
+    pub(crate) fn abort(&self, id: Id) {
+        self.finish(id, Err(Error::Aborted));
     }
 
-    /// Gives bodies that wait or come in over those that make the link count as full.
+    /// Returns the number of waiting and incoming bodies over the number at which the link counts
+    /// as full.
     pub(crate) fn load(&self) -> f64 {
-        self.state.lock().intake.load()
+        self.state.lock().scheduler.load()
     }
 
-    fn end(&self, id: Id, result: Result<(), Error>) {
+    fn finish(&self, id: Id, result: Result<(), Error>) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         if let Some(key) = state.keys.get(&id).copied() {
-            state.end(key, result);
+            state.finish(key, result);
             state.advance(now);
         }
     }
 }
 
-impl<C> Drop for Waiting<'_, C>
+impl<C> Drop for ReceiveGuard<'_, C>
 where
     C: Clock,
 {
     fn drop(&mut self) {
-        self.bodies.end(self.id, Err(Error::BrokenOff));
+        self.receiver.finish(self.id, Err(Error::Aborted));
     }
 }
 
-/// Refuses waiting bodies as their time is over, and goes on past those that stall.
-async fn give_up<C>(bodies: Weak<Bodies<C>>)
+/// Timer task: refuses waiting bodies whose time is over, and passes over senders that stall.
+async fn run_timer<C>(receiver: Weak<BodyReceiver<C>>)
 where
     C: Clock,
 {
     loop {
-        let Some(held) = bodies.upgrade() else {
+        let Some(receiver) = receiver.upgrade() else {
             return;
         };
-        let now = held.clock.now();
+        let now = receiver.clock.now();
         let wake_at = {
-            let mut state = held.state.lock();
+            let mut state = receiver.state.lock();
             state.advance(now);
-            state.intake.wake_at(now)
+            state.scheduler.wake_at(now)
         };
         let sleep = wake_at.map_or(IDLE_SLEEP, |at| at.saturating_duration_since(now));
         tokio::select! {
-            () = held.asked.notified() => {}
+            () = receiver.timer_wakeup.notified() => {}
             () = tokio::time::sleep(sleep) => {}
         }
     }
--- a/crates/node/src/inbound/crash.rs
+++ b/crates/node/src/inbound/crash.rs
@@ -1,4 +1,4 @@
-//! Which calls were in flight at the own backend server as its process ended: runs
+//! Detects that the process of the backend server has ended with calls in flight: runs
 //! `policy::in_flight`.
 
 use crate::inbound::Inner;
@@ -15,96 +15,98 @@
 use tokio::sync::OwnedSemaphorePermit;
 use wire::call::{Reason, Request};
 
-/// Time between two looks at a backend server that broke off a call and still listens:
-/// the system takes the sockets of a process that ends one by one.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// Time until a backend server that broke off a call and still listens is checked again: the
+/// operating system closes the sockets of a process that ends one by one.
+const RECHECK_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest wait of a nested call for another suspect: that one may be the call that it is
-/// made for, and wait for it.
-const NESTED_PATIENCE: Duration = Duration::from_millis(50);
+/// Longest wait of a nested call for another suspect, which may be its own parent and wait for it
+/// in turn.
+const MAX_NESTED_WAIT: Duration = Duration::from_millis(50);
 
-/// When a request under suspicion may come back if another one is in flight.
-const BUSY_WAIT_MS: u32 = 100;
+/// Retry-after of a suspect request that is refused because another one is in flight.
+const SUSPECT_RETRY_AFTER_MS: u32 = 100;
 
-/// Counts a call as in flight at the backend server until it is dropped.
+/// A call in flight at the backend server, until it is dropped.
 #[derive(Debug)]
-pub(crate) struct InFlight<C>
+pub(crate) struct InFlightCall<C>
 where
     C: Clock,
 {
     inner: Arc<Inner<C>>,
     backend: Backend,
     key: Key,
-    request: call::Digest,
+    digest: call::Digest,
     outcome: Outcome,
-    _exclusive: Exclusive,
-    /// What the calls that the backend server makes for this one find, while it runs.
-    parent: Option<RunningCallGuard>,
+    _suspect_permit: SuspectPermit,
+    /// Makes the call known as a parent of nested calls while it runs.
+    running_call: Option<RunningCallGuard>,
 }
 
-/// The right of one request under suspicion to be in flight; the others wait for it.
+/// Permit for a request to be in flight; only one suspect request at a time gets one.
 #[derive(Debug)]
-pub(crate) struct Exclusive {
+pub(crate) struct SuspectPermit {
     is_suspect: bool,
-    /// Keeps other suspects from the backend server.
+    /// Held by a suspect; keeps other suspects from the backend server.
     _permit: Option<OwnedSemaphorePermit>,
 }
 
-impl Exclusive {
-    /// Waits until no other request under suspicion is in flight, if this one is under
-    /// suspicion.
+impl SuspectPermit {
+    /// If this request is a suspect, waits until no other suspect is in flight.
     ///
-    /// Guards against an innocent request that is held: beside one that crashes what runs
-    /// it, it would be in as many crashes. A crash with one suspect in flight shows which.
-    pub(crate) async fn wait<C>(inner: &Inner<C>, request: &Request) -> Result<Self, Refused>
+    /// Guards against holding an innocent request: next to one that crashes backend servers, it
+    /// would be part of as many crashes. A crash with a single suspect in flight identifies the
+    /// cause.
+    pub(crate) async fn acquire<C>(inner: &Inner<C>, request: &Request) -> Result<Self, Refused>
     where
         C: Clock,
     {
-        let is_suspect = is_suspected(inner, request)? || request.is_suspect;
+        let is_suspect = check_quarantine(inner, request)? || request.is_suspect;
         if !is_suspect {
             return Ok(Self {
                 is_suspect,
                 _permit: None,
             });
         }
-        let patience = match request.nested {
-            Some(_) => NESTED_PATIENCE,
+        let max_wait = match request.nested {
+            Some(_) => MAX_NESTED_WAIT,
             None => Duration::MAX,
         };
-        let permit = Arc::clone(&inner.suspects).acquire_owned();
+        let permit = Arc::clone(&inner.suspect_permits).acquire_owned();
         let permit = tokio::select! {
             biased;
-            permit = tokio::time::timeout(patience, permit) => permit.ok().and_then(Result::ok),
-            () = inner.left() => return Err(Refused::not_run(Reason::Leaving, 0)),
+            permit = tokio::time::timeout(max_wait, permit) => permit.ok().and_then(Result::ok),
+            () = inner.wait_leaving() => return Err(Refused::not_run(Reason::Leaving, 0)),
         };
-        // What ran before may have been the same request.
-        is_suspected(inner, request)?;
+        // The suspect that ran before may have been the same request, and may have crashed the
+        // backend server.
+        check_quarantine(inner, request)?;
         Ok(Self {
             is_suspect,
             _permit: permit,
         })
     }
 
-    /// Looks again after a wait for a slot, in which the request may have come under suspicion.
-    pub(crate) fn confirm<C>(self, inner: &Inner<C>, request: &Request) -> Result<Self, Refused>
+    /// Checks again after the wait for a slot, during which the request may have become a
+    /// suspect.
+    pub(crate) fn recheck<C>(self, inner: &Inner<C>, request: &Request) -> Result<Self, Refused>
     where
         C: Clock,
     {
-        if !is_suspected(inner, request)? || self.is_suspect {
+        if !check_quarantine(inner, request)? || self.is_suspect {
             return Ok(self);
         }
-        match Arc::clone(&inner.suspects).try_acquire_owned() {
+        match Arc::clone(&inner.suspect_permits).try_acquire_owned() {
             Ok(permit) => Ok(Self {
                 is_suspect: true,
                 _permit: Some(permit),
             }),
-            Err(_another) => Err(Refused::not_run(Reason::Full, BUSY_WAIT_MS)),
+            Err(_another) => Err(Refused::not_run(Reason::Full, SUSPECT_RETRY_AFTER_MS)),
         }
     }
 }
 
-/// Tells whether a request is under suspicion, and refuses one that is held.
-pub(crate) fn is_suspected<C>(inner: &Inner<C>, request: &Request) -> Result<bool, Refused>
+/// Returns whether a request is a suspect, and refuses one that is held.
+pub(crate) fn check_quarantine<C>(inner: &Inner<C>, request: &Request) -> Result<bool, Refused>
 where
     C: Clock,
 {
@@ -116,22 +118,22 @@
     }
 }
 
-impl<C> InFlight<C>
+impl<C> InFlightCall<C>
 where
     C: Clock,
 {
-    /// Counts a call as about to be given to the backend server.
+    /// Registers a call that is about to be sent to the backend server.
     pub(crate) fn new(
         inner: &Arc<Inner<C>>,
         backend: &Backend,
         request: &Request,
-        exclusive: Exclusive,
+        suspect_permit: SuspectPermit,
     ) -> Self {
         let tracked = in_flight::Request {
             digest: request.digest,
             method: request.method.clone(),
             path: truncate_path(&request.path),
-            is_suspect: exclusive.is_suspect,
+            is_suspect: suspect_permit.is_suspect,
         };
         let now = inner.shared.clock.now();
         let key = inner
@@ -142,42 +144,43 @@
             inner: Arc::clone(inner),
             backend: backend.clone(),
             key,
-            request: request.digest,
+            digest: request.digest,
             outcome: Outcome::NotRun,
-            _exclusive: exclusive,
-            parent: None,
+            _suspect_permit: suspect_permit,
+            running_call: None,
         }
     }
 
-    /// Notes that the backend server gets the call now, and may run it.
-    pub(crate) fn begin(&mut self, parent: RunningCallGuard) {
-        self.parent = Some(parent);
+    /// Records that the call is being sent to the backend server and may run from now on.
+    pub(crate) fn mark_begun(&mut self, running_call: RunningCallGuard) {
+        self.running_call = Some(running_call);
         self.outcome = Outcome::Unanswered;
     }
 
-    /// Says what the call came to; once begun it is unanswered unless this is called.
+    /// Sets the outcome of the call; a call that was sent counts as unanswered if this isn't
+    /// called.
     pub(crate) fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    /// Ends a call whose connection broke; tells whether the process has ended.
+    /// Finishes a call whose connection broke; returns whether the process has ended.
     pub(crate) async fn finish_broken(self) -> bool {
         let (inner, backend) = (Arc::clone(&self.inner), self.backend.clone());
         drop(self);
-        let has_ended = look(&inner, &backend).await;
+        let has_ended = detect_crash(&inner, &backend).await;
         if !has_ended {
-            look_later(inner, backend);
+            detect_crash_later(inner, backend);
         }
         has_ended
     }
 
-    /// Looks after a process that broke off in the midst of an answer.
-    pub(crate) fn look_later(&self) {
-        look_later(Arc::clone(&self.inner), self.backend.clone());
+    /// Schedules a check of a process that broke off in the middle of a response.
+    pub(crate) fn detect_crash_later(&self) {
+        detect_crash_later(Arc::clone(&self.inner), self.backend.clone());
     }
 }
 
-impl<C> Drop for InFlight<C>
+impl<C> Drop for InFlightCall<C>
 where
     C: Clock,
 {
@@ -191,62 +194,64 @@
         if self.outcome == Outcome::Answered {
             shared
                 .quarantine
-                .record_answer(&shared.clock, &shared.metrics, self.request);
+                .record_answer(&shared.clock, &shared.metrics, self.digest);
         }
     }
 }
 
-fn look_later<C>(inner: Arc<Inner<C>>, backend: Backend)
+fn detect_crash_later<C>(inner: Arc<Inner<C>>, backend: Backend)
 where
     C: Clock,
 {
     tokio::spawn(async move {
-        tokio::time::sleep(LOOK_AGAIN).await;
-        look(&inner, &backend).await;
+        tokio::time::sleep(RECHECK_DELAY).await;
+        detect_crash(&inner, &backend).await;
     });
 }
 
-/// Looks whether a process that broke off a call has ended, and if so takes in what ran on it.
-pub(crate) async fn look<C>(inner: &Inner<C>, backend: &Backend) -> bool
+/// Checks whether a process that broke off a call has ended, and if so records the crash with the
+/// calls that were in flight.
+pub(crate) async fn detect_crash<C>(inner: &Inner<C>, backend: &Backend) -> bool
 where
     C: Clock,
 {
     let now = inner.shared.clock.now();
-    let is_doubted = inner
+    let has_unanswered = inner
         .in_flight
         .lock()
         .has_unanswered(now, backend.process());
-    if !is_doubted || !inner.pool.is_deserted(backend.address).await {
+    if !has_unanswered || !inner.pool.is_deserted(backend.address).await {
         return false;
     }
-    note_end(inner, backend);
+    record_crash(inner, backend);
     true
 }
 
-/// Takes in that a process of the backend server has ended without a farewell.
-pub(crate) fn note_end<C>(inner: &Inner<C>, backend: &Backend)
+/// Records that a process of the backend server has ended without announcing that it leaves.
+pub(crate) fn record_crash<C>(inner: &Inner<C>, backend: &Backend)
 where
     C: Clock,
 {
     let shared = &inner.shared;
-    let found = inner
+    let suspects = inner
         .in_flight
         .lock()
         .take_suspects(shared.clock.now(), backend.process());
-    // One that has said farewell may end as it likes once its time is over.
+    // A process that has announced that it leaves may be ended in any way after its stop time;
+    // that isn't a crash.
     let process = backend.process();
-    let has_left = |own: &Backend| own.leaving && own.process() == process;
-    if found.is_empty() || shared.backend.borrow().as_ref().is_some_and(has_left) {
+    let has_left = |current: &Backend| current.leaving && current.process() == process;
+    if suspects.is_empty() || shared.backend.borrow().as_ref().is_some_and(has_left) {
         return;
     }
     warn!(
         service = backend.service.as_str(),
         process,
-        requests = found.len();
+        requests = suspects.len();
         "backend_crashed"
     );
-    let id = name_end(&shared.settings.name, process);
-    let crashes = found
+    let id = crash_id(&shared.settings.name, process);
+    let crashes = suspects
         .into_iter()
         .map(|Suspect { request, is_alone }| Crash {
             id,
@@ -265,11 +270,12 @@
         .report_crashes(&shared.clock, &shared.metrics, crashes);
 }
 
-/// Names the end of a process, the same each time that it is found.
+/// Returns an identifier for the end of a process, the same each time that it is detected.
 ///
-/// A call that meets the closing port a moment later finds it once more: counted as another
-/// end, one crash would be two. A process without a name of its own is told from none.
-fn name_end(node: &str, process: u64) -> u64 {
+/// A call that finds the port closed a moment later detects the same end again; with a different
+/// identifier, one crash would count as two. A process without an identity (0) can't be told from
+/// others, so each detection gets a random identifier.
+fn crash_id(node: &str, process: u64) -> u64 {
     match process {
         0 => rand::random(),
         process => owner::rank(process, node),
--- a/crates/node/src/inbound/inbound_call.rs
+++ b/crates/node/src/inbound/inbound_call.rs
@@ -1,6 +1,6 @@
 //! One call from another node, as the inbound proxy sees it.
 
-use crate::inbound::response_stream::Outgoing;
+use crate::inbound::response_stream::ResponseStream;
 use crate::link::Sender;
 use crate::link::wake;
 use crate::upload::{self, Rest, Upload};
@@ -16,181 +16,182 @@
 use tokio::time::timeout;
 use wire::call::{Answer, EAGER, Frame, Reason, Refusal, WINDOW};
 
-/// Time between two looks at whether an answer's reader takes anything.
-const TAKE_TICK: Duration = Duration::from_secs(1);
+/// Interval at which the progress of a response's reader is checked.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Looks in a row without progress after which an answer is given up.
+/// Number of consecutive checks without progress after which a response is given up.
 ///
-/// Five seconds bear a reader whose VM stands still for some seconds, a lost
-/// link that is made again within two, and three lost packets in a row, which
-/// TCP sends again after 0.2, 0.6 and 1.4 s. They are counted rather than
-/// timed: a node that itself was stopped finds one look gone by, and reads first
-/// what has come meanwhile.
-const TAKE_TICKS: u32 = 5;
-
-/// The reader of an answer has taken nothing for too long.
+/// Five seconds tolerate a VM that is paused for some seconds, a lost link that is re-established
+/// within two, and three consecutive packet losses, which TCP retransmits after 0.2, 0.6 and 1.4
+/// s. Checks are counted instead of measuring the time: a node that was paused itself counts a
+/// single check, and first reads what has arrived meanwhile.
+const MAX_STALLED_CHECKS: u32 = 5;
+
+/// The reader of a response has taken nothing for too long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Untaken;
+pub(crate) struct ReaderStalled;
 
 /// One call from another node.
 #[derive(Debug)]
 pub(crate) struct InboundCall {
     pub(crate) id: Id,
-    answer: Mutex<Outgoing>,
-    upload: Mutex<Incoming>,
+    response: Mutex<ResponseStream>,
+    request_body: Mutex<IncomingBody>,
     cancel: Notify,
 }
 
-/// The request's body, on its way to the backend server.
+/// The request body on its way to the backend server.
 #[derive(Debug, Default)]
-struct Incoming {
-    parts: VecDeque<Bytes>,
+struct IncomingBody {
+    chunks: VecDeque<Bytes>,
     ended: bool,
-    broken: bool,
-    over: bool,
-    /// Bytes that its sender may send, of which so many have come.
-    allowed: u64,
-    came: u64,
-    taken: usize,
+    aborted: bool,
+    discarded: bool,
+    /// Bytes that the sender may send in total; `received` counts those that have arrived.
+    credit_limit: u64,
+    received: u64,
+    consumed: usize,
     reader: Option<Waker>,
 }
 
 impl InboundCall {
-    /// Makes a call whose request has a body of so many bytes, as far as is known, or none.
-    pub(crate) fn new(id: Id, link: Arc<Sender>, whole: bool, length: u64) -> Arc<Self> {
-        // A short body comes unasked, with its head.
+    /// Creates a call; `length` is the known length of its body, and `is_complete` means that
+    /// none follows.
+    pub(crate) fn new(id: Id, link: Arc<Sender>, is_complete: bool, length: u64) -> Arc<Self> {
+        // A short body follows the head without being requested.
         let eager = if length <= EAGER as u64 { EAGER } else { 0 };
         Arc::new(Self {
             id,
-            answer: Mutex::new(Outgoing::new(id, link)),
-            upload: Mutex::new(Incoming {
-                ended: whole,
-                allowed: eager as u64,
-                ..Incoming::default()
+            response: Mutex::new(ResponseStream::new(id, link)),
+            request_body: Mutex::new(IncomingBody {
+                ended: is_complete,
+                credit_limit: eager as u64,
+                ..IncomingBody::default()
             }),
             cancel: Notify::new(),
         })
     }
 
-    /// Takes a part of the request's body; false when it breaks the protocol.
-    pub(crate) fn take_part(&self, bytes: Bytes, end: bool) -> bool {
-        let mut upload = self.upload.lock();
-        upload.came += bytes.len() as u64;
-        if upload.ended || upload.came > upload.allowed {
+    /// Handles a chunk of the request body; returns false if the peer violates the protocol.
+    pub(crate) fn receive_chunk(&self, bytes: Bytes, end: bool) -> bool {
+        let mut body = self.request_body.lock();
+        body.received += bytes.len() as u64;
+        if body.ended || body.received > body.credit_limit {
             return false;
         }
-        if upload.over {
+        if body.discarded {
             return true;
         }
         if !bytes.is_empty() {
-            upload.parts.push_back(bytes);
+            body.chunks.push_back(bytes);
         }
-        upload.ended = end;
-        wake(&mut upload.reader);
+        body.ended = end;
+        wake(&mut body.reader);
         true
     }
 
-    /// Asks for more of the request's body.
-    pub(crate) fn ask_more(&self, bytes: u32) {
-        self.upload.lock().allowed += u64::from(bytes);
+    /// Grants the sender credit for more of the request body.
+    pub(crate) fn grant_credit(&self, bytes: u32) {
+        self.request_body.lock().credit_limit += u64::from(bytes);
         let credit = Frame::Credit { id: self.id, bytes };
-        // A closed link breaks the body off by itself.
-        drop(self.answer.lock().link().send([credit]));
+        // If the link is closed, the reader of that link aborts the body.
+        drop(self.response.lock().link().send([credit]));
     }
 
-    /// Lets go of what is left of the request's body: its call is over.
+    /// Discards the rest of the request body after the call has ended.
     ///
-    /// A call that is refused early leaves a window of it unread, which would
-    /// stay for as long as the outcome is kept.
-    pub(crate) fn drop_upload(&self) {
-        let mut upload = self.upload.lock();
-        upload.parts.clear();
-        upload.over = true;
+    /// A call that is refused early leaves up to a window of its body unread, which would stay in
+    /// memory for as long as the outcome is kept.
+    pub(crate) fn discard_request_body(&self) {
+        let mut body = self.request_body.lock();
+        body.chunks.clear();
+        body.discarded = true;
     }
 
-    /// Breaks the request's body off when its link is gone before its end.
+    /// Aborts the request body if its link was lost before the end.
     ///
-    /// Otherwise a backend server would wait for the rest for ever, or take
-    /// half of a request for the whole.
-    pub(crate) fn break_upload(&self) {
-        let mut upload = self.upload.lock();
-        upload.broken = !upload.ended;
-        wake(&mut upload.reader);
+    /// Otherwise, the backend server would wait for the rest for ever, or take half of a request
+    /// for a complete one.
+    pub(crate) fn abort_request_body(&self) {
+        let mut body = self.request_body.lock();
+        body.aborted = !body.ended;
+        wake(&mut body.reader);
     }
 
-    /// Tells whether the answer goes over `link`.
-    pub(crate) fn is_on(&self, link: &Arc<Sender>) -> bool {
-        Arc::ptr_eq(self.answer.lock().link(), link)
+    /// Returns whether the response is sent over `link`.
+    pub(crate) fn uses_link(&self, link: &Arc<Sender>) -> bool {
+        Arc::ptr_eq(self.response.lock().link(), link)
     }
 
-    /// Tells whether more of the request's body is wanted.
-    pub(crate) fn wants_more(&self) -> bool {
-        let upload = self.upload.lock();
-        !upload.ended && !upload.over
+    /// Returns whether more of the request body is expected.
+    pub(crate) fn expects_body(&self) -> bool {
+        let body = self.request_body.lock();
+        !body.ended && !body.discarded
     }
 
-    /// Tells whether a body is to be asked for: none of it has come, and it has not ended.
-    pub(crate) fn has_unasked(&self) -> bool {
-        let upload = self.upload.lock();
-        !upload.ended && upload.allowed == 0
+    /// Returns whether the body has to be requested: it hasn't ended, and its sender has no
+    /// credit yet.
+    pub(crate) fn needs_body_credit(&self) -> bool {
+        let body = self.request_body.lock();
+        !body.ended && body.credit_limit == 0
     }
 
-    /// Gives the request's body when it has come whole already.
-    pub(crate) fn take_whole(&self) -> Option<Upload> {
-        let mut upload = self.upload.lock();
-        (upload.ended && upload.parts.len() <= 1).then(|| Upload {
-            ready: upload.parts.pop_front(),
+    /// Returns the request body if all of it has already arrived.
+    pub(crate) fn take_complete_body(&self) -> Option<Upload> {
+        let mut body = self.request_body.lock();
+        (body.ended && body.chunks.len() <= 1).then(|| Upload {
+            ready: body.chunks.pop_front(),
             rest: Rest::Done,
         })
     }
 
-    /// Waits for the next part of the request's body.
+    /// Polls for the next chunk of the request body.
     pub(crate) fn poll_request_body(
         &self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, upload::Error>>> {
-        let mut upload = self.upload.lock();
-        if let Some(part) = upload.parts.pop_front() {
-            upload.taken += part.len();
-            if upload.taken >= WINDOW / 2 && !upload.ended {
-                let bytes = u32::try_from(upload.taken).unwrap_or(u32::MAX);
-                upload.taken = 0;
-                drop(upload);
-                self.ask_more(bytes);
+        let mut body = self.request_body.lock();
+        if let Some(chunk) = body.chunks.pop_front() {
+            body.consumed += chunk.len();
+            if body.consumed >= WINDOW / 2 && !body.ended {
+                let bytes = u32::try_from(body.consumed).unwrap_or(u32::MAX);
+                body.consumed = 0;
+                drop(body);
+                self.grant_credit(bytes);
             }
-            return Poll::Ready(Some(Ok(part)));
+            return Poll::Ready(Some(Ok(chunk)));
         }
-        if upload.ended {
+        if body.ended {
             return Poll::Ready(None);
         }
-        if upload.broken {
+        if body.aborted {
             return Poll::Ready(Some(Err(upload::Error::Ended)));
         }
-        upload.reader = Some(cx.waker().clone());
+        body.reader = Some(cx.waker().clone());
         Poll::Pending
     }
 
-    /// Notes that the outbound proxy has room for more of the answer.
+    /// Adds credit of the outbound proxy for more of the response.
     pub(crate) fn add_credit(&self, bytes: u32) {
-        self.answer.lock().add_credit(bytes);
+        self.response.lock().add_credit(bytes);
     }
 
-    /// Asks the call to end; whoever runs it says how it ended.
+    /// Requests that the call ends; the task that runs it reports the outcome.
     pub(crate) fn cancel(&self) {
-        self.answer.lock().cancelled = true;
+        self.response.lock().cancelled = true;
         self.cancel.notify_one();
     }
 
-    /// Waits until the call is asked to end.
+    /// Waits until the call is cancelled.
     pub(crate) async fn cancelled(&self) {
-        while !self.answer.lock().cancelled {
+        while !self.response.lock().cancelled {
             self.cancel.notified().await;
         }
     }
 
-    /// Ends the call without an answer, or without the rest of one.
+    /// Ends the call without a response, or without the rest of it.
     pub(crate) fn refuse(&self, verdict: Verdict, reason: Reason, retry_after_ms: u32) {
-        self.answer.lock().refuse(Refusal {
+        self.response.lock().refuse(Refusal {
             id: self.id,
             verdict,
             reason,
@@ -198,55 +199,64 @@
         });
     }
 
-    /// Sends the head of the answer, with the first part of its body if it is there.
+    /// Sends the head of the response, with the first chunk of its body if that is available.
     pub(crate) fn send_head(&self, head: Answer, first: Option<Bytes>, end: bool) {
-        self.answer.lock().send_head(head, first, end);
+        self.response.lock().send_head(head, first, end);
     }
 
-    /// Takes in a part of the answer's body, and sends what the outbound proxy has room for.
-    pub(crate) fn add_part(&self, bytes: Bytes) {
-        self.answer.lock().add_part(bytes);
+    /// Adds a chunk of the response body, and sends what the credit allows.
+    pub(crate) fn add_chunk(&self, bytes: Bytes) {
+        self.response.lock().add_chunk(bytes);
     }
 
-    /// Ends the answer's body.
-    pub(crate) fn end_answer(&self) {
-        self.answer.lock().end();
+    /// Ends the response body.
+    pub(crate) fn end_response(&self) {
+        self.response.lock().end();
     }
 
-    /// Gives the bytes of the answer that wait for room at the outbound proxy.
-    pub(crate) fn count_waiting(&self) -> usize {
-        self.answer.lock().count_waiting()
+    /// Returns the bytes of the response that wait for credit of the outbound proxy.
+    pub(crate) fn waiting_bytes(&self) -> usize {
+        self.response.lock().waiting_bytes()
     }
 
-    /// Waits until no more than `most` bytes of the answer wait for room at the outbound proxy.
+    /// Waits until at most `max_waiting` bytes of the response wait for credit.
     ///
-    /// Guards against a reader that is gone or stands still: only its own word makes
-    /// room, and a process that was killed never says one. Waited for as long as a
-    /// commit may run on, its answer held a slot of the backend server for up to 32 s.
+    /// Guards against a reader that has died or stalled: only the reader grants credit, and a
+    /// killed process never does. When this wait lasted as long as a commit may run past its
+    /// deadline, such a response held a slot of the backend server for up to 32 s.
     ///
     /// # Errors
     ///
-    /// When it took nothing for five seconds.
-    pub(crate) async fn wait_taken(&self, most: usize) -> Result<(), Untaken> {
-        let mut idle = 0;
-        let mut sent = self.answer.lock().sent();
-        while idle < TAKE_TICKS {
-            let taken = poll_fn(|cx| self.answer.lock().poll_waiting(cx, most));
-            if timeout(TAKE_TICK, taken).await.is_ok() {
+    /// Fails if the reader has taken nothing for five seconds.
+    pub(crate) async fn wait_drained(&self, max_waiting: usize) -> Result<(), ReaderStalled> {
+        let mut stalled_checks = 0;
+        let mut sent = self.response.lock().sent();
+        while stalled_checks < MAX_STALLED_CHECKS {
+            let drained = poll_fn(|cx| self.response.lock().poll_drained(cx, max_waiting));
+            if timeout(STALL_CHECK_INTERVAL, drained).await.is_ok() {
                 return Ok(());
             }
-            let now = self.answer.lock().sent();
-            idle = if now == sent { idle + 1 } else { 0 };
+            let now = self.response.lock().sent();
+            stalled_checks = if now == sent { stalled_checks + 1 } else { 0 };
             sent = now;
         }
-        Err(Untaken)
+        Err(ReaderStalled)
     }
 
-    /// Goes on over another link, from where the outbound proxy says that it is.
+    /// Continues the response over another link, from the position that the outbound proxy
+    /// reports.
     ///
-    /// Gives false when what it still needs is no longer kept.
-    pub(crate) fn resume(&self, link: Arc<Sender>, head: bool, received: u64, room: u32) -> bool {
-        self.break_upload();
-        self.answer.lock().resume(link, head, received, room)
+    /// Returns false if a part that it still needs is no longer held.
+    pub(crate) fn resume(
+        &self,
+        link: Arc<Sender>,
+        head_received: bool,
+        received: u64,
+        window: u32,
+    ) -> bool {
+        self.abort_request_body();
+        self.response
+            .lock()
+            .resume(link, head_received, received, window)
     }
 }
--- a/crates/node/src/inbound/link.rs
+++ b/crates/node/src/inbound/link.rs
@@ -1,4 +1,4 @@
-//! Reads the links from other nodes' outbound proxies.
+//! Reads the links from the outbound proxies of other nodes.
 
 use crate::inbound::Inner;
 use crate::inbound::inbound_call::InboundCall;
@@ -29,20 +29,22 @@
         uploads: &uploads,
     };
     let watch = || {
-        if uploads.lock().iter().any(|upload| upload.wants_more()) {
+        if uploads.lock().iter().any(|upload| upload.expects_body()) {
             Expected::Body
         } else {
             Expected::Nothing
         }
     };
-    receiver.run(|frame| reader.take(frame), watch).await;
+    receiver
+        .run(|frame| reader.handle_frame(frame), watch)
+        .await;
     for upload in uploads.into_inner() {
-        upload.break_upload();
-        inner.bodies.break_off(upload.id);
+        upload.abort_request_body();
+        inner.body_receiver.abort(upload.id);
     }
 }
 
-/// What reads one link.
+/// Handles the frames of one link.
 struct Reader<'a, C>
 where
     C: Clock,
@@ -50,9 +52,9 @@
     inner: &'a Arc<Inner<C>>,
     sender: &'a Arc<Sender>,
     origin: u64,
-    /// Number of the link, once it is open.
+    /// Number of the link, from its `Open` frame.
     link: Option<u64>,
-    /// Calls whose request's body has not come whole.
+    /// Calls whose request body is incomplete.
     uploads: &'a Mutex<Vec<Arc<InboundCall>>>,
 }
 
@@ -60,11 +62,11 @@
 where
     C: Clock,
 {
-    fn take(&mut self, frame: Frame) -> ControlFlow<()> {
+    fn handle_frame(&mut self, frame: Frame) -> ControlFlow<()> {
         if let Frame::Open { link } = frame {
             let now = self.inner.shared.clock.now();
             self.inner
-                .table(self.origin)
+                .attempt_table(self.origin)
                 .lock()
                 .open_link(self.origin, link, now);
             self.link = Some(link);
@@ -74,23 +76,23 @@
             return ControlFlow::Break(());
         };
         match frame {
-            Frame::Request(request) => self.start(request, link),
-            Frame::Body { id, bytes, end } => self.take_part(id, bytes, end),
+            Frame::Request(request) => self.start_call(request, link),
+            Frame::Body { id, bytes, end } => self.receive_chunk(id, bytes, end),
             Frame::Credit { id, bytes } => {
-                if let Some(call) = self.find(id) {
+                if let Some(call) = self.find_call(id) {
                     call.add_credit(bytes);
                 }
                 ControlFlow::Continue(())
             }
             Frame::Cancel(id) => {
-                if let Some(call) = self.find(id) {
+                if let Some(call) = self.find_call(id) {
                     call.cancel();
                 }
                 ControlFlow::Continue(())
             }
             Frame::Done(sequences) => {
                 let origin = self.origin;
-                let mut table = self.inner.table(origin).lock();
+                let mut table = self.inner.attempt_table(origin).lock();
                 for sequence in sequences {
                     table.acknowledge(Id { origin, sequence });
                 }
@@ -103,12 +105,12 @@
                 received,
                 room,
             } => {
-                self.answer(id, link, head, received, room);
+                self.answer_query(id, link, head, received, room);
                 ControlFlow::Continue(())
             }
             Frame::Look(look) => {
-                let outlook = Frame::Outlook(load_probe::tell_outlook(self.inner, &look));
-                // Whoever asked sees by the end of the link that no answer comes.
+                let outlook = Frame::Outlook(load_probe::answer_probe(self.inner, &look));
+                // If the link is closed, the peer sees from its end that no reply comes.
                 drop(self.sender.send([outlook]));
                 ControlFlow::Continue(())
             }
@@ -116,70 +118,77 @@
         }
     }
 
-    /// Finds a call that goes over this link.
+    /// Finds a call that uses this link.
     ///
-    /// What an earlier link still brings about a call that has moved on is
-    /// void: its credit is counted in the question that moved the call.
-    fn find(&self, id: Id) -> Option<Arc<InboundCall>> {
-        let table = self.inner.table(id.origin).lock();
+    /// Frames that still arrive on an earlier link for a call that has moved to another link are
+    /// ignored: their credit is included in the query that moved the call.
+    fn find_call(&self, id: Id) -> Option<Arc<InboundCall>> {
+        let table = self.inner.attempt_table(id.origin).lock();
         table
             .get(id)
-            .filter(|call| call.is_on(self.sender))
+            .filter(|call| call.uses_link(self.sender))
             .map(Arc::clone)
     }
 
-    fn start(&mut self, request: Request, link: u64) -> ControlFlow<()> {
+    fn start_call(&mut self, request: Request, link: u64) -> ControlFlow<()> {
         let id = request.id;
         if id.origin != self.origin {
             return ControlFlow::Break(());
         }
         let call = InboundCall::new(id, Arc::clone(self.sender), request.end, request.length);
         let now = self.inner.shared.clock.now();
-        let arrival = self
-            .inner
-            .table(id.origin)
-            .lock()
-            .receive(id, link, Arc::clone(&call), now);
+        let arrival =
+            self.inner
+                .attempt_table(id.origin)
+                .lock()
+                .receive(id, link, Arc::clone(&call), now);
         if arrival != Arrival::Queued {
             return ControlFlow::Break(());
         }
         if !request.end {
             let mut uploads = self.uploads.lock();
-            uploads.retain(|upload| upload.wants_more());
+            uploads.retain(|upload| upload.expects_body());
             uploads.push(Arc::clone(&call));
         }
         run::spawn(Arc::clone(self.inner), call, request);
         ControlFlow::Continue(())
     }
 
-    fn take_part(&mut self, id: Id, bytes: bytes::Bytes, end: bool) -> ControlFlow<()> {
+    fn receive_chunk(&mut self, id: Id, bytes: bytes::Bytes, end: bool) -> ControlFlow<()> {
         let uploads = self.uploads.lock();
         let Some(upload) = uploads.iter().find(|upload| upload.id == id) else {
             return ControlFlow::Continue(());
         };
         let length = bytes.len();
-        if !upload.take_part(bytes, end) {
+        if !upload.receive_chunk(bytes, end) {
             return ControlFlow::Break(());
         }
-        self.inner.bodies.take(id, length, end);
+        self.inner.body_receiver.record_received(id, length, end);
         ControlFlow::Continue(())
     }
 
-    /// Says what became of a call that was sent over an earlier link.
-    fn answer(&self, id: Id, former: u64, head: bool, received: u64, room: u32) {
+    /// Answers a query for the outcome of an attempt that was sent over an earlier link.
+    fn answer_query(
+        &self,
+        id: Id,
+        previous_link: u64,
+        head_received: bool,
+        received: u64,
+        window: u32,
+    ) {
         let now = self.inner.shared.clock.now();
-        let mut table = self.inner.table(id.origin).lock();
+        let mut table = self.inner.attempt_table(id.origin).lock();
         let link = Arc::clone(self.sender);
-        let verdict = match table.query(id, former, now) {
+        let verdict = match table.query(id, previous_link, now) {
             Outcome::NeverReceived => Verdict::NotRun,
             Outcome::Withdrawn(call) => {
-                call.resume(link, head, received, room);
+                call.resume(link, head_received, received, window);
                 call.refuse(Verdict::NotRun, Reason::Cancelled, 0);
                 call.cancel();
                 return;
             }
             Outcome::Running(call) | Outcome::Finished(call) => {
-                if call.resume(link, head, received, room) {
+                if call.resume(link, head_received, received, window) {
                     return;
                 }
                 Verdict::MayHaveRun
@@ -193,7 +202,7 @@
             reason: Reason::Backend,
             retry_after_ms: 0,
         };
-        // When this link is gone too, the question comes again over the next.
+        // If this link is closed as well, the peer repeats the query on its next link.
         drop(self.sender.send([Frame::Refusal(refusal)]));
     }
 }
--- a/crates/node/src/inbound/load_probe.rs
+++ b/crates/node/src/inbound/load_probe.rs
@@ -1,7 +1,7 @@
-//! Says what would become of a call that has not been sent here.
+//! Answers load probes: estimates what would happen to a call that hasn't been sent to this node.
 
 use crate::inbound::Inner;
-use crate::inbound::run::{deadline_of, percent_of};
+use crate::inbound::run::{deadline_after, percent_of};
 use crate::millis::whole_ms;
 use clock::Clock;
 use policy::admission;
@@ -9,22 +9,23 @@
 use std::time::Duration;
 use wire::call::Look;
 
-/// Answers another node's question.
-pub(crate) fn tell_outlook<C>(inner: &Inner<C>, look: &Look) -> wire::call::Outlook
+/// Answers a load probe of another node.
+pub(crate) fn answer_probe<C>(inner: &Inner<C>, look: &Look) -> wire::call::Outlook
 where
     C: Clock,
 {
-    let outlook = estimate(inner, look);
+    let estimate = estimate(inner, look);
     wire::call::Outlook {
         serial: look.serial,
-        takes: outlook.accepts,
-        wait_ms: whole_ms(outlook.wait),
-        run_ms: outlook.run.map(whole_ms),
-        load_percent: percent_of(outlook.load),
+        takes: estimate.accepts,
+        wait_ms: whole_ms(estimate.wait),
+        run_ms: estimate.run.map(whole_ms),
+        load_percent: percent_of(estimate.load),
     }
 }
 
-/// Gives what would become of a call; one that is refused whatever the load is not taken.
+/// Estimates what would happen to a call; `accepts` is false if it would be refused whatever the
+/// load.
 pub(crate) fn estimate<C>(inner: &Inner<C>, look: &Look) -> Estimate
 where
     C: Clock,
@@ -34,19 +35,20 @@
             accepts: false,
             wait: Duration::ZERO,
             run: None,
-            // As good as full: told as idle, it would draw the calls that nobody is asked about.
+            // Reports full load: reported as idle, this node would attract the calls that are
+            // sent without a probe.
             load: 1.0,
         };
     };
-    let asked = admission::Request {
+    let request = admission::Request {
         class: look.class,
-        // Nobody in particular: the shares of callers are kept when the call is here.
+        // No particular caller: fair shares are enforced when the call arrives.
         caller: 0,
         key: 0,
         route: look.route,
-        deadline: deadline_of(inner, look.timeout_ms),
-        target: look.target_ms.map(|target| deadline_of(inner, target)),
+        deadline: deadline_after(inner, look.timeout_ms),
+        target: look.target_ms.map(|target| deadline_after(inner, target)),
         nested: look.nested,
     };
-    inner.gate.outlook(backend.slots, &asked)
+    inner.gate.estimate(backend.slots, &request)
 }
--- a/crates/node/src/inbound/response_stream.rs
+++ b/crates/node/src/inbound/response_stream.rs
@@ -1,9 +1,9 @@
-//! An answer on its way to the outbound proxy.
+//! A response on its way to the outbound proxy.
 //!
-//! The outbound proxy says how much of it there is room for, as its caller takes
-//! it. What it has not confirmed is kept, as TCP would, so that the answer can go
-//! on over another link when this one falls silent. What it has no room for yet
-//! waits here, up to a bound, so that the backend server is done with the call.
+//! The outbound proxy grants credit as its caller reads the response. Bytes that it hasn't
+//! confirmed are kept, as TCP does, so that the response can continue over another link if this
+//! one goes silent. Bytes beyond the credit are buffered here, up to a limit, so that the backend
+//! server can finish the call.
 
 use crate::link::{Sender, wake};
 use bytes::Bytes;
@@ -13,213 +13,216 @@
 use std::task::{Context, Poll, Waker};
 use wire::call::{Answer, Frame, Refusal, WINDOW};
 
-/// Bytes of an answer's body in one frame: small enough that calls on one link take turns.
+/// Largest part of a body in one frame: small enough that calls on one link take turns.
 pub(crate) const MAX_CHUNK: usize = 16 << 10;
 
-/// An answer on its way to the outbound proxy.
+/// A response on its way to the outbound proxy.
 #[derive(Debug)]
-pub(super) struct Outgoing {
+pub(super) struct ResponseStream {
     id: Id,
     link: Arc<Sender>,
     head: Option<Answer>,
-    /// Parts that were given to the link and not confirmed.
-    kept: VecDeque<Bytes>,
-    /// Bytes of the body before those in `kept`.
-    start: u64,
-    /// Bytes of the body that were given to the link.
+    /// Chunks that were passed to the link and aren't confirmed.
+    unconfirmed: VecDeque<Bytes>,
+    /// Offset in the body of the first byte in `unconfirmed`.
+    unconfirmed_start: u64,
+    /// Bytes of the body that were passed to the link.
     sent: u64,
-    /// Parts that wait for room, and their bytes.
+    /// Chunks that wait for credit; `waiting_bytes` is their total size.
     waiting: VecDeque<Bytes>,
-    behind: usize,
-    /// Bytes of the body that the outbound proxy has room for.
-    limit: u64,
-    /// Whether the body has come whole from the backend server.
-    ended: bool,
-    /// Whether the link was given all of it, and its end.
-    complete: bool,
+    waiting_bytes: usize,
+    /// Bytes of the body that the outbound proxy has granted credit for, in total.
+    credit_limit: u64,
+    /// Whether the backend server has sent the complete body.
+    body_ended: bool,
+    /// Whether the complete body and its end were passed to the link.
+    end_sent: bool,
     refusal: Option<Refusal>,
     pub(super) cancelled: bool,
     writer: Option<Waker>,
 }
 
-impl Outgoing {
-    /// Starts with nothing of the answer there.
+impl ResponseStream {
+    /// Creates a response of which nothing has been received.
     pub(super) fn new(id: Id, link: Arc<Sender>) -> Self {
         Self {
             id,
             link,
             head: None,
-            kept: VecDeque::new(),
-            start: 0,
+            unconfirmed: VecDeque::new(),
+            unconfirmed_start: 0,
             sent: 0,
             waiting: VecDeque::new(),
-            behind: 0,
-            limit: WINDOW as u64,
-            ended: false,
-            complete: false,
+            waiting_bytes: 0,
+            credit_limit: WINDOW as u64,
+            body_ended: false,
+            end_sent: false,
             refusal: None,
             cancelled: false,
             writer: None,
         }
     }
 
-    /// Gives the link that it goes over.
+    /// Returns the link that the response is sent over.
     pub(super) fn link(&self) -> &Arc<Sender> {
         &self.link
     }
 
-    /// Gives the bytes of the body that were given to the link.
+    /// Returns the bytes of the body that were passed to the link.
     pub(super) fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// Gives the bytes of the body that wait for room.
-    pub(super) fn count_waiting(&self) -> usize {
-        self.behind
+    /// Returns the bytes of the body that wait for credit.
+    pub(super) fn waiting_bytes(&self) -> usize {
+        self.waiting_bytes
     }
 
-    /// Sends the head, with the first part of the body if it is there; `end` tells whether none follows.
-    pub(super) fn send_head(&mut self, head: Answer, first: Option<Bytes>, end: bool) {
-        self.ended = end;
-        self.complete = end;
+    /// Sends the head, with the first chunk of the body if it is available; `end` means that
+    /// nothing follows.
+    pub(super) fn send_head(&mut self, head: Answer, first_chunk: Option<Bytes>, end: bool) {
+        self.body_ended = end;
+        self.end_sent = end;
         self.head = Some(head.clone());
-        let body = first.map(|bytes| self.keep(bytes, end));
+        let body = first_chunk.map(|bytes| self.record_sent(bytes, end));
         let frames = std::iter::once(Frame::Answer(head)).chain(body);
-        // On a closed link nobody listens; the answer is kept for the asking.
+        // If the link is closed, the response is kept for a query over the next link.
         drop(self.link.send(frames));
     }
 
-    /// Takes in a part of the body, and sends what there is room for.
-    pub(super) fn add_part(&mut self, bytes: Bytes) {
+    /// Adds a chunk of the body, and sends what the credit allows.
+    pub(super) fn add_chunk(&mut self, bytes: Bytes) {
         if !bytes.is_empty() {
-            self.behind += bytes.len();
+            self.waiting_bytes += bytes.len();
             self.waiting.push_back(bytes);
-            self.send_on();
+            self.send_available();
         }
     }
 
-    /// Takes in that the body is whole.
+    /// Records that the body is complete.
     pub(super) fn end(&mut self) {
-        self.ended = true;
-        self.send_on();
+        self.body_ended = true;
+        self.send_available();
     }
 
-    /// Ends the answer where it is; what waits for room is dropped.
+    /// Ends the response at this point; bytes that wait for credit are dropped.
     pub(super) fn refuse(&mut self, refusal: Refusal) {
-        if self.complete || self.refusal.is_some() {
+        if self.end_sent || self.refusal.is_some() {
             return;
         }
         self.waiting.clear();
-        self.behind = 0;
+        self.waiting_bytes = 0;
         self.refusal = Some(refusal.clone());
-        // On a closed link nobody listens; the refusal is kept for the asking.
+        // If the link is closed, the refusal is kept for a query over the next link.
         drop(self.link.send([Frame::Refusal(refusal)]));
     }
 
-    /// Notes that the outbound proxy has room for more.
+    /// Adds credit of the outbound proxy.
     pub(super) fn add_credit(&mut self, bytes: u32) {
-        self.limit += u64::from(bytes);
-        let confirmed = self.limit.saturating_sub(WINDOW as u64);
+        self.credit_limit += u64::from(bytes);
+        let confirmed = self.credit_limit.saturating_sub(WINDOW as u64);
         self.drop_confirmed(confirmed);
-        self.send_on();
+        self.send_available();
         wake(&mut self.writer);
     }
 
-    /// Waits until no more than `most` bytes wait for room.
-    pub(super) fn poll_waiting(&mut self, cx: &mut Context<'_>, most: usize) -> Poll<()> {
-        if self.behind <= most {
+    /// Polls until at most `max_waiting` bytes wait for credit.
+    pub(super) fn poll_drained(&mut self, cx: &mut Context<'_>, max_waiting: usize) -> Poll<()> {
+        if self.waiting_bytes <= max_waiting {
             return Poll::Ready(());
         }
         self.writer = Some(cx.waker().clone());
         Poll::Pending
     }
 
-    /// Goes on over another link, from where the outbound proxy says that it is.
+    /// Continues over another link, from the position that the outbound proxy reports.
     ///
-    /// Gives false when what it still needs is no longer kept.
+    /// Returns false if a part that it still needs is no longer held.
     pub(super) fn resume(
         &mut self,
         link: Arc<Sender>,
-        head: bool,
+        head_received: bool,
         received: u64,
-        room: u32,
+        window: u32,
     ) -> bool {
-        if received < self.start || received > self.sent {
+        if received < self.unconfirmed_start || received > self.sent {
             return false;
         }
         self.link = link;
         self.drop_confirmed(received);
-        self.limit = received + u64::from(room);
+        self.credit_limit = received + u64::from(window);
         let mut frames = Vec::new();
-        if !head && let Some(sent) = &self.head {
+        if !head_received && let Some(sent) = &self.head {
             frames.push(Frame::Answer(sent.clone()));
         }
-        let skip = usize::try_from(received - self.start).unwrap_or(usize::MAX);
+        let skip = usize::try_from(received - self.unconfirmed_start).unwrap_or(usize::MAX);
         let id = self.id;
-        frames.extend(bytes_after(&self.kept, skip).map(|bytes| Frame::Body {
-            id,
-            bytes,
-            end: false,
-        }));
-        if self.complete && self.head.as_ref().is_some_and(|sent| !sent.end) {
-            frames.push(end_of(id));
+        frames.extend(
+            bytes_after(&self.unconfirmed, skip).map(|bytes| Frame::Body {
+                id,
+                bytes,
+                end: false,
+            }),
+        );
+        if self.end_sent && self.head.as_ref().is_some_and(|sent| !sent.end) {
+            frames.push(end_frame(id));
         }
         if let Some(refusal) = &self.refusal {
             frames.push(Frame::Refusal(refusal.clone()));
         }
         drop(self.link.send(frames));
-        self.send_on();
+        self.send_available();
         wake(&mut self.writer);
         true
     }
 
-    /// Gives the link what the outbound proxy has room for.
-    fn send_on(&mut self) {
+    /// Passes to the link what the credit allows.
+    fn send_available(&mut self) {
         let mut frames = Vec::new();
-        while let Some(part) = self.take_part() {
-            frames.push(self.keep(part, false));
+        while let Some(chunk) = self.next_chunk() {
+            frames.push(self.record_sent(chunk, false));
         }
-        if self.ended && self.waiting.is_empty() && !self.complete && self.refusal.is_none() {
-            self.complete = true;
-            frames.push(end_of(self.id));
+        if self.body_ended && self.waiting.is_empty() && !self.end_sent && self.refusal.is_none() {
+            self.end_sent = true;
+            frames.push(end_frame(self.id));
         }
         if !frames.is_empty() {
-            // On a closed link nobody listens; what was sent is kept for the asking.
+            // If the link is closed, the sent bytes are kept for a query over the next link.
             drop(self.link.send(frames));
         }
     }
 
-    /// Takes the next part that there is room for.
-    fn take_part(&mut self) -> Option<Bytes> {
-        let room = self.limit.saturating_sub(self.sent);
-        let room = usize::try_from(room).unwrap_or(MAX_CHUNK).min(MAX_CHUNK);
-        let first = self.waiting.front_mut().filter(|_| room > 0)?;
-        let part = first.split_to(first.len().min(room));
+    /// Takes the next chunk that the credit allows.
+    fn next_chunk(&mut self) -> Option<Bytes> {
+        let credit = self.credit_limit.saturating_sub(self.sent);
+        let credit = usize::try_from(credit).unwrap_or(MAX_CHUNK).min(MAX_CHUNK);
+        let first = self.waiting.front_mut().filter(|_| credit > 0)?;
+        let chunk = first.split_to(first.len().min(credit));
         if first.is_empty() {
             self.waiting.pop_front();
         }
-        self.behind -= part.len();
-        Some(part)
+        self.waiting_bytes -= chunk.len();
+        Some(chunk)
     }
 
-    fn keep(&mut self, bytes: Bytes, end: bool) -> Frame {
+    fn record_sent(&mut self, bytes: Bytes, end: bool) -> Frame {
         self.sent += bytes.len() as u64;
-        self.kept.push_back(bytes.clone());
+        self.unconfirmed.push_back(bytes.clone());
         let id = self.id;
         Frame::Body { id, bytes, end }
     }
 
     fn drop_confirmed(&mut self, confirmed: u64) {
-        while let Some(first) = self.kept.front()
-            && self.start + first.len() as u64 <= confirmed
+        while let Some(first) = self.unconfirmed.front()
+            && self.unconfirmed_start + first.len() as u64 <= confirmed
         {
-            self.start += first.len() as u64;
-            self.kept.pop_front();
+            self.unconfirmed_start += first.len() as u64;
+            self.unconfirmed.pop_front();
         }
     }
 }
 
-fn end_of(id: Id) -> Frame {
+fn end_frame(id: Id) -> Frame {
     Frame::Body {
         id,
         bytes: Bytes::new(),
@@ -227,11 +230,11 @@
     }
 }
 
-/// Gives the parts of a body after its first `skip` bytes.
-fn bytes_after(kept: &VecDeque<Bytes>, mut skip: usize) -> impl Iterator<Item = Bytes> {
-    kept.iter().filter_map(move |part| {
-        let cut = skip.min(part.len());
+/// Returns the chunks of a body after its first `skip` bytes.
+fn bytes_after(chunks: &VecDeque<Bytes>, mut skip: usize) -> impl Iterator<Item = Bytes> {
+    chunks.iter().filter_map(move |chunk| {
+        let cut = skip.min(chunk.len());
         skip -= cut;
-        (cut < part.len()).then(|| part.slice(cut..))
+        (cut < chunk.len()).then(|| chunk.slice(cut..))
     })
 }
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -1,11 +1,11 @@
-//! How one call is run on the node's own backend server.
+//! Runs one call on the backend server of this node.
 
 use crate::backend::{Error, Reply};
 use crate::header::put_headers;
-use crate::inbound::admission_gate::{Offer, Permit};
-use crate::inbound::body_receiver::Held;
-use crate::inbound::crash::{Exclusive, InFlight, is_suspected};
-use crate::inbound::deliver::{deliver, send_answer};
+use crate::inbound::admission_gate::{GateDecision, Permit};
+use crate::inbound::body_receiver::HeldBody;
+use crate::inbound::crash::{InFlightCall, SuspectPermit, check_quarantine};
+use crate::inbound::deliver::{deliver, send_response};
 use crate::inbound::inbound_call::InboundCall;
 use crate::inbound::running_calls::RunningCall;
 use crate::inbound::{Inner, body_receiver, crash};
@@ -32,13 +32,14 @@
 use tokio::sync::OwnedSemaphorePermit;
 use wire::call::{EAGER, Header, Reason, Request};
 
-/// Header with the time that a call has left, in milliseconds; from callers, and to backend servers.
+/// Header with the time that a call has left, in milliseconds; sent by callers, and to backend
+/// servers.
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("bluebellpick-timeout-ms");
 
-/// How long a commit may run on after its deadline; most stops of a process are shorter.
+/// How long a commit may run past its deadline; most stops of a process are shorter.
 pub(crate) const MAX_COMMIT_OVERRUN: Duration = Duration::from_secs(30);
 
-/// Why a call got no answer.
+/// Why a call has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Refused {
     pub(crate) verdict: Verdict,
@@ -46,7 +47,7 @@
     pub(crate) retry_after_ms: u32,
 }
 
-/// A backend server's answer, with what it holds until its body ends.
+/// A response of the backend server, with the resources that it holds until its body ends.
 #[derive(Debug)]
 pub(crate) struct BackendResponse<C>
 where
@@ -54,17 +55,18 @@
 {
     reply: Reply<C>,
     permit: Permit<C>,
-    /// How long it waited for its body and its slot, in milliseconds.
-    waited_ms: u32,
-    /// How full the VM's link is, in per cent, for a call whose body was asked for; else nought.
+    /// Time that the call waited for its body and its slot, in milliseconds.
+    queue_wait_ms: u32,
+    /// Load of the VM's link in percent, for a call whose body was requested; otherwise 0.
     link_percent: u16,
-    /// Counts the call as in flight.
-    in_flight: Box<InFlight<C>>,
+    /// Keeps the call registered as in flight.
+    in_flight: Box<InFlightCall<C>>,
     _counted: Counted<C>,
 }
 
 impl Refused {
-    /// Refuses a call that has not run; a wait of nought leaves it to the answer to name one.
+    /// Refuses a call that hasn't run; with a `retry_after_ms` of 0, the code that responds to
+    /// the caller chooses the wait.
     pub(crate) fn not_run(reason: Reason, retry_after_ms: u32) -> Self {
         Self {
             verdict: Verdict::NotRun,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Refuses a request that is held for so long.
+    /// Refuses a request that is held for another `wait`.
     pub(crate) fn held(wait: Duration) -> Self {
         Self::not_run(Reason::Held, whole_ms(wait).max(1))
     }
@@ -88,7 +90,7 @@
     }
 }
 
-/// Runs a call that came over a link.
+/// Runs a call that arrived over a link.
 pub(crate) fn spawn<C>(inner: Arc<Inner<C>>, call: Arc<InboundCall>, request: Request)
 where
     C: Clock,
@@ -96,51 +98,55 @@
     tokio::spawn(async move {
         let id = call.id;
         let _counted = inner.shared.count(|shared| &shared.answers);
-        let deadline = deadline_of(&inner, request.timeout_ms);
-        let ahead = tokio::select! {
+        let deadline = deadline_after(&inner, request.timeout_ms);
+        let read_ahead = tokio::select! {
             biased;
             () = call.cancelled() => {
-                end_early(&inner, &call, Reason::Cancelled);
+                abandon_call(&inner, &call, Reason::Cancelled);
                 None
             }
-            () = overdue(&inner, &call, request.class, deadline) => {
-                end_early(&inner, &call, Reason::Deadline);
+            () = wait_overdue(&inner, &call, request.class, deadline) => {
+                abandon_call(&inner, &call, Reason::Deadline);
                 None
             }
-            ahead = serve(&inner, &call, request, deadline) => ahead,
+            read_ahead = serve(&inner, &call, request, deadline) => read_ahead,
         };
-        call.drop_upload();
+        call.discard_request_body();
         deliver(&inner, &call).await;
-        drop(ahead);
+        drop(read_ahead);
         inner.finish(id);
     });
 }
 
 /// Waits until a call's time is over.
 ///
-/// A commit that runs has some time more: its caller is told by the outbound
-/// proxy, which cancels it then, unless it asks on for the sake of the call's
-/// key. Cut off here, nobody could ever say whether it took effect. One whose
-/// body has not come whole by then waits for its sender, not for the backend
-/// server, and has none.
-async fn overdue<C>(inner: &Inner<C>, call: &InboundCall, class: Class, deadline: Instant)
+/// A running commit gets extra time: the outbound proxy responds to its caller at the deadline
+/// and cancels the call then, unless it still needs the outcome for the idempotency key. If the
+/// call were cut off here, nobody could find out whether it took effect. A commit whose body is
+/// incomplete at its deadline waits for its sender rather than for the backend server, and gets
+/// no extra time.
+async fn wait_overdue<C>(inner: &Inner<C>, call: &InboundCall, class: Class, deadline: Instant)
 where
     C: Clock,
 {
     sleep_until(inner, deadline).await;
-    let runs = inner.table(call.id.origin).lock().is_running(call.id);
-    if runs && class == Class::Commit && !call.wants_more() {
+    let runs = inner
+        .attempt_table(call.id.origin)
+        .lock()
+        .is_running(call.id);
+    if runs && class == Class::Commit && !call.expects_body() {
         tokio::time::sleep(MAX_COMMIT_OVERRUN).await;
     }
 }
 
-/// Refuses a call that nobody waits for any more; dropping its exchange has told the backend server.
-pub(super) fn end_early<C>(inner: &Inner<C>, call: &InboundCall, reason: Reason)
+/// Refuses a call that nobody waits for any more; the backend server was notified when its
+/// exchange was dropped.
+pub(super) fn abandon_call<C>(inner: &Inner<C>, call: &InboundCall, reason: Reason)
 where
     C: Clock,
 {
     let verdict = if inner
-        .table(call.id.origin)
+        .attempt_table(call.id.origin)
         .lock()
         .withdraw(call.id, inner.shared.clock.now())
     {
@@ -151,9 +157,9 @@
     call.refuse(verdict, reason, 0);
 }
 
-/// Runs a call and sends its answer, until the backend server is done with it.
+/// Runs a call and sends its response, until the backend server has finished it.
 ///
-/// Gives what allows the answer to be ahead of its reader, if it is.
+/// Returns the read-ahead permit of the response, if it has one.
 async fn serve<C>(
     inner: &Arc<Inner<C>>,
     call: &Arc<InboundCall>,
@@ -163,89 +169,88 @@
 where
     C: Clock,
 {
-    let came = inner.shared.clock.now();
-    let held = match pull(inner, call, &request, deadline).await {
+    let received_at = inner.shared.clock.now();
+    let held = match receive_body(inner, call, &request, deadline).await {
         Ok(held) => held,
         Err(refused) => {
             call.refuse(refused.verdict, refused.reason, refused.retry_after_ms);
             return None;
         }
     };
-    let upload = match call.take_whole() {
+    let upload = match call.take_complete_body() {
         Some(upload) => upload,
         None => Upload {
             ready: None,
             rest: Rest::Link(Arc::clone(call)),
         },
     };
-    let start = || inner.table(call.id.origin).lock().start(call.id);
-    let ahead = match run(inner, request, upload, deadline, came, start).await {
-        Ok(response) => send_answer(inner, call, response).await,
+    let start = || inner.attempt_table(call.id.origin).lock().start(call.id);
+    let read_ahead = match run(inner, request, upload, deadline, received_at, start).await {
+        Ok(response) => send_response(inner, call, response).await,
         Err(refused) => {
             call.refuse(refused.verdict, refused.reason, refused.retry_after_ms);
             None
         }
     };
     drop(held);
-    ahead
+    read_ahead
 }
 
-/// Longest part of a body that is held here before its call gets a slot.
+/// Longest part of a body that is received before its call gets a slot.
 ///
-/// A slot that is taken earlier is held while the body trickles in: at 8 Mbit/s
-/// a photograph of 60 kB takes as long as the work on it. Longer bodies than this
-/// are streams, which no VM of 160 MB can hold by the dozen.
-const MOST_HELD: u64 = 1 << 20;
-
-/// Waits until the body of a call is here, if the call may get a slot after it; one that
-/// came with its head is not waited for.
-async fn pull<C>(
+/// A slot that is taken earlier is held while the body arrives: at 8 Mbit/s, a photograph of
+/// 60 kB takes as long as the work on it. Longer bodies are streams; a VM of 160 MB can't hold
+/// dozens of them.
+const MAX_HELD_BODY: u64 = 1 << 20;
+
+/// Waits until the body of a call has been received, if the call may get a slot afterwards. A
+/// body that arrived with its head needs no wait.
+async fn receive_body<C>(
     inner: &Arc<Inner<C>>,
     call: &Arc<InboundCall>,
     request: &Request,
     deadline: Instant,
-) -> Result<Option<Held<C>>, Refused>
+) -> Result<Option<HeldBody<C>>, Refused>
 where
     C: Clock,
 {
-    if !call.has_unasked() {
+    if !call.needs_body_credit() {
         return Ok(None);
     }
-    is_suspected(inner, request)?;
+    check_quarantine(inner, request)?;
     inner
         .find_backend(&request.service)
         .map_err(|reason| Refused::not_run(reason, 0))?;
-    let asked = ask_gate(inner, request, deadline);
-    if let Some(refusal) = inner.gate.foresee(&asked) {
-        return Err(turn_away(inner, request, deadline, refusal));
+    let gate_request = admission_request(inner, request, deadline);
+    if let Some(refusal) = inner.gate.precheck(&gate_request) {
+        return Err(refuse_at_gate(inner, request, deadline, refusal));
     }
-    let ask = body_scheduler::BodyOffer {
-        call: asked,
-        length: request.length.min(MOST_HELD),
-        run: inner.gate.expect(request.route),
+    let offer = body_scheduler::BodyOffer {
+        call: gate_request,
+        length: request.length.min(MAX_HELD_BODY),
+        run: inner.gate.expected_duration(request.route),
     };
-    let pulled = tokio::select! {
+    let received = tokio::select! {
         biased;
-        pulled = inner.bodies.pull(call, &ask) => pulled,
-        () = inner.left() => return Err(Refused::not_run(Reason::Leaving, 0)),
+        received = inner.body_receiver.receive(call, &offer) => received,
+        () = inner.wait_leaving() => return Err(Refused::not_run(Reason::Leaving, 0)),
     };
-    pulled.map(Some).map_err(|error| match error {
-        body_receiver::Error::Refused(refusal) => turn_away(inner, request, deadline, refusal),
-        body_receiver::Error::BrokenOff => Refused::not_run(Reason::Cancelled, 0),
+    received.map(Some).map_err(|error| match error {
+        body_receiver::Error::Refused(refusal) => refuse_at_gate(inner, request, deadline, refusal),
+        body_receiver::Error::Aborted => Refused::not_run(Reason::Cancelled, 0),
     })
 }
 
-/// Waits for a slot and gives a request to the backend server.
+/// Waits for a slot and sends the request to the backend server.
 ///
-/// What a call has waited is counted from when it `came`.
-/// `start` is asked right before: it is false for a call that was withdrawn
-/// while it waited.
+/// The call's queueing time is counted from `received_at`. `start` is called right before the
+/// request is sent; it returns false if the call was withdrawn while it waited.
 pub(crate) async fn run<C, S>(
     inner: &Arc<Inner<C>>,
     request: Request,
     upload: Upload,
     deadline: Instant,
-    came: Instant,
+    received_at: Instant,
     start: S,
 ) -> Result<Response<BackendResponse<C>>, Refused>
 where
@@ -258,39 +263,39 @@
             .map_err(|reason| Refused::not_run(reason, 0))
     };
     let counted = inner.shared.count(|shared| &shared.in_flight);
-    let exclusive = Exclusive::wait(inner, &request).await?;
-    let asked = inner.shared.clock.now();
-    let mut permit = enter(inner, &request, deadline, find()?.slots).await?;
+    let suspect_permit = SuspectPermit::acquire(inner, &request).await?;
+    let gate_entered = inner.shared.clock.now();
+    let mut permit = wait_admission(inner, &request, deadline, find()?.slots).await?;
     let entered = inner.shared.clock.now();
-    let waited = entered.saturating_duration_since(came);
-    let at_gate = entered.saturating_duration_since(asked);
-    inner.shared.metrics.causes.see_wait(at_gate);
-    let parent_name = name_parent(inner, &request);
-    let is_heavy = request.length > EAGER as u64;
+    let waited = entered.saturating_duration_since(received_at);
+    let gate_wait = entered.saturating_duration_since(gate_entered);
+    inner.shared.metrics.causes.see_wait(gate_wait);
+    let parent_key = parent_key(inner, &request);
+    let is_large_body = request.length > EAGER as u64;
     let is_repeat = |header: &Header| header.name == retry::HEADER;
-    let own_run = RunningCall {
+    let running_call = RunningCall {
         class: request.class,
         is_retry: request.headers.iter().any(is_repeat),
     };
     let backend = find()?;
-    let exclusive = exclusive.confirm(inner, &request)?;
+    let suspect_permit = suspect_permit.recheck(inner, &request)?;
     let digest = request.digest;
-    let mut in_flight = InFlight::new(inner, &backend, &request, exclusive);
-    let mut request = make_request(request, upload, left(inner, deadline))
+    let mut in_flight = InFlightCall::new(inner, &backend, &request, suspect_permit);
+    let mut request = make_request(request, upload, time_left(inner, deadline))
         .ok_or(Refused::not_run(Reason::Backend, 0))?;
     let attempt = platform::header::find_attempt(request.headers());
     if inner.shared.is_on_platform() {
-        let (left, instance) = (left(inner, deadline), backend.instance.as_ref());
+        let (left, instance) = (time_left(inner, deadline), backend.instance.as_ref());
         platform::header::write_handover(request.headers_mut(), left, instance);
     }
     if !start() {
         return Err(Refused::not_run(Reason::Cancelled, 0));
     }
-    in_flight.begin(inner.parents.enter(parent_name, own_run));
+    in_flight.mark_begun(inner.running_calls.register(parent_key, running_call));
     match inner.pool.exchange(backend.address, request).await {
         Ok(response) => {
             if inner.shared.is_on_platform()
-                && let Err((refused, outcome)) = check_answer(attempt.as_ref(), &response)
+                && let Err((refused, outcome)) = check_response(attempt.as_ref(), &response)
             {
                 permit.outcome = outcome;
                 if refused.verdict == Verdict::MayHaveRun {
@@ -304,9 +309,9 @@
             Ok(response.map(|reply| BackendResponse {
                 reply,
                 permit,
-                waited_ms: whole_ms(waited),
-                link_percent: if is_heavy {
-                    percent_of(inner.bodies.load())
+                queue_wait_ms: whole_ms(waited),
+                link_percent: if is_large_body {
+                    percent_of(inner.body_receiver.load())
                 } else {
                     0
                 },
@@ -317,12 +322,12 @@
         Err(Error::Connect) => {
             in_flight.set_outcome(in_flight::Outcome::NotRun);
             drop(in_flight);
-            crash::look(inner, &backend).await;
+            crash::detect_crash(inner, &backend).await;
             Err(Refused::not_run(Reason::Backend, 0))
         }
         Err(Error::Broken) => {
             let has_ended = in_flight.finish_broken().await;
-            tell_broken(inner, &backend, digest, has_ended);
+            log_broken_connection(inner, &backend, digest, has_ended);
             let reason = if has_ended {
                 Reason::Crashed
             } else {
@@ -333,8 +338,8 @@
     }
 }
 
-/// Tells that the backend server broke off a call, and whether nobody listens there any more.
-fn tell_broken<C>(inner: &Inner<C>, backend: &Backend, request: Digest, has_ended: bool)
+/// Logs that the backend server broke off a call, and whether its process has ended.
+fn log_broken_connection<C>(inner: &Inner<C>, backend: &Backend, request: Digest, has_ended: bool)
 where
     C: Clock,
 {
@@ -353,8 +358,9 @@
     }
 }
 
-/// Gives the name by which the calls that the backend server makes for a request know it.
-fn name_parent<C>(inner: &Inner<C>, request: &Request) -> u64
+/// Returns the key under which nested calls of the backend server find this request as their
+/// parent.
+fn parent_key<C>(inner: &Inner<C>, request: &Request) -> u64
 where
     C: Clock,
 {
@@ -365,8 +371,9 @@
     }
 }
 
-/// Tells why an answer is not the backend server's to this request, and what it says of its load.
-fn check_answer<B>(
+/// Checks that a response is the backend server's response to this attempt; otherwise returns the
+/// refusal, and the outcome for the concurrency limit.
+fn check_response<B>(
     attempt: Option<&HeaderValue>,
     response: &Response<B>,
 ) -> Result<(), (Refused, Outcome)> {
@@ -384,8 +391,8 @@
     Err(refused)
 }
 
-/// Waits at the gate.
-async fn enter<C>(
+/// Waits for admission to the backend server.
+async fn wait_admission<C>(
     inner: &Arc<Inner<C>>,
     request: &Request,
     deadline: Instant,
@@ -394,26 +401,32 @@
 where
     C: Clock,
 {
-    let asked = ask_gate(inner, request, deadline);
-    let decided = match inner.gate.offer(slots, &asked) {
-        Offer::Run(permit) => Ok(permit),
-        Offer::Refuse(refusal) => Err(refusal),
-        // What waits when the server begins to leave is refused at that instant.
-        Offer::Wait(waiting) => tokio::select! {
+    let gate_request = admission_request(inner, request, deadline);
+    let decided = match inner.gate.offer(slots, &gate_request) {
+        GateDecision::Run(permit) => Ok(permit),
+        GateDecision::Refuse(refusal) => Err(refusal),
+        // A call that waits when the backend server starts to leave is refused immediately.
+        GateDecision::Wait(waiting) => tokio::select! {
             biased;
-            decided = waiting.decided() => decided,
-            () = inner.left() => return Err(Refused::not_run(Reason::Leaving, 0)),
+            decided = waiting.wait() => decided,
+            () = inner.wait_leaving() => return Err(Refused::not_run(Reason::Leaving, 0)),
         },
     };
-    decided.map_err(|refusal| turn_away(inner, request, deadline, refusal))
+    decided.map_err(|refusal| refuse_at_gate(inner, request, deadline, refusal))
 }
 
-fn ask_gate<C>(inner: &Inner<C>, request: &Request, deadline: Instant) -> admission::Request
+fn admission_request<C>(
+    inner: &Inner<C>,
+    request: &Request,
+    deadline: Instant,
+) -> admission::Request
 where
     C: Clock,
 {
     let path = request.path.split('?').next().unwrap_or_default();
-    let target = request.target_ms.map(|target| deadline_of(inner, target));
+    let target = request
+        .target_ms
+        .map(|target| deadline_after(inner, target));
     admission::Request {
         class: request.class,
         caller: policy::hash(&request.caller),
@@ -425,8 +438,8 @@
     }
 }
 
-/// Tells that a call was refused, and gives what its sender is told.
-fn turn_away<C>(
+/// Logs the refusal of a call, and returns it as its sender receives it.
+fn refuse_at_gate<C>(
     inner: &Inner<C>,
     request: &Request,
     deadline: Instant,
@@ -441,12 +454,12 @@
     };
     let wait = whole_ms(refusal.retry_after);
     let refused = Refused::not_run(reason, wait.max(1));
-    tell_gate(inner, request, refused, left(inner, deadline));
+    log_turned_away(inner, request, refused, time_left(inner, deadline));
     refused
 }
 
-/// Tells that the gate turned a call away, and how full it was.
-fn tell_gate<C>(inner: &Inner<C>, request: &Request, refused: Refused, left: Duration)
+/// Logs that the gate refused a call, with the current load.
+fn log_turned_away<C>(inner: &Inner<C>, request: &Request, refused: Refused, left: Duration)
 where
     C: Clock,
 {
@@ -470,7 +483,7 @@
     }
 }
 
-/// Tells what an answer's status says of the backend server's load.
+/// Maps the status of a response to an outcome for the concurrency limit.
 fn outcome_of(status: StatusCode) -> Outcome {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Outcome::Shed,
@@ -483,26 +496,26 @@
 where
     C: Clock,
 {
-    /// Waits for the next part of the body; `None` ends it.
+    /// Polls for the next chunk of the body; `None` is its end.
     pub(crate) fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Error>>> {
         let part = self.reply.poll_part(cx);
         if matches!(part, Poll::Ready(Some(Err(_)))) {
             self.permit.outcome = Outcome::Failed;
-            self.in_flight.look_later();
+            self.in_flight.detect_crash_later();
         }
         part
     }
 
-    /// Tells whether no part follows.
+    /// Returns whether the body has ended.
     pub(crate) fn is_end(&self) -> bool {
         self.reply.is_end()
     }
 
-    /// Gives what the outbound proxy is told along with the answer.
+    /// Returns the load figures that the outbound proxy receives with the response.
     pub(crate) fn load_report(&self) -> LoadReport {
         LoadReport {
             load: self.permit.load().max(f64::from(self.link_percent) / 100.0),
-            queue_wait: Duration::from_millis(self.waited_ms.into()),
+            queue_wait: Duration::from_millis(self.queue_wait_ms.into()),
         }
     }
 }
@@ -538,14 +551,14 @@
     Some(made)
 }
 
-pub(crate) fn deadline_of<C>(inner: &Inner<C>, timeout_ms: u32) -> Instant
+pub(crate) fn deadline_after<C>(inner: &Inner<C>, timeout_ms: u32) -> Instant
 where
     C: Clock,
 {
     inner.shared.clock.now() + Duration::from_millis(timeout_ms.into())
 }
 
-fn left<C>(inner: &Inner<C>, deadline: Instant) -> Duration
+fn time_left<C>(inner: &Inner<C>, deadline: Instant) -> Duration
 where
     C: Clock,
 {
@@ -556,5 +569,5 @@
 where
     C: Clock,
 {
-    tokio::time::sleep(left(inner, deadline)).await;
+    tokio::time::sleep(time_left(inner, deadline)).await;
 }
--- a/crates/node/src/inbound/running_calls.rs
+++ b/crates/node/src/inbound/running_calls.rs
@@ -1,33 +1,34 @@
-//! The calls that the own backend server runs, as the calls that it makes for them name them.
+//! The calls that the backend server of this node is running, to attribute nested calls to their
+//! parents.
 
 use config::Class;
 use parking_lot::Mutex;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The calls that the own backend server runs, by the hash of their name.
+/// The calls that the backend server is running, by the hash of their name.
 #[derive(Debug, Default)]
 pub(crate) struct RunningCalls {
     running: Mutex<HashMap<u64, Entry>>,
 }
 
-/// How a call runs.
+/// Properties of a running call that its nested calls take into account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RunningCall {
-    /// What it is worth.
+    /// Class of the call's route.
     pub(crate) class: Class,
-    /// Whether it had been sent to another backend server before.
+    /// Whether it is a retry: it was sent to another backend server before.
     pub(crate) is_retry: bool,
 }
 
-/// The calls of one name that run.
+/// The running calls with the same name.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     count: u32,
     run: RunningCall,
 }
 
-/// Counts a call as running until it is dropped.
+/// Registers a running call until it is dropped.
 #[derive(Debug)]
 pub(crate) struct RunningCallGuard {
     calls: Arc<RunningCalls>,
@@ -35,8 +36,8 @@
 }
 
 impl RunningCalls {
-    /// Counts a call as running.
-    pub(crate) fn enter(self: &Arc<Self>, name: u64, run: RunningCall) -> RunningCallGuard {
+    /// Registers a running call.
+    pub(crate) fn register(self: &Arc<Self>, name: u64, run: RunningCall) -> RunningCallGuard {
         let mut running = self.running.lock();
         let entry = running.entry(name).or_insert(Entry { count: 0, run });
         entry.count += 1;
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Tells how a call runs, if it does.
+    /// Returns the running call with this name, if there is one.
     pub(crate) fn find(&self, name: u64) -> Option<RunningCall> {
         let running = self.running.lock();
         running.get(&name).map(|entry| entry.run)
