--- a/crates/node/src/metrics/reserve.rs
+++ b/crates/node/src/metrics/reserve.rs
@@ -1,4 +1,4 @@
-//! What a node counts of reservations.
+//! Metrics of reservations of idempotency keys.
 
 use call::reserve::Reply;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -8,8 +8,9 @@
 use prometheus_client::registry::{Registry, Unit};
 use std::time::Duration;
 
-/// Bounds of the times of claims, in seconds: from the platform's milliseconds
-/// to the longest wait for a reservation, with a shard's pace in between.
+/// Upper bounds of the claim durations, in seconds. They range from the platform's
+/// response time of a few milliseconds, over a shard's commit interval, to the
+/// maximum time to wait for a reservation.
 const CLAIM_BOUNDS: [f64; 8] = [0.002, 0.005, 0.01, 0.05, 0.1, 0.2, 0.5, 1.5];
 
 /// Label values of replies.
@@ -27,7 +28,7 @@
     reply: &'static str,
 }
 
-/// What a node counts of reservations.
+/// Metrics of reservations of idempotency keys.
 #[derive(Debug, Clone)]
 pub struct Reserve {
     claims: Family<ReplyLabel, Counter>,
@@ -35,7 +36,7 @@
 }
 
 impl Default for Reserve {
-    /// Starts all replies at zero, so that a rate of the first ones can be told.
+    /// Starts the counter of each reply at zero, so that rates include the first ones.
     fn default() -> Self {
         let claims = Family::<ReplyLabel, Counter>::default();
         for reply in REPLIES {
@@ -57,8 +58,8 @@
         registry.register_with_unit("reservation_claim_duration", help, Unit::Seconds, durations);
     }
 
-    /// Counts a claim that was told `reply` after `time`.
-    pub(crate) fn count(&self, reply: &Reply, time: Duration) {
+    /// Records a claim that got `reply` after `duration`.
+    pub(crate) fn record_claim(&self, reply: &Reply, duration: Duration) {
         let reply = match reply {
             Reply::Granted => "granted",
             Reply::Known(_) => "known",
@@ -68,6 +69,6 @@
             Reply::Refused { .. } => "refused",
         };
         self.claims.get_or_create(&ReplyLabel { reply }).inc();
-        self.durations.observe(time.as_secs_f64());
+        self.durations.observe(duration.as_secs_f64());
     }
 }
--- a/crates/node/src/reserve.rs
+++ b/crates/node/src/reserve.rs
@@ -1,22 +1,23 @@
-//! At most once across callers' own repeats: a key is reserved before its call runs.
+//! Reserves idempotency keys, so that a call runs at most once even if its caller repeats it.
 //!
-//! A claim goes to the owner of the key's shard, which reserves it in the
-//! platform together with others. Should the owner not answer, the next one
-//! is asked, and in the end this node writes the record itself: whom it asks
-//! decides how much work it is, never whether the reservation holds.
+//! A claim is sent to the owner of the key's shard, which writes the
+//! reservations of several claims to the platform in one record. If the owner
+//! does not answer, the claim is sent to the next owner, and finally this node
+//! writes the record itself. The choice of owner affects only the amount of
+//! work, never whether a reservation is valid.
 
-pub(crate) mod ages;
+pub(crate) mod encoding;
 pub(crate) mod journal;
+pub(crate) mod key_expiry;
 pub(crate) mod link;
 pub(crate) mod owners;
-pub(crate) mod record;
 pub(crate) mod shard;
 
 use crate::millis::whole_ms;
 use crate::nodes::make_hello;
-use crate::reserve::link::{Peer, pass_note, serve};
-use crate::reserve::owners::{Owners, Way};
-use crate::reserve::shard::Order;
+use crate::reserve::link::{OwnerLink, queue_outcome, serve};
+use crate::reserve::owners::{Destination, Owners};
+use crate::reserve::shard::Command;
 use crate::shared::Shared;
 use call::Id;
 use call::reserve::{
@@ -36,47 +37,47 @@
 use tokio::time::{Instant, timeout_at};
 use wire::Link;
 
-/// Longest wait for a reservation, all attempts together.
+/// Maximum time to wait for a reservation, over all attempts.
 ///
-/// A shard under full load commits every 130 ms and the platform answers in
-/// milliseconds. A caller whose key can't be reserved by then is told at once
-/// that its call did not run.
+/// A fully loaded shard commits every 130 ms, and the platform answers within
+/// milliseconds. If the key is not reserved in time, the caller is told
+/// immediately that its call did not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What such a caller is told to wait, at least; up to twice as much.
+/// Minimum delay that such a caller is told to wait; the maximum is twice as long.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time for which claims of a shard are refused at once after one had to wait
-/// for [`CLAIM_TIMEOUT`] in vain; then one may try again.
+/// Time for which claims of a shard are refused immediately after one of them
+/// was not answered within [`CLAIM_TIMEOUT`].
 ///
-/// While the platform is so slow, callers would otherwise all wait as long.
+/// Without it, every caller would wait that long while the platform is slow.
 const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for which an owner that did not answer is not asked first.
+/// Time for which nothing is sent to an owner that did not answer.
 const FAILED_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Links from other nodes at once: keyed calls of the whole fleet, spread over
-/// the shards, keep some 350 open at the size that is designed for.
+/// Maximum number of concurrent links from other nodes. At the design size, the
+/// fleet's keyed calls, distributed over the shards, keep about 350 open.
 const MAX_LINKS: usize = 1_024;
 
-/// A key that is held for a call, which may run now.
+/// A key that is reserved for a call, which may now run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-#[must_use = "a key that is neither completed nor released stays \"may have run\""]
+#[must_use = "repeats of a call get \"may have run\" until its key is completed or released"]
 pub struct Grant {
     key: Key,
     holder: Holder,
 }
 
-/// How a claim ended.
+/// The result of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimResult {
     /// The call may run.
     Granted(Grant),
-    /// It must not; [`Reply::Granted`] is never told here.
+    /// The call must not run; the reply is never [`Reply::Granted`].
     NotGranted(Reply),
 }
 
-/// The reservations of a node; clones share them.
+/// A handle to a node's reservations; clones share the same state.
 #[derive(Debug, Clone)]
 pub struct Handle<C>
 where
@@ -91,16 +92,17 @@
     C: Clock,
 {
     shared: Arc<Shared<C>>,
-    shards: Arc<[mpsc::Sender<Order>]>,
-    peers: Mutex<HashMap<SocketAddr, Peer>>,
-    failed: Mutex<HashMap<SocketAddr, Instant>>,
+    shards: Arc<[mpsc::Sender<Command>]>,
+    owner_links: Mutex<HashMap<SocketAddr, OwnerLink>>,
+    /// When each of these owners last did not answer.
+    failed_owners: Mutex<HashMap<SocketAddr, Instant>>,
     owners: Mutex<Owners>,
-    /// When a claim of each shard last waited in vain.
-    stalled: Mutex<Vec<Option<Instant>>>,
-    links: Arc<Semaphore>,
+    /// When a claim of each shard last timed out.
+    stalled_at: Mutex<Vec<Option<Instant>>>,
+    link_permits: Arc<Semaphore>,
 }
 
-/// Starts the reservations of a node, whose records are in `store`.
+/// Starts the tasks that serve a node's reservations, with their records in `store`.
 #[must_use]
 pub fn spawn<S, C>(shared: Arc<Shared<C>>, store: &S) -> Handle<C>
 where
@@ -117,11 +119,11 @@
         inner: Arc::new(Inner {
             shards: shards.collect(),
             shared,
-            peers: Mutex::default(),
-            failed: Mutex::default(),
+            owner_links: Mutex::default(),
+            failed_owners: Mutex::default(),
             owners: Mutex::new(Owners::new(view)),
-            stalled: Mutex::new(vec![None; usize::from(SHARD_COUNT)]),
-            links: Arc::new(Semaphore::new(MAX_LINKS)),
+            stalled_at: Mutex::new(vec![None; usize::from(SHARD_COUNT)]),
+            link_permits: Arc::new(Semaphore::new(MAX_LINKS)),
         }),
     }
 }
@@ -130,10 +132,10 @@
 where
     C: Clock,
 {
-    /// Claims `key` for `call`, within `limit`.
+    /// Claims `key` for `call`, waiting at most `limit`.
     ///
-    /// `call` names one request of a caller and must be used for no other.
-    /// A claim that is given up before its end (dropped) holds nothing.
+    /// `call` identifies one request of a caller and must never be reused for
+    /// another. A claim whose future is dropped before it completes holds nothing.
     pub async fn claim(
         &self,
         key: Key,
@@ -142,14 +144,14 @@
         limit: Duration,
     ) -> ClaimResult {
         let start = Instant::now();
-        let claimed = self.claim_from(start, key, fingerprint, call, limit).await;
-        let reply = match &claimed {
+        let result = self.claim_from(start, key, fingerprint, call, limit).await;
+        let reply = match &result {
             ClaimResult::Granted(_) => &Reply::Granted,
             ClaimResult::NotGranted(reply) => reply,
         };
         let metrics = &self.inner.shared.metrics.reserve;
-        metrics.count(reply, start.elapsed());
-        claimed
+        metrics.record_claim(reply, start.elapsed());
+        result
     }
 
     async fn claim_from(
@@ -161,15 +163,15 @@
         limit: Duration,
     ) -> ClaimResult {
         if self.inner.is_stalled(key) {
-            return ClaimResult::NotGranted(refuse());
+            return ClaimResult::NotGranted(make_refusal());
         }
         let end = start + limit.min(CLAIM_TIMEOUT);
-        let mut told = None;
+        let mut refusal = None;
         let mut unanswered = Vec::new();
-        for (attempt, way) in (0..).zip(self.inner.ways(key.shard())) {
-            // An owner that was asked and refused knows how the platform is;
-            // this node would only add to its load.
-            if told.is_some() && way == Way::Local {
+        for (attempt, destination) in (0..).zip(self.inner.destinations(key.shard())) {
+            // An owner that refuses knows the state of the platform; an attempt
+            // by this node would only add to the platform's load.
+            if refusal.is_some() && destination == Destination::Local {
                 break;
             }
             let holder = Holder { call, attempt };
@@ -178,73 +180,73 @@
                 fingerprint,
                 holder,
             };
-            match timeout_at(end, self.inner.ask(way, claim)).await {
+            match timeout_at(end, self.inner.send_claim(destination, claim)).await {
                 Ok(Some(Reply::Granted)) => return ClaimResult::Granted(Grant { key, holder }),
-                Ok(Some(refused @ Reply::Refused { .. })) => told = Some(refused),
+                Ok(Some(refused @ Reply::Refused { .. })) => refusal = Some(refused),
                 Ok(Some(reply)) => return ClaimResult::NotGranted(reply),
                 Ok(None) => {
-                    unanswered.push((way, holder));
-                    self.inner.note_failed(way);
+                    unanswered.push((destination, holder));
+                    self.inner.record_failure(destination);
                 }
                 Err(_) => {
-                    unanswered.push((way, holder));
-                    self.inner.note_stalled(key, start);
+                    unanswered.push((destination, holder));
+                    self.inner.record_stall(key, start);
                     break;
                 }
             }
         }
-        // An owner whose answer was lost may have reserved the key for this
-        // call, which nobody will run now. Not given back, its repeats would be
-        // told "may have run" for good.
-        for (way, holder) in unanswered {
-            self.inner.release_beside(way, key, holder);
+        // An owner whose reply was lost may have reserved the key for this call,
+        // which will not run. Without a release, its repeats would get "may
+        // have run" for as long as the key is held.
+        for (destination, holder) in unanswered {
+            self.inner.release_elsewhere(destination, key, holder);
         }
-        ClaimResult::NotGranted(told.unwrap_or_else(refuse))
+        ClaimResult::NotGranted(refusal.unwrap_or_else(make_refusal))
     }
 
-    /// Keeps the answer of a call that has run, for repeats.
+    /// Records that a call has run, and stores its answer for repeats.
     pub fn complete(&self, grant: Grant, answer: Option<Answer>) {
-        let kept = answer.filter(|answer| answer.size() <= MAX_ANSWER_BYTES);
-        self.inner.note(Entry::Complete {
+        let stored = answer.filter(|answer| answer.size() <= MAX_ANSWER_BYTES);
+        self.inner.send_outcome(Entry::Complete {
             key: grant.key,
             holder: grant.holder,
-            answer: kept.map(Arc::new),
+            answer: stored.map(Arc::new),
         });
     }
 
-    /// Gives the key of a call back that surely has not run and never will.
+    /// Releases the key of a call that is certain not to have run and never will.
     pub fn release(&self, grant: Grant) {
-        self.inner.note(Entry::Release {
+        self.inner.send_outcome(Entry::Release {
             key: grant.key,
             holder: grant.holder,
         });
     }
 
-    /// Writes and sends what still waits, so that a node that leaves takes no outcome with it.
+    /// Writes and sends pending outcomes, so that none are lost when the node stops.
     ///
-    /// Repeats of a call whose outcome is lost are told "may have run" for as
-    /// long as its key is held.
+    /// Repeats of a call whose outcome is lost get "may have run" for as long as
+    /// its key is held.
     pub async fn flush(&self, limit: Duration) {
         let mut flushed = Vec::new();
         for shard in self.inner.shards.iter() {
-            let (done, waits) = oneshot::channel();
-            if shard.try_send(Order::Flush(done)).is_ok() {
-                flushed.push(waits);
+            let (done, receiver) = oneshot::channel();
+            if shard.try_send(Command::Flush(done)).is_ok() {
+                flushed.push(receiver);
             }
         }
-        let peers: Vec<_> = self.inner.peers.lock().values().cloned().collect();
+        let links: Vec<_> = self.inner.owner_links.lock().values().cloned().collect();
         let end = Instant::now() + limit;
-        for peer in peers {
-            drop(timeout_at(end, peer.flush()).await);
+        for link in links {
+            drop(timeout_at(end, link.flush()).await);
         }
-        for waits in flushed {
-            drop(timeout_at(end, waits).await);
+        for receiver in flushed {
+            drop(timeout_at(end, receiver).await);
         }
     }
 
-    /// Serves a link of another node, after both hellos.
+    /// Serves a link from another node, after both sides have sent their hello.
     pub fn accept(&self, stream: TcpStream) {
-        let Ok(permit) = Arc::clone(&self.inner.links).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&self.inner.link_permits).try_acquire_owned() else {
             return;
         };
         let shards = Arc::clone(&self.inner.shards);
@@ -259,25 +261,25 @@
 where
     C: Clock,
 {
-    /// Gives whom to ask for a shard: its owners, and at last this node itself.
-    fn ways(&self, shard: u16) -> Vec<Way> {
+    /// Returns where to send a claim of a shard, in order: its owners, then this node.
+    fn destinations(&self, shard: u16) -> Vec<Destination> {
         let owners = self.owners(shard);
-        let mut ways: Vec<_> = owners.into_iter().flatten().collect();
-        let failed = self.failed.lock();
-        let has_failed = |way: &Way| match way {
-            Way::Remote(address) => failed
+        let mut destinations: Vec<_> = owners.into_iter().flatten().collect();
+        let failed_owners = self.failed_owners.lock();
+        let has_failed = |destination: &Destination| match destination {
+            Destination::Remote(address) => failed_owners
                 .get(address)
                 .is_some_and(|at| at.elapsed() < FAILED_TIMEOUT),
-            Way::Local => false,
+            Destination::Local => false,
         };
-        ways.retain(|way| !has_failed(way));
-        if !ways.contains(&Way::Local) {
-            ways.push(Way::Local);
+        destinations.retain(|destination| !has_failed(destination));
+        if !destinations.contains(&Destination::Local) {
+            destinations.push(Destination::Local);
         }
-        ways
+        destinations
     }
 
-    fn owners(&self, shard: u16) -> [Option<Way>; 2] {
+    fn owners(&self, shard: u16) -> [Option<Destination>; 2] {
         let view = self.shared.view.load_full();
         let mut owners = self.owners.lock();
         if !Arc::ptr_eq(&owners.view, &view) {
@@ -286,80 +288,90 @@
         owners.find(shard, &self.shared.settings.name)
     }
 
-    async fn ask(&self, way: Way, claim: Claim) -> Option<Reply> {
-        match way {
-            Way::Local => {
-                let (reply, told) = oneshot::channel();
+    /// Sends a claim; returns `None` if there was no reply.
+    async fn send_claim(&self, destination: Destination, claim: Claim) -> Option<Reply> {
+        match destination {
+            Destination::Local => {
+                let (sender, reply) = oneshot::channel();
                 let shard = &self.shards[usize::from(claim.key.shard())];
-                shard.try_send(Order::Claim(claim, reply)).ok()?;
-                told.await.ok()
+                shard.try_send(Command::Claim(claim, sender)).ok()?;
+                reply.await.ok()
             }
-            Way::Remote(address) => self.peer(address).claim(claim).await,
+            Destination::Remote(address) => self.owner_link(address).claim(claim).await,
         }
     }
 
     fn is_stalled(&self, key: Key) -> bool {
-        let stalled = self.stalled.lock()[usize::from(key.shard())];
-        stalled.is_some_and(|at| at.elapsed() < STALL_TIMEOUT)
+        let stalled_at = self.stalled_at.lock()[usize::from(key.shard())];
+        stalled_at.is_some_and(|at| at.elapsed() < STALL_TIMEOUT)
     }
 
-    /// Notes that a claim which began at `start` was not answered, unless its caller had less time.
-    fn note_stalled(&self, key: Key, start: Instant) {
+    /// Marks the key's shard as stalled because a claim made at `start` timed out.
+    ///
+    /// A claim that waited for less than [`CLAIM_TIMEOUT`], because its caller's
+    /// limit is shorter, does not count.
+    fn record_stall(&self, key: Key, start: Instant) {
         if start.elapsed() >= CLAIM_TIMEOUT {
-            self.stalled.lock()[usize::from(key.shard())] = Some(Instant::now());
+            self.stalled_at.lock()[usize::from(key.shard())] = Some(Instant::now());
         }
     }
 
-    /// Releases a key by another way than the one that did not answer.
-    fn release_beside(&self, silent: Way, key: Key, holder: Holder) {
-        let ways = self.ways(key.shard());
-        let way = ways.iter().find(|way| **way != silent);
-        self.note_by(way, Entry::Release { key, holder });
+    /// Releases a key through a destination other than the one that did not answer.
+    fn release_elsewhere(&self, unanswered: Destination, key: Key, holder: Holder) {
+        let destinations = self.destinations(key.shard());
+        let destination = destinations
+            .iter()
+            .find(|destination| **destination != unanswered);
+        self.send_outcome_to(destination, Entry::Release { key, holder });
     }
 
-    fn note(&self, entry: Entry) {
+    fn send_outcome(&self, entry: Entry) {
         let (Entry::Complete { key, .. } | Entry::Release { key, .. }) = &entry else {
             return;
         };
-        let ways = self.ways(key.shard());
-        self.note_by(ways.first(), entry);
+        let destinations = self.destinations(key.shard());
+        self.send_outcome_to(destinations.first(), entry);
     }
 
-    fn note_by(&self, way: Option<&Way>, entry: Entry) {
-        let entry = match way {
-            Some(Way::Remote(address)) => match self.peer(*address).note(entry) {
-                Ok(()) => return,
-                Err(entry) => entry,
-            },
-            Some(Way::Local) | None => entry,
+    /// Sends an outcome, or hands it to this node's shard if the link can't take it.
+    fn send_outcome_to(&self, destination: Option<&Destination>, entry: Entry) {
+        let entry = match destination {
+            Some(Destination::Remote(address)) => {
+                match self.owner_link(*address).send_outcome(entry) {
+                    Ok(()) => return,
+                    Err(entry) => entry,
+                }
+            }
+            Some(Destination::Local) | None => entry,
         };
-        pass_note(entry, &self.shards);
+        queue_outcome(entry, &self.shards);
     }
 
-    fn peer(&self, address: SocketAddr) -> Peer {
-        let mut peers = self.peers.lock();
-        if let Some(peer) = peers.get(&address).filter(|peer| !peer.is_closed()) {
-            return peer.clone();
+    /// Returns the open link to an owner, or opens one.
+    fn owner_link(&self, address: SocketAddr) -> OwnerLink {
+        let mut links = self.owner_links.lock();
+        if let Some(link) = links.get(&address).filter(|link| !link.is_closed()) {
+            return link.clone();
         }
-        peers.retain(|_, peer| !peer.is_closed());
-        let peer = Peer::open(address, make_hello(&self.shared, Link::Reserve));
-        peers.insert(address, peer.clone());
-        peer
+        links.retain(|_, link| !link.is_closed());
+        let link = OwnerLink::open(address, make_hello(&self.shared, Link::Reserve));
+        links.insert(address, link.clone());
+        link
     }
 
-    fn note_failed(&self, way: Way) {
-        if let Way::Remote(address) = way {
-            let mut failed = self.failed.lock();
-            failed.retain(|_, at| at.elapsed() < FAILED_TIMEOUT);
-            failed.insert(address, Instant::now());
+    fn record_failure(&self, destination: Destination) {
+        if let Destination::Remote(address) = destination {
+            let mut failed_owners = self.failed_owners.lock();
+            failed_owners.retain(|_, at| at.elapsed() < FAILED_TIMEOUT);
+            failed_owners.insert(address, Instant::now());
         }
     }
 }
 
-/// Refuses with a wait of its own for each, so that callers don't return all at once.
-fn refuse() -> Reply {
-    let wait = RETRY_AFTER.mul_f64(rand::rng().random_range(1.0..2.0));
+/// Returns a refusal with a random delay, so that callers don't all retry at the same time.
+fn make_refusal() -> Reply {
+    let delay = RETRY_AFTER.mul_f64(rand::rng().random_range(1.0..2.0));
     Reply::Refused {
-        retry_after_ms: whole_ms(wait),
+        retry_after_ms: whole_ms(delay),
     }
 }
--- a/crates/node/src/reserve/record.rs
+++ b/crates/node/src/reserve/encoding.rs
@@ -1,4 +1,4 @@
-//! The form in which a shard's entries and tables stand in the platform.
+//! Encoding of a shard's entries and snapshots in the platform.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -7,11 +7,11 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 
-/// Gives `postcard` bytes as base64 text: a third of the JSON's length.
+/// Encodes a value with `postcard` and base64, in a third of the length of JSON.
 ///
 /// # Errors
 ///
-/// [`store::Error::Invalid`] when it has no such form.
+/// Returns [`store::Error::Invalid`] if the value can't be encoded.
 pub(crate) fn encode<T>(value: &T) -> Result<Value, store::Error>
 where
     T: Serialize,
@@ -21,19 +21,19 @@
     Ok(Value::String(STANDARD_NO_PAD.encode(bytes)))
 }
 
-/// Reads what [`encode`] gave.
+/// Decodes a value that [`encode`] returned.
 ///
 /// # Errors
 ///
-/// [`store::Error::Invalid`] when it is something else.
+/// Returns [`store::Error::Invalid`] if the input has another format.
 pub(crate) fn decode<T>(value: &Value) -> Result<T, store::Error>
 where
     T: DeserializeOwned,
 {
-    let invalid = |why: String| store::Error::Invalid(why);
+    let invalid = |reason: String| store::Error::Invalid(reason);
     let text = value
         .as_str()
-        .ok_or_else(|| invalid("a record that is no text".into()))?;
+        .ok_or_else(|| invalid("the value is not a string".into()))?;
     let bytes = STANDARD_NO_PAD
         .decode(text)
         .map_err(|error| invalid(error.to_string()))?;
--- a/crates/node/src/reserve/journal.rs
+++ b/crates/node/src/reserve/journal.rs
@@ -1,7 +1,7 @@
-//! A shard's table as it follows from its records, and the writing of the next one.
+//! A shard's table, built from its records, and the writing of new records.
 
-use crate::reserve::ages::Ages;
-use crate::reserve::record::{decode, encode};
+use crate::reserve::encoding::{decode, encode};
+use crate::reserve::key_expiry::KeyExpiry;
 use call::reserve::{Claim, Entry, Holder, Key, KeyTable, MAX_KEYS, Reply};
 use clock::Clock;
 use smol_str::{SmolStr, format_smolstr};
@@ -11,75 +11,79 @@
 use store::{Error, Journal, Store};
 use tokio::time::Instant;
 
-/// Records between two snapshots: a node that takes a shard over reads at most
-/// that many, and a snapshot of a full table (a dozen writes) is a small part
-/// of the writes in between.
+/// Number of records between two snapshots. A node that takes over a shard reads
+/// at most that many, and the dozen writes for a snapshot of a full table are
+/// few compared to the writes in between.
 const SNAPSHOT_INTERVAL: u64 = 512;
 
-/// Records between two steps of removal; a step removes as many objects.
+/// Number of records between two rounds of removing old records. Each round
+/// removes the same number of objects.
 const REMOVAL_INTERVAL: u64 = 8;
 
-/// Time for which a table counts as up to date after it was.
+/// Time for which a table counts as up to date after it was last read or written.
 ///
-/// Another node may have released or completed what this one takes for held.
-/// That errs on the safe side, yet callers should not be told so for long.
+/// Another node may have released or completed a key that is still held in this
+/// node's table. That errs on the safe side, but callers should not be told that
+/// such a key is held for long.
 const FRESH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A record that is being written.
+/// A record whose write is not confirmed yet.
 #[derive(Debug)]
-struct Draft {
+struct PendingRecord {
     number: u64,
     nonce: SmolStr,
-    /// When the number was free.
-    free: Moment,
+    /// When the number was known to be free.
+    free_at: Moment,
     entries: Vec<Entry>,
 }
 
-/// A shard's records, as far as this node has read or written them.
+/// A shard's table and journal, as far as this node has read or written the records.
 #[derive(Debug)]
-pub(crate) struct Log<S, C> {
+pub(crate) struct ShardLog<S, C> {
     journal: Journal<S, C>,
     clock: C,
     table: KeyTable,
     loaded: bool,
-    /// Number of the last record applied.
+    /// Number of the last applied record.
     position: u64,
-    /// When the number after that was free.
-    free: Moment,
-    fresh: Option<Instant>,
-    /// A record whose answer was lost: it may stand, or may still come to stand.
-    doubt: Option<Draft>,
+    /// When the next number was known to be free.
+    free_at: Moment,
+    /// When the table was last up to date.
+    fresh_at: Option<Instant>,
+    /// A record whose write got no response: it may be committed, now or later.
+    in_doubt: Option<PendingRecord>,
     /// Claims that were refused while their record was in doubt.
     abandoned: Vec<(Key, Holder)>,
-    ages: Ages,
+    expiry: KeyExpiry,
+    /// Number of the last record in the last snapshot.
     snapshot: u64,
     retention: Retention,
 }
 
-impl<S, C> Log<S, C>
+impl<S, C> ShardLog<S, C>
 where
     S: Store,
     C: Clock,
 {
     pub(crate) fn new(journal: Journal<S, C>, clock: C) -> Self {
-        let free = journal.moment();
+        let free_at = journal.moment();
         Self {
             journal,
             clock,
             table: KeyTable::default(),
             loaded: false,
             position: 0,
-            free,
-            fresh: None,
-            doubt: None,
+            free_at,
+            fresh_at: None,
+            in_doubt: None,
             abandoned: Vec::new(),
-            ages: Ages::default(),
+            expiry: KeyExpiry::default(),
             snapshot: 0,
             retention: Retention::default(),
         }
     }
 
-    /// Gives the table; an empty one before the first [`Log::prepare`].
+    /// Returns the table, which is empty before the first [`ShardLog::prepare`].
     pub(crate) fn table(&self) -> &KeyTable {
         &self.table
     }
@@ -88,36 +92,38 @@
         self.loaded
     }
 
-    /// Tells whether the table was up to date a moment ago.
+    /// Returns whether the table was up to date within the last [`FRESH_TIMEOUT`].
     pub(crate) fn is_fresh(&self) -> bool {
-        self.fresh.is_some_and(|at| at.elapsed() < FRESH_TIMEOUT)
+        self.fresh_at.is_some_and(|at| at.elapsed() < FRESH_TIMEOUT)
     }
 
-    /// Tells whether a record is in doubt.
+    /// Returns whether it is unknown if the last record was committed.
     pub(crate) fn is_in_doubt(&self) -> bool {
-        self.doubt.is_some()
+        self.in_doubt.is_some()
     }
 
-    /// Lets the table go: a node that served a shard for a while must not hold it for ever.
+    /// Drops the table, so that a node doesn't keep every shard that it ever served in memory.
     pub(crate) fn unload(&mut self) {
         self.table = KeyTable::default();
         self.loaded = false;
-        self.fresh = None;
+        self.fresh_at = None;
     }
 
-    /// Makes the log ready to be written; gives the releases of what abandoned claims hold.
+    /// Prepares for the next record; returns the releases of keys that abandoned claims hold.
+    ///
+    /// Loads the table if necessary and retries a record that is in doubt.
     pub(crate) async fn prepare(&mut self) -> Result<Vec<Entry>, Error> {
         if !self.loaded {
             self.load().await?;
         }
-        // Until its fate is known nothing else is written: its number may be
-        // taken at any moment by this very record, late on its way.
-        if let Some(draft) = self.doubt.take()
-            && draft.number == self.position + 1
+        // Nothing else is written while a record is in doubt: the delayed write
+        // of that record may take its number at any time.
+        if let Some(record) = self.in_doubt.take()
+            && record.number == self.position + 1
         {
-            self.append(draft).await?;
+            self.append(record).await?;
         }
-        // Their callers were told "not run".
+        // The callers of abandoned claims were told "not run".
         let abandoned = std::mem::take(&mut self.abandoned).into_iter();
         let held = abandoned.filter(|(key, holder)| self.table.is_held(*key, *holder));
         Ok(held
@@ -125,9 +131,9 @@
             .collect())
     }
 
-    /// Applies the records that others have written.
+    /// Applies the records that other nodes have written.
     pub(crate) async fn catch_up(&mut self) -> Result<(), Error> {
-        let free = self.journal.moment();
+        let free_at = self.journal.moment();
         let now = Instant::now();
         let Some(tail) = self.journal.read(self.position).await? else {
             return self.load().await;
@@ -135,62 +141,66 @@
         for record in &tail.records {
             self.apply_record(record)?;
         }
-        self.free = free;
-        self.fresh = Some(now);
+        self.free_at = free_at;
+        self.fresh_at = Some(now);
         Ok(())
     }
 
-    /// Forgets old keys when there is no room for new ones.
+    /// Writes a record that removes expired keys if the table is full.
     ///
-    /// Keys go with the next record; where all claims are refused for want of
-    /// room, there would never be one.
-    pub(crate) async fn make_room(&mut self) -> Result<(), Error> {
-        let keys = self.table.len();
-        if keys >= MAX_KEYS && self.ages.expired(&self.clock, keys).is_some() {
+    /// Normally keys are removed along with the next record, but there would be
+    /// none while the table is full and all claims are refused.
+    pub(crate) async fn expire_if_full(&mut self) -> Result<(), Error> {
+        let key_count = self.table.len();
+        if key_count >= MAX_KEYS && self.expiry.last_expired(&self.clock, key_count).is_some() {
             self.write(Vec::new()).await?;
         }
         Ok(())
     }
 
-    /// Writes the next record; gives a reply for each claim in it, or `None` when its number is another's.
+    /// Writes the next record.
+    ///
+    /// Returns a reply for each claim in the record, or `None` if another node has
+    /// written a record with that number.
     pub(crate) async fn write(
         &mut self,
         mut entries: Vec<Entry>,
     ) -> Result<Option<Vec<Reply>>, Error> {
-        if let Some(through) = self.ages.expired(&self.clock, self.table.len()) {
+        if let Some(through) = self.expiry.last_expired(&self.clock, self.table.len()) {
             entries.insert(0, Entry::Expire { through });
         }
-        let draft = Draft {
+        let record = PendingRecord {
             number: self.position + 1,
-            nonce: draw_nonce(),
-            free: self.free,
+            nonce: random_nonce(),
+            free_at: self.free_at,
             entries,
         };
-        self.append(draft).await
+        self.append(record).await
     }
 
-    async fn append(&mut self, draft: Draft) -> Result<Option<Vec<Reply>>, Error> {
-        let value = encode(&draft.entries)?;
-        let free = self.journal.moment();
+    async fn append(&mut self, record: PendingRecord) -> Result<Option<Vec<Reply>>, Error> {
+        let value = encode(&record.entries)?;
+        let free_at = self.journal.moment();
         let now = Instant::now();
         let journal = &self.journal;
-        let appended = journal.append(draft.number, &draft.nonce, &value, draft.free);
+        let appended = journal.append(record.number, &record.nonce, &value, record.free_at);
         match appended.await {
             Ok(Append::Written) => {
-                self.free = free;
-                self.fresh = Some(now);
-                self.ages.note(&self.clock, draft.number);
-                Ok(Some(self.apply(&draft.entries, draft.number)))
+                self.free_at = free_at;
+                self.fresh_at = Some(now);
+                self.expiry.record_commit(&self.clock, record.number);
+                Ok(Some(self.apply(&record.entries, record.number)))
             }
             Ok(Append::Taken(_)) => Ok(None),
             Err(error) => {
                 if matches!(error, Error::Unknown(_) | Error::Gone) {
                     self.abandoned
-                        .extend(draft.entries.iter().filter_map(find_claim));
-                    self.doubt = Some(draft);
+                        .extend(record.entries.iter().filter_map(claim_of));
+                    self.in_doubt = Some(record);
                 }
-                // This process was paused for so long that the record's number
-                // is below the floor; reading anew tells whether it stood.
+                // `Error::Gone` means that this process was paused for so long
+                // that the record's number is at or below the floor. Loading
+                // again shows whether the record was committed.
                 self.loaded &= error != Error::Gone;
                 Err(error)
             }
@@ -201,7 +211,7 @@
         self.position = number;
         for entry in entries {
             if let Entry::Expire { through } = entry {
-                self.ages.forget(*through);
+                self.expiry.remove_through(*through);
             }
         }
         let replies = entries
@@ -217,7 +227,7 @@
     }
 
     async fn load(&mut self) -> Result<(), Error> {
-        let free = self.journal.moment();
+        let free_at = self.journal.moment();
         let now = Instant::now();
         let loaded = self.journal.load().await?;
         self.table = match &loaded.snapshot {
@@ -229,16 +239,16 @@
         for record in &loaded.tail.records {
             self.apply_record(record)?;
         }
-        self.free = free;
-        self.fresh = Some(now);
+        self.free_at = free_at;
+        self.fresh_at = Some(now);
         self.loaded = true;
         Ok(())
     }
 
-    /// Writes a snapshot and removes old records, as many as come in.
+    /// Writes snapshots and removes old records at the rate at which new ones are written.
     ///
-    /// It saves work only: should it fail, the next round tries again.
-    pub(crate) async fn keep_short(&mut self) {
+    /// This only saves work; if it fails, the next round tries again.
+    pub(crate) async fn compact(&mut self) {
         if self.position >= self.snapshot + SNAPSHOT_INTERVAL {
             match self.write_snapshot().await {
                 Ok(()) => self.snapshot = self.position,
@@ -257,16 +267,16 @@
         let value = encode(&self.table)?;
         let journal = &self.journal;
         journal
-            .write_snapshot(self.position, &draw_nonce(), &value)
+            .write_snapshot(self.position, &random_nonce(), &value)
             .await
     }
 }
 
-fn draw_nonce() -> SmolStr {
+fn random_nonce() -> SmolStr {
     format_smolstr!("{:016x}", rand::random::<u64>())
 }
 
-fn find_claim(entry: &Entry) -> Option<(Key, Holder)> {
+fn claim_of(entry: &Entry) -> Option<(Key, Holder)> {
     match entry {
         Entry::Reserve(Claim { key, holder, .. }) => Some((*key, *holder)),
         Entry::Complete { .. } | Entry::Release { .. } | Entry::Expire { .. } => None,
--- a/crates/node/src/reserve/link.rs
+++ b/crates/node/src/reserve/link.rs
@@ -1,10 +1,10 @@
-//! Links on which nodes ask the owner of a shard.
+//! Links over which nodes send claims and outcomes to the owner of a shard.
 //!
-//! Keyed calls are rare at any one node, so that a link is closed soon after
-//! its last question: an owner serves the whole fleet and can't hold a link to
+//! Keyed calls are rare at any single node, so a link is closed soon after its
+//! last request: an owner serves the whole fleet and can't keep a link open to
 //! each of its nodes.
 
-use crate::reserve::shard::Order;
+use crate::reserve::shard::Command;
 use call::reserve::{Claim, Entry, Reply};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,96 +17,98 @@
 use wire::reserve::Frame;
 use wire::{Hello, codec};
 
-/// Longest wait for a connection and both hellos.
-const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum time to connect and exchange hellos.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest wait for the owner to say that it has heard a question. It does so
-/// before any other work; a stopped one or a silent connection does not.
-const HEARD_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum time until the owner acknowledges a claim.
+///
+/// An owner acknowledges a claim before any other work, so a missing
+/// acknowledgement means that the owner has stopped or the connection is dead.
+const ACK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time without questions after which a link is closed.
+/// Time without requests after which a link is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest wait for the other side's socket to take a frame.
+/// Maximum time to write a frame to the socket.
 ///
-/// Guards against a node that lives and reads nothing: the link to it, and what
-/// waited for it, were held for as long as it stood still.
+/// Guards against a node that is alive but does not read: without the limit, the
+/// link to it and the frames queued for it were held until it resumed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Questions that wait for a link to open; more go another way.
-const MAX_WAITING: usize = 1_024;
+/// Maximum number of requests that wait for a link to open; further ones are
+/// sent elsewhere.
+const MAX_QUEUED_REQUESTS: usize = 1_024;
 
-/// Frames that wait for the socket of a link.
-const MAX_FRAMES: usize = 256;
+/// Maximum number of frames queued for or from the socket of a link.
+const MAX_QUEUED_FRAMES: usize = 256;
 
-/// What goes over a link to an owner.
+/// A request to send over a link to an owner.
 #[derive(Debug)]
-enum Question {
+enum Request {
     Claim(Claim, oneshot::Sender<Reply>),
-    Note(Entry),
-    /// Asks to be told when all before it is on its way.
+    /// A completion or a release.
+    Outcome(Entry),
+    /// Notifies the sender once all earlier requests have been written.
     Flush(oneshot::Sender<()>),
 }
 
-/// A link to an owner, from its first question to its last.
+/// A link to the owner of a shard; clones share the connection.
 #[derive(Debug, Clone)]
-pub(crate) struct Peer {
-    questions: mpsc::Sender<Question>,
+pub(crate) struct OwnerLink {
+    requests: mpsc::Sender<Request>,
 }
 
-impl Peer {
-    /// Starts to connect to the owner at `address`.
+impl OwnerLink {
+    /// Opens a link to the owner at `address`; requests are queued until it is connected.
     pub(crate) fn open(address: SocketAddr, hello: Hello) -> Self {
-        let (questions, waiting) = mpsc::channel(MAX_WAITING);
+        let (requests, queued) = mpsc::channel(MAX_QUEUED_REQUESTS);
         tokio::spawn(async move {
-            if let Err(error) = ask(address, &hello, waiting).await {
+            if let Err(error) = run_link(address, &hello, queued).await {
                 log::debug!(owner:% = address, error:%; "reserve_link_ended");
             }
         });
-        Self { questions }
+        Self { requests }
     }
 
-    /// Tells whether the link has ended; a new one is needed then.
+    /// Returns whether the link has ended, so that a new one is needed.
     pub(crate) fn is_closed(&self) -> bool {
-        self.questions.is_closed()
+        self.requests.is_closed()
     }
 
-    /// Asks for a key; `None` when the owner did not answer.
+    /// Sends a claim and waits for the reply; returns `None` if the owner did not answer.
     pub(crate) async fn claim(&self, claim: Claim) -> Option<Reply> {
-        let (reply, told) = oneshot::channel();
-        self.questions
-            .try_send(Question::Claim(claim, reply))
-            .ok()?;
-        told.await.ok()
+        let (sender, reply) = oneshot::channel();
+        self.requests.try_send(Request::Claim(claim, sender)).ok()?;
+        reply.await.ok()
     }
 
-    /// Tells the owner of a completion or a release; gives it back when the link can't take it.
-    pub(crate) fn note(&self, entry: Entry) -> Result<(), Entry> {
-        match self.questions.try_reserve() {
-            Ok(place) => {
-                place.send(Question::Note(entry));
+    /// Queues a completion or a release; returns it as an error if the link can't take it.
+    pub(crate) fn send_outcome(&self, entry: Entry) -> Result<(), Entry> {
+        match self.requests.try_reserve() {
+            Ok(permit) => {
+                permit.send(Request::Outcome(entry));
                 Ok(())
             }
             Err(_) => Err(entry),
         }
     }
 
-    /// Waits until all that was noted before is on its way, or the link has ended.
+    /// Waits until all earlier requests have been written, or the link has ended.
     pub(crate) async fn flush(&self) {
-        let (done, waits) = oneshot::channel();
-        if self.questions.send(Question::Flush(done)).await.is_ok() {
-            drop(waits.await);
+        let (done, flushed) = oneshot::channel();
+        if self.requests.send(Request::Flush(done)).await.is_ok() {
+            drop(flushed.await);
         }
     }
 }
 
-/// A claim on its way.
+/// A claim that has been sent and not answered yet.
 #[derive(Debug)]
-struct Sent {
+struct SentClaim {
     claim: Claim,
     reply: oneshot::Sender<Reply>,
-    at: Instant,
-    heard: bool,
+    sent_at: Instant,
+    acknowledged: bool,
 }
 
 async fn connect(address: SocketAddr, hello: &Hello) -> Result<TcpStream, wire::Error> {
@@ -117,62 +119,63 @@
     Ok(stream)
 }
 
-/// Asks the owner until there is nothing more to ask, or it falls silent.
+/// Runs a link until it is idle, closed or no longer answered by the owner.
 ///
-/// All that wait for a reply are told by the end of this that there is none.
-async fn ask(
+/// When this returns, the reply channels of unanswered claims are dropped, so
+/// that nothing waits for them any longer.
+async fn run_link(
     address: SocketAddr,
     hello: &Hello,
-    mut questions: mpsc::Receiver<Question>,
+    mut requests: mpsc::Receiver<Request>,
 ) -> Result<(), wire::Error> {
-    let Ok(stream) = timeout(OPEN_TIMEOUT, connect(address, hello)).await else {
+    let Ok(stream) = timeout(CONNECT_TIMEOUT, connect(address, hello)).await else {
         return Err(std::io::Error::from(std::io::ErrorKind::TimedOut).into());
     };
     let (reader, mut writer) = stream?.into_split();
-    let (frames, mut came) = mpsc::channel(MAX_FRAMES);
+    let (frames, mut received) = mpsc::channel(MAX_QUEUED_FRAMES);
     let reader = tokio::spawn(read_frames(reader, frames));
     let mut sent = HashMap::new();
-    let outcome = ask_all(&mut questions, &mut came, &mut writer, &mut sent).await;
+    let result = exchange_frames(&mut requests, &mut received, &mut writer, &mut sent).await;
     reader.abort();
-    outcome
+    result
 }
 
-async fn ask_all(
-    questions: &mut mpsc::Receiver<Question>,
-    came: &mut mpsc::Receiver<Frame>,
+async fn exchange_frames(
+    requests: &mut mpsc::Receiver<Request>,
+    received: &mut mpsc::Receiver<Frame>,
     writer: &mut OwnedWriteHalf,
-    sent: &mut HashMap<u64, Sent>,
+    sent: &mut HashMap<u64, SentClaim>,
 ) -> Result<(), wire::Error> {
     let mut serial = 0;
-    let mut used = Instant::now();
+    let mut last_used = Instant::now();
     loop {
-        let silent = sent
+        let oldest_unacknowledged = sent
             .values()
-            .filter(|sent| !sent.heard)
-            .map(|sent| sent.at)
+            .filter(|sent| !sent.acknowledged)
+            .map(|sent| sent.sent_at)
             .min();
-        let end = match silent {
-            Some(at) => at + HEARD_TIMEOUT,
-            None if sent.is_empty() => used + IDLE_TIMEOUT,
+        let end = match oldest_unacknowledged {
+            Some(sent_at) => sent_at + ACK_TIMEOUT,
+            None if sent.is_empty() => last_used + IDLE_TIMEOUT,
             None => Instant::now() + IDLE_TIMEOUT,
         };
         tokio::select! {
-            question = questions.recv() => {
-                let Some(question) = question else { return Ok(()) };
-                used = Instant::now();
+            request = requests.recv() => {
+                let Some(request) = request else { return Ok(()) };
+                last_used = Instant::now();
                 serial += 1;
-                if let Some(frame) = put_question(question, serial, sent) {
-                    write(writer, frame, HEARD_TIMEOUT).await?;
+                if let Some(frame) = handle_request(request, serial, sent) {
+                    write(writer, frame, ACK_TIMEOUT).await?;
                 }
             }
-            frame = came.recv() => {
+            frame = received.recv() => {
                 let Some(frame) = frame else { return Ok(()) };
-                if let Some(release) = take_frame(frame, sent) {
-                    write(writer, release, HEARD_TIMEOUT).await?;
+                if let Some(release) = handle_frame(frame, sent) {
+                    write(writer, release, ACK_TIMEOUT).await?;
                 }
             }
             () = tokio::time::sleep_until(end) => {
-                if silent.is_some() || sent.is_empty() {
+                if oldest_unacknowledged.is_some() || sent.is_empty() {
                     return Ok(());
                 }
             }
@@ -180,47 +183,55 @@
     }
 }
 
-fn put_question(question: Question, serial: u64, sent: &mut HashMap<u64, Sent>) -> Option<Frame> {
-    match question {
-        Question::Claim(claim, reply) => {
-            let at = Instant::now();
-            let heard = false;
+/// Returns the frame to write for a request, if any, and registers claims in `sent`.
+fn handle_request(
+    request: Request,
+    serial: u64,
+    sent: &mut HashMap<u64, SentClaim>,
+) -> Option<Frame> {
+    match request {
+        Request::Claim(claim, reply) => {
+            let sent_at = Instant::now();
+            let acknowledged = false;
             sent.insert(
                 serial,
-                Sent {
+                SentClaim {
                     claim,
                     reply,
-                    at,
-                    heard,
+                    sent_at,
+                    acknowledged,
                 },
             );
             Some(Frame::Claim { serial, claim })
         }
-        Question::Note(entry) => Some(Frame::Note(entry)),
-        Question::Flush(done) => {
-            // Whoever waited has lost patience; nothing is lost by that.
-            let _told = done.send(());
+        Request::Outcome(entry) => Some(Frame::Note(entry)),
+        Request::Flush(done) => {
+            // Fails only if the receiver has stopped waiting, which is harmless.
+            let _sent = done.send(());
             None
         }
     }
 }
 
-/// Hands a reply on; when nobody waits for it any more, gives the release of what it granted.
-fn take_frame(frame: Frame, sent: &mut HashMap<u64, Sent>) -> Option<Frame> {
+/// Handles a frame from the owner.
+///
+/// Returns the release to write if the owner has granted a claim that nothing
+/// waits for any longer.
+fn handle_frame(frame: Frame, sent: &mut HashMap<u64, SentClaim>) -> Option<Frame> {
     match frame {
         Frame::Heard { serial } => {
-            sent.get_mut(&serial)?.heard = true;
+            sent.get_mut(&serial)?.acknowledged = true;
             None
         }
         Frame::Reply { serial, reply } => {
-            let Sent {
+            let SentClaim {
                 claim,
-                reply: waits,
+                reply: sender,
                 ..
             } = sent.remove(&serial)?;
             let granted = reply == Reply::Granted;
-            let left = waits.send(reply).is_err();
-            (left && granted).then_some(Frame::Note(Entry::Release {
+            let abandoned = sender.send(reply).is_err();
+            (abandoned && granted).then_some(Frame::Note(Entry::Release {
                 key: claim.key,
                 holder: claim.holder,
             }))
@@ -238,57 +249,61 @@
     }
 }
 
-/// Serves a link of a node that takes this one for the owner, until it is idle.
-pub(crate) async fn serve(stream: TcpStream, shards: Arc<[mpsc::Sender<Order>]>) {
+/// Serves a link from a node that considers this node the owner, until the link is idle.
+pub(crate) async fn serve(stream: TcpStream, shards: Arc<[mpsc::Sender<Command>]>) {
     let (reader, writer) = stream.into_split();
-    let (frames, mut came) = mpsc::channel(MAX_FRAMES);
+    let (frames, mut received) = mpsc::channel(MAX_QUEUED_FRAMES);
     let reader = tokio::spawn(read_frames(reader, frames));
-    let (replies, waiting) = mpsc::channel(MAX_FRAMES);
-    let writer = tokio::spawn(write_frames(writer, waiting));
-    // The other side closes first; this is for one that died.
-    while let Ok(Some(frame)) = timeout(2 * IDLE_TIMEOUT, came.recv()).await {
+    let (replies, queued) = mpsc::channel(MAX_QUEUED_FRAMES);
+    let writer = tokio::spawn(write_frames(writer, queued));
+    // Normally the other side closes an idle link first; the timeout, twice as
+    // long, ends links to nodes that have died.
+    while let Ok(Some(frame)) = timeout(2 * IDLE_TIMEOUT, received.recv()).await {
         match frame {
             Frame::Claim { serial, claim } => serve_claim(serial, claim, &shards, &replies).await,
-            Frame::Note(entry) => pass_note(entry, &shards),
+            Frame::Note(entry) => queue_outcome(entry, &shards),
             Frame::Heard { .. } | Frame::Reply { .. } => break,
         }
     }
     reader.abort();
-    // What is still to be told waits for the platform, for longer than the node
-    // that asked stays: its socket stood half closed meanwhile.
+    // Outstanding replies wait for the platform, possibly long after the other
+    // node has closed the link. Waiting for them would leave the socket half
+    // closed (CLOSE-WAIT) for all that time.
     writer.abort();
 }
 
 async fn serve_claim(
     serial: u64,
     claim: Claim,
-    shards: &[mpsc::Sender<Order>],
+    shards: &[mpsc::Sender<Command>],
     replies: &mpsc::Sender<Frame>,
 ) {
-    let (reply, told) = oneshot::channel();
+    let (sender, receiver) = oneshot::channel();
     let shard = &shards[usize::from(claim.key.shard())];
-    if shard.try_send(Order::Claim(claim, reply)).is_err() {
+    if shard.try_send(Command::Claim(claim, sender)).is_err() {
         return;
     }
     drop(replies.send(Frame::Heard { serial }).await);
     let replies = replies.clone();
     tokio::spawn(async move {
-        if let Ok(reply) = told.await {
+        if let Ok(reply) = receiver.await {
             drop(replies.send(Frame::Reply { serial, reply }).await);
         }
     });
 }
 
-/// Hands a completion or a release to its shard; one that is lost leaves its key "may have run".
-pub(crate) fn pass_note(entry: Entry, shards: &[mpsc::Sender<Order>]) {
+/// Queues a completion or a release at its shard.
+///
+/// If the queue is full, the outcome is lost, and repeats get "may have run".
+pub(crate) fn queue_outcome(entry: Entry, shards: &[mpsc::Sender<Command>]) {
     if let Entry::Complete { key, .. } | Entry::Release { key, .. } = &entry {
         let shard = &shards[usize::from(key.shard())];
-        drop(shard.try_send(Order::Note(entry)));
+        drop(shard.try_send(Command::Outcome(entry)));
     }
 }
 
-async fn write_frames(mut writer: OwnedWriteHalf, mut waiting: mpsc::Receiver<Frame>) {
-    while let Some(frame) = waiting.recv().await {
+async fn write_frames(mut writer: OwnedWriteHalf, mut queued: mpsc::Receiver<Frame>) {
+    while let Some(frame) = queued.recv().await {
         if let Err(error) = write(&mut writer, frame, WRITE_TIMEOUT).await {
             log::debug!(error:%; "reserve_link_ended");
             return;
@@ -296,7 +311,7 @@
     }
 }
 
-/// Writes a frame, if the other side takes it in time.
+/// Writes a frame; fails with a timeout if the socket does not accept it within `limit`.
 async fn write(
     writer: &mut OwnedWriteHalf,
     frame: Frame,
--- a/crates/node/src/reserve/shard.rs
+++ b/crates/node/src/reserve/shard.rs
@@ -1,12 +1,13 @@
-//! One shard's reservations: claims collect while a record is being written.
+//! Reservations of one shard, with group commit.
 //!
-//! Each record carries all that came since the one before (group commit), so
-//! that the platform's writes grow with time and shards, not with calls.
-//! Without that, every keyed call would cost a write, and a few hundred a
-//! second would be all that the whole fleet could take.
+//! Claims and outcomes are collected while a record is being written, and each
+//! record contains everything that has arrived since the previous one. The number
+//! of writes to the platform therefore depends on time and the number of shards,
+//! not on the number of calls. Without group commit, every keyed call would cost
+//! a write, and the whole fleet could handle only a few hundred per second.
 
 use crate::millis::whole_ms;
-use crate::reserve::journal::Log;
+use crate::reserve::journal::ShardLog;
 use call::reserve::{Claim, Entry, Key, MAX_KEYS, Reply, SHARD_COUNT};
 use clock::Clock;
 use rand::Rng;
@@ -16,96 +17,101 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Records a second that all shards together may write: a third of the
-/// platform's several hundred writes, since each record is also removed later.
+/// Records per second that all shards together may write: a third of the several
+/// hundred writes that the platform handles, since each record is also removed
+/// later.
 const RECORDS_PER_SECOND: u64 = 120;
 
 /// Time between two records of one shard under steady load.
-const INTERVAL: Duration = Duration::from_millis(SHARD_COUNT as u64 * 1000 / RECORDS_PER_SECOND);
+const COMMIT_INTERVAL: Duration =
+    Duration::from_millis(SHARD_COUNT as u64 * 1000 / RECORDS_PER_SECOND);
 
-/// Records that a shard may write ahead of that, after it has written fewer.
+/// Number of records that a shard which was below that rate may write at once.
 ///
-/// Few keyed calls come at an even pace; without it one in three would wait for
-/// no reason. All shards at once are 64 records ahead, a fraction of a second
-/// of what the platform takes.
-const BURST: u32 = 4;
+/// Keyed calls rarely arrive evenly; without a burst, one in three would wait
+/// for no reason. A burst of all shards is 64 records, which the platform
+/// handles within a fraction of a second.
+const COMMIT_BURST: u32 = 4;
 
-/// Longest wait of what nobody waits for: completions and releases.
-const LAZY_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum delay of completions and releases, which no call waits for.
+const MAX_OUTCOME_DELAY: Duration = Duration::from_millis(500);
 
-/// Claims that wait for a record at once; more are refused.
-const MAX_ASKED: usize = 4_096;
+/// Maximum number of claims that wait for a record; further ones are refused.
+const MAX_PENDING_CLAIMS: usize = 4_096;
 
-/// Completions and releases that wait through an outage; the oldest go first.
-const MAX_NOTED: usize = 4_096;
+/// Maximum number of completions and releases kept during an outage of the
+/// platform; beyond that, the oldest are dropped.
+const MAX_PENDING_OUTCOMES: usize = 4_096;
 
-/// First bound of the wait after a failure, and the last.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-const LAST_WAIT: Duration = Duration::from_secs(2);
+/// Upper bounds of the delay after the first failure and after many.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Time without orders after which a shard's table is let go.
+/// Time without commands after which a shard's table is dropped from memory.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Numbers tried in a row while other nodes write the same shard.
+/// Maximum number of consecutive attempts to write a record while other nodes
+/// write to the same shard.
 const CONFLICT_ATTEMPTS: u32 = 8;
 
-/// What a caller is told to wait when the shard holds too many keys.
-const FULL_RETRY: Duration = Duration::from_mins(1);
+/// Delay that a caller is told to wait when the shard is full.
+const FULL_DELAY: Duration = Duration::from_mins(1);
 
-/// What is asked of a shard.
+/// A command to a shard's task.
 #[derive(Debug)]
-pub(crate) enum Order {
-    /// A call asks for its key.
+pub(crate) enum Command {
+    /// A call claims its key.
     Claim(Claim, oneshot::Sender<Reply>),
     /// A completion or a release.
-    Note(Entry),
-    /// Asks to be told when nothing waits any more.
+    Outcome(Entry),
+    /// Notifies the sender once no claims or outcomes are pending.
     Flush(oneshot::Sender<()>),
 }
 
-/// A claim that waits.
+/// A claim that waits for a record.
 #[derive(Debug)]
-struct Asked {
+struct PendingClaim {
     claim: Claim,
     reply: oneshot::Sender<Reply>,
 }
 
-impl Asked {
-    /// Tells the reply; `false` when nobody waits for it any more.
-    fn tell(self, reply: Reply) -> bool {
+impl PendingClaim {
+    /// Sends the reply; returns `false` if nothing waits for it any longer.
+    fn answer(self, reply: Reply) -> bool {
         self.reply.send(reply).is_ok()
     }
 }
 
-/// One shard as this node serves it.
+/// State of one shard on this node.
 #[derive(Debug)]
 struct Shard<S, C> {
-    log: Log<S, C>,
-    asked: Vec<Asked>,
-    noted: Vec<Entry>,
-    /// Keys with a waiting completion or release.
-    noted_keys: HashSet<Key>,
-    noted_since: Instant,
+    log: ShardLog<S, C>,
+    claims: Vec<PendingClaim>,
+    outcomes: Vec<Entry>,
+    /// Keys with a pending completion or release.
+    outcome_keys: HashSet<Key>,
+    /// When the oldest pending outcome arrived.
+    outcomes_since: Instant,
     flushes: Vec<oneshot::Sender<()>>,
-    /// When the records written so far would have been written at an even pace.
-    paid: Instant,
-    used: Instant,
-    down_until: Option<Instant>,
+    /// Earliest time of the next record at the steady rate; bursts may precede it.
+    next_paced: Instant,
+    last_used: Instant,
+    backoff_until: Option<Instant>,
     failures: u32,
 }
 
-/// Starts the shard whose records are in `journal`.
-pub(crate) fn spawn<S, C>(journal: Journal<S, C>, clock: C) -> mpsc::Sender<Order>
+/// Starts the task of the shard whose records are in `journal`.
+pub(crate) fn spawn<S, C>(journal: Journal<S, C>, clock: C) -> mpsc::Sender<Command>
 where
     S: Store,
     C: Clock,
 {
-    let (sender, orders) = mpsc::channel(MAX_ASKED);
-    tokio::spawn(run(Shard::new(Log::new(journal, clock)), orders));
+    let (sender, commands) = mpsc::channel(MAX_PENDING_CLAIMS);
+    tokio::spawn(run(Shard::new(ShardLog::new(journal, clock)), commands));
     sender
 }
 
-async fn run<S, C>(mut shard: Shard<S, C>, mut orders: mpsc::Receiver<Order>)
+async fn run<S, C>(mut shard: Shard<S, C>, mut commands: mpsc::Receiver<Command>)
 where
     S: Store,
     C: Clock,
@@ -113,14 +119,14 @@
     loop {
         let wake = shard.next_wake();
         tokio::select! {
-            order = orders.recv() => match order {
-                Some(order) => shard.take(order),
+            command = commands.recv() => match command {
+                Some(command) => shard.handle(command),
                 None => return,
             },
             () = tokio::time::sleep_until(wake) => {}
         }
-        while let Ok(order) = orders.try_recv() {
-            shard.take(order);
+        while let Ok(command) = commands.try_recv() {
+            shard.handle(command);
         }
         if shard.is_due() {
             shard.commit().await;
@@ -135,115 +141,118 @@
     S: Store,
     C: Clock,
 {
-    fn new(log: Log<S, C>) -> Self {
+    fn new(log: ShardLog<S, C>) -> Self {
         let now = Instant::now();
         Self {
             log,
-            asked: Vec::new(),
-            noted: Vec::new(),
-            noted_keys: HashSet::new(),
-            noted_since: now,
+            claims: Vec::new(),
+            outcomes: Vec::new(),
+            outcome_keys: HashSet::new(),
+            outcomes_since: now,
             flushes: Vec::new(),
-            paid: now,
-            used: now,
-            down_until: None,
+            next_paced: now,
+            last_used: now,
+            backoff_until: None,
             failures: 0,
         }
     }
 
-    fn take(&mut self, order: Order) {
-        self.used = Instant::now();
-        match order {
-            Order::Claim(claim, reply) => self.take_claim(Asked { claim, reply }),
-            Order::Note(entry) => self.note(entry),
-            Order::Flush(done) => {
+    fn handle(&mut self, command: Command) {
+        self.last_used = Instant::now();
+        match command {
+            Command::Claim(claim, reply) => self.handle_claim(PendingClaim { claim, reply }),
+            Command::Outcome(entry) => self.add_outcome(entry),
+            Command::Flush(done) => {
                 self.flushes.push(done);
-                self.tell_flushed();
+                self.notify_flushed();
             }
         }
     }
 
-    fn tell_flushed(&mut self) {
-        if self.noted.is_empty() && self.asked.is_empty() {
+    fn notify_flushed(&mut self) {
+        if self.outcomes.is_empty() && self.claims.is_empty() {
             for done in self.flushes.drain(..) {
-                // Whoever waited has lost patience; nothing is lost by that.
-                let _told = done.send(());
+                // Fails only if the receiver has stopped waiting, which is harmless.
+                let _sent = done.send(());
             }
         }
     }
 
-    fn take_claim(&mut self, asked: Asked) {
-        if let Some(known) = self.look(&asked.claim) {
-            asked.tell(known);
-        } else if self.is_down() || self.asked.len() >= MAX_ASKED {
-            self.refuse(asked);
+    fn handle_claim(&mut self, pending: PendingClaim) {
+        if let Some(known) = self.find_final_reply(&pending.claim) {
+            pending.answer(known);
+        } else if self.is_backing_off() || self.claims.len() >= MAX_PENDING_CLAIMS {
+            self.refuse(pending);
         } else {
-            self.asked.push(asked);
+            self.claims.push(pending);
         }
     }
 
-    /// Tells what is surely known of a claim right now.
-    fn look(&self, claim: &Claim) -> Option<Reply> {
+    /// Returns the reply to a claim if the table has one that can't be outdated.
+    fn find_final_reply(&self, claim: &Claim) -> Option<Reply> {
         let known = self.log.table().find_reply(claim)?;
-        let may_change = known == Reply::Unsettled && !self.log.is_fresh();
-        let changes = may_change || self.noted_keys.contains(&claim.key);
-        (!changes).then_some(known)
+        let may_be_stale = known == Reply::Unsettled && !self.log.is_fresh();
+        let may_change = may_be_stale || self.outcome_keys.contains(&claim.key);
+        (!may_change).then_some(known)
     }
 
-    /// Refuses a claim, unless something is known of its key, which is then told.
-    fn refuse(&self, asked: Asked) {
-        let known = self.log.table().find_reply(&asked.claim);
-        // Granted to a call that goes away now would stay held.
+    /// Answers a claim with what is known about its key, or else refuses it.
+    fn refuse(&self, pending: PendingClaim) {
+        let known = self.log.table().find_reply(&pending.claim);
+        // If the call is given up now, a key granted to it would stay held.
         let known = known.filter(|known| *known != Reply::Granted);
-        asked.tell(known.unwrap_or_else(|| self.refusal()));
+        pending.answer(known.unwrap_or_else(|| self.make_refusal()));
     }
 
-    fn note(&mut self, entry: Entry) {
+    fn add_outcome(&mut self, entry: Entry) {
         let (Entry::Complete { key, .. } | Entry::Release { key, .. }) = &entry else {
             return;
         };
-        if self.noted.is_empty() {
-            self.noted_since = Instant::now();
+        if self.outcomes.is_empty() {
+            self.outcomes_since = Instant::now();
         }
-        if self.noted.len() >= MAX_NOTED {
-            self.noted.remove(0);
+        if self.outcomes.len() >= MAX_PENDING_OUTCOMES {
+            self.outcomes.remove(0);
         }
-        self.noted_keys.insert(*key);
-        self.noted.push(entry);
+        self.outcome_keys.insert(*key);
+        self.outcomes.push(entry);
     }
 
-    fn is_down(&self) -> bool {
-        self.down_until.is_some_and(|until| Instant::now() < until)
+    fn is_backing_off(&self) -> bool {
+        self.backoff_until
+            .is_some_and(|until| Instant::now() < until)
     }
 
-    /// Gives the refusal for now, with a wait of its own for each, so that they don't all return at once.
-    fn refusal(&self) -> Reply {
-        let down = self.down_until.unwrap_or_else(Instant::now);
-        let wait = down.saturating_duration_since(Instant::now()) + FIRST_WAIT;
-        refuse_for(wait.mul_f64(rand::rng().random_range(1.0..2.0)))
+    /// Returns a refusal with a random delay, so that callers don't all retry at the same time.
+    fn make_refusal(&self) -> Reply {
+        let until = self.backoff_until.unwrap_or_else(Instant::now);
+        let delay = until.saturating_duration_since(Instant::now()) + MIN_BACKOFF;
+        refuse_for(delay.mul_f64(rand::rng().random_range(1.0..2.0)))
     }
 
     fn next_wake(&self) -> Instant {
-        let rest = if self.log.is_loaded() {
-            self.used + IDLE_TIMEOUT
+        let idle_at = if self.log.is_loaded() {
+            self.last_used + IDLE_TIMEOUT
         } else {
             Instant::now() + IDLE_TIMEOUT
         };
-        self.next_commit().unwrap_or(rest)
+        self.next_commit().unwrap_or(idle_at)
     }
 
-    /// Tells when the next record is to be written, if one is needed.
+    /// Returns when to write the next record, or `None` if none is needed.
     fn next_commit(&self) -> Option<Instant> {
-        let presses = !self.asked.is_empty() || !self.flushes.is_empty();
-        let wanted = if presses || self.log.is_in_doubt() {
-            self.used
-        } else if self.noted.is_empty() {
+        let is_urgent = !self.claims.is_empty() || !self.flushes.is_empty();
+        let wanted = if is_urgent || self.log.is_in_doubt() {
+            self.last_used
+        } else if self.outcomes.is_empty() {
             return None;
         } else {
-            self.noted_since + LAZY_INTERVAL
+            self.outcomes_since + MAX_OUTCOME_DELAY
         };
-        let paced = self.paid.checked_sub(INTERVAL * (BURST - 1));
-        let earliest = [paced, self.down_until].into_iter().flatten().max();
+        let paced = self
+            .next_paced
+            .checked_sub(COMMIT_INTERVAL * (COMMIT_BURST - 1));
+        let earliest = [paced, self.backoff_until].into_iter().flatten().max();
         Some(wanted.max(earliest.unwrap_or(wanted)))
     }
 
@@ -252,101 +261,107 @@
     }
 
     fn is_idle(&self) -> bool {
-        let rests = self.next_commit().is_none();
-        rests && self.log.is_loaded() && self.used.elapsed() >= IDLE_TIMEOUT
+        let nothing_pending = self.next_commit().is_none();
+        nothing_pending && self.log.is_loaded() && self.last_used.elapsed() >= IDLE_TIMEOUT
     }
 
     async fn commit(&mut self) {
-        self.paid = self.paid.max(Instant::now()) + INTERVAL;
+        self.next_paced = self.next_paced.max(Instant::now()) + COMMIT_INTERVAL;
         match self.try_commit().await {
             Ok(()) => {
                 if self.failures > 0 {
                     log::info!(failures = self.failures; "reservations_back");
                 }
                 self.failures = 0;
-                self.down_until = None;
+                self.backoff_until = None;
             }
-            Err(error) => self.fail(&error),
+            Err(error) => self.handle_failure(&error),
         }
-        self.tell_flushed();
+        self.notify_flushed();
     }
 
-    /// Refuses at once all that wait: what can't be reserved does not run.
-    fn fail(&mut self, error: &Error) {
+    /// Backs off and refuses all pending claims: a call without a reservation must not run.
+    fn handle_failure(&mut self, error: &Error) {
         if self.failures == 0 {
             log::warn!(error:%; "reservations_refused");
         }
-        let bound = FIRST_WAIT.saturating_mul(1 << self.failures.min(8));
+        let bound = MIN_BACKOFF.saturating_mul(1 << self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
-        let share = rand::rng().random_range(0.5..1.0);
-        self.down_until = Some(Instant::now() + bound.min(LAST_WAIT).mul_f64(share));
-        for asked in std::mem::take(&mut self.asked) {
-            self.refuse(asked);
+        let jitter = rand::rng().random_range(0.5..1.0);
+        self.backoff_until = Some(Instant::now() + bound.min(MAX_BACKOFF).mul_f64(jitter));
+        for pending in std::mem::take(&mut self.claims) {
+            self.refuse(pending);
         }
     }
 
     async fn try_commit(&mut self) -> Result<(), Error> {
         for release in self.log.prepare().await? {
-            self.note(release);
+            self.add_outcome(release);
         }
-        self.log.make_room().await?;
+        self.log.expire_if_full().await?;
         for attempt in 0..CONFLICT_ATTEMPTS {
-            let stale = |asked: &Asked| {
-                let known = self.log.table().find_reply(&asked.claim);
+            let may_be_stale = |pending: &PendingClaim| {
+                let known = self.log.table().find_reply(&pending.claim);
                 known == Some(Reply::Unsettled) && !self.log.is_fresh()
             };
-            if attempt > 0 || self.asked.iter().any(stale) {
+            if attempt > 0 || self.claims.iter().any(may_be_stale) {
                 self.log.catch_up().await?;
             }
-            self.tell_known();
-            if self.asked.is_empty() && self.noted.is_empty() {
+            self.answer_known();
+            if self.claims.is_empty() && self.outcomes.is_empty() {
                 return Ok(());
             }
-            // What has ended goes first, since claims may be for the same keys.
-            let mut entries = self.noted.clone();
-            entries.extend(self.asked.iter().map(|asked| Entry::Reserve(asked.claim)));
+            // Outcomes precede claims, since claims may be for the same keys.
+            let mut entries = self.outcomes.clone();
+            entries.extend(
+                self.claims
+                    .iter()
+                    .map(|pending| Entry::Reserve(pending.claim)),
+            );
             if let Some(replies) = self.log.write(entries).await? {
-                self.tell_written(replies);
-                self.log.keep_short().await;
+                self.answer_written(replies);
+                self.log.compact().await;
                 return Ok(());
             }
         }
-        Err(Error::Unavailable("others write the shard".into()))
+        Err(Error::Unavailable(
+            "other nodes keep writing to the shard".into(),
+        ))
     }
 
-    /// Answers the claims that need no record any more.
-    fn tell_known(&mut self) {
-        let room = MAX_KEYS.saturating_sub(self.log.table().len());
-        let mut waiting = Vec::new();
-        let asked = std::mem::take(&mut self.asked).into_iter();
-        for asked in asked.filter(|asked| !asked.reply.is_closed()) {
-            match self.look(&asked.claim) {
-                Some(known) => drop(asked.tell(known)),
-                // Older keys would have to be forgotten too early, and their
-                // calls might run twice.
-                None if waiting.len() >= room => drop(asked.tell(refuse_for(FULL_RETRY))),
-                None => waiting.push(asked),
+    /// Answers the claims that need no record, and those for which the shard has no space.
+    fn answer_known(&mut self) {
+        let free = MAX_KEYS.saturating_sub(self.log.table().len());
+        let mut remaining = Vec::new();
+        let claims = std::mem::take(&mut self.claims).into_iter();
+        for pending in claims.filter(|pending| !pending.reply.is_closed()) {
+            match self.find_final_reply(&pending.claim) {
+                Some(known) => drop(pending.answer(known)),
+                // Granting it would require removing older keys too early, and
+                // their calls might then run twice.
+                None if remaining.len() >= free => drop(pending.answer(refuse_for(FULL_DELAY))),
+                None => remaining.push(pending),
             }
         }
-        self.asked = waiting;
+        self.claims = remaining;
     }
 
-    fn tell_written(&mut self, replies: Vec<Reply>) {
-        self.noted.clear();
-        self.noted_keys.clear();
-        for (asked, reply) in std::mem::take(&mut self.asked).into_iter().zip(replies) {
-            let Claim { key, holder, .. } = asked.claim;
+    fn answer_written(&mut self, replies: Vec<Reply>) {
+        self.outcomes.clear();
+        self.outcome_keys.clear();
+        for (pending, reply) in std::mem::take(&mut self.claims).into_iter().zip(replies) {
+            let Claim { key, holder, .. } = pending.claim;
             let granted = reply == Reply::Granted;
-            // Whoever asked has gone away: nobody will run the call.
-            if !asked.tell(reply) && granted {
-                self.note(Entry::Release { key, holder });
+            // If nothing waits for the reply any longer, the call will not run.
+            if !pending.answer(reply) && granted {
+                self.add_outcome(Entry::Release { key, holder });
             }
         }
     }
 }
 
-fn refuse_for(wait: Duration) -> Reply {
+fn refuse_for(delay: Duration) -> Reply {
     Reply::Refused {
-        retry_after_ms: whole_ms(wait),
+        retry_after_ms: whole_ms(delay),
     }
 }
