--- a/crates/node/benches/reserve.rs
+++ b/crates/node/benches/reserve.rs
@@ -1,9 +1,9 @@
-//! Reservations against a platform that takes what the brief says it takes.
+//! Measures reservations against a stand-in platform with the specified latency and rate limits.
 //!
-//! For some rates of keyed calls it prints how long a reservation takes, how
-//! many are refused and what the platform has to do, with records that carry
-//! many and, as the baseline, with one object for each key. Before that it
-//! prints what a full shard takes.
+//! For several rates of keyed calls, prints the latency of reservations, the
+//! number of refusals and the load on the platform: with group commit and, as
+//! the baseline, with one object per key. Before that, prints the memory and
+//! time that a full shard's table takes.
 
 use call::Id;
 use call::reserve::{Claim, Entry, Fingerprint, Holder, Key, KeyTable, MAX_KEYS};
@@ -24,16 +24,16 @@
 use tokio::net::TcpListener;
 use wire::{Link, codec};
 
-/// Keyed calls a second; the last is one in a thousand of the size designed for.
+/// Offered keyed calls per second; the last is one in a thousand of all calls at the design size.
 const OFFERED: [u32; 4] = [20, 100, 400, 1_100];
 
-/// Time for each.
+/// Duration of the run at each rate.
 const RUN: Duration = Duration::from_secs(8);
 
-/// Time of the platform for a call, in milliseconds.
+/// Time that the platform takes for a call, in milliseconds.
 const PLATFORM_MS: u64 = 2;
 
-/// Nodes that callers enter by.
+/// Number of nodes that the calls are distributed over.
 const NODES: u32 = 3;
 
 #[tokio::main]
@@ -76,7 +76,7 @@
     }
 }
 
-/// Fills a shard's table and tells the memory and the time of it.
+/// Fills a shard's table and prints the memory and time that this takes.
 fn measure_table() {
     let before = read_resident();
     let start = Instant::now();
@@ -101,9 +101,9 @@
     );
 }
 
-/// Gives this process's resident memory in bytes.
+/// Returns the resident memory of this process, in bytes.
 fn read_resident() -> usize {
-    /// Bytes of a page, on the machines this runs on.
+    /// Page size in bytes on the machines that this runs on.
     const PAGE: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse().ok());
@@ -124,7 +124,7 @@
 
 async fn spawn_nodes(platform: SocketAddr) -> Vec<Handle<System>> {
     let mut handles = Vec::new();
-    let mut shareds = Vec::new();
+    let mut members = Vec::new();
     for number in 0..NODES {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -139,12 +139,12 @@
         let handle = node::reserve::spawn(Arc::clone(&shared), &store);
         tokio::spawn(accept(listener, Arc::clone(&shared), handle.clone()));
         handles.push(handle);
-        shareds.push((shared, address));
+        members.push((shared, address));
     }
-    let endpoints: Vec<_> = shareds.iter().map(make_endpoint).collect();
+    let endpoints: Vec<_> = members.iter().map(make_endpoint).collect();
     let mut mesh = Mesh::default();
     mesh.services.insert("claims".into(), Service::default());
-    for (shared, _) in &shareds {
+    for (shared, _) in &members {
         let view = View::build(Version(1), &mesh, &endpoints);
         shared.view.store(Arc::new(view));
     }
@@ -181,7 +181,9 @@
     }
 }
 
-/// Starts claims at a steady rate, however long each takes; gives the times of those granted.
+/// Starts claims at a steady rate, regardless of how long each takes (open loop).
+///
+/// Returns the sorted latencies of granted claims and the number of refused ones.
 async fn drive<F, R>(offered: u32, claim: F) -> (Vec<Duration>, u32)
 where
     F: Fn(u32) -> R,
@@ -212,8 +214,13 @@
     (granted, refused)
 }
 
-fn print_row(way: &str, offered: u32, platform: &Memory, (granted, refused): (Vec<Duration>, u32)) {
-    let at = |percent: usize| {
+fn print_row(
+    method: &str,
+    offered: u32,
+    platform: &Memory,
+    (granted, refused): (Vec<Duration>, u32),
+) {
+    let percentile = |percent: usize| {
         let last = granted.len().saturating_sub(1);
         let time = granted.get(last * percent / 100);
         time.map_or(f64::NAN, |time| time.as_secs_f64() * 1e3)
@@ -222,10 +229,10 @@
     let seconds = RUN.as_secs_f64();
     let rate = |calls: u64| f64::from(u32::try_from(calls).unwrap_or(u32::MAX)) / seconds;
     println!(
-        "{way:8} {offered:9} {:7} {refused:7} {:6.1} {:6.1} {:8.1} {:7.1}",
+        "{method:8} {offered:9} {:7} {refused:7} {:6.1} {:6.1} {:8.1} {:7.1}",
         granted.len(),
-        at(50),
-        at(99),
+        percentile(50),
+        percentile(99),
         rate(counts.writes),
         rate(counts.reads),
     );
--- a/crates/node/tests/reserve.rs
+++ b/crates/node/tests/reserve.rs
@@ -1,4 +1,4 @@
-//! Reservations of idempotency keys: one call per key runs, whoever asks where.
+//! Reservations of idempotency keys: one call per key runs, whichever node it is claimed at.
 
 use bytes::Bytes;
 use call::Id;
@@ -25,7 +25,7 @@
 
 const LIMIT: Duration = Duration::from_secs(5);
 
-/// A node as far as reservations go.
+/// The parts of a node that reservations need.
 struct Node<C = System>
 where
     C: Clock,
@@ -38,10 +38,10 @@
 }
 
 async fn spawn_node(name: &str, store: &Memory) -> Node {
-    spawn_node_by(name, store, System).await
+    spawn_node_with(name, store, System).await
 }
 
-async fn spawn_node_by<C>(name: &str, store: &Memory, clock: C) -> Node<C>
+async fn spawn_node_with<C>(name: &str, store: &Memory, clock: C) -> Node<C>
 where
     C: Clock,
 {
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Lets the node know of `endpoints`, and so of the shards' owners.
-    fn know(&self, endpoints: &[Endpoint]) {
+    /// Gives the node a view with `endpoints`, which determine the shards' owners.
+    fn set_endpoints(&self, endpoints: &[Endpoint]) {
         let mut mesh = Mesh::default();
         mesh.services.insert("claims".into(), Service::default());
         let view = View::build(Version(1), &mesh, endpoints);
@@ -119,7 +119,7 @@
     }
 }
 
-/// Three nodes that agree on the owners.
+/// Starts three nodes that agree on the owners.
 async fn spawn_fleet(store: &Memory) -> Vec<Node> {
     let mut fleet = Vec::new();
     for name in ["first", "second", "third"] {
@@ -127,15 +127,15 @@
     }
     let endpoints: Vec<_> = fleet.iter().map(Node::endpoint).collect();
     for node in &fleet {
-        node.know(&endpoints);
+        node.set_endpoints(&endpoints);
     }
     fleet
 }
 
-fn granted(claimed: ClaimResult) -> Grant {
-    match claimed {
+fn expect_grant(result: ClaimResult) -> Grant {
+    match result {
         ClaimResult::Granted(grant) => grant,
-        ClaimResult::NotGranted(told) => panic!("{told:?}"),
+        ClaimResult::NotGranted(reply) => panic!("{reply:?}"),
     }
 }
 
@@ -147,29 +147,29 @@
     }
 }
 
-/// Claims until something else than `not_yet` is told.
-async fn claim_past<C>(node: &Node<C>, key: &str, not_yet: fn(&Reply) -> bool) -> ClaimResult
+/// Repeats a claim for as long as `should_repeat` accepts the reply.
+async fn claim_while<C>(node: &Node<C>, key: &str, should_repeat: fn(&Reply) -> bool) -> ClaimResult
 where
     C: Clock,
 {
     loop {
         match node.claim(key).await {
-            ClaimResult::NotGranted(told) if not_yet(&told) => {
+            ClaimResult::NotGranted(reply) if should_repeat(&reply) => {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
-            claimed => return claimed,
+            result => return result,
         }
     }
 }
 
-// A clerk's client loses the answer to a warranty release and repeats it at
-// another node. The claim must not be released twice: the repeat gets the
-// first one's answer, or "may have run" as long as that isn't known.
+// A client loses the answer to a call and repeats the call at another node. It
+// must not run twice: the repeat gets the answer of the first call, or "may have
+// run" as long as that is not known.
 #[tokio::test]
-async fn repeat_elsewhere() {
+async fn repeat_at_other_node() {
     let fleet = spawn_fleet(&Memory::new()).await;
     for key in ["k1", "k2", "k3", "k4", "k5", "k6"] {
-        let grant = granted(fleet[0].claim(key).await);
+        let grant = expect_grant(fleet[0].claim(key).await);
         for node in &fleet {
             assert_eq!(
                 node.claim(key).await,
@@ -178,80 +178,81 @@
         }
         fleet[0].reserve.complete(grant, Some(answer()));
         let unsettled = |reply: &Reply| *reply == Reply::Unsettled;
-        let told = claim_past(&fleet[1], key, unsettled).await;
+        let result = claim_while(&fleet[1], key, unsettled).await;
         assert_eq!(
-            told,
+            result,
             ClaimResult::NotGranted(Reply::Known(Arc::new(answer())))
         );
     }
 }
 
 #[tokio::test]
-async fn released() {
+async fn released_key() {
     let fleet = spawn_fleet(&Memory::new()).await;
-    let grant = granted(fleet[0].claim("k1").await);
+    let grant = expect_grant(fleet[0].claim("k1").await);
     fleet[0].reserve.release(grant);
     let unsettled = |reply: &Reply| *reply == Reply::Unsettled;
-    let _grant = granted(claim_past(&fleet[1], "k1", unsettled).await);
+    let _grant = expect_grant(claim_while(&fleet[1], "k1", unsettled).await);
 }
 
-// A node stops right after a payment. Its outcome must not die with it, or the
-// parent's repeat is told "may have run" for a day.
+// A node stops right after a call has run. The outcome must be written before, or
+// the caller's repeat gets "may have run" for a day.
 #[tokio::test(start_paused = true)]
-async fn flushed_at_stop() {
+async fn flush_at_stop() {
     let memory = Memory::new();
     let node = spawn_node("own", &memory).await;
     let keys = ["k1", "k2", "k3", "k4", "k5", "k6"];
     for key in keys {
-        let grant = granted(node.claim(key).await);
+        let grant = expect_grant(node.claim(key).await);
         node.reserve.complete(grant, Some(answer()));
     }
     node.reserve.flush(LIMIT).await;
     let successor = spawn_node("successor", &memory).await;
     for key in keys {
-        let told = successor.claim(key).await;
+        let result = successor.claim(key).await;
         assert_eq!(
-            told,
+            result,
             ClaimResult::NotGranted(Reply::Known(Arc::new(answer())))
         );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn forgotten_after_a_day() {
+async fn expired_key() {
     let memory = Memory::new();
     let clock = Manual::new();
-    let node = spawn_node_by("own", &memory, clock.clone()).await;
-    let grant = granted(node.claim("k1").await);
+    let node = spawn_node_with("own", &memory, clock.clone()).await;
+    let grant = expect_grant(node.claim("k1").await);
     node.reserve.complete(grant, Some(answer()));
     node.reserve.flush(LIMIT).await;
     clock.advance(Duration::from_hours(23));
-    // Keys go with a record; other keys of the shard bring one about.
+    // Expired keys are removed along with the next record; claims of other keys
+    // cause one in each shard.
     for number in 0..64 {
-        let _grant = granted(node.claim(&format!("a{number}")).await);
+        let _grant = expect_grant(node.claim(&format!("a{number}")).await);
     }
     let known = ClaimResult::NotGranted(Reply::Known(Arc::new(answer())));
     assert_eq!(node.claim("k1").await, known);
-    let successor = spawn_node_by("successor", &memory, clock.clone()).await;
+    let successor = spawn_node_with("successor", &memory, clock.clone()).await;
     clock.advance(Duration::from_hours(2));
     for number in 0..64 {
-        let _grant = granted(successor.claim(&format!("b{number}")).await);
+        let _grant = expect_grant(successor.claim(&format!("b{number}")).await);
     }
-    // The successor has not seen the key for a day yet.
+    // The successor has not known the key for a day yet.
     assert_eq!(successor.claim("k1").await, known);
     for number in 0..64 {
-        let _grant = granted(node.claim(&format!("c{number}")).await);
+        let _grant = expect_grant(node.claim(&format!("c{number}")).await);
     }
-    let _grant = granted(node.claim("k1").await);
+    let _grant = expect_grant(node.claim("k1").await);
 }
 
-// So many keys come that a shard has no room. New ones must be refused, since
-// to forget others early might let their calls run twice; after a while there
-// is room again.
+// A shard is full. New keys must be refused, since removing others early might
+// let their calls run twice. Keys that are a quarter of an hour old are removed,
+// so that new ones are granted again.
 #[tokio::test(start_paused = true)]
-async fn shard_full() {
+async fn full_shard() {
     let clock = Manual::new();
-    let node = Arc::new(spawn_node_by("own", &Memory::new(), clock.clone()).await);
+    let node = Arc::new(spawn_node_with("own", &Memory::new(), clock.clone()).await);
     let keys: Vec<_> = (0..u64::MAX)
         .map(|number| number.to_string())
         .filter(|key| Key::of("claims", key).shard() == 0)
@@ -260,15 +261,15 @@
     for batch in keys[..MAX_KEYS].chunks(4_096) {
         let claims = batch.iter().cloned().map(|key| {
             let node = Arc::clone(&node);
-            tokio::spawn(async move { granted(node.claim(&key).await) })
+            tokio::spawn(async move { expect_grant(node.claim(&key).await) })
         });
         for claim in claims.collect::<Vec<_>>() {
             let _grant = claim.await.unwrap();
         }
     }
-    let told = node.claim(&keys[MAX_KEYS]).await;
-    let ClaimResult::NotGranted(Reply::Refused { retry_after_ms }) = told else {
-        panic!("{told:?}");
+    let result = node.claim(&keys[MAX_KEYS]).await;
+    let ClaimResult::NotGranted(Reply::Refused { retry_after_ms }) = result else {
+        panic!("{result:?}");
     };
     assert!(retry_after_ms >= 10_000, "{retry_after_ms}");
     assert_eq!(
@@ -277,11 +278,11 @@
     );
     clock.advance(Duration::from_mins(16));
     let refused = |reply: &Reply| matches!(reply, Reply::Refused { .. });
-    let _grant = granted(claim_past(&node, &keys[MAX_KEYS + 1], refused).await);
+    let _grant = expect_grant(claim_while(&node, &keys[MAX_KEYS + 1], refused).await);
 }
 
-// Mallae's Saturday opens and hundreds of lessons are booked at once. With a
-// write for each the platform would be full; records carry many.
+// Hundreds of keyed calls arrive at once. One write for each would overload the
+// platform, so each record must contain many reservations.
 #[tokio::test]
 async fn group_commit() {
     let memory = Memory::new();
@@ -292,7 +293,9 @@
     let fleet = Arc::new(spawn_fleet(&memory).await);
     let claims = (0..960).map(|number| {
         let fleet = Arc::clone(&fleet);
-        tokio::spawn(async move { granted(fleet[number % 3].claim(&number.to_string()).await) })
+        tokio::spawn(
+            async move { expect_grant(fleet[number % 3].claim(&number.to_string()).await) },
+        )
     });
     for claim in claims.collect::<Vec<_>>() {
         let _grant = claim.await.unwrap();
@@ -301,7 +304,7 @@
     assert!(writes <= 96, "{writes} writes for 960 keys");
 }
 
-// The owner of a key's shard is gone, and its address answers nobody.
+// The owner of a key's shard is gone, and nothing answers at its address.
 #[tokio::test]
 async fn owner_gone() {
     let fleet = spawn_fleet(&Memory::new()).await;
@@ -309,7 +312,7 @@
     fleet[2].listener.abort();
     for number in 0..16 {
         let key = number.to_string();
-        let _grant = granted(fleet[0].claim(&key).await);
+        let _grant = expect_grant(fleet[0].claim(&key).await);
         assert_eq!(
             fleet[0].claim(&key).await,
             ClaimResult::NotGranted(Reply::Unsettled)
@@ -317,10 +320,10 @@
     }
 }
 
-// The platform is out for a while. A clerk's release must be refused at once
-// and truly not run; once the platform is back, the same key must work.
+// The platform is unavailable. Claims must be refused immediately and reserve
+// nothing; once the platform is back, the same key must be granted.
 #[tokio::test(start_paused = true)]
-async fn outage() {
+async fn platform_outage() {
     let memory = Memory::new();
     let node = spawn_node("own", &memory).await;
     memory.set_faults(Faults {
@@ -329,24 +332,24 @@
     });
     let start = tokio::time::Instant::now();
     for _ in 0..5 {
-        let told = node.claim("k1").await;
+        let result = node.claim("k1").await;
         assert!(
-            matches!(told, ClaimResult::NotGranted(Reply::Refused { .. })),
-            "{told:?}"
+            matches!(result, ClaimResult::NotGranted(Reply::Refused { .. })),
+            "{result:?}"
         );
     }
     assert!(start.elapsed() < Duration::from_millis(100));
     memory.set_faults(Faults::default());
     let refused = |reply: &Reply| matches!(reply, Reply::Refused { .. });
-    let _grant = granted(claim_past(&node, "k1", refused).await);
+    let _grant = expect_grant(claim_while(&node, "k1", refused).await);
 }
 
-// A node is cut off from the owner of a key, whose platform answers slowly. The owner kept
-// its end of the link half closed (CLOSE-WAIT) for as long as the reservation was open: 1
-// to 6 sockets at a node 2 s after all faults had ended, since a reply that nobody can
-// hear was still waited for.
+// A node closes its link to the owner of a key while the platform answers slowly.
+// The owner waited for the reservation in order to send a reply that could no
+// longer be delivered, and kept its end of the link half closed (CLOSE-WAIT) until
+// then: 1 to 6 sockets at a node 2 s after all faults had ended.
 #[tokio::test]
-async fn asker_gone() {
+async fn link_closed() {
     let memory = Memory::new();
     let owner = spawn_node("own", &memory).await;
     memory.set_faults(Faults {
@@ -372,19 +375,19 @@
     codec::write(&mut stream, &wire::Frame::Reserve(claim))
         .await
         .unwrap();
-    let heard: wire::Frame = codec::read(&mut stream, &mut Vec::new()).await.unwrap();
-    let wanted = wire::reserve::Frame::Heard { serial: 1 };
-    assert_eq!(heard, wire::Frame::Reserve(wanted));
+    let received: wire::Frame = codec::read(&mut stream, &mut Vec::new()).await.unwrap();
+    let expected = wire::reserve::Frame::Heard { serial: 1 };
+    assert_eq!(received, wire::Frame::Reserve(expected));
     stream.shutdown().await.unwrap();
     let mut rest = Vec::new();
     let ended = tokio::time::timeout(Duration::from_secs(1), stream.read_to_end(&mut rest));
     ended.await.expect("the owner closes its end").unwrap();
 }
 
-// The platform takes a minute for each call. One claim may have to wait to find
-// that out; the others must be refused at once, and not wait as long each.
+// The platform takes a minute for each call. The first claim may wait until its
+// timeout; the following ones must be refused immediately.
 #[tokio::test(start_paused = true)]
-async fn platform_slow() {
+async fn slow_platform() {
     let memory = Memory::new();
     let node = spawn_node("own", &memory).await;
     memory.set_faults(Faults {
@@ -394,10 +397,10 @@
     let mut waits = Vec::new();
     for _ in 0..5 {
         let start = tokio::time::Instant::now();
-        let told = node.claim("k1").await;
+        let result = node.claim("k1").await;
         assert!(
-            matches!(told, ClaimResult::NotGranted(Reply::Refused { .. })),
-            "{told:?}"
+            matches!(result, ClaimResult::NotGranted(Reply::Refused { .. })),
+            "{result:?}"
         );
         waits.push(start.elapsed());
     }
@@ -405,32 +408,32 @@
     assert!(waits[1..].iter().all(Duration::is_zero), "{waits:?}");
 }
 
-// The record with a clerk's key stands, but every answer was lost, and she was
-// told "not run". Her repeat must run in the end, not be told for a day that it
-// may have.
+// The record with a key is committed, but every response to its write is lost, so
+// that the caller is told "not run". Its repeat must eventually run, and not get
+// "may have run" for a day.
 #[tokio::test(start_paused = true)]
-async fn refused_in_doubt() {
+async fn record_in_doubt() {
     let memory = Memory::new();
     let node = spawn_node("own", &memory).await;
     memory.set_faults(Faults {
         lose_next: 4,
         ..Faults::default()
     });
-    let told = node.claim("k1").await;
+    let result = node.claim("k1").await;
     assert!(
-        matches!(told, ClaimResult::NotGranted(Reply::Refused { .. })),
-        "{told:?}"
+        matches!(result, ClaimResult::NotGranted(Reply::Refused { .. })),
+        "{result:?}"
     );
     let other = spawn_node("other", &memory).await;
-    let not_yet = |reply: &Reply| matches!(reply, Reply::Refused { .. } | Reply::Unsettled);
-    let _grant = granted(claim_past(&other, "k1", not_yet).await);
+    let should_repeat = |reply: &Reply| matches!(reply, Reply::Refused { .. } | Reply::Unsettled);
+    let _grant = expect_grant(claim_while(&other, "k1", should_repeat).await);
 }
 
-/// What became of the keys, as those who ran calls saw it.
+/// Number of calls that ran under each key.
 type Runs = Arc<Mutex<HashMap<String, u32>>>;
 
-/// A caller that repeats its request at any node until it has its answer.
-async fn call_until_known(
+/// Repeats a call at random nodes; returns whether it got the stored answer within 20 attempts.
+async fn call_until_answered(
     nodes: Arc<Vec<Node>>,
     key: String,
     runs: Runs,
@@ -454,7 +457,8 @@
     false
 }
 
-async fn disturb(memory: Memory, mut rng: SmallRng) {
+/// Changes the platform's faults at random.
+async fn inject_faults(memory: Memory, mut rng: SmallRng) {
     loop {
         memory.set_faults(Faults {
             slow_ms: rng.random_range(0..20),
@@ -469,9 +473,10 @@
     }
 }
 
-// Three zones are cut off from each other but not from the platform, so that
-// each takes itself for the owner of every shard. Callers repeat at all of them
-// while writes are lost, late or refused. No key may run twice.
+// The nodes of three zones are partitioned from each other but reach the
+// platform, so each considers itself the owner of every shard. Callers repeat
+// their calls at all of them while writes to the platform are lost, delayed or
+// refused. No call may run twice under one key.
 #[yare::parameterized(one = { 1 }, two = { 2 }, three = { 3 }, four = { 4 })]
 #[test_macro(tokio::test(start_paused = true))]
 async fn rival_owners(seed: u64) {
@@ -484,8 +489,8 @@
     assert!(known > 60, "{known} of 120 callers got their answer");
 }
 
-/// Loses track of the nodes' connections to each other, now of one's, now of another's.
-async fn silence(nodes: Arc<Vec<Node>>, mut rng: SmallRng) {
+/// Makes the open connections to one random node after another stop forwarding data.
+async fn stall_connections(nodes: Arc<Vec<Node>>, mut rng: SmallRng) {
     loop {
         let pause = Duration::from_millis(rng.random_range(0..400));
         tokio::time::sleep(pause).await;
@@ -493,29 +498,31 @@
     }
 }
 
-// The nodes agree on the owners, but their links to them go silent again and
-// again, so that claims are asked anew over another way while the first attempt
-// is still under way, and what the first was granted is given back late.
+// The nodes agree on the owners, but the links to them stall repeatedly. Claims
+// are then sent again to another destination while the first attempt is still in
+// progress, and a key granted to the first attempt is released late.
 #[yare::parameterized(one = { 1 }, two = { 2 })]
 #[test_macro(tokio::test)]
-async fn silent_owners(seed: u64) {
+async fn stalled_links(seed: u64) {
     let memory = Memory::seeded(seed);
     let nodes = Arc::new(spawn_fleet(&memory).await);
     let rng = SmallRng::seed_from_u64(seed);
-    let silence = tokio::spawn(silence(Arc::clone(&nodes), rng));
+    let stalls = tokio::spawn(stall_connections(Arc::clone(&nodes), rng));
     let known = run_callers(seed, memory, nodes).await;
-    silence.abort();
+    stalls.abort();
     assert!(known > 30, "{known} of 120 callers got their answer");
 }
 
-/// Runs callers under faults of the platform, and gives how many got their answer; no key may run twice.
+/// Runs callers while the platform is faulty; returns how many got their answer.
+///
+/// Panics if more than one call ran under a key.
 async fn run_callers(seed: u64, memory: Memory, nodes: Arc<Vec<Node>>) -> u32 {
     let runs = Runs::default();
-    let chaos = tokio::spawn(disturb(memory.clone(), SmallRng::seed_from_u64(seed)));
+    let faults = tokio::spawn(inject_faults(memory.clone(), SmallRng::seed_from_u64(seed)));
     let callers = (0..120).map(|caller| {
         let key = (caller / 3).to_string();
         let rng = SmallRng::seed_from_u64(seed * 1000 + caller);
-        tokio::spawn(call_until_known(
+        tokio::spawn(call_until_answered(
             Arc::clone(&nodes),
             key,
             Arc::clone(&runs),
@@ -526,7 +533,7 @@
     for caller in callers.collect::<Vec<_>>() {
         known += u32::from(caller.await.unwrap());
     }
-    chaos.abort();
+    faults.abort();
     let runs = runs.lock().unwrap();
     let twice: Vec<_> = runs.iter().filter(|(_, runs)| **runs > 1).collect();
     assert!(twice.is_empty(), "{twice:?}");
