--- a/crates/node/src/reserve.rs
+++ b/crates/node/src/reserve.rs
@@ -48,7 +48,7 @@
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Time for which claims of a shard are refused immediately after one of them
-/// was not answered within [`CLAIM_TIMEOUT`].
+/// was not answered within [`CLAIM_TIMEOUT`]. After that, claims are sent again.
 ///
 /// Without it, every caller would wait that long while the platform is slow.
 const STALL_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/node/src/reserve/journal.rs
+++ b/crates/node/src/reserve/journal.rs
@@ -16,8 +16,8 @@
 /// few compared to the writes in between.
 const SNAPSHOT_INTERVAL: u64 = 512;
 
-/// Number of records between two rounds of removing old records. Each round
-/// removes the same number of objects.
+/// Number of records between two rounds of removing old records. A round removes
+/// as many objects as there are records in between.
 const REMOVAL_INTERVAL: u64 = 8;
 
 /// Time for which a table counts as up to date after it was last read or written.
--- a/crates/node/src/reserve/link.rs
+++ b/crates/node/src/reserve/link.rs
@@ -32,7 +32,7 @@
 /// Maximum time to write a frame to the socket.
 ///
 /// Guards against a node that is alive but does not read: without the limit, the
-/// link to it and the frames queued for it were held until it resumed.
+/// link to it and the frames queued for it are held for as long as it is stalled.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Maximum number of requests that wait for a link to open; further ones are
@@ -48,7 +48,7 @@
     Claim(Claim, oneshot::Sender<Reply>),
     /// A completion or a release.
     Outcome(Entry),
-    /// Notifies the sender once all earlier requests have been written.
+    /// Signals the channel once all earlier requests have been written.
     Flush(oneshot::Sender<()>),
 }
 
@@ -294,7 +294,8 @@
 
 /// Queues a completion or a release at its shard.
 ///
-/// If the queue is full, the outcome is lost, and repeats get "may have run".
+/// If the queue is full, the outcome is lost, and repeats of the call get "may
+/// have run".
 pub(crate) fn queue_outcome(entry: Entry, shards: &[mpsc::Sender<Command>]) {
     if let Entry::Complete { key, .. } | Entry::Release { key, .. } = &entry {
         let shard = &shards[usize::from(key.shard())];
--- a/crates/node/src/reserve/shard.rs
+++ b/crates/node/src/reserve/shard.rs
@@ -64,7 +64,7 @@
     Claim(Claim, oneshot::Sender<Reply>),
     /// A completion or a release.
     Outcome(Entry),
-    /// Notifies the sender once no claims or outcomes are pending.
+    /// Signals the channel once no claims or outcomes are pending.
     Flush(oneshot::Sender<()>),
 }
 
