--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -1,7 +1,7 @@
 //! The operators' page lists what there is.
 
 use bpaf::doc::Section;
-use node::metrics::{Ending, Metrics, Reading};
+use node::metrics::{Ending, GaugeValues, Metrics};
 use std::time::{Duration, Instant};
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
@@ -33,10 +33,10 @@
     let service = metrics.service("records");
     service.record(Instant::now(), Ending::Answered(200), Duration::ZERO, None);
     metrics.bad_requests("backend").inc();
-    metrics.causes.count_try("full");
-    metrics.causes.count_turned_away("full");
+    metrics.failures.count_failed_attempt("full");
+    metrics.failures.count_turned_away("full");
     metrics.control_sent().inc();
-    let text = metrics.render(&Reading::default());
+    let text = metrics.render(&GaugeValues::default());
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let mut count = 0;
     for line in types {
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -117,7 +117,7 @@
     assert_eq!(ended.code, 1, "{ended:?}");
     assert_eq!(ended.output, "jobs-1 takes no new calls; 2 in flight\n");
 
-    one.shared.answers.send_replace(1);
+    one.shared.unread_answers.send_replace(1);
     let ended = desk.run(&["status", &nodes[0]]);
     let waits = "is leaving, waits for 2 calls, 1 answers";
     assert!(ended.output.contains(waits), "{ended:?}");
--- a/crates/node/src/announce.rs
+++ b/crates/node/src/announce.rs
@@ -14,10 +14,10 @@
 mod process;
 
 use crate::announce::process::{Message, Process, ProcessTracker};
-use crate::listener::{self, Answer, Handle, Limits, answer_json, refuse};
+use crate::listener::{self, Handle, HttpResponse, Limits, error_response, json_response};
 use crate::millis::whole_ms;
 use crate::shared::{Backend, Shared};
-use crate::stop::tell_backend_waits;
+use crate::stop::log_backend_waits;
 use clock::Clock;
 use http::{Method, Request, StatusCode};
 use hyper::body::Incoming;
@@ -108,7 +108,7 @@
     C: Clock,
 {
     let bad_requests = shared.metrics.bad_requests(LISTENER);
-    tokio::spawn(tell_backend_waits(Arc::downgrade(&shared)));
+    tokio::spawn(log_backend_waits(Arc::downgrade(&shared)));
     let state = Arc::new(ListenerState {
         shared,
         limits,
@@ -130,42 +130,42 @@
     processes: Mutex<ProcessTracker>,
 }
 
-async fn handle_request<C>(request: Request<Incoming>, state: &ListenerState<C>) -> Answer
+async fn handle_request<C>(request: Request<Incoming>, state: &ListenerState<C>) -> HttpResponse
 where
     C: Clock,
 {
     let shared = &*state.shared;
-    if shared.is_on_platform()
+    if shared.uses_platform_interface()
         && let Some(instance) = platform::announce::find_instance(request.uri().path())
     {
         let instance = SmolStr::new(instance);
         return handle_notice(request, state, &instance).await;
     }
     if request.uri().path() != PATH {
-        return refuse(
+        return error_response(
             StatusCode::NOT_FOUND,
             "not found; this listener serves /v1/announce",
         );
     }
     match *request.method() {
-        Method::GET => answer_json(StatusCode::OK, &status(state)),
+        Method::GET => json_response(StatusCode::OK, &status(state)),
         Method::DELETE => match read_leave_request(request, state.limits).await {
             Ok(leave_request) => {
-                answer_json(StatusCode::OK, &apply_leave_request(state, leave_request))
+                json_response(StatusCode::OK, &apply_leave_request(state, leave_request))
             }
             Err(refusal) => refusal,
         },
         Method::PUT => match read_announcement(request, state.limits).await {
             Ok(announcement) if apply_announcement(state, &announcement) => {
-                answer_json(StatusCode::OK, &status(state))
+                json_response(StatusCode::OK, &status(state))
             }
-            Ok(_) => refuse(
+            Ok(_) => error_response(
                 StatusCode::CONFLICT,
                 "the announcement is out of date, or its process has left",
             ),
             Err(refusal) => refusal,
         },
-        _ => refuse(
+        _ => error_response(
             StatusCode::METHOD_NOT_ALLOWED,
             "method not allowed; use GET, PUT or DELETE",
         ),
@@ -178,7 +178,7 @@
     request: Request<Incoming>,
     state: &ListenerState<C>,
     instance: &str,
-) -> Answer
+) -> HttpResponse
 where
     C: Clock,
 {
@@ -190,9 +190,9 @@
     match platform::announce::decode(&method, instance, &body) {
         Ok(notice) => {
             apply_notice(state, notice);
-            answer_json(StatusCode::OK, &serde_json::Map::new())
+            json_response(StatusCode::OK, &serde_json::Map::new())
         }
-        Err(error) => refuse(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
@@ -225,7 +225,7 @@
                 version: announcement.version,
                 instance: Some(notice.instance),
                 incarnation: None,
-                born: notice.born,
+                process_started_ms: notice.born,
                 address: announcement.address,
                 slots: announcement.slots.max(1),
                 cold_ms: announcement.cold_for.map(whole_ms),
@@ -240,24 +240,24 @@
 async fn read_leave_request(
     request: Request<Incoming>,
     limits: Limits,
-) -> Result<LeaveRequest, Answer> {
+) -> Result<LeaveRequest, HttpResponse> {
     let body = listener::read_body(request.into_body(), limits).await?;
     if body.is_empty() {
         return Ok(LeaveRequest::default());
     }
     serde_json::from_slice(&body)
-        .map_err(|error| refuse(StatusCode::BAD_REQUEST, &error.to_string()))
+        .map_err(|error| error_response(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
 async fn read_announcement(
     request: Request<Incoming>,
     limits: Limits,
-) -> Result<Announcement, Answer> {
+) -> Result<Announcement, HttpResponse> {
     let body = listener::read_body(request.into_body(), limits).await?;
     let announcement = serde_json::from_slice::<Announcement>(&body)
-        .map_err(|error| refuse(StatusCode::BAD_REQUEST, &error.to_string()))?;
+        .map_err(|error| error_response(StatusCode::BAD_REQUEST, &error.to_string()))?;
     match find_violation(&announcement) {
-        Some(violation) => Err(refuse(StatusCode::BAD_REQUEST, violation)),
+        Some(violation) => Err(error_response(StatusCode::BAD_REQUEST, violation)),
         None => Ok(announcement),
     }
 }
@@ -305,7 +305,7 @@
         version: announcement.version.clone(),
         instance: None,
         incarnation: announcement.incarnation,
-        born: None,
+        process_started_ms: None,
         address: announcement.address,
         slots: announcement.slots,
         cold_ms: None,
--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -4,7 +4,7 @@
 //! for no other task, and dropping a call closes its connection: that is how
 //! the backend server learns that nobody waits any more.
 
-use crate::upload::Upload;
+use crate::forwarded_body::ForwardedBody;
 use bytes::Bytes;
 use clock::Clock;
 use http::{Request, Response};
@@ -52,7 +52,7 @@
 
 /// Connections to one backend server.
 #[derive(Debug)]
-pub(crate) struct Pool<C> {
+pub(crate) struct ConnectionPool<C> {
     clock: C,
     #[expect(
         clippy::vec_box,
@@ -64,23 +64,23 @@
 #[derive(Debug)]
 struct Connection {
     address: SocketAddr,
-    sender: http1::SendRequest<Upload>,
-    driver: http1::Connection<TokioIo<TcpStream>, Upload>,
+    sender: http1::SendRequest<ForwardedBody>,
+    driver: http1::Connection<TokioIo<TcpStream>, ForwardedBody>,
     idle_since: Instant,
 }
 
 /// The body of a backend server's answer.
 #[derive(Debug)]
-pub(crate) struct Reply<C>
+pub(crate) struct ResponseBody<C>
 where
     C: Clock,
 {
     incoming: Incoming,
     connection: Option<Box<Connection>>,
-    pool: Arc<Pool<C>>,
+    pool: Arc<ConnectionPool<C>>,
 }
 
-impl<C> Pool<C>
+impl<C> ConnectionPool<C>
 where
     C: Clock,
 {
@@ -113,7 +113,7 @@
     ///
     /// Nobody looks at one until a call takes it: after a restart of the backend
     /// server 1 to 6 of them stood half closed at its node, until calls came again.
-    pub(crate) fn drop_ended(&self) {
+    pub(crate) fn remove_closed(&self) {
         // Whoever takes a connection next polls it with a waker of its own.
         let mut cx = Context::from_waker(Waker::noop());
         let mut idle = self.idle.lock();
@@ -124,8 +124,8 @@
     pub(crate) async fn exchange(
         self: &Arc<Self>,
         address: SocketAddr,
-        mut request: Request<Upload>,
-    ) -> Result<Response<Reply<C>>, Error> {
+        mut request: Request<ForwardedBody>,
+    ) -> Result<Response<ResponseBody<C>>, Error> {
         loop {
             let kept = self.take_idle(address);
             let fresh = kept.is_none();
@@ -134,7 +134,7 @@
                 None => self.connect(address).await?,
             };
             if connection.has_ended().await {
-                self.drop_ended();
+                self.remove_closed();
                 continue;
             }
             match connection.exchange(request).await {
@@ -164,7 +164,7 @@
     }
 
     /// Tells whether nobody listens at an address on this VM.
-    pub(crate) async fn is_deserted(&self, address: SocketAddr) -> bool {
+    pub(crate) async fn has_no_listener(&self, address: SocketAddr) -> bool {
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let refused = |error: &io::Error| error.kind() == io::ErrorKind::ConnectionRefused;
         matches!(connecting.await, Ok(Err(error)) if refused(&error))
@@ -174,8 +174,8 @@
         self: &Arc<Self>,
         response: Response<Incoming>,
         connection: Box<Connection>,
-    ) -> Response<Reply<C>> {
-        response.map(|incoming| Reply {
+    ) -> Response<ResponseBody<C>> {
+        response.map(|incoming| ResponseBody {
             incoming,
             connection: Some(connection),
             pool: Arc::clone(self),
@@ -192,8 +192,8 @@
     /// Sends a request; the error gives it back when none of it was sent.
     async fn exchange(
         &mut self,
-        request: Request<Upload>,
-    ) -> Result<Response<Incoming>, Option<Request<Upload>>> {
+        request: Request<ForwardedBody>,
+    ) -> Result<Response<Incoming>, Option<Request<ForwardedBody>>> {
         let mut answer = pin!(self.sender.try_send_request(request));
         let driver = &mut self.driver;
         let mut driving = true;
@@ -213,7 +213,7 @@
     }
 }
 
-impl<C> Reply<C>
+impl<C> ResponseBody<C>
 where
     C: Clock,
 {
@@ -268,7 +268,7 @@
     }
 }
 
-impl<C> Drop for Reply<C>
+impl<C> Drop for ResponseBody<C>
 where
     C: Clock,
 {
--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -166,7 +166,7 @@
 
     /// Reads the highest version; the journal is read only from the known version `after`.
     async fn read_latest_version(&self, after: config::Version) -> Result<PlatformResponse, Error> {
-        if self.shared.is_on_platform() {
+        if self.shared.uses_platform_interface() {
             // The version is nearly always the known one. After a restart of all nodes, parsing
             // and applying the full configuration on each VM took 0.6 s on a tenth of a core.
             let text = self.read_configuration().await?;
@@ -190,7 +190,7 @@
     /// Reads all that leads to the latest version; sends all responses but the last, which it
     /// returns.
     async fn fetch_latest(&self, after: config::Version) -> Result<PlatformResponse, Error> {
-        let mut responses = if self.shared.is_on_platform() {
+        let mut responses = if self.shared.uses_platform_interface() {
             let text = self.read_configuration().await?;
             let version = platform::mesh::parse_version(&text).map_err(as_invalid)?;
             vec![self.parse_configuration(version, &text).await]
@@ -291,7 +291,7 @@
     }
 
     fn watch(&mut self, after: config::Version, is_first: bool) {
-        if self.shared.is_on_platform() {
+        if self.shared.uses_platform_interface() {
             let store = if is_first {
                 self.store.clone()
             } else {
--- a/crates/node/src/upload.rs
+++ b/crates/node/src/forwarded_body.rs
@@ -20,7 +20,7 @@
             source(source)
         }
         /// The call ended before it.
-        Ended {
+        CallEnded {
             display("the call ended before its body")
         }
     }
@@ -28,9 +28,9 @@
 
 /// The body of a request on its way to a backend server.
 #[derive(Debug)]
-pub(crate) struct Upload {
+pub(crate) struct ForwardedBody {
     /// The part that has come already.
-    pub(crate) ready: Option<Bytes>,
+    pub(crate) prefix: Option<Bytes>,
     /// Where the rest comes from.
     pub(crate) rest: Rest,
 }
@@ -46,7 +46,7 @@
     Link(Arc<InboundCall>),
 }
 
-impl Body for Upload {
+impl Body for ForwardedBody {
     type Data = Bytes;
     type Error = Error;
 
@@ -54,7 +54,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        if let Some(bytes) = self.ready.take() {
+        if let Some(bytes) = self.prefix.take() {
             return Poll::Ready(Some(Ok(Frame::data(bytes))));
         }
         match &mut self.rest {
@@ -71,11 +71,11 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.ready.is_none() && matches!(self.rest, Rest::Done)
+        self.prefix.is_none() && matches!(self.rest, Rest::Done)
     }
 
     fn size_hint(&self) -> SizeHint {
-        let ready = self.ready.as_ref().map_or(0, Bytes::len) as u64;
+        let ready = self.prefix.as_ref().map_or(0, Bytes::len) as u64;
         match &self.rest {
             Rest::Done => SizeHint::with_exact(ready),
             Rest::Caller(_) | Rest::Link(_) => SizeHint::default(),
--- a/crates/node/src/header.rs
+++ b/crates/node/src/header.rs
@@ -16,7 +16,7 @@
 ];
 
 /// Takes the headers that are for the other end.
-pub(crate) fn take_end_to_end(headers: &HeaderMap) -> Vec<Header> {
+pub(crate) fn collect_end_to_end(headers: &HeaderMap) -> Vec<Header> {
     headers
         .iter()
         .filter(|(name, _)| !HOP_BY_HOP.contains(name) && !is_named(headers, name))
@@ -38,7 +38,7 @@
 }
 
 /// Puts headers into a map; those that are no HTTP headers are left out.
-pub(crate) fn put_headers(headers: Vec<Header>, map: &mut HeaderMap) {
+pub(crate) fn append_headers(headers: Vec<Header>, map: &mut HeaderMap) {
     map.reserve(headers.len());
     for Header { name, value } in headers {
         let name = HeaderName::from_bytes(name.as_bytes());
--- a/crates/node/src/inbound.rs
+++ b/crates/node/src/inbound.rs
@@ -15,7 +15,8 @@
 pub(crate) mod run;
 pub(crate) mod running_calls;
 
-use crate::backend::Pool;
+use crate::backend::ConnectionPool;
+use crate::forwarded_body::ForwardedBody;
 use crate::inbound::admission_gate::AdmissionGate;
 use crate::inbound::body_receiver::BodyReceiver;
 use crate::inbound::inbound_call::InboundCall;
@@ -24,7 +25,6 @@
 use crate::inbound::running_calls::{RunningCall, RunningCalls};
 use crate::link::Sender;
 use crate::shared::{Backend, Shared};
-use crate::upload::Upload;
 use call::{AttemptTable, Id, Verdict};
 use clock::Clock;
 use parking_lot::Mutex;
@@ -66,7 +66,7 @@
     C: Clock,
 {
     pub(crate) shared: Arc<Shared<C>>,
-    pub(crate) pool: Arc<Pool<C>>,
+    pub(crate) pool: Arc<ConnectionPool<C>>,
     attempt_tables: [Mutex<AttemptTable<Arc<InboundCall>>>; SHARD_COUNT],
     links: Mutex<Vec<Weak<Sender>>>,
     pub(crate) gate: Arc<AdmissionGate<C>>,
@@ -90,7 +90,7 @@
     let rate = shared.settings.link_mbps.map(Rate::bytes_per_second);
     let max_held = u64::from(shared.settings.body_kb) << 10;
     let inner = Arc::new(Inner {
-        pool: Pool::new(shared.clock.clone()),
+        pool: ConnectionPool::new(shared.clock.clone()),
         gate: AdmissionGate::spawn(shared.clock.clone(), shared.incarnation),
         body_receiver: BodyReceiver::spawn(
             shared.clock.clone(),
@@ -151,7 +151,7 @@
     pub(crate) async fn call_local(
         &self,
         request: Request,
-        upload: Upload,
+        upload: ForwardedBody,
         deadline: Instant,
     ) -> Result<http::Response<BackendResponse<C>>, Refused> {
         let started = AtomicBool::new(false);
@@ -177,7 +177,7 @@
     pub(crate) fn spawn_local(
         &self,
         request: Request,
-        upload: Upload,
+        upload: ForwardedBody,
         deadline: Instant,
     ) -> oneshot::Receiver<Result<http::Response<BackendResponse<C>>, Refused>> {
         let (mut sender, receiver) = oneshot::channel();
@@ -206,7 +206,7 @@
     /// Waits until nothing is in flight; returns how many calls are left at `timeout`.
     pub async fn drain(&self, timeout: Duration) -> usize {
         let mut active = self.inner.shared.in_flight.subscribe();
-        let mut answers = self.inner.shared.answers.subscribe();
+        let mut answers = self.inner.shared.unread_answers.subscribe();
         let ended = async {
             drop(active.wait_for(|count| *count == 0).await);
             drop(answers.wait_for(|count| *count == 0).await);
@@ -217,7 +217,9 @@
             return 0;
         }
         let in_flight = *self.inner.shared.in_flight.borrow();
-        in_flight.max(*self.inner.shared.answers.borrow()).max(1)
+        in_flight
+            .max(*self.inner.shared.unread_answers.borrow())
+            .max(1)
     }
 
     /// Waits until everything that was sent has been written to the sockets of all links.
@@ -328,7 +330,7 @@
         };
         // A backend server that is back is a new process: drop the connections that the previous
         // one closed.
-        inner.pool.drop_ended();
+        inner.pool.remove_closed();
         let current = inner.shared.backend.borrow().clone();
         record_replaced_process(&inner, previous.as_ref(), current.as_ref());
         previous = current;
--- a/crates/node/src/inbound/crash.rs
+++ b/crates/node/src/inbound/crash.rs
@@ -220,7 +220,7 @@
         .in_flight
         .lock()
         .has_unanswered(now, backend.process());
-    if !has_unanswered || !inner.pool.is_deserted(backend.address).await {
+    if !has_unanswered || !inner.pool.has_no_listener(backend.address).await {
         return false;
     }
     record_crash(inner, backend);
--- a/crates/node/src/inbound/deliver.rs
+++ b/crates/node/src/inbound/deliver.rs
@@ -2,7 +2,7 @@
 //! readers.
 
 use crate::backend::Error;
-use crate::header::take_end_to_end;
+use crate::header::collect_end_to_end;
 use crate::inbound::Inner;
 use crate::inbound::inbound_call::{InboundCall, ReaderStalled};
 use crate::inbound::response_stream::MAX_CHUNK;
@@ -54,7 +54,7 @@
     let head = Answer {
         id: call.id,
         status: parts.status.as_u16(),
-        headers: take_end_to_end(&parts.headers),
+        headers: collect_end_to_end(&parts.headers),
         load_percent: percent_of(load_report.load),
         waited_ms: whole_ms(load_report.queue_wait),
         end: end && first.is_none(),
@@ -121,9 +121,9 @@
     C: Clock,
 {
     let shared = &inner.shared;
-    shared.metrics.causes.count_untaken();
-    let elapsed = shared.metrics.counted(shared.clock.now());
-    if let Some(left_out) = shared.lines.gate.take(elapsed) {
+    shared.metrics.failures.count_stalled_reader();
+    let elapsed = shared.metrics.elapsed(shared.clock.now());
+    if let Some(left_out) = shared.log_limits.gate.admit(elapsed) {
         warn!(call:% = call.id, waiting_bytes = call.waiting_bytes(), left_out; "answer_untaken");
     }
     call.refuse(Verdict::Ran, Reason::Cancelled, 0);
--- a/crates/node/src/inbound/inbound_call.rs
+++ b/crates/node/src/inbound/inbound_call.rs
@@ -1,9 +1,9 @@
 //! One call from another node, as the inbound proxy sees it.
 
+use crate::forwarded_body::{self, ForwardedBody, Rest};
 use crate::inbound::response_stream::ResponseStream;
 use crate::link::Sender;
 use crate::link::wake;
-use crate::upload::{self, Rest, Upload};
 use bytes::Bytes;
 use call::{Id, Verdict};
 use parking_lot::Mutex;
@@ -137,10 +137,10 @@
     }
 
     /// Returns the request body if all of it has already arrived.
-    pub(crate) fn take_complete_body(&self) -> Option<Upload> {
+    pub(crate) fn take_complete_body(&self) -> Option<ForwardedBody> {
         let mut body = self.request_body.lock();
-        (body.ended && body.chunks.len() <= 1).then(|| Upload {
-            ready: body.chunks.pop_front(),
+        (body.ended && body.chunks.len() <= 1).then(|| ForwardedBody {
+            prefix: body.chunks.pop_front(),
             rest: Rest::Done,
         })
     }
@@ -149,7 +149,7 @@
     pub(crate) fn poll_request_body(
         &self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, upload::Error>>> {
+    ) -> Poll<Option<Result<Bytes, forwarded_body::Error>>> {
         let mut body = self.request_body.lock();
         if let Some(chunk) = body.chunks.pop_front() {
             body.consumed += chunk.len();
@@ -165,7 +165,7 @@
             return Poll::Ready(None);
         }
         if body.aborted {
-            return Poll::Ready(Some(Err(upload::Error::Ended)));
+            return Poll::Ready(Some(Err(forwarded_body::Error::CallEnded)));
         }
         body.reader = Some(cx.waker().clone());
         Poll::Pending
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -1,7 +1,8 @@
 //! Runs one call on the backend server of this node.
 
-use crate::backend::{Error, Reply};
-use crate::header::put_headers;
+use crate::backend::{Error, ResponseBody};
+use crate::forwarded_body::{ForwardedBody, Rest};
+use crate::header::append_headers;
 use crate::inbound::admission_gate::{GateDecision, Permit};
 use crate::inbound::body_receiver::HeldBody;
 use crate::inbound::crash::{InFlightCall, SuspectPermit, check_quarantine};
@@ -11,8 +12,7 @@
 use crate::inbound::{Inner, body_receiver, crash};
 use crate::millis::whole_ms;
 use crate::outbound::response::reason_name;
-use crate::shared::{Backend, Counted};
-use crate::upload::{Rest, Upload};
+use crate::shared::{Backend, CountGuard};
 use bytes::Bytes;
 use call::{Digest, Verdict};
 use clock::Clock;
@@ -53,7 +53,7 @@
 where
     C: Clock,
 {
-    reply: Reply<C>,
+    reply: ResponseBody<C>,
     permit: Permit<C>,
     /// Time that the call waited for its body and its slot, in milliseconds.
     queue_wait_ms: u32,
@@ -61,7 +61,7 @@
     link_percent: u16,
     /// Keeps the call registered as in flight.
     in_flight: Box<InFlightCall<C>>,
-    _counted: Counted<C>,
+    _counted: CountGuard<C>,
 }
 
 impl Refused {
@@ -97,7 +97,7 @@
 {
     tokio::spawn(async move {
         let id = call.id;
-        let _counted = inner.shared.count(|shared| &shared.answers);
+        let _counted = inner.shared.count(|shared| &shared.unread_answers);
         let deadline = deadline_after(&inner, request.timeout_ms);
         let read_ahead = tokio::select! {
             biased;
@@ -179,8 +179,8 @@
     };
     let upload = match call.take_complete_body() {
         Some(upload) => upload,
-        None => Upload {
-            ready: None,
+        None => ForwardedBody {
+            prefix: None,
             rest: Rest::Link(Arc::clone(call)),
         },
     };
@@ -248,7 +248,7 @@
 pub(crate) async fn run<C, S>(
     inner: &Arc<Inner<C>>,
     request: Request,
-    upload: Upload,
+    upload: ForwardedBody,
     deadline: Instant,
     received_at: Instant,
     start: S,
@@ -269,7 +269,7 @@
     let entered = inner.shared.clock.now();
     let waited = entered.saturating_duration_since(received_at);
     let gate_wait = entered.saturating_duration_since(gate_entered);
-    inner.shared.metrics.causes.see_wait(gate_wait);
+    inner.shared.metrics.failures.record_gate_wait(gate_wait);
     let parent_key = parent_key(inner, &request);
     let is_large_body = request.length > EAGER as u64;
     let is_repeat = |header: &Header| header.name == retry::HEADER;
@@ -284,7 +284,7 @@
     let mut request = make_request(request, upload, time_left(inner, deadline))
         .ok_or(Refused::not_run(Reason::Backend, 0))?;
     let attempt = platform::header::find_attempt(request.headers());
-    if inner.shared.is_on_platform() {
+    if inner.shared.uses_platform_interface() {
         let (left, instance) = (time_left(inner, deadline), backend.instance.as_ref());
         platform::header::write_handover(request.headers_mut(), left, instance);
     }
@@ -294,7 +294,7 @@
     in_flight.mark_begun(inner.running_calls.register(parent_key, running_call));
     match inner.pool.exchange(backend.address, request).await {
         Ok(response) => {
-            if inner.shared.is_on_platform()
+            if inner.shared.uses_platform_interface()
                 && let Err((refused, outcome)) = check_response(attempt.as_ref(), &response)
             {
                 permit.outcome = outcome;
@@ -344,8 +344,8 @@
     C: Clock,
 {
     let shared = &inner.shared;
-    let elapsed = shared.metrics.counted(shared.clock.now());
-    if let Some(left_out) = shared.lines.gate.take(elapsed) {
+    let elapsed = shared.metrics.elapsed(shared.clock.now());
+    if let Some(left_out) = shared.log_limits.gate.admit(elapsed) {
         info!(
             request:%,
             service = backend.service.as_str(),
@@ -364,7 +364,7 @@
 where
     C: Clock,
 {
-    if inner.shared.is_on_platform() {
+    if inner.shared.uses_platform_interface() {
         policy::hash(&request.caller)
     } else {
         policy::hash(&request.id.to_string())
@@ -465,9 +465,9 @@
 {
     let shared = &inner.shared;
     let reason = reason_name(refused.reason);
-    shared.metrics.causes.count_turned_away(reason);
-    let elapsed = shared.metrics.counted(shared.clock.now());
-    if let Some(left_out) = shared.lines.gate.take(elapsed) {
+    shared.metrics.failures.count_turned_away(reason);
+    let elapsed = shared.metrics.elapsed(shared.clock.now());
+    if let Some(left_out) = shared.log_limits.gate.admit(elapsed) {
         let load = inner.gate.load();
         info!(
             id = request.caller.as_str(),
@@ -540,11 +540,15 @@
     (load * 100.0).clamp(0.0, f64::from(u16::MAX)) as u16
 }
 
-fn make_request(request: Request, upload: Upload, left: Duration) -> Option<http::Request<Upload>> {
+fn make_request(
+    request: Request,
+    upload: ForwardedBody,
+    left: Duration,
+) -> Option<http::Request<ForwardedBody>> {
     let mut made = http::Request::new(upload);
     *made.method_mut() = Method::from_bytes(request.method.as_bytes()).ok()?;
     *made.uri_mut() = Uri::try_from(request.path.as_str()).ok()?;
-    put_headers(request.headers, made.headers_mut());
+    append_headers(request.headers, made.headers_mut());
     let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
     made.headers_mut()
         .insert(TIMEOUT_HEADER, HeaderValue::from(left));
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,9 +5,9 @@
 //! [`shared::Shared`].
 
 mod backend;
+mod forwarded_body;
 mod header;
 mod millis;
-mod upload;
 
 pub mod announce;
 pub mod control;
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -19,8 +19,8 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot, watch};
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Answer of a small listener.
-pub type Answer = Response<Full<Bytes>>;
+/// Response of a small listener.
+pub type HttpResponse = Response<Full<Bytes>>;
 
 /// Wait after a failed accept: running out of file descriptors would spin otherwise.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -102,7 +102,7 @@
 ) -> io::Result<Handle>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = HttpResponse> + Send + 'static,
 {
     let address = tcp.local_addr()?;
     let (stop, stopped) = oneshot::channel();
@@ -122,7 +122,7 @@
     mut stopped: oneshot::Receiver<()>,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = HttpResponse> + Send + 'static,
 {
     let connections = Arc::new(Semaphore::new(limits.connections));
     let stopping = watch::Sender::new(false);
@@ -139,7 +139,7 @@
                 let served_one = serve(stream, limits, answer.clone(), stopping.subscribe());
                 let bad_requests = bad_requests.clone();
                 served.spawn(async move {
-                    if served_one.await == Ended::Badly {
+                    if served_one.await == ConnectionEnd::BadRequest {
                         bad_requests.inc();
                     }
                     drop(permit);
@@ -155,23 +155,23 @@
 
 /// How a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ended {
+pub(crate) enum ConnectionEnd {
     /// By either side's wish, or with the network.
-    Well,
+    Normal,
     /// Because of what the peer sent, or left out.
-    Badly,
+    BadRequest,
 }
 
-impl Ended {
+impl ConnectionEnd {
     /// Judges the end of a connection that has `unread` bytes of a request's head.
     ///
     /// A timeout without any is an idle connection, which is no fault: a
     /// scraper's would be counted all day.
-    pub(crate) fn judge(ended: &Result<(), hyper::Error>, unread: usize) -> Self {
+    pub(crate) fn classify(ended: &Result<(), hyper::Error>, unread: usize) -> Self {
         match ended {
-            Err(error) if error.is_parse() || error.is_incomplete_message() => Self::Badly,
-            Err(error) if error.is_timeout() && unread > 0 => Self::Badly,
-            _ => Self::Well,
+            Err(error) if error.is_parse() || error.is_incomplete_message() => Self::BadRequest,
+            Err(error) if error.is_timeout() && unread > 0 => Self::BadRequest,
+            _ => Self::Normal,
         }
     }
 }
@@ -182,10 +182,10 @@
     limits: Limits,
     answer: H,
     mut stopping: watch::Receiver<bool>,
-) -> Ended
+) -> ConnectionEnd
 where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = HttpResponse> + Send + 'static,
 {
     let service = service_fn(move |request| {
         let answer = answer(request);
@@ -202,7 +202,7 @@
         Pin::new(&mut connection).graceful_shutdown();
         (&mut connection).await
     };
-    Ended::judge(&ended, connection.into_parts().read_buf.len())
+    ConnectionEnd::classify(&ended, connection.into_parts().read_buf.len())
 }
 
 async fn wait_stop(stopping: &mut watch::Receiver<bool>) {
@@ -242,16 +242,16 @@
 /// # Errors
 ///
 /// Gives 413 for a body over the limit, 408 for one that stops half way, 400 for one cut off.
-pub async fn read_body(body: Incoming, limits: Limits) -> Result<Bytes, Answer> {
+pub async fn read_body(body: Incoming, limits: Limits) -> Result<Bytes, HttpResponse> {
     let whole = Limited::new(body, limits.body_bytes).collect();
     match tokio::time::timeout(limits.body_timeout, whole).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             let message = format!("body is over {} bytes", limits.body_bytes);
-            Err(refuse(StatusCode::PAYLOAD_TOO_LARGE, &message))
+            Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, &message))
         }
-        Ok(Err(_)) => Err(refuse(StatusCode::BAD_REQUEST, "body was cut off")),
-        Err(_) => Err(refuse(
+        Ok(Err(_)) => Err(error_response(StatusCode::BAD_REQUEST, "body was cut off")),
+        Err(_) => Err(error_response(
             StatusCode::REQUEST_TIMEOUT,
             "body did not end in time",
         )),
@@ -266,8 +266,8 @@
 
 /// Answers with an error and its message as JSON.
 #[must_use]
-pub fn refuse(status: StatusCode, message: &str) -> Answer {
-    answer_json(status, &Refusal { error: message })
+pub fn error_response(status: StatusCode, message: &str) -> HttpResponse {
+    json_response(status, &Refusal { error: message })
 }
 
 /// Answers with a JSON value.
@@ -276,18 +276,18 @@
 ///
 /// Panics on a value without a JSON form, which is a bug of the caller.
 #[must_use]
-pub fn answer_json<T>(status: StatusCode, value: &T) -> Answer
+pub fn json_response<T>(status: StatusCode, value: &T) -> HttpResponse
 where
     T: Serialize,
 {
     let mut json = serde_json::to_vec(value).expect("answers have a JSON form");
     json.push(b'\n');
-    answer_with(status, "application/json", json)
+    build_response(status, "application/json", json)
 }
 
 /// Answers with a body of a media type.
 #[must_use]
-pub fn answer_with<B>(status: StatusCode, media_type: &'static str, body: B) -> Answer
+pub fn build_response<B>(status: StatusCode, media_type: &'static str, body: B) -> HttpResponse
 where
     B: Into<Bytes>,
 {
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -3,7 +3,7 @@
 //! Logging never holds a call up. Lines go through a queue of fixed length to
 //! a thread of their own; when whoever reads the output stalls, lines are left
 //! out and counted, and the count is told once it reads again. Lines that come
-//! with calls have a budget a second besides ([`Budget`]).
+//! with calls have a budget a second besides ([`RateLimiter`]).
 
 use env_logger::{Builder, Env, Target};
 use std::io::{self, Write};
@@ -26,7 +26,7 @@
 /// Longest wait for the last lines at the end of the process.
 const LAST: Duration = Duration::from_millis(500);
 
-/// Lines a second of one [`Budget`]: ten times what a node in order writes, and
+/// Lines a second of one [`RateLimiter`]: ten times what a node in order writes, and
 /// 4 kB a second.
 const RATE: u64 = 20;
 
@@ -40,7 +40,7 @@
 #[must_use]
 pub fn open() -> Handle {
     let pending = Arc::new(AtomicU64::new(0));
-    let outlet = Outlet::spawn(io::stdout(), Arc::clone(&pending));
+    let outlet = QueuedWriter::spawn(io::stdout(), Arc::clone(&pending));
     Builder::from_env(Env::new().filter_or(VARIABLE, "info"))
         .format_timestamp_millis()
         .target(Target::Pipe(Box::new(outlet)))
@@ -60,13 +60,13 @@
 
 /// The end of the queue that takes lines.
 #[derive(Debug)]
-pub struct Outlet {
+pub struct QueuedWriter {
     lines: SyncSender<Vec<u8>>,
     pending: Arc<AtomicU64>,
     left_out: Arc<AtomicU64>,
 }
 
-impl Outlet {
+impl QueuedWriter {
     /// Starts to pass lines on to `output`; `pending` counts those on their way.
     #[must_use]
     pub fn spawn<W>(output: W, pending: Arc<AtomicU64>) -> Self
@@ -85,7 +85,7 @@
     }
 }
 
-impl Write for Outlet {
+impl Write for QueuedWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.pending.fetch_add(1, Ordering::AcqRel);
         if self.lines.try_send(buf.to_vec()).is_err() {
@@ -128,15 +128,15 @@
 /// *Load pattern:* an overload refuses hundreds of calls a second. *Without it*
 /// a node on a small VM would spend its processor time on telling so.
 #[derive(Debug, Default)]
-pub struct Budget {
+pub struct RateLimiter {
     /// Whole seconds since the log began, and the lines asked for in it.
     second: AtomicU64,
     asked: AtomicU64,
 }
 
-impl Budget {
+impl RateLimiter {
     /// Takes a line, if there is one left in this second; gives how many were left out in the last.
-    pub fn take(&self, elapsed: Duration) -> Option<u64> {
+    pub fn admit(&self, elapsed: Duration) -> Option<u64> {
         let second = elapsed.as_secs();
         let mut left_out = 0;
         if self.second.swap(second, Ordering::Relaxed) != second {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -4,14 +4,14 @@
 //! and then only touches atomics and one short lock. Label values come from
 //! the configuration alone; beyond [`MAX_SERVICES`] they share one.
 
-pub(crate) mod cause;
 pub(crate) mod control;
+pub(crate) mod failures;
 pub(crate) mod quarantine;
 pub(crate) mod reserve;
 pub(crate) mod service;
 
-pub use crate::metrics::cause::Causes;
 pub use crate::metrics::control::Control;
+pub use crate::metrics::failures::Failures;
 pub use crate::metrics::quarantine::Quarantine;
 pub use crate::metrics::reserve::Reserve;
 pub use crate::metrics::service::{Ending, Service};
@@ -70,7 +70,7 @@
 
 /// What is read from the node's state when somebody asks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct GaugeValues {
     /// Version of the configuration that calls are served by.
     pub version: u64,
     /// Endpoints known.
@@ -93,7 +93,7 @@
     pub process: crate::process::Usage,
 }
 
-/// What is set from a [`Reading`] when somebody asks.
+/// What is set from [`GaugeValues`] when somebody asks.
 #[derive(Debug, Default)]
 struct Gauges {
     version: Gauge,
@@ -119,7 +119,7 @@
     bad_requests: Family<ListenerLabel, Counter>,
     control_bytes: Family<DirectionLabel, Counter>,
     /// Why calls got no answer, and how long they waited.
-    pub causes: Causes,
+    pub failures: Failures,
     /// What is counted of distribution.
     pub control: Control,
     /// What is counted of reservations.
@@ -143,7 +143,7 @@
             durations: Family::new_with_constructor(new_histogram),
             bad_requests: Family::default(),
             control_bytes: Family::default(),
-            causes: Causes::default(),
+            failures: Failures::default(),
             control: Control::default(),
             reserve: Reserve::default(),
             quarantine: Quarantine::default(),
@@ -168,7 +168,7 @@
         let help = "Bytes of configuration, endpoints and status between nodes, by direction";
         let bytes = self.control_bytes.clone();
         registry.register_with_unit("control", help, Unit::Bytes, bytes);
-        self.causes.register(&mut self.registry);
+        self.failures.register(&mut self.registry);
         self.control.register(&mut self.registry);
         self.reserve.register(&mut self.registry);
         self.quarantine.register(&mut self.registry);
@@ -296,7 +296,7 @@
 
     /// Gives how long the node has counted.
     #[must_use]
-    pub fn counted(&self, now: Instant) -> Duration {
+    pub fn elapsed(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.start)
     }
 
@@ -306,7 +306,7 @@
     ///
     /// Never: a string takes any text.
     #[must_use]
-    pub fn render(&self, reading: &Reading) -> String {
+    pub fn render(&self, reading: &GaugeValues) -> String {
         // Two that ask at once would both add the processor time since the last one.
         let _one_at_a_time = self.rendering.lock();
         let gauges = &self.gauges;
--- a/crates/node/src/metrics/cause.rs
+++ b/crates/node/src/metrics/failures.rs
@@ -15,14 +15,14 @@
 
 /// Why calls got no answer, and how long they waited.
 #[derive(Debug)]
-pub struct Causes {
+pub struct Failures {
     tries: Family<ReasonLabel, Counter>,
     turned_away: Family<ReasonLabel, Counter>,
     gate_wait: Histogram,
     untaken: Counter,
 }
 
-impl Default for Causes {
+impl Default for Failures {
     fn default() -> Self {
         Self {
             tries: Family::default(),
@@ -33,7 +33,7 @@
     }
 }
 
-impl Causes {
+impl Failures {
     pub(crate) fn register(&self, registry: &mut Registry) {
         let help = "Tries of this node's callers' calls that got no answer, by reason";
         registry.register("tries_without_answer", help, self.tries.clone());
@@ -47,7 +47,7 @@
     }
 
     /// Counts a try that got no answer.
-    pub fn count_try(&self, reason: &'static str) {
+    pub fn count_failed_attempt(&self, reason: &'static str) {
         self.tries.get_or_create(&ReasonLabel { reason }).inc();
     }
 
@@ -59,12 +59,12 @@
     }
 
     /// Counts an answer that was given up because its reader took nothing.
-    pub(crate) fn count_untaken(&self) {
+    pub(crate) fn count_stalled_reader(&self) {
         self.untaken.inc();
     }
 
     /// Takes in how long a call waited at the gate.
-    pub(crate) fn see_wait(&self, waited: Duration) {
+    pub(crate) fn record_gate_wait(&self, waited: Duration) {
         self.gate_wait.observe(waited.as_secs_f64());
     }
 }
--- a/crates/node/src/metrics/quarantine.rs
+++ b/crates/node/src/metrics/quarantine.rs
@@ -22,7 +22,7 @@
         registry.register("held_requests_refused", help, self.refused.clone());
     }
 
-    pub(crate) fn count(&self, crash: &Crash) {
+    pub(crate) fn record_crash(&self, crash: &Crash) {
         if crash.is_cleared {
             self.cleared.inc();
         } else {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,7 +1,7 @@
 //! A whole node: its listeners and parts, from start to graceful stop.
 
 use crate::shared::Shared;
-use crate::stop::{Plan, Step, read_waits, tell_waits};
+use crate::stop::{Plan, Step, log_waits, read_waits};
 use crate::{announce, control, inbound, listener, nodes, operate, outbound, reserve};
 use clock::Clock;
 use log::{info, warn};
@@ -131,7 +131,7 @@
         tokio::select! {
             biased;
             () = self.end(limit) => {}
-            never = tell_waits(&shared) => match never {},
+            never = log_waits(&shared) => match never {},
         }
         info!("stopped");
     }
@@ -142,10 +142,10 @@
         let now = || shared.clock.now();
         let plan = Plan::new(now(), limit);
         let begin = |step| {
-            *shared.step.lock() = Some(step);
-            plan.step(step, now())
+            *shared.stop_step.lock() = Some(step);
+            plan.step_time(step, now())
         };
-        let time = plan.calls(now());
+        let time = plan.call_time(now());
         let (callers, calls) = end_calls(&self.shared, &self.inbound, &self.outbound, time).await;
         if callers + calls > 0 {
             let waits = read_waits(&shared);
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -4,8 +4,10 @@
 //! to whoever reaches the listener; `POST /v1/drain` changes something and
 //! wants the token.
 
-use crate::listener::{self, Answer, Handle, Limits, answer_json, answer_with, refuse};
-use crate::metrics::Reading;
+use crate::listener::{
+    self, Handle, HttpResponse, Limits, build_response, error_response, json_response,
+};
+use crate::metrics::GaugeValues;
 use crate::process::read_usage;
 use crate::shared::Shared;
 use crate::stop::read_waits;
@@ -59,7 +61,7 @@
     })
 }
 
-fn answer<C>(request: &Request<Incoming>, shared: &Shared<C>) -> Answer
+fn answer<C>(request: &Request<Incoming>, shared: &Shared<C>) -> HttpResponse
 where
     C: Clock,
 {
@@ -75,32 +77,32 @@
     );
     if known && *request.method() != wanted {
         let message = format!("want {wanted}");
-        return refuse(StatusCode::METHOD_NOT_ALLOWED, &message);
+        return error_response(StatusCode::METHOD_NOT_ALLOWED, &message);
     }
     match path {
         "/metrics" => {
             let text = shared.metrics.render(&read(shared));
-            answer_with(StatusCode::OK, METRICS_TYPE, text)
+            build_response(StatusCode::OK, METRICS_TYPE, text)
         }
-        "/healthz" => answer_with(StatusCode::OK, "text/plain", "alive\n"),
+        "/healthz" => build_response(StatusCode::OK, "text/plain", "alive\n"),
         "/readyz" => answer_ready(shared),
-        "/v1/status" => answer_json(StatusCode::OK, &read_status(shared)),
-        "/v1/burn" => answer_json(StatusCode::OK, &read_burn(shared)),
+        "/v1/status" => json_response(StatusCode::OK, &read_status(shared)),
+        "/v1/burn" => json_response(StatusCode::OK, &read_burn(shared)),
         "/v1/drain" => drain(request, shared),
-        _ => refuse(StatusCode::NOT_FOUND, "no such path"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
-fn answer_ready<C>(shared: &Shared<C>) -> Answer
+fn answer_ready<C>(shared: &Shared<C>) -> HttpResponse
 where
     C: Clock,
 {
     let reasons = find_obstacles(shared);
     if reasons.is_empty() {
-        return answer_with(StatusCode::OK, "text/plain", "ready\n");
+        return build_response(StatusCode::OK, "text/plain", "ready\n");
     }
     let text = format!("{}\n", reasons.join("\n"));
-    answer_with(StatusCode::SERVICE_UNAVAILABLE, "text/plain", text)
+    build_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", text)
 }
 
 /// Gives the reasons why the node takes no calls.
@@ -129,7 +131,7 @@
         .collect()
 }
 
-fn read<C>(shared: &Shared<C>) -> Reading
+fn read<C>(shared: &Shared<C>) -> GaugeValues
 where
     C: Clock,
 {
@@ -139,7 +141,7 @@
         .borrow()
         .as_ref()
         .is_some_and(|backend| backend.leaving);
-    Reading {
+    GaugeValues {
         version: view.version().0,
         endpoints: view.endpoints().len(),
         routes: view.routes().len(),
@@ -175,7 +177,7 @@
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         incarnation: shared.incarnation,
-        uptime_s: shared.metrics.counted(shared.clock.now()).as_secs(),
+        uptime_s: shared.metrics.elapsed(shared.clock.now()).as_secs(),
         version: view.version(),
         not_ready: find_obstacles(shared),
         leaving: *shared.leaving.borrow(),
@@ -207,24 +209,24 @@
     burn::Node {
         node: shared.settings.name.clone(),
         version: view.version(),
-        counted_s: shared.metrics.counted(now).as_secs(),
+        counted_s: shared.metrics.elapsed(now).as_secs(),
         services,
     }
 }
 
-fn drain<C>(request: &Request<Incoming>, shared: &Shared<C>) -> Answer
+fn drain<C>(request: &Request<Incoming>, shared: &Shared<C>) -> HttpResponse
 where
     C: Clock,
 {
     if !is_authorized(request, shared.settings.token.0.as_deref()) {
         warn!("drain_unauthorized");
-        return refuse(StatusCode::UNAUTHORIZED, "want Authorization: Bearer TOKEN");
+        return error_response(StatusCode::UNAUTHORIZED, "want Authorization: Bearer TOKEN");
     }
     let changed = !shared.leaving.send_replace(true);
     if changed {
         info!("drain_asked");
     }
-    answer_json(StatusCode::OK, &read_status(shared))
+    json_response(StatusCode::OK, &read_status(shared))
 }
 
 /// Tells whether a request carries the token.
--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -17,12 +17,12 @@
 pub(crate) mod tried;
 
 use crate::inbound;
-use crate::listener::Ended;
+use crate::listener::ConnectionEnd;
 use crate::outbound::link::LinkPool;
 use crate::outbound::response::{Body, RETRY_AFTER_HEADER};
 use crate::outbound::service::{Locality, ServiceClients};
 use crate::reserve;
-use crate::shared::{Counted, Shared};
+use crate::shared::{CountGuard, Shared};
 use clock::Clock;
 use config::{ServiceKey, Version};
 use hyper::server::conn::http1;
@@ -116,7 +116,7 @@
     C: Clock,
 {
     _permit: OwnedSemaphorePermit,
-    _counted: Counted<C>,
+    _counted: CountGuard<C>,
 }
 
 /// How far the proxy has come in leaving.
@@ -288,7 +288,7 @@
     /// Counts a keyed call until the permit is dropped; none is given while too many run.
     pub(crate) fn count_keyed(&self) -> Option<Keyed<C>> {
         let permit = Arc::clone(&self.keyed).try_acquire_owned().ok()?;
-        let counted = self.shared.count(|shared| &shared.keyed);
+        let counted = self.shared.count(|shared| &shared.keyed_calls);
         Some(Keyed {
             _permit: permit,
             _counted: counted,
@@ -300,8 +300,8 @@
     }
 
     fn count_open(&self) -> usize {
-        let callers = *self.shared.callers.borrow();
-        callers.max(*self.shared.keyed.borrow()).max(1)
+        let callers = *self.shared.caller_connections.borrow();
+        callers.max(*self.shared.keyed_calls.borrow()).max(1)
     }
 }
 
@@ -333,7 +333,7 @@
             Ok((stream, peer)) => {
                 let inner = Arc::clone(inner);
                 tokio::spawn(async move {
-                    let counted = inner.shared.count(|shared| &shared.callers);
+                    let counted = inner.shared.count(|shared| &shared.caller_connections);
                     serve_connection(stream, peer.ip(), inner).await;
                     drop((counted, permit));
                 });
@@ -365,7 +365,7 @@
         let inner = Arc::clone(&inner);
         async move {
             let mut response = serve::serve(&inner, request, peer).await;
-            if inner.shared.is_on_platform() {
+            if inner.shared.uses_platform_interface() {
                 tell_wait(&mut response);
             }
             if *inner.stage.borrow() >= Stage::LameDuck {
@@ -393,7 +393,9 @@
         Pin::new(&mut connection).graceful_shutdown();
         (&mut connection).await
     };
-    if Ended::judge(&ended, connection.into_parts().read_buf.len()) == Ended::Badly {
+    if ConnectionEnd::classify(&ended, connection.into_parts().read_buf.len())
+        == ConnectionEnd::BadRequest
+    {
         bad_requests.inc();
     }
 }
--- a/crates/node/src/outbound/keyed.rs
+++ b/crates/node/src/outbound/keyed.rs
@@ -163,7 +163,7 @@
     let whole = whole.freeze();
     let answer = ended.then(|| Answer {
         status: parts.status.as_u16(),
-        headers: crate::header::take_end_to_end(&parts.headers),
+        headers: crate::header::collect_end_to_end(&parts.headers),
         body: whole.clone(),
     });
     inner.reserve.complete(grant, answer);
@@ -218,7 +218,7 @@
     let mut response = Response::new(Body::Whole((!body.is_empty()).then_some(body)));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
-    crate::header::put_headers(answer.headers.clone(), headers);
+    crate::header::append_headers(answer.headers.clone(), headers);
     headers.insert(REPLAYED_HEADER, HeaderValue::from_static("true"));
     response
 }
--- a/crates/node/src/outbound/plan.rs
+++ b/crates/node/src/outbound/plan.rs
@@ -103,7 +103,7 @@
     let route = view.route(view.find_route(host_of(head), head.uri.path())?);
     let now = inner.shared.clock.now();
     let route_timeout = Duration::from_millis(route.timeout_ms.into());
-    let requested = if inner.shared.is_on_platform() {
+    let requested = if inner.shared.uses_platform_interface() {
         platform::header::read_timeout(&head.headers)
     } else {
         timeout_of(&head.headers)
@@ -115,7 +115,7 @@
     let timeout = timeout.min(limit.unwrap_or(MAX_TIMEOUT));
     let target = view.service(pick_target(&route.targets));
     let repeatable = is_repeatable(route.repeat, &head.method);
-    let caller = if inner.shared.is_on_platform() {
+    let caller = if inner.shared.uses_platform_interface() {
         platform::header::name_caller(&head.headers)
     } else {
         caller_of(&head.headers, peer)
@@ -161,7 +161,7 @@
 where
     C: Clock,
 {
-    if inner.shared.is_on_platform() {
+    if inner.shared.uses_platform_interface() {
         return platform::header::name_caller(&head.headers);
     }
     let name = head.headers.get(CALLER_HEADER);
@@ -202,7 +202,7 @@
 where
     C: Clock,
 {
-    let parent = if inner.shared.is_on_platform() {
+    let parent = if inner.shared.uses_platform_interface() {
         platform::header::find_parent(headers)
     } else {
         headers
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -1,6 +1,7 @@
 //! One try of a call: on the own backend server, or over a link.
 
-use crate::header::{put_headers, take_end_to_end};
+use crate::forwarded_body::{ForwardedBody, Rest};
+use crate::header::{append_headers, collect_end_to_end};
 use crate::inbound::run::{BackendResponse, Refused};
 use crate::link;
 use crate::millis::whole_ms;
@@ -8,7 +9,6 @@
 use crate::outbound::plan::{Plan, time_left};
 use crate::outbound::remote_attempt::{self, RemoteAttempt};
 use crate::outbound::response::{Body, Local, Remote, VERDICT_HEADER};
-use crate::upload::{Rest, Upload};
 use bytes::Bytes;
 use call::{Id, Verdict};
 use clock::Clock;
@@ -123,8 +123,8 @@
 {
     let kept = body.prefix.clone();
     let whole = body.rest.is_none();
-    let upload = Upload {
-        ready: (!body.prefix.is_empty()).then_some(body.prefix),
+    let upload = ForwardedBody {
+        prefix: (!body.prefix.is_empty()).then_some(body.prefix),
         rest: body.rest.map_or(Rest::Done, Rest::Caller),
     };
     let id = inner.links.next_id();
@@ -241,7 +241,7 @@
 fn read_head(answer: wire::call::Answer) -> Response<()> {
     let mut head = Response::new(());
     *head.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    put_headers(answer.headers, head.headers_mut());
+    append_headers(answer.headers, head.headers_mut());
     head
 }
 
@@ -272,8 +272,8 @@
     let left = time_left(inner, plan.deadline);
     let share = left.saturating_sub(VERDICT_MARGIN).max(left / 2);
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-    let mut headers = take_end_to_end(&head.headers);
-    if inner.shared.is_on_platform() {
+    let mut headers = collect_end_to_end(&head.headers);
+    if inner.shared.uses_platform_interface() {
         let origin = inner.shared.settings.service.as_deref().unwrap_or_default();
         mark_origin(&mut headers, origin);
     }
--- a/crates/node/src/outbound/tell.rs
+++ b/crates/node/src/outbound/tell.rs
@@ -20,9 +20,16 @@
     C: Clock,
 {
     let shared = &inner.shared;
-    shared.metrics.causes.count_try(reason_name(refused.reason));
+    shared
+        .metrics
+        .failures
+        .count_failed_attempt(reason_name(refused.reason));
     let now = shared.clock.now();
-    let Some(left_out) = shared.lines.tries.take(shared.metrics.counted(now)) else {
+    let Some(left_out) = shared
+        .log_limits
+        .attempts
+        .admit(shared.metrics.elapsed(now))
+    else {
         return;
     };
     info!(
@@ -51,7 +58,7 @@
 {
     let shared = &inner.shared;
     let now = shared.clock.now();
-    let Some(left_out) = shared.lines.calls.take(shared.metrics.counted(now)) else {
+    let Some(left_out) = shared.log_limits.calls.admit(shared.metrics.elapsed(now)) else {
         return;
     };
     info!(
@@ -77,7 +84,7 @@
 {
     let shared = &inner.shared;
     let now = shared.clock.now();
-    if let Some(left_out) = shared.lines.calls.take(shared.metrics.counted(now)) {
+    if let Some(left_out) = shared.log_limits.calls.admit(shared.metrics.elapsed(now)) {
         let version = shared.view.load().version().0;
         let id = caller_name(inner, head);
         let (host, path) = (host_of(head), head.uri.path());
@@ -109,7 +116,7 @@
     if !is_late && !answer.status.is_server_error() {
         return;
     }
-    let Some(left_out) = shared.lines.answers.take(shared.metrics.counted(now)) else {
+    let Some(left_out) = shared.log_limits.answers.admit(shared.metrics.elapsed(now)) else {
         return;
     };
     info!(
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -44,7 +44,7 @@
         for crash in crashes {
             let before = history.status(now, crash.request);
             if history.merge(now, crash) {
-                metrics.quarantine.count(crash);
+                metrics.quarantine.record_crash(crash);
                 let is_held = |status| matches!(status, RequestStatus::Held { .. });
                 if is_held(history.status(now, crash.request)) && !is_held(before) {
                     log_hold(crash);
@@ -77,7 +77,7 @@
         }
         let cleared = self.history.write().clear(now, request);
         for crash in &cleared {
-            metrics.quarantine.count(crash);
+            metrics.quarantine.record_crash(crash);
         }
         if !cleared.is_empty() {
             info!(request:%, crashes = cleared.len(); "request_cleared");
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,6 +1,6 @@
 //! What the parts of a node share.
 
-use crate::logs::Budget;
+use crate::logs::RateLimiter;
 use crate::metrics::Metrics;
 use crate::quarantine::Quarantine;
 use crate::rollout::Rollouts;
@@ -30,7 +30,7 @@
     /// stay, and the whole fleet would take the cold one for warm.
     pub incarnation: Option<u64>,
     /// When that process started, in milliseconds since the Unix epoch, if it said so.
-    pub born: Option<u64>,
+    pub process_started_ms: Option<u64>,
     /// Where it takes calls, on this VM.
     pub address: std::net::SocketAddr,
     /// Calls that it says it runs at once.
@@ -46,7 +46,7 @@
     #[must_use]
     pub fn process(&self) -> u64 {
         let instance = self.instance.as_deref().unwrap_or_default();
-        let start = self.born.unwrap_or_default();
+        let start = self.process_started_ms.unwrap_or_default();
         policy::hash(instance) ^ self.incarnation.unwrap_or_default() ^ start
     }
 }
@@ -74,13 +74,13 @@
     /// Calls that wait for the own backend server or run on it.
     pub in_flight: watch::Sender<usize>,
     /// Calls of other nodes whose answers have not been taken.
-    pub answers: watch::Sender<usize>,
+    pub unread_answers: watch::Sender<usize>,
     /// Connections of callers.
-    pub callers: watch::Sender<usize>,
+    pub caller_connections: watch::Sender<usize>,
     /// Keyed calls that run, be their callers there or not.
-    pub keyed: watch::Sender<usize>,
+    pub keyed_calls: watch::Sender<usize>,
     /// How far a stop has come once its calls have ended.
-    pub step: Mutex<Option<stop::Step>>,
+    pub stop_step: Mutex<Option<stop::Step>>,
     /// Whether all listeners run.
     pub listening: AtomicBool,
     /// The node's part in distribution.
@@ -92,20 +92,20 @@
     /// What the node counts.
     pub metrics: Metrics,
     /// How many lines about calls the log takes.
-    pub lines: Lines,
+    pub log_limits: LogLimits,
 }
 
 /// How many lines a second the log takes, by what they are about.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct LogLimits {
     /// Tries without an answer.
-    pub tries: Budget,
+    pub attempts: RateLimiter,
     /// Calls without an answer.
-    pub calls: Budget,
+    pub calls: RateLimiter,
     /// Calls that were answered late, or with a failure.
-    pub answers: Budget,
+    pub answers: RateLimiter,
     /// Calls that the own backend server's gate turned away.
-    pub gate: Budget,
+    pub gate: RateLimiter,
 }
 
 /// One of the counts of what is there now.
@@ -113,7 +113,7 @@
 
 /// Counts one thing as there until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Counted<C>
+pub(crate) struct CountGuard<C>
 where
     C: Clock,
 {
@@ -121,7 +121,7 @@
     counter: Counter<C>,
 }
 
-impl<C> Drop for Counted<C>
+impl<C> Drop for CountGuard<C>
 where
     C: Clock,
 {
@@ -138,12 +138,12 @@
     C: Clock,
 {
     /// Counts one more thing of those that `counter` counts.
-    pub(crate) fn count(self: &Arc<Self>, counter: Counter<C>) -> Counted<C> {
+    pub(crate) fn count(self: &Arc<Self>, counter: Counter<C>) -> CountGuard<C> {
         counter(self).send_if_modified(|count| {
             *count += 1;
             false
         });
-        Counted {
+        CountGuard {
             shared: Arc::clone(self),
             counter,
         }
@@ -151,7 +151,7 @@
 
     /// Tells whether callers and backend servers speak the platform's words.
     #[must_use]
-    pub fn is_on_platform(&self) -> bool {
+    pub fn uses_platform_interface(&self) -> bool {
         self.settings.interface == Interface::Platform
     }
 
@@ -170,16 +170,16 @@
             stopping: AtomicBool::new(false),
             leaving: watch::Sender::new(false),
             in_flight: watch::Sender::new(0),
-            answers: watch::Sender::new(0),
-            callers: watch::Sender::new(0),
-            keyed: watch::Sender::new(0),
-            step: Mutex::default(),
+            unread_answers: watch::Sender::new(0),
+            caller_connections: watch::Sender::new(0),
+            keyed_calls: watch::Sender::new(0),
+            stop_step: Mutex::default(),
             listening: AtomicBool::new(false),
             distribution: ArcSwap::default(),
             quarantine: Quarantine::default(),
             rollouts,
             metrics,
-            lines: Lines::default(),
+            log_limits: LogLimits::default(),
         })
     }
 }
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -52,14 +52,14 @@
 
     /// Gives how long calls may take.
     #[must_use]
-    pub fn calls(&self, now: Instant) -> Duration {
+    pub fn call_time(&self, now: Instant) -> Duration {
         self.end.saturating_duration_since(now + self.tail)
     }
 
     /// Gives how long a step may take: half of the tail is kept for those after the
     /// outcomes, a quarter for the last; time that the calls left is for all of them.
     #[must_use]
-    pub fn step(&self, step: Step, now: Instant) -> Duration {
+    pub fn step_time(&self, step: Step, now: Instant) -> Duration {
         let (kept, most) = match step {
             Step::Outcomes => (self.tail / 2, Duration::from_secs(2)),
             Step::Farewell => (self.tail / 4, Duration::from_secs(1)),
@@ -74,13 +74,13 @@
 where
     C: Clock,
 {
-    let step = *shared.step.lock();
+    let step = *shared.stop_step.lock();
     let at = |one: Step| usize::from(step == Some(one));
     Waits {
-        callers: *shared.callers.borrow(),
+        callers: *shared.caller_connections.borrow(),
         calls: *shared.in_flight.borrow(),
-        answers: *shared.answers.borrow(),
-        keyed: *shared.keyed.borrow(),
+        answers: *shared.unread_answers.borrow(),
+        keyed: *shared.keyed_calls.borrow(),
         outcomes: at(Step::Outcomes),
         farewell: at(Step::Farewell),
         listeners: at(Step::Listeners),
@@ -88,7 +88,7 @@
 }
 
 /// Tells every few seconds what a stop waits for.
-pub(crate) async fn tell_waits<C>(shared: &Shared<C>) -> Infallible
+pub(crate) async fn log_waits<C>(shared: &Shared<C>) -> Infallible
 where
     C: Clock,
 {
@@ -109,7 +109,7 @@
 }
 
 /// Tells every few seconds what a backend server that leaves waits for.
-pub(crate) async fn tell_backend_waits<C>(shared: std::sync::Weak<Shared<C>>)
+pub(crate) async fn log_backend_waits<C>(shared: std::sync::Weak<Shared<C>>)
 where
     C: Clock,
 {
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -97,7 +97,9 @@
             task.await.unwrap();
         }
     }
-    let text = shared.metrics.render(&node::metrics::Reading::default());
+    let text = shared
+        .metrics
+        .render(&node::metrics::GaugeValues::default());
     assert!(
         text.contains("bluebellpick_bad_requests_total{listener=\"operators\"} 4"),
         "{text}"
@@ -166,7 +168,9 @@
     let answer = exchange(handle.address(), request).await;
     assert_eq!(split_answer(&answer), (200, "alive\n".into()));
     assert_eq!(exchange(handle.address(), b"").await, "");
-    let text = shared.metrics.render(&node::metrics::Reading::default());
+    let text = shared
+        .metrics
+        .render(&node::metrics::GaugeValues::default());
     assert!(
         text.contains("bluebellpick_bad_requests_total{listener=\"operators\"} 0"),
         "{text}"
--- a/crates/node/tests/calls/mesh.rs
+++ b/crates/node/tests/calls/mesh.rs
@@ -102,7 +102,7 @@
             version: "".into(),
             address,
             slots,
-            born: None,
+            process_started_ms: None,
             cold_ms: None,
             leaving: false,
         }));
--- a/crates/node/tests/control.rs
+++ b/crates/node/tests/control.rs
@@ -28,7 +28,7 @@
         version: "".into(),
         address: "127.0.0.1:9000".parse().unwrap(),
         slots: 6,
-        born: None,
+        process_started_ms: None,
         cold_ms: None,
         leaving: false,
     }));
--- a/crates/node/tests/listener.rs
+++ b/crates/node/tests/listener.rs
@@ -1,7 +1,7 @@
 //! The life of a small HTTP listener.
 
 use http::StatusCode;
-use node::listener::{self, Limits, answer_with};
+use node::listener::{self, Limits, build_response};
 use prometheus_client::metrics::counter::Counter;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -19,7 +19,7 @@
         signal.notify_one();
         async move {
             match listener::read_body(request.into_body(), limits).await {
-                Ok(body) => answer_with(StatusCode::OK, "text/plain", body),
+                Ok(body) => build_response(StatusCode::OK, "text/plain", body),
                 Err(refusal) => refusal,
             }
         }
--- a/crates/node/tests/logs.rs
+++ b/crates/node/tests/logs.rs
@@ -1,6 +1,6 @@
 //! The log under load, and with nobody who reads it.
 
-use node::logs::{Budget, Outlet};
+use node::logs::{QueuedWriter, RateLimiter};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -61,7 +61,7 @@
 #[test]
 fn stalled_reader() {
     let (pipe, pending) = (Pipe::default(), Arc::new(AtomicU64::new(0)));
-    let mut outlet = Outlet::spawn(pipe.clone(), Arc::clone(&pending));
+    let mut outlet = QueuedWriter::spawn(pipe.clone(), Arc::clone(&pending));
     let started = Instant::now();
     for number in 0..5_000 {
         outlet
@@ -92,9 +92,9 @@
 // first of each second, and says how many it left out.
 #[test]
 fn lines_bounded() {
-    let budget = Budget::default();
+    let budget = RateLimiter::default();
     let taken = |second: u64, count: u32| {
-        let lines = (0..count).map(|_| budget.take(Duration::from_secs(second)));
+        let lines = (0..count).map(|_| budget.admit(Duration::from_secs(second)));
         lines.flatten().collect::<Vec<_>>()
     };
     assert_eq!(taken(1, 5), [0; 5]);
--- a/crates/node/tests/operate.rs
+++ b/crates/node/tests/operate.rs
@@ -4,7 +4,7 @@
 
 use call::Verdict;
 use config::{Endpoint, Mesh, Patch, State, Version, View};
-use node::metrics::{Ending, MAX_SERVICES, Metrics, Reading};
+use node::metrics::{Ending, GaugeValues, MAX_SERVICES, Metrics};
 use node::operate;
 use status::Status;
 use std::sync::Arc;
@@ -181,7 +181,7 @@
         let counters = metrics.service(&format!("service-{index}"));
         counters.record(Instant::now(), Ending::Answered(200), Duration::ZERO, None);
     }
-    let text = metrics.render(&Reading::default());
+    let text = metrics.render(&GaugeValues::default());
     let services = text
         .lines()
         .filter(|line| line.starts_with("bluebellpick_call_duration_seconds_count"));
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -43,14 +43,17 @@
     let limit = Duration::from_millis(limit_ms);
     let start = Instant::now();
     let plan = Plan::new(start, limit);
-    let mut now = start + plan.calls(start);
+    let mut now = start + plan.call_time(start);
     for step in [Step::Outcomes, Step::Farewell, Step::Listeners] {
-        let time = plan.step(step, now);
+        let time = plan.step_time(step, now);
         assert!(time > Duration::ZERO, "{step:?} has some time");
         now += time;
     }
     assert!(now <= start + limit);
-    assert!(plan.calls(start) >= limit * 7 / 8, "calls have most of it");
+    assert!(
+        plan.call_time(start) >= limit * 7 / 8,
+        "calls have most of it"
+    );
 }
 
 #[tokio::test]
@@ -58,9 +61,9 @@
     let shared = make_shared();
     shared.leaving.send_replace(true);
     shared.stopping.store(true, Ordering::Release);
-    shared.answers.send_replace(3);
-    shared.keyed.send_replace(1);
-    *shared.step.lock() = Some(Step::Farewell);
+    shared.unread_answers.send_replace(3);
+    shared.keyed_calls.send_replace(1);
+    *shared.stop_step.lock() = Some(Step::Farewell);
     let handle = operate::spawn(bind().await, Arc::clone(&shared)).unwrap();
     let (_, text) = request(handle.address(), "GET /v1/status", "").await;
     let status: Status = serde_json::from_str(&text).unwrap();
