--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -1,8 +1,8 @@
-//! Connections to the node's own backend server, on loopback.
+//! Pool of HTTP/1 connections to the local backend server, on loopback.
 //!
-//! Each is driven by the task of the call that uses it, so that a call waits
-//! for no other task, and dropping a call closes its connection: that is how
-//! the backend server learns that nobody waits any more.
+//! The task of a call drives the connection that the call uses. A call thus
+//! never waits for another task, and dropping the call closes its connection,
+//! which tells the backend server that nobody waits for the answer any more.
 
 use crate::forwarded_body::ForwardedBody;
 use bytes::Bytes;
@@ -23,34 +23,36 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// How long a connection may lie idle before it is closed.
+/// How long a connection may be idle before it is closed.
 ///
-/// Servers close idle connections too (Node.js after 5 s, the shortest of the
-/// common ones), and a request that crosses such a close may have run.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
+/// Servers close idle connections too; of the common ones Node.js has the
+/// shortest timeout, 5 s. A request that is sent while the server closes the
+/// connection may or may not have run.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Idle connections that are kept: over twice a backend server's usual 6 slots, and far below its 110 connections.
+/// Maximum number of idle connections: over twice a backend server's usual 6 slots, and far
+/// below the 110 connections of a backend server.
 const MAX_IDLE: usize = 16;
 
-/// Longest wait for a connection on loopback, which takes about 1 ms.
+/// Timeout for connecting on loopback, which takes about 1 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 quick_error! {
-    /// Why a backend server gave no answer.
+    /// Why the backend server did not answer.
     #[derive(Debug)]
     pub enum Error {
-        /// No connection, so the request was not sent.
+        /// No connection could be made, so the request was not sent.
         Connect {
             display("the backend server can't be reached")
         }
-        /// The connection broke after some of the request may have been sent.
+        /// The connection failed after part of the request may have been sent.
         Broken {
             display("the backend server broke off")
         }
     }
 }
 
-/// Connections to one backend server.
+/// Idle connections to the local backend server, ready to be reused.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool<C> {
     clock: C,
@@ -69,7 +71,9 @@
     idle_since: Instant,
 }
 
-/// The body of a backend server's answer.
+/// The body of a backend server's response.
+///
+/// Returns its connection to the pool once it has been read to the end.
 #[derive(Debug)]
 pub(crate) struct ResponseBody<C>
 where
@@ -91,12 +95,12 @@
         })
     }
 
-    /// Takes the connection that was used last, so that the others may age.
+    /// Takes the most recently used connection, so that the others can reach the idle timeout.
     fn take_idle(&self, address: SocketAddr) -> Option<Box<Connection>> {
         let now = self.clock.now();
         let mut idle = self.idle.lock();
         idle.retain(|one| {
-            one.address == address && now.saturating_duration_since(one.idle_since) < IDLE_LIMIT
+            one.address == address && now.saturating_duration_since(one.idle_since) < IDLE_TIMEOUT
         });
         idle.pop()
     }
@@ -109,38 +113,39 @@
         }
     }
 
-    /// Lets go of the idle connections that the backend server has closed.
+    /// Drops the idle connections that the backend server has closed.
     ///
-    /// Nobody looks at one until a call takes it: after a restart of the backend
-    /// server 1 to 6 of them stood half closed at its node, until calls came again.
+    /// An idle connection is otherwise polled only when a call takes it: after a
+    /// restart of the backend server, 1 to 6 connections stayed half closed at its
+    /// node until calls arrived again.
     pub(crate) fn remove_closed(&self) {
-        // Whoever takes a connection next polls it with a waker of its own.
+        // The next call that takes a connection polls it with its own waker.
         let mut cx = Context::from_waker(Waker::noop());
         let mut idle = self.idle.lock();
         idle.retain_mut(|one| Pin::new(&mut one.driver).poll(&mut cx).is_pending());
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub(crate) async fn exchange(
         self: &Arc<Self>,
         address: SocketAddr,
         mut request: Request<ForwardedBody>,
     ) -> Result<Response<ResponseBody<C>>, Error> {
         loop {
-            let kept = self.take_idle(address);
-            let fresh = kept.is_none();
-            let mut connection = match kept {
+            let idle = self.take_idle(address);
+            let is_new = idle.is_none();
+            let mut connection = match idle {
                 Some(connection) => connection,
                 None => self.connect(address).await?,
             };
-            if connection.has_ended().await {
+            if connection.is_closed().await {
                 self.remove_closed();
                 continue;
             }
             match connection.exchange(request).await {
-                Ok(response) => return Ok(self.wrap(response, connection)),
+                Ok(response) => return Ok(self.wrap_response(response, connection)),
                 // The connection closed before any of the request was sent.
-                Err(Some(unsent)) if !fresh => request = unsent,
+                Err(Some(unsent)) if !is_new => request = unsent,
                 Err(Some(_)) => return Err(Error::Connect),
                 Err(None) => return Err(Error::Broken),
             }
@@ -163,14 +168,14 @@
         }))
     }
 
-    /// Tells whether nobody listens at an address on this VM.
+    /// Returns whether connections to an address on this VM are refused.
     pub(crate) async fn has_no_listener(&self, address: SocketAddr) -> bool {
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let refused = |error: &io::Error| error.kind() == io::ErrorKind::ConnectionRefused;
         matches!(connecting.await, Ok(Err(error)) if refused(&error))
     }
 
-    fn wrap(
+    fn wrap_response(
         self: &Arc<Self>,
         response: Response<Incoming>,
         connection: Box<Connection>,
@@ -184,12 +189,12 @@
 }
 
 impl Connection {
-    /// Looks once at the connection, and tells whether it has ended.
-    async fn has_ended(&mut self) -> bool {
+    /// Polls the connection once and returns whether it is closed.
+    async fn is_closed(&mut self) -> bool {
         poll_fn(|cx| Poll::Ready(Pin::new(&mut self.driver).poll(cx).is_ready())).await
     }
 
-    /// Sends a request; the error gives it back when none of it was sent.
+    /// Sends a request. The error contains the request if none of it was sent.
     async fn exchange(
         &mut self,
         request: Request<ForwardedBody>,
@@ -207,7 +212,8 @@
         .map_err(|mut error| error.take_message())
     }
 
-    /// Drives the connection past the end of an answer, and tells whether it takes another request.
+    /// Drives the connection past the end of a response, and returns whether it can take another
+    /// request.
     fn is_reusable(&mut self, cx: &mut Context<'_>) -> bool {
         Pin::new(&mut self.driver).poll(cx).is_pending() && self.sender.is_ready()
     }
@@ -217,7 +223,7 @@
 where
     C: Clock,
 {
-    /// Waits for the next part of the body; `None` ends it.
+    /// Polls for the next part of the body; `None` marks its end.
     pub(crate) fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Error>>> {
         loop {
             let mut next = Pin::new(&mut self.incoming).poll_frame(cx);
@@ -248,17 +254,17 @@
         }
     }
 
-    /// Lets go of an answer with its connection, which is not to be used again.
+    /// Drops the response and closes its connection instead of returning it to the pool.
     pub(crate) fn discard(mut self) {
         self.connection = None;
     }
 
-    /// Tells whether no part follows.
+    /// Returns whether the whole body has been read.
     pub(crate) fn is_end(&self) -> bool {
         self.incoming.is_end_stream()
     }
 
-    /// Gives the connection back for another call.
+    /// Returns the connection to the pool for another call.
     fn release(&mut self, cx: &mut Context<'_>) {
         if let Some(mut connection) = self.connection.take()
             && connection.is_reusable(cx)
@@ -272,14 +278,14 @@
 where
     C: Clock,
 {
-    /// Gives the connection back when the answer is whole.
+    /// Returns the connection to the pool if the body has been read to the end.
     ///
-    /// The caller's side stops at the last byte of an answer of known length
-    /// and never asks for its end; each such call would cost the backend
+    /// The reader stops at the last byte of a response of known length and never
+    /// polls for its end. Without this, each such call would cost the backend
     /// server a new connection.
     fn drop(&mut self) {
         if self.is_end() {
-            // Whoever takes the connection next polls it with a waker of its own.
+            // The next call that takes the connection polls it with its own waker.
             self.release(&mut Context::from_waker(Waker::noop()));
         }
     }
--- a/crates/node/src/forwarded_body.rs
+++ b/crates/node/src/forwarded_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request on its way to a backend server.
+//! The body of a request that is forwarded to the local backend server.
 
 use crate::inbound::inbound_call::InboundCall;
 use bytes::Bytes;
@@ -10,39 +10,39 @@
 use std::task::{Context, Poll, ready};
 
 quick_error! {
-    /// Why a body broke off.
+    /// Why a body ended early.
     #[derive(Debug)]
     pub enum Error {
-        /// Its sender's connection failed.
+        /// The connection of the caller failed.
         Connection(source: hyper::Error) {
             from()
-            display("body broke off: {}", source)
+            display("connection failed before the end of the body: {}", source)
             source(source)
         }
-        /// The call ended before it.
+        /// The call ended before its body was complete.
         CallEnded {
-            display("the call ended before its body")
+            display("the call ended before its body was complete")
         }
     }
 }
 
-/// The body of a request on its way to a backend server.
+/// The body of a request that is forwarded to the local backend server.
 #[derive(Debug)]
 pub(crate) struct ForwardedBody {
-    /// The part that has come already.
+    /// The bytes that have been received already.
     pub(crate) prefix: Option<Bytes>,
-    /// Where the rest comes from.
+    /// Source of the remaining bytes.
     pub(crate) rest: Rest,
 }
 
-/// Where the rest of a request's body comes from.
+/// Source of the rest of a request's body.
 #[derive(Debug)]
 pub(crate) enum Rest {
     /// Nothing follows.
     Done,
-    /// A caller's connection to this node.
+    /// The caller's connection to this node.
     Caller(Incoming),
-    /// A link from the outbound proxy of another node.
+    /// The link from the outbound proxy of another node.
     Link(Arc<InboundCall>),
 }
 
--- a/crates/node/src/header.rs
+++ b/crates/node/src/header.rs
@@ -1,11 +1,11 @@
-//! Headers between HTTP and the protocol between nodes.
+//! Conversion of headers between HTTP and the protocol between nodes.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, header};
 use smol_str::SmolStr;
 use wire::call::Header;
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1).
+/// Headers that apply to a single connection and are not forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 6] = [
     header::CONNECTION,
     header::TE,
@@ -15,11 +15,11 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Takes the headers that are for the other end.
+/// Collects the headers that are forwarded to the other end.
 pub(crate) fn collect_end_to_end(headers: &HeaderMap) -> Vec<Header> {
     headers
         .iter()
-        .filter(|(name, _)| !HOP_BY_HOP.contains(name) && !is_named(headers, name))
+        .filter(|(name, _)| !HOP_BY_HOP.contains(name) && !is_connection_option(headers, name))
         .map(|(name, value)| Header {
             name: SmolStr::new(name.as_str()),
             value: Bytes::copy_from_slice(value.as_bytes()),
@@ -27,8 +27,8 @@
         .collect()
 }
 
-/// Tells whether a `Connection` header names `name` as its connection's own.
-fn is_named(headers: &HeaderMap, name: &HeaderName) -> bool {
+/// Returns whether a `Connection` header lists `name` as an option of that connection.
+fn is_connection_option(headers: &HeaderMap, name: &HeaderName) -> bool {
     headers.get_all(header::CONNECTION).iter().any(|value| {
         value.to_str().is_ok_and(|list| {
             list.split(',')
@@ -37,7 +37,7 @@
     })
 }
 
-/// Puts headers into a map; those that are no HTTP headers are left out.
+/// Appends headers to a map. Names and values that are invalid in HTTP are left out.
 pub(crate) fn append_headers(headers: Vec<Header>, map: &mut HeaderMap) {
     map.reserve(headers.len());
     for Header { name, value } in headers {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The proxy and relay that runs beside every backend server.
+//! The sidecar proxy that runs next to every backend server, and relays configuration to other
+//! nodes.
 //!
-//! One process holds four listeners: for callers, for the backend server on
-//! the same VM, for other nodes and for operators. All of them share one
-//! [`shared::Shared`].
+//! One process has four listeners: for callers, for the backend server on the same VM, for other
+//! nodes and for operators. They share one [`shared::Shared`].
 
 mod backend;
 mod forwarded_body;
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -1,4 +1,5 @@
-//! Small HTTP listeners that bad input can't hold up or fill.
+//! HTTP listeners with bounds on connections, sizes and times, so that malformed or slow requests
+//! can't block them or exhaust memory.
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode, header};
@@ -19,30 +20,30 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot, watch};
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Response of a small listener.
+/// Response of a listener, with its whole body in memory.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// Wait after a failed accept: running out of file descriptors would spin otherwise.
+/// Delay after a failed accept. Without it the loop would spin when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What one connection and all of them may take.
+/// Limits on one connection and on all connections of a listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections at once; more wait in the system's accept queue.
+    /// Concurrent connections; further ones wait in the kernel's accept queue.
     pub connections: usize,
-    /// Longest wait for a whole request head, and for the next request.
+    /// Timeout for reading a whole request head, and for the next request on a connection.
     pub head_timeout: Duration,
-    /// Longest wait for a whole request body.
+    /// Timeout for reading a whole request body.
     pub body_timeout: Duration,
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
 }
 
 impl Default for Limits {
-    /// A node has one backend server and few operators, who send a few hundred bytes:
-    /// 64 connections of 16 kB each keep this under 2 MB of the 32 MB at the worst.
+    /// A node has one backend server and few operators, and their requests have a few hundred
+    /// bytes. At worst, 64 connections of 16 kB each take less than 2 MB of the node's 32 MB.
     fn default() -> Self {
         Self {
             connections: 64,
@@ -54,7 +55,7 @@
     }
 }
 
-/// A running listener; dropping it ends it and its connections at once.
+/// A running listener. Dropping it closes the listener and its connections at once.
 #[derive(Debug)]
 pub struct Handle {
     address: SocketAddr,
@@ -63,19 +64,19 @@
 }
 
 impl Handle {
-    /// Gives the address that it listens on.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Ends the listener once the requests in flight are answered, or after `limit`.
+    /// Stops the listener once the requests in flight are answered, or after `limit`.
     ///
-    /// Guards against a peer that stops in the midst of its request or reads nothing
-    /// of its answer: the stop of the node waited for it.
+    /// Without the limit, a peer that stops in the middle of its request or does not read its
+    /// response would delay the stop of the node.
     pub async fn stop(mut self, limit: Duration) {
         drop(self.stop.take());
-        // The task ends by itself; a panic in it has already been reported.
+        // The task ends by itself. A panic in it has already been reported.
         if let Err(_elapsed) = tokio::time::timeout(limit, &mut self.task).await {
             log::info!(listener:% = self.address; "listener_cut_off");
         }
@@ -88,17 +89,17 @@
     }
 }
 
-/// Serves HTTP on `tcp` with `answer` until the handle is stopped; counts the connections
-/// that failed in `bad_requests`.
+/// Serves HTTP on `tcp` with `handler` until the handle is stopped. `bad_requests` counts the
+/// connections that ended because of malformed or incomplete requests.
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Fails if the listener has no local address.
 pub fn spawn<H, F>(
     tcp: TcpListener,
     limits: Limits,
     bad_requests: Counter,
-    answer: H,
+    handler: H,
 ) -> io::Result<Handle>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -106,7 +107,7 @@
 {
     let address = tcp.local_addr()?;
     let (stop, stopped) = oneshot::channel();
-    let task = tokio::spawn(accept_all(tcp, limits, bad_requests, answer, stopped));
+    let task = tokio::spawn(accept_all(tcp, limits, bad_requests, handler, stopped));
     Ok(Handle {
         address,
         stop: Some(stop),
@@ -118,7 +119,7 @@
     tcp: TcpListener,
     limits: Limits,
     bad_requests: Counter,
-    answer: H,
+    handler: H,
     mut stopped: oneshot::Receiver<()>,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -126,20 +127,20 @@
 {
     let connections = Arc::new(Semaphore::new(limits.connections));
     let stopping = watch::Sender::new(false);
-    // Owns the connections, so that an aborted listener leaves none behind.
-    let mut served = JoinSet::new();
+    // Owns the connections, so that aborting the listener closes them.
+    let mut tasks = JoinSet::new();
     loop {
-        while served.try_join_next().is_some() {}
+        while tasks.try_join_next().is_some() {}
         let accepted = tokio::select! {
             _ = &mut stopped => break,
             accepted = accept_one(&tcp, &connections) => accepted,
         };
         match accepted {
             Ok((stream, permit)) => {
-                let served_one = serve(stream, limits, answer.clone(), stopping.subscribe());
+                let connection = serve(stream, limits, handler.clone(), stopping.subscribe());
                 let bad_requests = bad_requests.clone();
-                served.spawn(async move {
-                    if served_one.await == ConnectionEnd::BadRequest {
+                tasks.spawn(async move {
+                    if connection.await == ConnectionEnd::BadRequest {
                         bad_requests.inc();
                     }
                     drop(permit);
@@ -150,23 +151,23 @@
     }
     drop(tcp);
     stopping.send_replace(true);
-    while served.join_next().await.is_some() {}
+    while tasks.join_next().await.is_some() {}
 }
 
-/// How a connection ended.
+/// Why a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionEnd {
-    /// By either side's wish, or with the network.
+    /// Closed by either side, or the network failed.
     Normal,
-    /// Because of what the peer sent, or left out.
+    /// The peer sent a malformed or incomplete request.
     BadRequest,
 }
 
 impl ConnectionEnd {
-    /// Judges the end of a connection that has `unread` bytes of a request's head.
+    /// Classifies the end of a connection with `unread` bytes of a request head in its buffer.
     ///
-    /// A timeout without any is an idle connection, which is no fault: a
-    /// scraper's would be counted all day.
+    /// A timeout without such bytes is an idle connection and not a bad request. Otherwise each
+    /// idle timeout of a scraper's connection would be counted.
     pub(crate) fn classify(ended: &Result<(), hyper::Error>, unread: usize) -> Self {
         match ended {
             Err(error) if error.is_parse() || error.is_incomplete_message() => Self::BadRequest,
@@ -176,11 +177,11 @@
     }
 }
 
-/// Serves one connection until its peer ends it, it idles, or the listener stops.
+/// Serves one connection until its peer closes it, it times out, or the listener stops.
 async fn serve<H, F>(
     stream: TcpStream,
     limits: Limits,
-    answer: H,
+    handler: H,
     mut stopping: watch::Receiver<bool>,
 ) -> ConnectionEnd
 where
@@ -188,15 +189,15 @@
     F: Future<Output = HttpResponse> + Send + 'static,
 {
     let service = service_fn(move |request| {
-        let answer = answer(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let mut connection = build_server(limits).serve_connection(TokioIo::new(stream), service);
-    let early = tokio::select! {
+    let ended_first = tokio::select! {
         ended = &mut connection => Some(ended),
         () = wait_stop(&mut stopping) => None,
     };
-    let ended = if let Some(ended) = early {
+    let ended = if let Some(ended) = ended_first {
         ended
     } else {
         Pin::new(&mut connection).graceful_shutdown();
@@ -206,7 +207,7 @@
 }
 
 async fn wait_stop(stopping: &mut watch::Receiver<bool>) {
-    // The sender lives until all connections have ended.
+    // The sender outlives all connections.
     drop(stopping.wait_for(|stops| *stops).await);
 }
 
@@ -223,11 +224,11 @@
     Ok((stream, permit))
 }
 
-/// Builds the server of one connection.
+/// Builds the HTTP server of one connection.
 ///
-/// Guards against peers that never end their headers: each would hold a
-/// connection and its buffer for ever. The timeout closes it, and the buffer
-/// limit answers 431, whatever else the peer sends.
+/// Guards against peers that never complete their headers, each of which would
+/// hold a connection and its buffer for ever: the timeout closes the
+/// connection, and headers over the buffer limit are answered with status 431.
 fn build_server(limits: Limits) -> http1::Builder {
     let mut builder = http1::Builder::new();
     builder
@@ -237,11 +238,12 @@
     builder
 }
 
-/// Reads a whole body within its limits, or gives the answer that refuses it.
+/// Reads a whole request body within the limits.
 ///
 /// # Errors
 ///
-/// Gives 413 for a body over the limit, 408 for one that stops half way, 400 for one cut off.
+/// Returns the error response to send: status 413 for a body over the size limit, 408 for one that
+/// is not complete in time, 400 for one that is cut off.
 pub async fn read_body(body: Incoming, limits: Limits) -> Result<Bytes, HttpResponse> {
     let whole = Limited::new(body, limits.body_bytes).collect();
     match tokio::time::timeout(limits.body_timeout, whole).await {
@@ -258,42 +260,42 @@
     }
 }
 
-/// Why a request is refused, as JSON.
+/// JSON body of an error response.
 #[derive(Debug, Serialize)]
-struct Refusal<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
-/// Answers with an error and its message as JSON.
+/// Builds an error response with a message as JSON.
 #[must_use]
 pub fn error_response(status: StatusCode, message: &str) -> HttpResponse {
-    json_response(status, &Refusal { error: message })
+    json_response(status, &ErrorBody { error: message })
 }
 
-/// Answers with a JSON value.
+/// Builds a response with a JSON value.
 ///
 /// # Panics
 ///
-/// Panics on a value without a JSON form, which is a bug of the caller.
+/// Panics if the value can't be written as JSON, which is a bug in the calling code.
 #[must_use]
 pub fn json_response<T>(status: StatusCode, value: &T) -> HttpResponse
 where
     T: Serialize,
 {
-    let mut json = serde_json::to_vec(value).expect("answers have a JSON form");
+    let mut json = serde_json::to_vec(value).expect("response can be written as JSON");
     json.push(b'\n');
     build_response(status, "application/json", json)
 }
 
-/// Answers with a body of a media type.
+/// Builds a response with a body of the given media type.
 #[must_use]
 pub fn build_response<B>(status: StatusCode, media_type: &'static str, body: B) -> HttpResponse
 where
     B: Into<Bytes>,
 {
-    let mut answer = Response::new(Full::new(body.into()));
-    *answer.status_mut() = status;
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
     let value = header::HeaderValue::from_static(media_type);
-    answer.headers_mut().insert(header::CONTENT_TYPE, value);
-    answer
+    response.headers_mut().insert(header::CONTENT_TYPE, value);
+    response
 }
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -1,9 +1,8 @@
-//! The log on standard output: one line a decision, with a fixed event name and key-values.
+//! The log on standard output: one line per decision, with a fixed event name and key-value pairs.
 //!
-//! Logging never holds a call up. Lines go through a queue of fixed length to
-//! a thread of their own; when whoever reads the output stalls, lines are left
-//! out and counted, and the count is told once it reads again. Lines that come
-//! with calls have a budget a second besides ([`RateLimiter`]).
+//! Logging never blocks a call. Lines go through a bounded queue to a thread that writes them. When
+//! the reader of the output stalls, lines are dropped and counted, and the count is logged once
+//! the reader continues. Lines about calls are also limited per second ([`RateLimiter`]).
 
 use env_logger::{Builder, Env, Target};
 use std::io::{self, Write};
@@ -13,74 +12,76 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Variable that sets the log level, in the manner of `env_logger`.
+/// Environment variable with the log level, in the syntax of `env_logger`.
 pub const VARIABLE: &str = "BLUEBELLPICK_LOG";
 
-/// Lines that may wait for the output: 200 kB at some 200 bytes each.
-const QUEUE: usize = 1_024;
+/// Maximum number of queued lines: 200 kB at about 200 bytes per line.
+const QUEUE_LENGTH: usize = 1_024;
 
-/// Time over which lines are gathered for one write: on a VM with a fifth of a
-/// core each wake-up costs as much as a line.
-const GATHER: Duration = Duration::from_millis(50);
+/// How long lines are collected for one write. On a VM with a fifth of a core, a
+/// wake-up of the log thread costs as much as a line.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest wait for the last lines at the end of the process.
-const LAST: Duration = Duration::from_millis(500);
+/// How long the end of the process waits for queued lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Lines a second of one [`RateLimiter`]: ten times what a node in order writes, and
-/// 4 kB a second.
-const RATE: u64 = 20;
+/// Lines per second that one [`RateLimiter`] admits: ten times what a healthy node writes, and
+/// 4 kB per second.
+const LINES_PER_SECOND: u64 = 20;
 
-/// The log while it is open.
+/// The open log.
 #[derive(Debug)]
 pub struct Handle {
     pending: Arc<AtomicU64>,
 }
 
-/// Starts the log on standard output; level `info` unless the variable says otherwise.
+/// Starts the log on standard output, at level `info` unless [`VARIABLE`] sets another.
 #[must_use]
 pub fn open() -> Handle {
     let pending = Arc::new(AtomicU64::new(0));
-    let outlet = QueuedWriter::spawn(io::stdout(), Arc::clone(&pending));
+    let writer = QueuedWriter::spawn(io::stdout(), Arc::clone(&pending));
     Builder::from_env(Env::new().filter_or(VARIABLE, "info"))
         .format_timestamp_millis()
-        .target(Target::Pipe(Box::new(outlet)))
+        .target(Target::Pipe(Box::new(writer)))
         .init();
     Handle { pending }
 }
 
 impl Handle {
-    /// Waits until the last lines are out, unless nobody reads them.
+    /// Waits until the queued lines are written, or for a short time if the reader stalls.
     pub fn close(self) {
-        let until = Instant::now() + LAST;
+        let until = Instant::now() + FLUSH_TIMEOUT;
         while self.pending.load(Ordering::Acquire) > 0 && Instant::now() < until {
             thread::sleep(Duration::from_millis(1));
         }
     }
 }
 
-/// The end of the queue that takes lines.
+/// A writer that passes lines to the log thread and never blocks.
+///
+/// It drops lines while the queue is full.
 #[derive(Debug)]
 pub struct QueuedWriter {
     lines: SyncSender<Vec<u8>>,
     pending: Arc<AtomicU64>,
-    left_out: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
 impl QueuedWriter {
-    /// Starts to pass lines on to `output`; `pending` counts those on their way.
+    /// Starts a thread that writes to `output`. `pending` counts the lines that are not written yet.
     #[must_use]
     pub fn spawn<W>(output: W, pending: Arc<AtomicU64>) -> Self
     where
         W: Write + Send + 'static,
     {
-        let (lines, queue) = sync_channel(QUEUE);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let (counted, missing) = (Arc::clone(&pending), Arc::clone(&left_out));
-        thread::spawn(move || pass_on(output, &queue, &counted, &missing));
+        let (lines, queue) = sync_channel(QUEUE_LENGTH);
+        let dropped = Arc::new(AtomicU64::new(0));
+        let (unwritten, lost) = (Arc::clone(&pending), Arc::clone(&dropped));
+        thread::spawn(move || write_batches(output, &queue, &unwritten, &lost));
         Self {
             lines,
             pending,
-            left_out,
+            dropped,
         }
     }
 }
@@ -90,7 +91,7 @@
         self.pending.fetch_add(1, Ordering::AcqRel);
         if self.lines.try_send(buf.to_vec()).is_err() {
             self.pending.fetch_sub(1, Ordering::AcqRel);
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(buf.len())
     }
@@ -100,48 +101,56 @@
     }
 }
 
-fn pass_on<W>(mut output: W, queue: &Receiver<Vec<u8>>, pending: &AtomicU64, left_out: &AtomicU64)
-where
+fn write_batches<W>(
+    mut output: W,
+    queue: &Receiver<Vec<u8>>,
+    pending: &AtomicU64,
+    dropped: &AtomicU64,
+) where
     W: Write,
 {
     while let Ok(first) = queue.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_DELAY);
         let mut batch = first;
         let mut count = 1;
         while let Ok(line) = queue.try_recv() {
             batch.extend_from_slice(&line);
             count += 1;
         }
-        let missing = left_out.swap(0, Ordering::Relaxed);
-        if missing > 0 {
-            let note = format!("[WARN  node::logs] lines_left_out count={missing}\n");
-            batch.extend_from_slice(note.as_bytes());
+        let lost = dropped.swap(0, Ordering::Relaxed);
+        if lost > 0 {
+            let line = format!("[WARN  node::logs] lines_left_out count={lost}\n");
+            batch.extend_from_slice(line.as_bytes());
         }
-        // With the output gone there is nobody to tell; the node works on.
+        // An error can't be reported anywhere once the output is closed; the node continues.
         let _written = output.write_all(&batch).and_then(|()| output.flush());
         pending.fetch_sub(count, Ordering::AcqRel);
     }
 }
 
-/// Bounds the lines of one kind of event that comes with calls.
+/// Limits the lines per second of one kind of event about calls.
 ///
-/// *Load pattern:* an overload refuses hundreds of calls a second. *Without it*
-/// a node on a small VM would spend its processor time on telling so.
+/// *Load pattern:* an overload refuses hundreds of calls per second. *Without it*
+/// a node on a small VM would spend its CPU time on logging them.
 #[derive(Debug, Default)]
 pub struct RateLimiter {
-    /// Whole seconds since the log began, and the lines asked for in it.
+    /// The current second since the start of the node, and the lines requested in it.
     second: AtomicU64,
-    asked: AtomicU64,
+    requested: AtomicU64,
 }
 
 impl RateLimiter {
-    /// Takes a line, if there is one left in this second; gives how many were left out in the last.
+    /// Returns `None` if the line is over the limit of the current second. The first line of a
+    /// second returns how many lines were dropped in the last second with lines, others return 0.
     pub fn admit(&self, elapsed: Duration) -> Option<u64> {
         let second = elapsed.as_secs();
-        let mut left_out = 0;
+        let mut dropped = 0;
         if self.second.swap(second, Ordering::Relaxed) != second {
-            left_out = self.asked.swap(0, Ordering::Relaxed).saturating_sub(RATE);
+            dropped = self
+                .requested
+                .swap(0, Ordering::Relaxed)
+                .saturating_sub(LINES_PER_SECOND);
         }
-        (self.asked.fetch_add(1, Ordering::Relaxed) < RATE).then_some(left_out)
+        (self.requested.fetch_add(1, Ordering::Relaxed) < LINES_PER_SECOND).then_some(dropped)
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `bluebellpick-node`: the proxy and relay beside a backend server.
+//! `bluebellpick-node`: the sidecar proxy next to a backend server.
 
 use bpaf::{Args, OptionParser, ParseFailure, Parser, construct, long};
 use log::{error, info, warn};
@@ -8,13 +8,13 @@
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Exit code for a command line or settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for an invalid command line or invalid settings.
+const EXIT_BAD_SETTINGS: u8 = 2;
 
 /// Width of the help text, in columns.
-const WIDTH: usize = 100;
+const HELP_WIDTH: usize = 100;
 
-/// What the command line says.
+/// Options of the command line.
 #[derive(Debug, Clone)]
 struct Options {
     settings: PathBuf,
@@ -41,34 +41,37 @@
         )
 }
 
-/// Keeps SIGHUP from ending the process before it is listened for.
+/// Installs a handler for SIGHUP, so that one that arrives during the start doesn't end the process.
 ///
-/// Guards against a settings file that changes while the process starts: its
-/// default ends the process. Once taken, a signal stays so, with or without a
-/// runtime; one that comes this early is about the file that is read next.
-fn hold_hangups() {
-    let held = Builder::new_current_thread().enable_all().build();
-    let held = held.and_then(|runtime| runtime.block_on(async { signal(SignalKind::hangup()) }));
-    if let Err(error) = held {
-        eprintln!("SIGHUP ends the process until it serves: {error}");
+/// The settings file may change while the process starts, and the default action of SIGHUP ends
+/// the process. The handler stays installed when its runtime is dropped. A SIGHUP this early can
+/// be ignored, since the settings file is read afterwards.
+fn handle_early_hangups() {
+    let handled = Builder::new_current_thread().enable_all().build();
+    let handled =
+        handled.and_then(|runtime| runtime.block_on(async { signal(SignalKind::hangup()) }));
+    if let Err(error) = handled {
+        eprintln!(
+            "can't install a handler for SIGHUP, which ends the process until it serves: {error}"
+        );
     }
 }
 
 fn main() -> ExitCode {
-    hold_hangups();
+    handle_early_hangups();
     let options = match parse_options().run_inner(Args::current_args()) {
         Ok(options) => options,
         Err(failure) => {
-            failure.print_message(WIDTH);
+            failure.print_message(HELP_WIDTH);
             let is_wrong = matches!(failure, ParseFailure::Stderr(_));
-            return ExitCode::from(if is_wrong { BAD_SETTINGS } else { 0 });
+            return ExitCode::from(if is_wrong { EXIT_BAD_SETTINGS } else { 0 });
         }
     };
     let settings = match Settings::open(&options.settings) {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_BAD_SETTINGS);
         }
     };
     if options.check {
@@ -77,7 +80,7 @@
     let logs = node::logs::open();
     let code = start(settings, &options.settings).unwrap_or_else(|error| {
         error!(error:%; "failed");
-        // Whoever starts it by hand looks here, also with the log sent elsewhere.
+        // For users who start the node by hand, also when standard output is redirected.
         eprintln!("{error}");
         ExitCode::FAILURE
     });
@@ -103,12 +106,12 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let mut held = settings.clone();
+    let mut current = settings.clone();
     let running = node::node::spawn(settings, clock::System, background).await?;
     loop {
         tokio::select! {
             () = wait_any(&mut terminate, &mut interrupt) => break,
-            _ = hangup.recv() => held = reload(held, path),
+            _ = hangup.recv() => current = reload(current, path),
         }
     }
     tokio::select! {
@@ -120,17 +123,16 @@
     }
 }
 
-/// Reads the settings file again, and tells what of it would change.
+/// Reads the settings file again, and logs whether it is valid and has changed.
 ///
-/// All of a node's settings are its place and its addresses, which callers and
-/// other nodes know it by, or limits of what is open already: what has changed
-/// takes effect with the next start. A file that is wrong is named at once and
-/// not by a process that fails to start later.
-fn reload(held: Settings, path: &Path) -> Settings {
+/// Changes take effect at the next start. All settings are the node's locality and addresses, by
+/// which callers and other nodes know it, or limits of what is open already. An invalid file is
+/// reported now, and not by a process that fails to start later.
+fn reload(current: Settings, path: &Path) -> Settings {
     match Settings::open(path) {
-        Ok(next) if next == held => {
+        Ok(next) if next == current => {
             info!("settings_unchanged");
-            held
+            current
         }
         Ok(next) => {
             warn!("settings_wait_for_restart");
@@ -138,7 +140,7 @@
         }
         Err(error) => {
             error!(error:%; "settings_refused");
-            held
+            current
         }
     }
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,8 +1,8 @@
-//! What a node counts, for Prometheus and for the report on burn.
+//! Metrics of a node, for Prometheus and for the report on burn rates.
 //!
-//! The path of a call takes a [`Service`] handle once per view and service,
-//! and then only touches atomics and one short lock. Label values come from
-//! the configuration alone; beyond [`MAX_SERVICES`] they share one.
+//! The call path fetches a [`Service`] handle once per view and service, and
+//! then uses only atomics and one short lock. Label values come only from the
+//! configuration; services beyond [`MAX_SERVICES`] share one label.
 
 pub(crate) mod control;
 pub(crate) mod failures;
@@ -16,7 +16,7 @@
 pub use crate::metrics::reserve::Reserve;
 pub use crate::metrics::service::{Ending, Service};
 
-use crate::metrics::service::SLOT_LABELS;
+use crate::metrics::service::ENDING_LABELS;
 use parking_lot::{Mutex, RwLock};
 use prometheus_client::encoding::{EncodeLabelSet, text};
 use prometheus_client::metrics::counter::Counter;
@@ -30,14 +30,14 @@
 use std::sync::atomic::AtomicU64;
 use std::time::{Duration, Instant};
 
-/// Services with labels of their own: twice the 410 that the fleet is designed for.
+/// Maximum number of services with their own label: twice the 410 that the fleet is designed for.
 pub const MAX_SERVICES: usize = 820;
 
-/// Label of all services beyond the bound.
-pub const OTHER: &str = "other";
+/// Label of all services beyond [`MAX_SERVICES`].
+pub const OTHER_SERVICES: &str = "other";
 
-/// Upper bounds of the durations, in seconds: finest around the 0.36 ms that
-/// both proxies together may add, and up to the default timeout of 5 s.
+/// Bucket bounds of duration histograms, in seconds: finest around the 0.36 ms
+/// that both proxies together may add, and up to the default timeout of 5 s.
 const DURATION_BOUNDS: [f64; 14] = [
     0.000_25, 0.000_5, 0.001, 0.002_5, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0,
 ];
@@ -68,32 +68,32 @@
     kind: &'static str,
 }
 
-/// What is read from the node's state when somebody asks.
+/// Values of the gauges, read from the node's state for each scrape.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct GaugeValues {
-    /// Version of the configuration that calls are served by.
+    /// Version of the configuration in use for calls.
     pub version: u64,
-    /// Endpoints known.
+    /// Endpoints known to this node.
     pub endpoints: usize,
     /// Routes in force.
     pub routes: usize,
-    /// Routes withheld until their services are there.
+    /// Routes withheld because services that they name are missing.
     pub withheld_routes: usize,
-    /// Calls that wait for the own backend server or run on it.
+    /// Calls that are queued for the local backend server or run on it.
     pub in_flight: usize,
-    /// Requests that are held because they crash backend servers.
+    /// Requests held in quarantine because they crash backend servers.
     pub held_requests: usize,
     /// Whether the node is ready.
     pub ready: bool,
-    /// Whether the node or its backend server leaves.
+    /// Whether the node or its backend server is leaving.
     pub leaving: bool,
-    /// What the node's stop waits for, or would if it came now.
+    /// What a graceful stop waits for, or would wait for if it started now.
     pub waits: status::Waits,
-    /// What the process has taken.
+    /// Memory and CPU time of the process.
     pub process: crate::process::Usage,
 }
 
-/// What is set from [`GaugeValues`] when somebody asks.
+/// Metrics that are set from [`GaugeValues`] for each scrape.
 #[derive(Debug, Default)]
 struct Gauges {
     version: Gauge,
@@ -109,7 +109,7 @@
     cpu: Counter<f64, AtomicU64>,
 }
 
-/// All that a node counts.
+/// All metrics of a node.
 #[derive(Debug)]
 pub struct Metrics {
     start: Instant,
@@ -118,13 +118,13 @@
     durations: Family<ServiceLabel, Histogram, fn() -> Histogram>,
     bad_requests: Family<ListenerLabel, Counter>,
     control_bytes: Family<DirectionLabel, Counter>,
-    /// Why calls got no answer, and how long they waited.
+    /// Counts of calls without an answer, and how long calls waited at the admission gate.
     pub failures: Failures,
-    /// What is counted of distribution.
+    /// Metrics of configuration distribution.
     pub control: Control,
-    /// What is counted of reservations.
+    /// Metrics of reservations of idempotency keys.
     pub reserve: Reserve,
-    /// What is counted of requests that crash backend servers.
+    /// Metrics of requests that crash backend servers.
     pub quarantine: Quarantine,
     gauges: Gauges,
     services: RwLock<HashMap<SmolStr, Arc<Service>>>,
@@ -132,7 +132,7 @@
 }
 
 impl Metrics {
-    /// Makes the metrics of a node that starts at `start`.
+    /// Creates the metrics of a node that started at `start`.
     #[must_use]
     pub fn new(start: Instant) -> Self {
         let new_histogram: fn() -> Histogram = || Histogram::new(DURATION_BOUNDS);
@@ -158,7 +158,7 @@
 
     fn register_counters(&mut self) {
         let registry = &mut self.registry;
-        let help = "Calls of this node's callers, by service and how they ended";
+        let help = "Calls of this node's callers, by service and ending";
         registry.register("calls", help, self.calls.clone());
         let help = "Time from a call's arrival at this node to its end";
         let durations = self.durations.clone();
@@ -179,7 +179,7 @@
         let plain = [
             (
                 "config_version",
-                "Version of the configuration that calls are served by",
+                "Version of the configuration in use for calls",
                 &gauges.version,
             ),
             (
@@ -190,47 +190,47 @@
             ("routes", "Routes in force", &gauges.routes),
             (
                 "withheld_routes",
-                "Routes withheld until their services are there",
+                "Routes withheld because services that they name are missing",
                 &gauges.withheld_routes,
             ),
             (
                 "in_flight_calls",
-                "Calls that wait for the own backend server or run on it",
+                "Calls that are queued for the local backend server or run on it",
                 &gauges.in_flight,
             ),
             (
                 "held_requests",
-                "Requests that are held because they crash backend servers",
+                "Requests held in quarantine because they crash backend servers",
                 &gauges.held_requests,
             ),
             (
                 "ready",
-                "Whether the node takes calls, 0 or 1",
+                "Whether the node is ready for calls, 0 or 1",
                 &gauges.ready,
             ),
             (
                 "leaving",
-                "Whether the node or its backend server leaves, 0 or 1",
+                "Whether the node or its backend server is leaving, 0 or 1",
                 &gauges.leaving,
             ),
         ];
         for (name, help, gauge) in plain {
             self.registry.register(name, help, gauge.clone());
         }
-        let help = "What the node's stop waits for, or would if it came now, by kind";
+        let help = "What a graceful stop waits for, or would wait for if it started now, by kind";
         self.registry
             .register("stop_waits", help, gauges.waits.clone());
-        let help = "Memory of the process that is in RAM";
+        let help = "Resident memory of the process";
         let resident = gauges.resident.clone();
         self.registry
             .register_with_unit("resident_memory", help, Unit::Bytes, resident);
-        let help = "Processor time of the process, user and system";
+        let help = "CPU time of the process, user and system";
         let cpu = gauges.cpu.clone();
         self.registry
             .register_with_unit("cpu", help, Unit::Seconds, cpu);
     }
 
-    /// Gives the counters of a service; they are the same ones each time.
+    /// Returns the counters of a service, the same ones each time.
     #[must_use]
     pub fn service(&self, name: &str) -> Arc<Service> {
         if let Some(known) = self.services.read().get(name) {
@@ -240,7 +240,7 @@
         let name = if services.len() < MAX_SERVICES {
             name
         } else {
-            OTHER
+            OTHER_SERVICES
         };
         let service = services
             .entry(name.into())
@@ -250,7 +250,7 @@
 
     fn make_service(&self, name: &str) -> Service {
         let service = name.to_owned();
-        let endings = SLOT_LABELS.map(|ending| {
+        let endings = ENDING_LABELS.map(|ending| {
             let service = service.clone();
             self.calls
                 .get_or_create_owned(&CallLabel { service, ending })
@@ -261,14 +261,14 @@
         Service::new(self.start, endings, durations)
     }
 
-    /// Gives the counter of a listener's bad requests.
+    /// Returns the counter of bad requests of a listener.
     #[must_use]
     pub fn bad_requests(&self, listener: &'static str) -> Counter {
         self.bad_requests
             .get_or_create_owned(&ListenerLabel { listener })
     }
 
-    /// Gives the counter of control bytes sent to other nodes.
+    /// Returns the counter of control bytes sent to other nodes.
     #[must_use]
     pub fn control_sent(&self) -> Counter {
         let direction = "sent";
@@ -276,7 +276,7 @@
             .get_or_create_owned(&DirectionLabel { direction })
     }
 
-    /// Gives the counter of control bytes received from other nodes.
+    /// Returns the counter of control bytes received from other nodes.
     #[must_use]
     pub fn control_received(&self) -> Counter {
         let direction = "received";
@@ -284,7 +284,7 @@
             .get_or_create_owned(&DirectionLabel { direction })
     }
 
-    /// Gives the counts of each service that this node's callers called.
+    /// Returns the call counts of each service that this node's callers have called.
     #[must_use]
     pub fn tallies(&self, now: Instant) -> BTreeMap<SmolStr, burn::Service> {
         let services = self.services.read();
@@ -294,46 +294,46 @@
             .collect()
     }
 
-    /// Gives how long the node has counted.
+    /// Returns the time since the node started to count.
     #[must_use]
     pub fn elapsed(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.start)
     }
 
-    /// Writes everything in the text format of `OpenMetrics`.
+    /// Renders all metrics in the text format of `OpenMetrics`.
     ///
     /// # Panics
     ///
-    /// Never: a string takes any text.
+    /// Never: writing to a string does not fail.
     #[must_use]
-    pub fn render(&self, reading: &GaugeValues) -> String {
-        // Two that ask at once would both add the processor time since the last one.
+    pub fn render(&self, values: &GaugeValues) -> String {
+        // Concurrent scrapes would both add the CPU time since the last scrape.
         let _one_at_a_time = self.rendering.lock();
         let gauges = &self.gauges;
-        gauges.version.set(clamp(reading.version));
-        gauges.endpoints.set(clamp(reading.endpoints));
-        gauges.routes.set(clamp(reading.routes));
-        gauges.withheld_routes.set(clamp(reading.withheld_routes));
-        gauges.in_flight.set(clamp(reading.in_flight));
-        gauges.held_requests.set(clamp(reading.held_requests));
-        gauges.ready.set(i64::from(reading.ready));
-        gauges.leaving.set(i64::from(reading.leaving));
-        for (kind, count) in reading.waits.kinds() {
+        gauges.version.set(saturate(values.version));
+        gauges.endpoints.set(saturate(values.endpoints));
+        gauges.routes.set(saturate(values.routes));
+        gauges.withheld_routes.set(saturate(values.withheld_routes));
+        gauges.in_flight.set(saturate(values.in_flight));
+        gauges.held_requests.set(saturate(values.held_requests));
+        gauges.ready.set(i64::from(values.ready));
+        gauges.leaving.set(i64::from(values.leaving));
+        for (kind, count) in values.waits.kinds() {
             gauges
                 .waits
                 .get_or_create(&KindLabel { kind })
-                .set(clamp(count));
+                .set(saturate(count));
         }
-        gauges.resident.set(clamp(reading.process.resident_bytes));
-        let cpu = reading.process.cpu.as_secs_f64();
+        gauges.resident.set(saturate(values.process.resident_bytes));
+        let cpu = values.process.cpu.as_secs_f64();
         gauges.cpu.inc_by((cpu - gauges.cpu.get()).max(0.0));
         let mut text = String::new();
-        text::encode(&mut text, &self.registry).expect("a string takes any text");
+        text::encode(&mut text, &self.registry).expect("writing to a string does not fail");
         text
     }
 }
 
-fn clamp<N>(count: N) -> i64
+fn saturate<N>(count: N) -> i64
 where
     i64: TryFrom<N>,
 {
--- a/crates/node/src/metrics/control.rs
+++ b/crates/node/src/metrics/control.rs
@@ -1,51 +1,59 @@
-//! What a node counts of distribution.
+//! Metrics of configuration distribution.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
 
-/// What a node counts of distribution.
+/// Counters of configuration distribution.
 #[derive(Debug, Clone, Default)]
 pub struct Control {
-    /// Versions applied.
+    /// Configuration versions applied.
     pub versions: Counter,
-    /// Versions that could not be applied.
+    /// Configuration versions that could not be applied.
     pub refusals: Counter,
-    /// Parents taken.
+    /// Parents that accepted this node as a child.
     pub parents: Counter,
-    /// Nodes declared gone.
+    /// Nodes declared departed.
     pub departures: Counter,
-    /// Views older than the one before, which were not served by.
+    /// Views that were older than the current one and were discarded.
     pub reverts: Counter,
-    /// Views made, for configuration or endpoints.
+    /// Views built after a change of configuration or endpoints.
     pub views: Counter,
-    /// Frames that a slow link had no room for; the link is closed then.
+    /// Links closed because a frame did not fit into the send queue.
     pub overflows: Counter,
 }
 
 impl Control {
     pub(crate) fn register(&self, registry: &mut Registry) {
         let all = [
-            ("config_versions", "Versions applied", &self.versions),
+            (
+                "config_versions",
+                "Configuration versions applied",
+                &self.versions,
+            ),
             (
                 "config_refusals",
-                "Versions that could not be applied",
+                "Configuration versions that could not be applied",
                 &self.refusals,
             ),
             (
                 "config_reverts",
-                "Views older than the one before, not served by; never above zero",
+                "Views older than the current one, which were discarded; never above zero",
                 &self.reverts,
             ),
-            ("views", "Views made", &self.views),
-            ("control_parents", "Parents taken", &self.parents),
+            ("views", "Views built", &self.views),
+            (
+                "control_parents",
+                "Parents that accepted this node as a child",
+                &self.parents,
+            ),
             (
                 "control_departures",
-                "Nodes declared gone",
+                "Nodes declared departed",
                 &self.departures,
             ),
             (
                 "control_overflows",
-                "Control links closed because they took nothing more",
+                "Control links closed because their send queue was full",
                 &self.overflows,
             ),
         ];
--- a/crates/node/src/metrics/failures.rs
+++ b/crates/node/src/metrics/failures.rs
@@ -1,4 +1,4 @@
-//! Why calls got no answer here, and how long they waited.
+//! Metrics of calls without an answer, and of the wait at the admission gate.
 
 use crate::metrics::DURATION_BOUNDS;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -13,57 +13,60 @@
     reason: &'static str,
 }
 
-/// Why calls got no answer, and how long they waited.
+/// Counts of calls without an answer, and how long calls waited at the admission gate.
 #[derive(Debug)]
 pub struct Failures {
-    tries: Family<ReasonLabel, Counter>,
+    failed_attempts: Family<ReasonLabel, Counter>,
     turned_away: Family<ReasonLabel, Counter>,
     gate_wait: Histogram,
-    untaken: Counter,
+    stalled_readers: Counter,
 }
 
 impl Default for Failures {
     fn default() -> Self {
         Self {
-            tries: Family::default(),
+            failed_attempts: Family::default(),
             turned_away: Family::default(),
             gate_wait: Histogram::new(DURATION_BOUNDS),
-            untaken: Counter::default(),
+            stalled_readers: Counter::default(),
         }
     }
 }
 
 impl Failures {
     pub(crate) fn register(&self, registry: &mut Registry) {
-        let help = "Tries of this node's callers' calls that got no answer, by reason";
-        registry.register("tries_without_answer", help, self.tries.clone());
-        let help = "Calls that the own backend server's gate turned away, by reason";
+        let help = "Attempts of this node's callers' calls that got no answer, by reason";
+        registry.register("tries_without_answer", help, self.failed_attempts.clone());
+        let help = "Calls rejected by the local backend server's admission gate, by reason";
         registry.register("gate_turned_away", help, self.turned_away.clone());
-        let help = "Time that calls waited at the own backend server's gate before they ran";
+        let help =
+            "Time that calls waited at the local backend server's admission gate before they ran";
         let wait = self.gate_wait.clone();
         registry.register_with_unit("gate_wait", help, Unit::Seconds, wait);
-        let help = "Answers given up because their readers took nothing for 5 s";
-        registry.register("answers_untaken", help, self.untaken.clone());
+        let help = "Answers dropped because their readers took nothing for 5 s";
+        registry.register("answers_untaken", help, self.stalled_readers.clone());
     }
 
-    /// Counts a try that got no answer.
+    /// Counts an attempt that got no answer.
     pub fn count_failed_attempt(&self, reason: &'static str) {
-        self.tries.get_or_create(&ReasonLabel { reason }).inc();
+        self.failed_attempts
+            .get_or_create(&ReasonLabel { reason })
+            .inc();
     }
 
-    /// Counts a call that the gate turned away.
+    /// Counts a call that the admission gate rejected.
     pub fn count_turned_away(&self, reason: &'static str) {
         self.turned_away
             .get_or_create(&ReasonLabel { reason })
             .inc();
     }
 
-    /// Counts an answer that was given up because its reader took nothing.
+    /// Counts an answer that was dropped because its reader stalled.
     pub(crate) fn count_stalled_reader(&self) {
-        self.untaken.inc();
+        self.stalled_readers.inc();
     }
 
-    /// Takes in how long a call waited at the gate.
+    /// Records how long a call waited at the admission gate.
     pub(crate) fn record_gate_wait(&self, waited: Duration) {
         self.gate_wait.observe(waited.as_secs_f64());
     }
--- a/crates/node/src/metrics/quarantine.rs
+++ b/crates/node/src/metrics/quarantine.rs
@@ -1,10 +1,10 @@
-//! What is counted of requests that crash backend servers.
+//! Metrics of requests that crash backend servers.
 
 use call::Crash;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
 
-/// What is counted of requests that crash backend servers.
+/// Counters of requests that crash backend servers.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspicions: Counter,
@@ -14,11 +14,11 @@
 
 impl Quarantine {
     pub(crate) fn register(&self, registry: &mut Registry) {
-        let help = "Crashes under which a request fell under suspicion, as far as this node knows";
+        let help = "Crashes known to this node that made a request suspect";
         registry.register("request_suspicions", help, self.suspicions.clone());
-        let help = "Suspicions that other nodes told were lifted by an answer";
+        let help = "Suspicions that other nodes reported as cleared by an answer";
         registry.register("request_suspicions_cleared", help, self.cleared.clone());
-        let help = "Calls that were refused because their request crashes backend servers";
+        let help = "Calls refused because their request crashes backend servers";
         registry.register("held_requests_refused", help, self.refused.clone());
     }
 
--- a/crates/node/src/metrics/service.rs
+++ b/crates/node/src/metrics/service.rs
@@ -1,4 +1,4 @@
-//! What a node counts of one service's calls.
+//! Metrics of the calls of one service.
 
 use burn::{History, Outcome};
 use call::Verdict;
@@ -9,20 +9,20 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// How a call ended for its caller.
+/// How a call ended, as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// With an answer of the service, of this HTTP status.
+    /// The service answered with this HTTP status.
     Answered(u16),
-    /// Without an answer.
+    /// The service gave no answer.
     Refused(Verdict),
-    /// The caller went away first.
+    /// The caller disconnected first.
     Cancelled,
 }
 
-/// Number of an [`Ending`]'s counter.
+/// Index of the counter of an [`Ending`].
 #[derive(Debug, Clone, Copy)]
-enum Slot {
+enum CounterIndex {
     Served,
     Failed,
     CallerFault,
@@ -31,8 +31,8 @@
     Cancelled,
 }
 
-/// Label values of the endings, in the order of [`Slot`].
-pub(crate) const SLOT_LABELS: [&str; 6] = [
+/// Label values of the endings, in the order of [`CounterIndex`].
+pub(crate) const ENDING_LABELS: [&str; 6] = [
     "served",
     "failed",
     "caller_fault",
@@ -42,17 +42,17 @@
 ];
 
 impl Ending {
-    fn slot(self) -> Slot {
+    fn counter_index(self) -> CounterIndex {
         match self {
             Self::Answered(status) => match Outcome::of_status(status, false) {
-                Outcome::Served { .. } => Slot::Served,
-                Outcome::Failed => Slot::Failed,
-                Outcome::CallerFault => Slot::CallerFault,
+                Outcome::Served { .. } => CounterIndex::Served,
+                Outcome::Failed => CounterIndex::Failed,
+                Outcome::CallerFault => CounterIndex::CallerFault,
             },
-            Self::Refused(Verdict::NotRun) => Slot::NotRun,
-            Self::Refused(Verdict::MayHaveRun) => Slot::MayHaveRun,
-            Self::Refused(Verdict::Ran) => Slot::Failed,
-            Self::Cancelled => Slot::Cancelled,
+            Self::Refused(Verdict::NotRun) => CounterIndex::NotRun,
+            Self::Refused(Verdict::MayHaveRun) => CounterIndex::MayHaveRun,
+            Self::Refused(Verdict::Ran) => CounterIndex::Failed,
+            Self::Cancelled => CounterIndex::Cancelled,
         }
     }
 
@@ -65,20 +65,20 @@
     }
 }
 
-/// The counters of one service; kept by the path of a call.
+/// The counters of one service. The call path keeps a handle of them.
 pub struct Service {
     start: Instant,
-    endings: [Counter; SLOT_LABELS.len()],
+    endings: [Counter; ENDING_LABELS.len()],
     durations: Histogram,
-    windows: Mutex<Windows>,
+    windows: Mutex<BurnWindows>,
 }
 
-/// What the report on burn is made from.
+/// Data for the report on burn rates.
 #[derive(Debug, Default)]
-struct Windows {
+struct BurnWindows {
     history: History,
-    /// The promise at the last call: the view forgets a service that has lost its last endpoint,
-    /// which is just when its burn matters.
+    /// The objective at the last call. The view drops a service that has lost its last endpoint,
+    /// which is when its burn rate matters most.
     objective: Option<Objective>,
 }
 
@@ -89,10 +89,10 @@
 }
 
 impl Service {
-    /// Makes the counters of a service of a node that started at `start`.
+    /// Creates the counters of a service on a node that started at `start`.
     pub(crate) fn new(
         start: Instant,
-        endings: [Counter; SLOT_LABELS.len()],
+        endings: [Counter; ENDING_LABELS.len()],
         durations: Histogram,
     ) -> Self {
         Self {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Counts a call that ended at `now`, `elapsed` after the caller made it.
+    /// Records a call that ended at `now`, `elapsed` after it arrived from the caller.
     pub fn record(
         &self,
         now: Instant,
@@ -111,7 +111,7 @@
         elapsed: Duration,
         objective: Option<&Objective>,
     ) {
-        self.endings[ending.slot() as usize].inc();
+        self.endings[ending.counter_index() as usize].inc();
         self.durations.observe(elapsed.as_secs_f64());
         let bound = objective.map(|objective| u128::from(objective.latency_ms));
         let slow = bound.is_some_and(|bound| elapsed.as_millis() > bound);
@@ -121,7 +121,7 @@
         windows.history.record(since_start, ending.outcome(slow));
     }
 
-    /// Gives the counts of all windows that end at `now`.
+    /// Returns the counts of all windows that end at `now`.
     #[must_use]
     pub fn tally(&self, now: Instant) -> burn::Service {
         let since_start = now.saturating_duration_since(self.start);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! A whole node: its listeners and parts, from start to graceful stop.
+//! The node process: starts all listeners and components, and stops them gracefully.
 
 use crate::shared::Shared;
 use crate::stop::{Plan, Step, log_waits, read_waits};
@@ -31,15 +31,15 @@
     reserve: reserve::Handle<C>,
 }
 
-/// Binds all listeners, then starts every part.
+/// Binds all listeners, then starts all components.
 ///
-/// What distributes and tells runs on `background`, away from the calls: a new
-/// view of 14,000 endpoints takes the processor for a millisecond, which every
-/// call of the moment would wait for.
+/// Configuration distribution and the operators' listener run on `background` and not on the
+/// runtime of the calls: building a view of 14,000 endpoints takes 1 ms of CPU time, for which
+/// concurrent calls would have to wait.
 ///
 /// # Errors
 ///
-/// When an address can't be bound; nothing runs then.
+/// Fails if an address can't be bound. Nothing has been started then.
 pub async fn spawn<C>(
     settings: Settings,
     clock: C,
@@ -48,7 +48,7 @@
 where
     C: Clock,
 {
-    let callers = bind_unheard(settings.callers)?;
+    let callers = bind_without_listening(settings.callers)?;
     let backend = bind(settings.backend).await?;
     let peers = bind(settings.nodes).await?;
     let operators = bind(settings.operators).await?;
@@ -98,17 +98,17 @@
 where
     C: Clock,
 {
-    /// Gives what the parts share.
+    /// Returns the state that the components share.
     #[must_use]
     pub fn shared(&self) -> &Arc<Shared<C>> {
         &self.shared
     }
 
-    /// Works on while callers are sent elsewhere; gives the time that is left to stop in.
+    /// Reports that the node is not ready and keeps serving until callers are routed elsewhere.
+    /// Returns the time that is left for the stop.
     ///
-    /// Guards against a node that closes its listener while callers are still
-    /// sent to it: whoever watches its readiness takes some seconds to see it,
-    /// and each call in between met a closed port.
+    /// A readiness check takes some seconds to notice that a node is leaving. If the node closed
+    /// its listener at once, calls in that time would find a closed port.
     async fn hand_over(&self) -> Duration {
         let limit = self.shared.settings.stop_limit();
         let wait = self.shared.settings.handover.unwrap_or_default();
@@ -121,23 +121,23 @@
         limit.saturating_sub(wait)
     }
 
-    /// Stops gracefully: no new work from this instant on, and what is in flight ends first.
+    /// Stops gracefully: accepts no new work after the handover, and lets calls in flight finish.
     ///
-    /// The drain timeout of the settings bounds the wait; what it cuts off is logged.
+    /// The drain timeout of the settings bounds the wait. Calls that it cuts off are logged.
     pub async fn stop(self) {
         let limit = self.hand_over().await;
         info!(stop_limit_s = limit.as_secs_f64(); "leaving");
         let shared = Arc::clone(&self.shared);
         tokio::select! {
             biased;
-            () = self.end(limit) => {}
+            () = self.stop_components(limit) => {}
             never = log_waits(&shared) => match never {},
         }
         info!("stopped");
     }
 
-    /// Ends the calls and then the parts, each within its time.
-    async fn end(self, limit: Duration) {
+    /// Drains the calls and then stops the components, each within its time.
+    async fn stop_components(self, limit: Duration) {
         let shared = Arc::clone(&self.shared);
         let now = || shared.clock.now();
         let plan = Plan::new(now(), limit);
@@ -160,12 +160,13 @@
     }
 }
 
-/// Ends the calls of callers and of other nodes; gives how many of each are left at `limit`.
+/// Drains the calls of callers and of other nodes, and returns how many of each are left at `limit`.
 ///
-/// Other nodes are sent away once this node's own callers are: the backend server
-/// stays, and each second for which its node refuses others is one without it. With
-/// both at once, a restart of the node beside the last backend server of a service
-/// took 1.6 s to 2.5 s of that service from everybody, of which this gives one back.
+/// The node refuses calls of other nodes only after its lame-duck time, in which it sends its own
+/// callers away: the backend server stays, and is unavailable to other nodes for as long as its
+/// node refuses them. When both ended at once, a restart of the node next to the last backend
+/// server of a service made that service unavailable to everybody for 1.6 s to 2.5 s. Ending the
+/// calls of other nodes later saves 1 s of that.
 pub async fn end_calls<C>(
     shared: &Shared<C>,
     inbound: &inbound::Handle<C>,
@@ -184,26 +185,26 @@
     tokio::join!(outbound.drain(limit), calls)
 }
 
-/// Binds an address without taking connections yet, so that a taken one is found at the start.
-fn bind_unheard(address: SocketAddr) -> io::Result<TcpSocket> {
+/// Binds an address without listening yet, so that an address in use is detected at the start.
+fn bind_without_listening(address: SocketAddr) -> io::Result<TcpSocket> {
     let bound = || {
         let socket = match address {
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
-        // Connections of the process before may still be closing.
+        // Connections of the previous process may still be closing.
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         Ok(socket)
     };
-    bound().map_err(|error| name_address(address, &error))
+    bound().map_err(|error| add_address(address, &error))
 }
 
 async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let bound = TcpListener::bind(address).await;
-    bound.map_err(|error| name_address(address, &error))
+    bound.map_err(|error| add_address(address, &error))
 }
 
-fn name_address(address: SocketAddr, error: &io::Error) -> io::Error {
+fn add_address(address: SocketAddr, error: &io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{address}: {error}"))
 }
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -1,8 +1,8 @@
-//! Where operators connect.
+//! The listener for operators.
 //!
-//! `GET /metrics`, `/healthz`, `/readyz`, `/v1/status` and `/v1/burn` are open
-//! to whoever reaches the listener; `POST /v1/drain` changes something and
-//! wants the token.
+//! `GET /metrics`, `/healthz`, `/readyz`, `/v1/status` and `/v1/burn` need no
+//! authorization. `POST /v1/drain` changes the node's state and requires the
+//! token.
 
 use crate::listener::{
     self, Handle, HttpResponse, Limits, build_response, error_response, json_response,
@@ -29,11 +29,11 @@
 /// Name of this listener in settings, metrics and logs.
 const LISTENER: &str = "operators";
 
-/// Listens for operators on `tcp`.
+/// Serves operators on `tcp`.
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Fails if the listener has no local address.
 pub fn spawn<C>(tcp: TcpListener, shared: Arc<Shared<C>>) -> io::Result<Handle>
 where
     C: Clock,
@@ -41,11 +41,11 @@
     spawn_with_limits(tcp, shared, Limits::default())
 }
 
-/// Listens as [`spawn`] does, with other limits.
+/// Serves operators as [`spawn`] does, with the given limits.
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Fails if the listener has no local address.
 pub fn spawn_with_limits<C>(
     tcp: TcpListener,
     shared: Arc<Shared<C>>,
@@ -57,35 +57,35 @@
     let bad_requests = shared.metrics.bad_requests(LISTENER);
     listener::spawn(tcp, limits, bad_requests, move |request| {
         let shared = Arc::clone(&shared);
-        async move { answer(&request, &shared) }
+        async move { handle(&request, &shared) }
     })
 }
 
-fn answer<C>(request: &Request<Incoming>, shared: &Shared<C>) -> HttpResponse
+fn handle<C>(request: &Request<Incoming>, shared: &Shared<C>) -> HttpResponse
 where
     C: Clock,
 {
     let path = request.uri().path();
-    let wanted = if path == "/v1/drain" {
+    let expected = if path == "/v1/drain" {
         Method::POST
     } else {
         Method::GET
     };
-    let known = matches!(
+    let is_known = matches!(
         path,
         "/metrics" | "/healthz" | "/readyz" | "/v1/status" | "/v1/burn" | "/v1/drain"
     );
-    if known && *request.method() != wanted {
-        let message = format!("want {wanted}");
+    if is_known && *request.method() != expected {
+        let message = format!("want {expected}");
         return error_response(StatusCode::METHOD_NOT_ALLOWED, &message);
     }
     match path {
         "/metrics" => {
-            let text = shared.metrics.render(&read(shared));
+            let text = shared.metrics.render(&read_gauges(shared));
             build_response(StatusCode::OK, METRICS_TYPE, text)
         }
         "/healthz" => build_response(StatusCode::OK, "text/plain", "alive\n"),
-        "/readyz" => answer_ready(shared),
+        "/readyz" => respond_readiness(shared),
         "/v1/status" => json_response(StatusCode::OK, &read_status(shared)),
         "/v1/burn" => json_response(StatusCode::OK, &read_burn(shared)),
         "/v1/drain" => drain(request, shared),
@@ -93,11 +93,11 @@
     }
 }
 
-fn answer_ready<C>(shared: &Shared<C>) -> HttpResponse
+fn respond_readiness<C>(shared: &Shared<C>) -> HttpResponse
 where
     C: Clock,
 {
-    let reasons = find_obstacles(shared);
+    let reasons = find_unready_reasons(shared);
     if reasons.is_empty() {
         return build_response(StatusCode::OK, "text/plain", "ready\n");
     }
@@ -105,12 +105,12 @@
     build_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", text)
 }
 
-/// Gives the reasons why the node takes no calls.
-fn find_obstacles<C>(shared: &Shared<C>) -> Vec<String>
+/// Returns the reasons why the node is not ready for calls.
+fn find_unready_reasons<C>(shared: &Shared<C>) -> Vec<String>
 where
     C: Clock,
 {
-    let obstacles = [
+    let reasons = [
         (
             shared.view.load().version() == Version::ZERO,
             "holds no configuration yet",
@@ -124,14 +124,14 @@
             "is leaving",
         ),
     ];
-    obstacles
+    reasons
         .into_iter()
-        .filter(|(stands, _)| *stands)
+        .filter(|(applies, _)| *applies)
         .map(|(_, reason)| reason.to_owned())
         .collect()
 }
 
-fn read<C>(shared: &Shared<C>) -> GaugeValues
+fn read_gauges<C>(shared: &Shared<C>) -> GaugeValues
 where
     C: Clock,
 {
@@ -148,7 +148,7 @@
         withheld_routes: view.withheld().len(),
         in_flight: *shared.in_flight.borrow(),
         held_requests: shared.quarantine.count_held(shared.clock.now()),
-        ready: find_obstacles(shared).is_empty(),
+        ready: find_unready_reasons(shared).is_empty(),
         leaving: backend_leaves || *shared.leaving.borrow(),
         waits: read_waits(shared),
         process: read_usage(),
@@ -179,7 +179,7 @@
         incarnation: shared.incarnation,
         uptime_s: shared.metrics.elapsed(shared.clock.now()).as_secs(),
         version: view.version(),
-        not_ready: find_obstacles(shared),
+        not_ready: find_unready_reasons(shared),
         leaving: *shared.leaving.borrow(),
         in_flight: *shared.in_flight.borrow(),
         waits: read_waits(shared),
@@ -229,10 +229,10 @@
     json_response(StatusCode::OK, &read_status(shared))
 }
 
-/// Tells whether a request carries the token.
+/// Returns whether a request has the token in its `Authorization` header.
 ///
-/// The time of the comparison tells nothing of how many bytes were right;
-/// else a token could be guessed byte by byte.
+/// The comparison takes constant time, so that the token can't be guessed byte
+/// by byte from the response time.
 fn is_authorized(request: &Request<Incoming>, token: Option<&str>) -> bool {
     let Some(token) = token else {
         return false;
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,34 +1,35 @@
-//! What the process takes of its VM.
+//! Memory and CPU time of the process.
 
 use std::time::Duration;
 
-/// Length of a tick in `/proc`, which Linux fixes at a hundredth of a second.
+/// Length of a clock tick in `/proc`, which Linux fixes at a hundredth of a second.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Fields of `/proc/self/stat` after the command name: user and system ticks.
+/// Indexes of the user and system ticks among the fields of `/proc/self/stat` after the command
+/// name.
 const TICK_FIELDS: [usize; 2] = [11, 12];
 
-/// Memory and processor time of the process.
+/// Memory and CPU time of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Memory in RAM, in bytes.
+    /// Resident memory, in bytes.
     pub resident_bytes: u64,
-    /// Processor time since the start, user and system.
+    /// CPU time since the start, user and system.
     pub cpu: Duration,
 }
 
-/// Reads the usage of this process; what the system does not tell stays zero.
+/// Reads the usage of this process. Values that can't be read are zero.
 #[must_use]
 pub fn read_usage() -> Usage {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     Usage {
-        resident_bytes: scan_resident(&status).unwrap_or_default(),
-        cpu: scan_cpu(&stat).unwrap_or_default(),
+        resident_bytes: parse_resident(&status).unwrap_or_default(),
+        cpu: parse_cpu(&stat).unwrap_or_default(),
     }
 }
 
-fn scan_resident(status: &str) -> Option<u64> {
+fn parse_resident(status: &str) -> Option<u64> {
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))?;
@@ -36,8 +37,8 @@
     Some(kilobytes.parse::<u64>().ok()? * 1024)
 }
 
-fn scan_cpu(stat: &str) -> Option<Duration> {
-    // The command name may hold spaces and brackets; the last bracket ends it.
+fn parse_cpu(stat: &str) -> Option<Duration> {
+    // The command name may contain spaces and parentheses; the last parenthesis ends it.
     let (_, fields) = stat.rsplit_once(')')?;
     let fields = fields.split_whitespace().collect::<Vec<_>>();
     let mut ticks = 0;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share.
+//! State that the components of a node share.
 
 use crate::logs::RateLimiter;
 use crate::metrics::Metrics;
@@ -14,35 +14,35 @@
 use std::sync::atomic::AtomicBool;
 use tokio::sync::watch;
 
-/// What the node's own backend server has announced.
+/// The local backend server, as it has announced itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
-    /// Service that it belongs to.
+    /// Service that it serves.
     pub service: smol_str::SmolStr,
-    /// Version of its software; empty if it doesn't say.
+    /// Version of its software; empty if not announced.
     pub version: smol_str::SmolStr,
-    /// Name of its process, if it has one that calls are to be addressed to.
+    /// Name of its process, if calls must be addressed to a named process.
     pub instance: Option<smol_str::SmolStr>,
-    /// Random number of its process, if it gave one.
+    /// Random number of its process, if announced.
     ///
-    /// Guards against a restart that goes unnoticed: a process that was killed and comes back at
-    /// its address says the same of itself but for this. Connections to the former one would
-    /// stay, and the whole fleet would take the cold one for warm.
+    /// Detects restarts: a process that was killed and started again at the same address announces
+    /// the same values except for this one. If the restart went unnoticed, connections to the
+    /// former process would be kept, and the whole fleet would skip the slow start of the new one.
     pub incarnation: Option<u64>,
-    /// When that process started, in milliseconds since the Unix epoch, if it said so.
+    /// Start time of its process, in milliseconds since the Unix epoch, if announced.
     pub process_started_ms: Option<u64>,
-    /// Where it takes calls, on this VM.
+    /// Address on this VM at which it takes calls.
     pub address: std::net::SocketAddr,
-    /// Calls that it says it runs at once.
+    /// Number of calls that it runs concurrently, as announced.
     pub slots: u16,
-    /// How long it was slow from its first announcement on, in milliseconds, if it said so.
+    /// How long it was slow after its first announcement, in milliseconds, if announced.
     pub cold_ms: Option<u32>,
     /// Whether it has asked to leave.
     pub leaving: bool,
 }
 
 impl Backend {
-    /// Names its process among those that this node's backend server has had.
+    /// Returns a number that identifies its process among all processes of the local backend server.
     #[must_use]
     pub fn process(&self) -> u64 {
         let instance = self.instance.as_deref().unwrap_or_default();
@@ -51,7 +51,7 @@
     }
 }
 
-/// What the parts of a node share.
+/// State that the components of a node share.
 #[derive(Debug)]
 pub struct Shared<C>
 where
@@ -59,66 +59,66 @@
 {
     /// The node's settings.
     pub settings: Settings,
-    /// Random number of this process.
+    /// Random number of this node process.
     pub incarnation: u64,
-    /// Source of time.
+    /// The clock.
     pub clock: C,
-    /// What calls are served by; swapped whole.
+    /// The view that calls use; replaced as a whole.
     pub view: ArcSwap<View>,
-    /// The node's own backend server, once announced.
+    /// The local backend server, once announced.
     pub backend: watch::Sender<Option<Backend>>,
-    /// Whether the node is about to leave, and tells that it is not ready.
+    /// Whether the node will leave soon, and therefore reports that it is not ready.
     pub stopping: AtomicBool,
-    /// Whether the node itself is leaving.
+    /// Whether the node itself (and not only its backend server) is leaving.
     pub leaving: watch::Sender<bool>,
-    /// Calls that wait for the own backend server or run on it.
+    /// Calls that are queued for the local backend server or run on it.
     pub in_flight: watch::Sender<usize>,
-    /// Calls of other nodes whose answers have not been taken.
+    /// Calls of other nodes whose answers have not been read to the end.
     pub unread_answers: watch::Sender<usize>,
     /// Connections of callers.
     pub caller_connections: watch::Sender<usize>,
-    /// Keyed calls that run, be their callers there or not.
+    /// Running calls with idempotency keys, also those whose callers have disconnected.
     pub keyed_calls: watch::Sender<usize>,
-    /// How far a stop has come once its calls have ended.
+    /// Current step of a stop, once its calls have ended.
     pub stop_step: Mutex<Option<stop::Step>>,
-    /// Whether all listeners run.
+    /// Whether all listeners are running.
     pub listening: AtomicBool,
-    /// The node's part in distribution.
+    /// State of this node in configuration distribution.
     pub distribution: ArcSwap<status::Distribution>,
-    /// What is known of requests that crash backend servers.
+    /// Requests that crash backend servers.
     pub quarantine: Quarantine,
-    /// What is known of roll-outs.
+    /// Roll-outs known to this node.
     pub rollouts: Arc<Rollouts>,
-    /// What the node counts.
+    /// Metrics of the node.
     pub metrics: Metrics,
-    /// How many lines about calls the log takes.
+    /// Limits on log lines about calls.
     pub log_limits: LogLimits,
 }
 
-/// How many lines a second the log takes, by what they are about.
+/// Limits on log lines per second, by kind of event.
 #[derive(Debug, Default)]
 pub struct LogLimits {
-    /// Tries without an answer.
+    /// Attempts without an answer.
     pub attempts: RateLimiter,
     /// Calls without an answer.
     pub calls: RateLimiter,
-    /// Calls that were answered late, or with a failure.
+    /// Calls that were answered late or with a failure.
     pub answers: RateLimiter,
-    /// Calls that the own backend server's gate turned away.
+    /// Calls that the local backend server's admission gate rejected.
     pub gate: RateLimiter,
 }
 
-/// One of the counts of what is there now.
-type Counter<C> = fn(&Shared<C>) -> &watch::Sender<usize>;
+/// Selects one of the counts in [`Shared`].
+type CountSelector<C> = fn(&Shared<C>) -> &watch::Sender<usize>;
 
-/// Counts one thing as there until it is dropped.
+/// Holds a count one higher until it is dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard<C>
 where
     C: Clock,
 {
     shared: Arc<Shared<C>>,
-    counter: Counter<C>,
+    counter: CountSelector<C>,
 }
 
 impl<C> Drop for CountGuard<C>
@@ -137,8 +137,8 @@
 where
     C: Clock,
 {
-    /// Counts one more thing of those that `counter` counts.
-    pub(crate) fn count(self: &Arc<Self>, counter: Counter<C>) -> CountGuard<C> {
+    /// Increments the count that `counter` selects until the guard is dropped.
+    pub(crate) fn count(self: &Arc<Self>, counter: CountSelector<C>) -> CountGuard<C> {
         counter(self).send_if_modified(|count| {
             *count += 1;
             false
@@ -149,18 +149,18 @@
         }
     }
 
-    /// Tells whether callers and backend servers speak the platform's words.
+    /// Returns whether callers and backend servers use the platform's headers and messages.
     #[must_use]
     pub fn uses_platform_interface(&self) -> bool {
         self.settings.interface == Interface::Platform
     }
 
-    /// Makes the shared state of a node that holds nothing yet.
+    /// Creates the state of a node without configuration or backend server.
     #[must_use]
     pub fn new(settings: Settings, incarnation: u64, clock: C) -> Arc<Self> {
         let metrics = Metrics::new(clock.now());
-        let allowed = settings.canary_share.map_or(0.0, Share::get);
-        let rollouts = Arc::new(Rollouts::new(allowed));
+        let max_canary_share = settings.canary_share.map_or(0.0, Share::get);
+        let rollouts = Arc::new(Rollouts::new(max_canary_share));
         Arc::new(Self {
             settings,
             incarnation,
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -1,4 +1,4 @@
-//! What a graceful stop waits for, and how long for each.
+//! What a graceful stop waits for, and the time limit of each step.
 
 use crate::shared::Shared;
 use clock::Clock;
@@ -7,93 +7,95 @@
 use std::convert::Infallible;
 use std::time::{Duration, Instant};
 
-/// Time between two lines that tell what a stop waits for.
-const TELL: Duration = Duration::from_secs(3);
+/// Interval between log lines about what a stop waits for.
+const LOG_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Share of a stop's time that is kept for what follows the calls, as a divisor.
+/// The time reserved for the steps after the calls is the stop's limit divided by this.
 ///
-/// Of the 3.3 s that a node has of a kill after 6 s, 0.4 s: outcomes and a farewell
-/// that go out take some milliseconds.
-const TAIL_SHARE: u32 = 8;
+/// If the node is killed after 6 s, it has 3.3 s for its stop, of which this reserves 0.4 s.
+/// Sending outcomes and a farewell takes some milliseconds.
+const CLEANUP_DIVISOR: u32 = 8;
 
-/// Most of a stop's time that is kept for what follows the calls.
-const TAIL: Duration = Duration::from_secs(2);
+/// Maximum time that is reserved for the steps after the calls.
+const MAX_CLEANUP_TIME: Duration = Duration::from_secs(2);
 
-/// What a stop does after its calls have ended, in this order.
+/// Steps of a stop after its calls have ended, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// The platform takes the outcomes of keyed calls.
+    /// Write the outcomes of keyed calls to the platform.
     Outcomes,
-    /// Other nodes are told that this one leaves.
+    /// Announce to other nodes that this node leaves.
     Farewell,
-    /// The listeners for the backend server and for operators end.
+    /// Stop the listeners for the backend server and for operators.
     Listeners,
 }
 
-/// The time of a graceful stop.
+/// Time limits of a graceful stop.
 ///
-/// Guards against a stop that outlasts its limit and is killed half way: each step
-/// has a bound, and the calls leave time for those that follow.
+/// A stop that exceeds its limit is killed half way. Each step therefore has a
+/// limit, and time is reserved for the steps after the calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Plan {
     end: Instant,
-    tail: Duration,
+    cleanup_time: Duration,
 }
 
 impl Plan {
-    /// Plans a stop that begins now and may take `limit`.
+    /// Plans a stop that starts at `now` and may take `limit`.
     #[must_use]
     pub fn new(now: Instant, limit: Duration) -> Self {
         Self {
             end: now + limit,
-            tail: TAIL.min(limit / TAIL_SHARE),
+            cleanup_time: MAX_CLEANUP_TIME.min(limit / CLEANUP_DIVISOR),
         }
     }
 
-    /// Gives how long calls may take.
+    /// Returns how long calls may take.
     #[must_use]
     pub fn call_time(&self, now: Instant) -> Duration {
-        self.end.saturating_duration_since(now + self.tail)
+        self.end.saturating_duration_since(now + self.cleanup_time)
     }
 
-    /// Gives how long a step may take: half of the tail is kept for those after the
-    /// outcomes, a quarter for the last; time that the calls left is for all of them.
+    /// Returns how long a step may take.
+    ///
+    /// Half of the cleanup time is reserved for the steps after the outcomes, and a quarter for
+    /// the last step. Any step may use time that the calls have not used.
     #[must_use]
     pub fn step_time(&self, step: Step, now: Instant) -> Duration {
-        let (kept, most) = match step {
-            Step::Outcomes => (self.tail / 2, Duration::from_secs(2)),
-            Step::Farewell => (self.tail / 4, Duration::from_secs(1)),
+        let (reserved, max) = match step {
+            Step::Outcomes => (self.cleanup_time / 2, Duration::from_secs(2)),
+            Step::Farewell => (self.cleanup_time / 4, Duration::from_secs(1)),
             Step::Listeners => (Duration::ZERO, Duration::from_secs(1)),
         };
-        self.end.saturating_duration_since(now + kept).min(most)
+        self.end.saturating_duration_since(now + reserved).min(max)
     }
 }
 
-/// Counts what a stop waits for, or would if it came now.
+/// Counts what a stop waits for, or would wait for if it started now.
 pub(crate) fn read_waits<C>(shared: &Shared<C>) -> Waits
 where
     C: Clock,
 {
     let step = *shared.stop_step.lock();
-    let at = |one: Step| usize::from(step == Some(one));
+    let is_at = |one: Step| usize::from(step == Some(one));
     Waits {
         callers: *shared.caller_connections.borrow(),
         calls: *shared.in_flight.borrow(),
         answers: *shared.unread_answers.borrow(),
         keyed: *shared.keyed_calls.borrow(),
-        outcomes: at(Step::Outcomes),
-        farewell: at(Step::Farewell),
-        listeners: at(Step::Listeners),
+        outcomes: is_at(Step::Outcomes),
+        farewell: is_at(Step::Farewell),
+        listeners: is_at(Step::Listeners),
     }
 }
 
-/// Tells every few seconds what a stop waits for.
+/// Logs every few seconds what a stop waits for.
 pub(crate) async fn log_waits<C>(shared: &Shared<C>) -> Infallible
 where
     C: Clock,
 {
     loop {
-        tokio::time::sleep(TELL).await;
+        tokio::time::sleep(LOG_INTERVAL).await;
         let waits = read_waits(shared);
         info!(
             callers = waits.callers,
@@ -108,7 +110,7 @@
     }
 }
 
-/// Tells every few seconds what a backend server that leaves waits for.
+/// Logs every few seconds how many calls a leaving backend server waits for.
 pub(crate) async fn log_backend_waits<C>(shared: std::sync::Weak<Shared<C>>)
 where
     C: Clock,
@@ -121,7 +123,7 @@
         .await
         .is_ok()
     {
-        tokio::time::sleep(TELL).await;
+        tokio::time::sleep(LOG_INTERVAL).await;
         let Some(shared) = shared.upgrade() else {
             return;
         };
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input on the HTTP listeners of a node: a clear error or a closed
-//! connection, and others are served all the while.
+//! Bad input on the HTTP listeners of a node: it gets an error response or a
+//! closed connection, and other connections are served meanwhile.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use yare::parameterized;
 
-/// Short, so that a test of a timeout is over soon.
+/// Short timeouts, so that the tests of timeouts are fast.
 const LIMITS: Limits = Limits {
     connections: 4,
     head_timeout: Duration::from_millis(150),
@@ -29,7 +29,7 @@
     ]
 }
 
-/// Bytes that look random and are the same each time: a linear congruential generator.
+/// Returns pseudo-random bytes, the same each time, from a linear congruential generator.
 fn make_noise(length: usize) -> Vec<u8> {
     let mut state = 2_026_u32;
     let mut next = || {
@@ -65,7 +65,7 @@
 async fn refused_or_closed(bytes: Vec<u8>) {
     let shared = make_shared();
     for handle in spawn_both(&shared).await {
-        // Ends only when the listener closes the connection.
+        // Returns only when the listener closes the connection.
         let answer = exchange(handle.address(), &bytes).await;
         let (status, _) = split_answer(&answer);
         assert!(
@@ -78,22 +78,22 @@
     assert!(shared.backend.borrow().is_none());
 }
 
-// An operator can't reach a node any more, though it serves calls. Cause:
-// somebody opened all the connections that the listener takes, and sends a
-// header byte now and then but never the end of the headers.
+// Guards against slow clients that block a listener: they open all of its
+// connections and send a header byte now and then, but never the end of the
+// headers. Operators could then not reach a node that still served calls.
 #[tokio::test]
 async fn endless_headers() {
     let shared = make_shared();
     for handle in spawn_both(&shared).await {
-        let mut slow = Vec::new();
+        let mut slow_clients = Vec::new();
         for _ in 0..LIMITS.connections {
             let mut stream = TcpStream::connect(handle.address()).await.unwrap();
             stream.write_all(b"GET / HTTP/1.1\r\n").await.unwrap();
-            slow.push(tokio::spawn(drip(stream)));
+            slow_clients.push(tokio::spawn(send_slowly(stream)));
         }
         let (status, _) = request(handle.address(), "GET /nowhere", "").await;
         assert_eq!(status, 404);
-        for task in slow {
+        for task in slow_clients {
             task.await.unwrap();
         }
     }
@@ -106,8 +106,8 @@
     );
 }
 
-/// Sends a header byte every few milliseconds until the peer closes the connection.
-async fn drip(mut stream: TcpStream) {
+/// Sends a header byte every 10 ms until the peer closes the connection.
+async fn send_slowly(mut stream: TcpStream) {
     let pause = Duration::from_millis(10);
     while stream.write_all(b"x").await.is_ok() {
         let mut answer = [0; 512];
@@ -157,14 +157,14 @@
     assert!(shared.backend.borrow().is_none());
 }
 
-// Operators see bad requests counted all day, though nobody sends any. Cause: a
-// scraper keeps its connection, and each time it has idled too long counts.
+// Guards against idle timeouts that are counted as bad requests: a scraper keeps
+// its connection open, and each idle timeout of it used to be counted.
 #[tokio::test]
 async fn idle_connection() {
     let shared = make_shared();
     let handle = operate::spawn_with_limits(bind().await, Arc::clone(&shared), LIMITS).unwrap();
     let request = b"GET /healthz HTTP/1.1\r\nhost: node\r\n\r\n";
-    // Ends when the listener closes the connection.
+    // Returns when the listener closes the connection.
     let answer = exchange(handle.address(), request).await;
     assert_eq!(split_answer(&answer), (200, "alive\n".into()));
     assert_eq!(exchange(handle.address(), b"").await, "");
--- a/crates/node/tests/listener.rs
+++ b/crates/node/tests/listener.rs
@@ -1,4 +1,4 @@
-//! The life of a small HTTP listener.
+//! Graceful stop of an HTTP listener.
 
 use http::StatusCode;
 use node::listener::{self, Limits, build_response};
@@ -8,24 +8,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-// A planned stop of a node comes while a request's body is still on its way;
-// the sender gets its answer, and whoever comes later is not let in.
+// A node stops while the body of a request is still arriving: the request is
+// answered, and new connections are refused.
 #[tokio::test]
 async fn graceful_stop() {
     let limits = Limits::default();
     let entered = Arc::new(Notify::new());
     let signal = Arc::clone(&entered);
-    let answer = move |request: http::Request<hyper::body::Incoming>| {
+    let handler = move |request: http::Request<hyper::body::Incoming>| {
         signal.notify_one();
         async move {
             match listener::read_body(request.into_body(), limits).await {
                 Ok(body) => build_response(StatusCode::OK, "text/plain", body),
-                Err(refusal) => refusal,
+                Err(response) => response,
             }
         }
     };
     let tcp = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let handle = listener::spawn(tcp, limits, Counter::default(), answer).unwrap();
+    let handle = listener::spawn(tcp, limits, Counter::default(), handler).unwrap();
     let address = handle.address();
     let mut stream = TcpStream::connect(address).await.unwrap();
     let head = b"PUT / HTTP/1.1\r\nhost: node\r\ncontent-length: 4\r\n\r\nab";
--- a/crates/node/tests/operate.rs
+++ b/crates/node/tests/operate.rs
@@ -1,4 +1,4 @@
-//! The operators' listener.
+//! The listener for operators.
 
 mod support;
 
@@ -20,7 +20,7 @@
 {"put_route":{"prefix":"/records","route":{"targets":[{"service":"records","percent":100}]}}}
 "#;
 
-/// A view at version 3 with an endpoint of records, and none of jobs.
+/// Builds a view at version 3 with one endpoint of `records` and none of `jobs`.
 fn make_view() -> View {
     let mesh = Patch::parse(PATCH).unwrap();
     let mesh = mesh.apply(&Mesh::default()).unwrap();
@@ -88,9 +88,9 @@
     assert_eq!(status.withheld_routes, ["/jobs"]);
 }
 
-// The last endpoint of a service is gone and every clerk's call is refused, yet
-// the report shows no burn. Cause: the promise of the service went with its
-// endpoints, and counts without a promise are not judged.
+// Guards against a report without burn rates while every call of a service is
+// refused because its last endpoint is gone: the service's objective went away
+// with its endpoints, and counts without an objective are not evaluated.
 #[tokio::test]
 async fn burn_without_endpoints() {
     let shared = make_shared();
@@ -186,9 +186,9 @@
         .lines()
         .filter(|line| line.starts_with("bluebellpick_call_duration_seconds_count"));
     assert_eq!(services.count(), MAX_SERVICES + 1);
-    let rest = format!("ending=\"served\"}} {MAX_SERVICES}");
+    let others = format!("ending=\"served\"}} {MAX_SERVICES}");
     assert!(
         text.lines()
-            .any(|line| line.contains("\"other\"") && line.ends_with(&rest))
+            .any(|line| line.contains("\"other\"") && line.ends_with(&others))
     );
 }
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -1,4 +1,5 @@
-//! The program as operators start and stop it, and as strangers treat it.
+//! The node program: its command line, signals, start and stop, and its reaction to malformed
+//! peers.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs;
@@ -12,15 +13,15 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_bluebellpick-node");
 
-/// Longest wait for something that takes milliseconds, on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for operations that take milliseconds, long enough for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 const CALLERS: u16 = 7001;
 const BACKEND: u16 = 7002;
 const NODES: u16 = 7003;
 const OPERATORS: u16 = 7004;
 
-/// A node as a process of its own, on a loopback address of its own.
+/// A node that runs as a child process on its own loopback address.
 struct Node {
     child: Child,
     ip: String,
@@ -28,13 +29,13 @@
 }
 
 impl Node {
-    /// Starts a node; `number` tells the nodes of one test process apart.
+    /// Starts a node. `number` must be unique among the nodes of a test process.
     fn spawn(number: u8) -> Self {
-        Self::spawn_limited(number, "")
+        Self::spawn_with_limits(number, "")
     }
 
-    /// Starts a node with further limits.
-    fn spawn_limited(number: u8, limits: &str) -> Self {
+    /// Starts a node with additional settings in the section `[limits]`.
+    fn spawn_with_limits(number: u8, limits: &str) -> Self {
         let [low, high, ..] = std::process::id().to_le_bytes();
         let ip = format!("127.{}.{low}.{number}", 1 + high % 250);
         let folder = tempfile::tempdir().unwrap();
@@ -69,13 +70,13 @@
 
     fn connect(&self, port: u16) -> TcpStream {
         let stream = TcpStream::connect(self.address(port)).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream
     }
 
     fn try_get(&self, port: u16, path: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.address(port)).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(TIMEOUT)).ok()?;
         let text = format!("GET {path} HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n");
         stream.write_all(text.as_bytes()).ok()?;
         let mut answer = String::new();
@@ -110,18 +111,18 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _killed = self.child.kill();
         let _reaped = self.child.wait();
     }
 }
 
-fn wait_until<F>(what: &str, mut is_so: F)
+fn wait_until<F>(what: &str, mut condition: F)
 where
     F: FnMut() -> bool,
 {
-    let deadline = Instant::now() + PATIENCE;
-    while !is_so() {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
         assert!(Instant::now() < deadline, "not {what} in time");
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -141,14 +142,15 @@
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
-// A deployment is set up at a part of its size, and its platform writes what is left of each
-// budget into the nodes' settings. No node started: one budget was no whole number.
+// A deployment is set up at a fraction of its size, and the platform writes the same fraction of
+// each limit into the nodes' settings. Guards against nodes that don't start because a limit is not
+// a whole number.
 #[parameterized(
     fourteenth = { 9, "repeat_share = 0.2\nrepeat_extra = 30.714285714285715\nrepeat_window = 10s\nlink_mbps = 0.7142857142857143\nkill_timeout = 10s\n" },
     third = { 10, "repeat_share = 1e-05\nrepeat_extra = 0.3\nrepeat_window = 3333.3333333333335ms\nlink_mbps = 3.3333333333333335\nkill_timeout = 2.5s\n" },
 )]
-fn part_of_deployment(number: u8, limits: &str) {
-    let mut node = Node::spawn_limited(number, limits);
+fn fractional_limits(number: u8, limits: &str) {
+    let mut node = Node::spawn_with_limits(number, limits);
     node.signal(Signal::TERM);
     assert_eq!(node.wait_code(), Some(0));
 }
@@ -166,7 +168,7 @@
 }
 
 #[test]
-fn taken_address() {
+fn address_in_use() {
     let node = Node::spawn(1);
     let settings = node.folder.path().join("node.ini").display().to_string();
     let output = run(&["--settings", &settings]);
@@ -187,12 +189,12 @@
     assert!(log.contains("stopped") && !log.contains("cut_off"), "{log}");
 }
 
-// A planned stop turns callers away for two seconds: their calls meet a closed
-// port, since whoever sends them there asks for readiness once a second and
-// has not seen yet that the node leaves.
+// Guards against a planned stop that makes calls fail for two seconds: whoever
+// routes callers checks the node's readiness once per second, and sends calls to
+// a closed port until it notices that the node is leaving.
 #[test]
-fn hands_over() {
-    let mut node = Node::spawn_limited(7, "handover = 1500 ms\n");
+fn handover() {
+    let mut node = Node::spawn_with_limits(7, "handover = 1500 ms\n");
     node.signal(Signal::TERM);
     wait_until("not ready", || {
         node.get(OPERATORS, "/readyz").contains("is leaving")
@@ -201,27 +203,28 @@
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(
         !node.read_log().contains(" leaving"),
-        "it works on meanwhile"
+        "the node must serve during the handover"
     );
     assert_eq!(node.wait_code(), Some(0));
 }
 
-// An operator sends SIGHUP after a change of the settings file that is wrong.
-// The node must neither end nor forget what it runs by, and must name the line.
+// An operator sends SIGHUP after an invalid change of the settings file. The
+// node must neither exit nor drop its current settings, and must log the error
+// with its line.
 #[test]
 fn settings_changed() {
     let node = Node::spawn(8);
     let file = node.folder.path().join("node.ini");
-    let right = fs::read_to_string(&file).unwrap();
+    let valid = fs::read_to_string(&file).unwrap();
     node.signal(Signal::HUP);
     wait_until("read again", || {
         node.read_log().contains("settings_unchanged")
     });
-    fs::write(&file, right.replace("zone =", "zoon =")).unwrap();
+    fs::write(&file, valid.replace("zone =", "zoon =")).unwrap();
     node.signal(Signal::HUP);
     wait_until("refused", || node.read_log().contains("settings_refused"));
     assert!(node.read_log().contains("unknown key"));
-    fs::write(&file, right.replace("1 min", "2 min")).unwrap();
+    fs::write(&file, valid.replace("1 min", "2 min")).unwrap();
     node.signal(Signal::HUP);
     wait_until("noted", || {
         node.read_log().contains("settings_wait_for_restart")
@@ -229,8 +232,8 @@
     assert!(node.get(OPERATORS, "/healthz").contains("alive"));
 }
 
-// An operator stops a node, finds that a caller who sends its body for ever
-// keeps it from ending, and asks a second time.
+// A caller that never completes its request body keeps a node from stopping. A
+// second signal must end the node at once.
 #[test]
 fn second_signal() {
     let mut node = Node::spawn(3);
@@ -245,7 +248,7 @@
     assert!(node.read_log().contains("stopped_at_once"));
 }
 
-/// Bytes that look random and are the same each time: a linear congruential generator.
+/// Returns pseudo-random bytes, the same each time, from a linear congruential generator.
 fn make_noise(seed: u32, length: usize) -> Vec<u8> {
     let mut state = seed;
     let mut next = || {
@@ -268,15 +271,15 @@
     bytes
 }
 
-/// What strangers send: an announced length of 4 GB, noise, half a hello, a later version's hello,
-/// and right hellos with what is no frame behind them.
-fn make_strangers() -> Vec<Vec<u8>> {
+/// Returns malformed input: a length prefix of 4 GB, noise, half a hello, the hello of a later
+/// protocol version, and valid hellos that are followed by invalid frames.
+fn make_malformed_input() -> Vec<Vec<u8>> {
     let huge = u32::MAX.to_le_bytes().to_vec();
     let unknown = [2, 0, 0, 0, 1, 120].to_vec();
     let hello = make_hello(PROTOCOL, Link::Call);
     let half = hello[..hello.len() / 2].to_vec();
     let links = [Link::Call, Link::Control].map(|link| make_hello(PROTOCOL, link));
-    let mut strangers = vec![
+    let mut inputs = vec![
         make_noise(1, 2_000),
         make_noise(2, 100_000),
         half,
@@ -285,13 +288,13 @@
     ];
     for link in links {
         for rest in [&huge, &unknown, &make_noise(3, 5_000)] {
-            strangers.push([&*link, rest].concat());
+            inputs.push([&*link, rest].concat());
         }
     }
-    strangers
+    inputs
 }
 
-/// Sends bytes, ends the sending side and waits for the node to close the connection.
+/// Sends bytes, shuts down the sending side and waits until the node closes the connection.
 fn send_and_wait(mut stream: TcpStream, bytes: &[u8]) {
     // The node may close before it has read all of it.
     let _sent = stream.write_all(bytes);
@@ -304,9 +307,9 @@
 }
 
 #[test]
-fn strangers() {
+fn malformed_peers() {
     let mut node = Node::spawn(4);
-    for bytes in make_strangers() {
+    for bytes in make_malformed_input() {
         for port in [CALLERS, BACKEND, NODES, OPERATORS] {
             send_and_wait(node.connect(port), &bytes);
         }
@@ -316,7 +319,7 @@
         let name = format!("bluebellpick_bad_requests_total{{listener=\"{listener}\"}}");
         assert!(node.read_metric(&name) > 0.0, "{listener}");
     }
-    // A right peer is still greeted.
+    // A valid peer must still receive a hello.
     let mut peer = node.connect(NODES);
     peer.write_all(&make_hello(PROTOCOL, Link::Call)).unwrap();
     let mut prefix = [0; codec::PREFIX];
@@ -328,13 +331,13 @@
     assert!(!log.contains("panicked"), "{log}");
 }
 
-// A fitter's look-up finds no way in, though the node is idle. Cause: somebody
-// holds all of the callers' connections, sends a header byte now and then on
-// each, and never the end of the headers.
+// Guards against slow clients that block an idle node: they hold all of the
+// callers' connections and send a header byte on each now and then, but never
+// the end of the headers.
 #[test]
 fn endless_headers() {
-    let node = Node::spawn_limited(6, "connections = 4\nhead_timeout = 200 ms\n");
-    let drip = |mut stream: TcpStream| {
+    let node = Node::spawn_with_limits(6, "connections = 4\nhead_timeout = 200 ms\n");
+    let send_slowly = |mut stream: TcpStream| {
         stream
             .set_read_timeout(Some(Duration::from_millis(10)))
             .unwrap();
@@ -346,48 +349,48 @@
         for _ in 0..4 {
             let mut stream = node.connect(CALLERS);
             stream.write_all(b"GET / HTTP/1.1\r\n").unwrap();
-            scope.spawn(move || drip(stream));
+            scope.spawn(move || send_slowly(stream));
         }
         assert!(node.get(CALLERS, "/nowhere").starts_with("HTTP/1.1 503"));
     });
 }
 
 /// Rounds of 1,200 bad connections: a leak of 1 kB each would come to 9.6 MB.
-const ATTACKS: u32 = 8;
+const ROUNDS: u32 = 8;
 
-// A port scanner runs for a night, and in the morning the node has been killed
-// for its memory. Cause: each bad connection leaves something behind.
+// Guards against memory that leaks with each malformed connection: a port
+// scanner that runs for a night would get the node killed for its memory use.
 #[test]
-fn no_growth() {
+fn no_memory_growth() {
     let node = Node::spawn(5);
-    let strangers = make_strangers();
-    let attack = || {
+    let inputs = make_malformed_input();
+    let run_round = || {
         for port in [CALLERS, BACKEND, NODES, OPERATORS] {
-            for bytes in strangers.iter().cycle().take(300) {
+            for bytes in inputs.iter().cycle().take(300) {
                 send_and_wait(node.connect(port), bytes);
             }
         }
     };
-    // The allocator takes and gives back in steps of 2 MB, so many connections have to show it.
-    attack();
+    // The allocator requests and releases memory in steps of 2 MB, so a leak only shows after many
+    // connections.
+    run_round();
     let before = node.read_metric("bluebellpick_resident_memory_bytes");
-    for _ in 0..ATTACKS {
-        attack();
+    for _ in 0..ROUNDS {
+        run_round();
     }
     let grown = node.read_metric("bluebellpick_resident_memory_bytes") - before;
-    let connections = f64::from(ATTACKS) * 1_200.0;
+    let connections = f64::from(ROUNDS) * 1_200.0;
     assert!(grown < connections * 1_000.0, "grown by {grown} bytes");
 }
 
-// The platform writes a VM's settings anew while its node is being started, and
-// tells so by SIGHUP. The node was gone, and callers of the VM met a closed
-// port. Cause: the signal came before anybody listened for it, and its default
-// ends the process.
+// The platform rewrites a VM's settings while the VM's node starts, and sends
+// SIGHUP. Guards against a node that has no handler for the signal yet: the
+// default action ended the process, and callers on the VM found a closed port.
 #[test]
 fn early_hangup() {
     let folder = tempfile::tempdir().unwrap();
     let settings = folder.path().join("node.ini");
-    // Whoever opens it waits until somebody writes: the process is held at its start.
+    // Opening a FIFO blocks until somebody writes to it, which stops the process at its start.
     let made = Command::new("mkfifo").arg(&settings).status().unwrap();
     assert!(made.success());
     let mut child = Command::new(PROGRAM)
@@ -397,7 +400,7 @@
         .unwrap();
     let stat = format!("/proc/{}/stat", child.id());
     let is_asleep = || fs::read_to_string(&stat).is_ok_and(|text| text.contains(") S "));
-    wait_until("held at its settings", || {
+    wait_until("blocked on its settings", || {
         let was_asleep = is_asleep();
         std::thread::sleep(Duration::from_millis(50));
         was_asleep && is_asleep()
@@ -405,7 +408,11 @@
     let pid = Pid::from_raw(child.id().cast_signed()).unwrap();
     kill_process(pid, Signal::HUP).unwrap();
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(child.try_wait().unwrap(), None, "it lives on");
+    assert_eq!(
+        child.try_wait().unwrap(),
+        None,
+        "the process must survive SIGHUP"
+    );
     fs::write(&settings, include_str!("../../../examples/tenaga.ini")).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -1,4 +1,4 @@
-//! What a graceful stop waits for: bounded at each step, and told.
+//! A graceful stop: the time limit of each step, and the report of what it waits for.
 
 mod support;
 
@@ -13,51 +13,51 @@
 use tokio::net::TcpStream;
 use yare::parameterized;
 
-/// How long a listener may take to end.
+/// How long a listener may take to stop.
 const LIMIT: Duration = Duration::from_millis(300);
 
-// An operator restarts a VM, and the node's stop takes seconds longer than its limit. A
-// backend server was killed in the midst of an announcement, and the listener waited for
-// the rest of it: 5 s, and without end for a peer that reads nothing of its answer.
+// Guards against a stop that exceeds its limit. When a backend server was killed in the middle of
+// an announcement, the listener waited 5 s for the rest of it. It waited without end for a peer
+// that did not read its response.
 #[tokio::test]
 async fn half_request() {
     let handle = announce::spawn(bind().await, make_shared()).unwrap();
     let mut stream = TcpStream::connect(handle.address()).await.unwrap();
     let half = b"PUT /v1/announce HTTP/1.1\r\nhost: node\r\ncontent-length: 100\r\n\r\n{";
     stream.write_all(half).await.unwrap();
-    // Answered, so that the listener has taken the connection before.
+    // The response shows that the listener has accepted the connection before.
     request(handle.address(), "GET /v1/announce", "").await;
     let start = Instant::now();
     handle.stop(LIMIT).await;
     assert!(start.elapsed() < 4 * LIMIT, "{:?}", start.elapsed());
 }
 
-// A node is killed half way through its farewell: the calls had taken all of the time that
-// whoever stops it allows, and each part that followed had a bound of its own or none.
+// Guards against a node that is killed in the middle of its farewell: the calls had used all of
+// the time for the stop, and the steps after them had independent limits or none.
 #[parameterized(
     killed_after_6_s = { 3_300 },
     default = { 30_000 },
     short = { 100 },
 )]
-fn sum_under_limit(limit_ms: u64) {
+fn steps_within_limit(limit_ms: u64) {
     let limit = Duration::from_millis(limit_ms);
     let start = Instant::now();
     let plan = Plan::new(start, limit);
     let mut now = start + plan.call_time(start);
     for step in [Step::Outcomes, Step::Farewell, Step::Listeners] {
         let time = plan.step_time(step, now);
-        assert!(time > Duration::ZERO, "{step:?} has some time");
+        assert!(time > Duration::ZERO, "{step:?} must have some time");
         now += time;
     }
     assert!(now <= start + limit);
     assert!(
         plan.call_time(start) >= limit * 7 / 8,
-        "calls have most of it"
+        "calls must have most of the time"
     );
 }
 
 #[tokio::test]
-async fn told() {
+async fn waits_reported() {
     let shared = make_shared();
     shared.leaving.send_replace(true);
     shared.stopping.store(true, Ordering::Release);
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of a node's listeners share.
+//! Helpers for the tests of a node's listeners.
 
 use clock::System;
 use node::shared::Shared;
@@ -8,10 +8,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Token of the nodes in tests.
+/// Operator token of the nodes in tests.
 pub const TOKEN: &str = "0123456789abcdef";
 
-/// Makes the shared state of a node.
+/// Creates the shared state of a node.
 pub fn make_shared() -> Arc<Shared<System>> {
     let text = format!(
         "[node]\nname = records-1\nzone = kl-a\nregion = kl\n\
@@ -27,17 +27,17 @@
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// Sends raw bytes and gives all that comes back until the connection closes.
+/// Sends raw bytes and returns everything received until the connection closes.
 pub async fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    // The peer may close before it has read all of it.
+    // The peer may close the connection before it has read everything.
     let _sent = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _closed = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Sends a request on a connection of its own; gives the status and the body.
+/// Sends a request on a new connection and returns the status and the body.
 pub async fn request(address: SocketAddr, head: &str, body: &str) -> (u16, String) {
     let length = body.len();
     let text = format!(
@@ -47,7 +47,7 @@
     split_answer(&answer)
 }
 
-/// Gives the status and the body of an answer.
+/// Returns the status and the body of a response.
 pub fn split_answer(answer: &str) -> (u16, String) {
     let status = answer.get(9..12).and_then(|code| code.parse().ok());
     let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
