--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -158,7 +158,7 @@
 
     fn register_counters(&mut self) {
         let registry = &mut self.registry;
-        let help = "Calls of this node's callers, by service and ending";
+        let help = "Calls of this node's callers, by service and how they ended";
         registry.register("calls", help, self.calls.clone());
         let help = "Time from a call's arrival at this node to its end";
         let durations = self.durations.clone();
@@ -179,7 +179,7 @@
         let plain = [
             (
                 "config_version",
-                "Version of the configuration in use for calls",
+                "Version of the configuration that calls are served by",
                 &gauges.version,
             ),
             (
@@ -190,41 +190,41 @@
             ("routes", "Routes in force", &gauges.routes),
             (
                 "withheld_routes",
-                "Routes withheld because services that they name are missing",
+                "Routes withheld until their services are there",
                 &gauges.withheld_routes,
             ),
             (
                 "in_flight_calls",
-                "Calls that are queued for the local backend server or run on it",
+                "Calls that wait for the own backend server or run on it",
                 &gauges.in_flight,
             ),
             (
                 "held_requests",
-                "Requests held in quarantine because they crash backend servers",
+                "Requests that are held because they crash backend servers",
                 &gauges.held_requests,
             ),
             (
                 "ready",
-                "Whether the node is ready for calls, 0 or 1",
+                "Whether the node takes calls, 0 or 1",
                 &gauges.ready,
             ),
             (
                 "leaving",
-                "Whether the node or its backend server is leaving, 0 or 1",
+                "Whether the node or its backend server leaves, 0 or 1",
                 &gauges.leaving,
             ),
         ];
         for (name, help, gauge) in plain {
             self.registry.register(name, help, gauge.clone());
         }
-        let help = "What a graceful stop waits for, or would wait for if it started now, by kind";
+        let help = "What the node's stop waits for, or would if it came now, by kind";
         self.registry
             .register("stop_waits", help, gauges.waits.clone());
-        let help = "Resident memory of the process";
+        let help = "Memory of the process that is in RAM";
         let resident = gauges.resident.clone();
         self.registry
             .register_with_unit("resident_memory", help, Unit::Bytes, resident);
-        let help = "CPU time of the process, user and system";
+        let help = "Processor time of the process, user and system";
         let cpu = gauges.cpu.clone();
         self.registry
             .register_with_unit("cpu", help, Unit::Seconds, cpu);
--- a/crates/node/src/metrics/control.rs
+++ b/crates/node/src/metrics/control.rs
@@ -25,35 +25,27 @@
 impl Control {
     pub(crate) fn register(&self, registry: &mut Registry) {
         let all = [
-            (
-                "config_versions",
-                "Configuration versions applied",
-                &self.versions,
-            ),
+            ("config_versions", "Versions applied", &self.versions),
             (
                 "config_refusals",
-                "Configuration versions that could not be applied",
+                "Versions that could not be applied",
                 &self.refusals,
             ),
             (
                 "config_reverts",
-                "Views older than the current one, which were discarded; never above zero",
+                "Views older than the one before, not served by; never above zero",
                 &self.reverts,
             ),
-            ("views", "Views built", &self.views),
-            (
-                "control_parents",
-                "Parents that accepted this node as a child",
-                &self.parents,
-            ),
+            ("views", "Views made", &self.views),
+            ("control_parents", "Parents taken", &self.parents),
             (
                 "control_departures",
-                "Nodes declared departed",
+                "Nodes declared gone",
                 &self.departures,
             ),
             (
                 "control_overflows",
-                "Control links closed because their send queue was full",
+                "Control links closed because they took nothing more",
                 &self.overflows,
             ),
         ];
--- a/crates/node/src/metrics/failures.rs
+++ b/crates/node/src/metrics/failures.rs
@@ -35,15 +35,14 @@
 
 impl Failures {
     pub(crate) fn register(&self, registry: &mut Registry) {
-        let help = "Attempts of this node's callers' calls that got no answer, by reason";
+        let help = "Tries of this node's callers' calls that got no answer, by reason";
         registry.register("tries_without_answer", help, self.failed_attempts.clone());
-        let help = "Calls rejected by the local backend server's admission gate, by reason";
+        let help = "Calls that the own backend server's gate turned away, by reason";
         registry.register("gate_turned_away", help, self.turned_away.clone());
-        let help =
-            "Time that calls waited at the local backend server's admission gate before they ran";
+        let help = "Time that calls waited at the own backend server's gate before they ran";
         let wait = self.gate_wait.clone();
         registry.register_with_unit("gate_wait", help, Unit::Seconds, wait);
-        let help = "Answers dropped because their readers took nothing for 5 s";
+        let help = "Answers given up because their readers took nothing for 5 s";
         registry.register("answers_untaken", help, self.stalled_readers.clone());
     }
 
--- a/crates/node/src/metrics/quarantine.rs
+++ b/crates/node/src/metrics/quarantine.rs
@@ -14,11 +14,11 @@
 
 impl Quarantine {
     pub(crate) fn register(&self, registry: &mut Registry) {
-        let help = "Crashes known to this node that made a request suspect";
+        let help = "Crashes under which a request fell under suspicion, as far as this node knows";
         registry.register("request_suspicions", help, self.suspicions.clone());
-        let help = "Suspicions that other nodes reported as cleared by an answer";
+        let help = "Suspicions that other nodes told were lifted by an answer";
         registry.register("request_suspicions_cleared", help, self.cleared.clone());
-        let help = "Calls refused because their request crashes backend servers";
+        let help = "Calls that were refused because their request crashes backend servers";
         registry.register("held_requests_refused", help, self.refused.clone());
     }
 
