--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use store::board;
-use store::follow::News;
-use store::lease::{self, Standing};
+use store::follow::JournalUpdate;
+use store::lease::{self, LeaseRecord};
 use store::version::{self, JOURNAL};
-use store::{Board, Error, Follower, Journal, Latest, Lease, Object, Revision, Store};
+use store::{CrashStore, Error, Follower, Journal, Lease, Object, ObjectWatcher, Revision, Store};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
@@ -42,7 +42,7 @@
     S: Store,
 {
     let mut worker = PlatformWorker {
-        board: Board::open(store.clone(), shared.clock.clone()),
+        crash_store: CrashStore::open(store.clone(), shared.clock.clone()),
         shared,
         store,
         inbox,
@@ -52,7 +52,7 @@
         crash_writer: None,
         rollout_writers: BTreeMap::new(),
     };
-    let mut eras = worker.store.eras();
+    let mut eras = worker.store.watch_era();
     let mut era = *eras.borrow_and_update();
     loop {
         let command = tokio::select! {
@@ -121,7 +121,7 @@
     leases: BTreeMap<u8, Lease<S, C>>,
     observed: BTreeMap<SmolStr, ObservedLease>,
     watch_task: Option<Task>,
-    board: Board<S, C>,
+    crash_store: CrashStore<S, C>,
     /// Task that writes crashes; the next list replaces one that could not be written yet.
     crash_writer: Option<Task>,
     /// Tasks that write the progress of roll-outs, by service; the next report replaces a pending
@@ -159,7 +159,9 @@
                 return None;
             }
             PlatformRequest::Rollouts => self.read_rollouts().await,
-            PlatformRequest::Crashes => self.board.list().await.map(PlatformResponse::Crashes),
+            PlatformRequest::Crashes => {
+                self.crash_store.list().await.map(PlatformResponse::Crashes)
+            }
         };
         Some(outcome.unwrap_or(PlatformResponse::Failed(request)))
     }
@@ -229,28 +231,25 @@
     }
 
     async fn read_leases(&mut self, is_exact: bool) -> Result<PlatformResponse, Error> {
-        let standings = lease::list(&self.store, ROOT_LEASE_PREFIX, is_exact).await?;
+        let records = lease::list(&self.store, ROOT_LEASE_PREFIX, is_exact).await?;
         let now = self.shared.clock.now();
         let mut root_leases = Vec::new();
-        for standing in &standings {
-            let since = self.observe_lease(standing, now);
-            let is_live = now.duration_since(since) < standing.duration;
-            root_leases.extend(parse_root_lease(standing, is_live));
+        for record in &records {
+            let since = self.observe_lease(record, now);
+            let is_live = now.duration_since(since) < record.duration;
+            root_leases.extend(parse_root_lease(record, is_live));
         }
         Ok(PlatformResponse::Leases(root_leases))
     }
 
     /// Returns since when this process has seen the lease unchanged.
-    fn observe_lease(&mut self, standing: &Standing, now: Instant) -> Instant {
+    fn observe_lease(&mut self, record: &LeaseRecord, now: Instant) -> Instant {
         let observed = ObservedLease {
-            revision: standing.revision,
+            revision: record.revision,
             since: now,
         };
-        let known = self
-            .observed
-            .entry(standing.name.clone())
-            .or_insert(observed);
-        if known.revision != standing.revision {
+        let known = self.observed.entry(record.name.clone()).or_insert(observed);
+        if known.revision != record.revision {
             *known = observed;
         }
         known.since
@@ -265,14 +264,14 @@
         let revision = self.observed.get(&name).map(|observed| observed.revision);
         let lease = self.lease(slot);
         let is_held = match revision.filter(|_| is_forced) {
-            Some(revision) => lease.seize(revision).await?,
-            None => lease.tend().await?,
+            Some(revision) => lease.take_over(revision).await?,
+            None => lease.acquire_or_renew().await?,
         };
         Ok(lease_response(slot, is_held))
     }
 
     async fn renew_lease(&mut self, slot: u8) -> Result<PlatformResponse, Error> {
-        let is_held = self.lease(slot).tend().await?;
+        let is_held = self.lease(slot).acquire_or_renew().await?;
         Ok(lease_response(slot, is_held))
     }
 
@@ -295,10 +294,10 @@
             let store = if is_first {
                 self.store.clone()
             } else {
-                self.store.relaxed()
+                self.store.with_relaxed_polling()
             };
-            let latest = Latest::open(store, platform::mesh::NAME);
-            let configurations = forward_configurations(latest, self.inbox.clone());
+            let watcher = ObjectWatcher::open(store, platform::mesh::NAME);
+            let configurations = forward_configurations(watcher, self.inbox.clone());
             let crashes = self.watch_crashes(is_first);
             let rollouts = self.watch_rollouts(is_first);
             self.watch_task = Some(Task(tokio::spawn(async move {
@@ -324,14 +323,15 @@
     /// Forwards the crashes that roots write. One reader per zone is enough, since its links carry
     /// them to the others.
     fn watch_crashes(&self, is_first: bool) -> impl Future<Output = ()> + use<C, S> {
-        let (board, inbox) = (self.board.clone(), self.inbox.clone());
-        let mut objects = Latest::open_all(self.store.relaxed(), board::FOLDER);
+        let (crash_store, inbox) = (self.crash_store.clone(), self.inbox.clone());
+        let mut objects =
+            ObjectWatcher::open_folder(self.store.with_relaxed_polling(), board::FOLDER);
         async move {
             if !is_first {
                 return;
             }
             loop {
-                let crashes = board.read(&objects.next().await);
+                let crashes = crash_store.decode(&objects.next().await);
                 let response = Input::Response(PlatformResponse::Crashes(crashes));
                 if inbox.send(response).await.is_err() {
                     return;
@@ -350,9 +350,9 @@
         let store = if is_first {
             self.store.clone()
         } else {
-            self.store.relaxed()
+            self.store.with_relaxed_polling()
         };
-        let mut objects = Latest::open_all(store, rollout::FOLDER);
+        let mut objects = ObjectWatcher::open_folder(store, rollout::FOLDER);
         let rollouts = self.open_rollout_store();
         async move {
             if !is_on {
@@ -400,11 +400,11 @@
 
     /// Writes crashes to the platform, with retries until that succeeds.
     fn write_crashes(&mut self, slot: u8, list: Vec<Crash>) {
-        let board = self.board.clone();
+        let crash_store = self.crash_store.clone();
         let lease = format!("{}.{slot}", self.shared.settings.zone);
         self.crash_writer = Some(Task(tokio::spawn(async move {
             let mut backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP);
-            while let Err(error) = board.post(&lease, &list).await {
+            while let Err(error) = crash_store.write(&lease, &list).await {
                 warn!(seat = lease.as_str(), error:%; "board_not_written");
                 let wait = backoff.next_delay(&mut rand::rng());
                 tokio::time::sleep(wait).await;
@@ -457,11 +457,11 @@
     S: Store,
 {
     let Some(tail) = journal.read(after.0).await? else {
-        return decode_update(News::Reset(journal.load().await?));
+        return decode_update(JournalUpdate::Reset(journal.load().await?));
     };
     let mut responses = vec![PlatformResponse::LatestVersion(after)];
     for record in tail.records {
-        responses.extend(decode_update(News::Record(record))?);
+        responses.extend(decode_update(JournalUpdate::Record(record))?);
     }
     Ok(responses)
 }
@@ -469,12 +469,12 @@
 /// Forwards the configurations written by operators until it is dropped.
 ///
 /// One that can't be read is skipped: the current version stays in force.
-async fn forward_configurations<S>(mut latest: Latest<S>, inbox: mpsc::Sender<Input>)
+async fn forward_configurations<S>(mut watcher: ObjectWatcher<S>, inbox: mpsc::Sender<Input>)
 where
     S: Store,
 {
     loop {
-        let object = latest.next().await;
+        let object = watcher.next().await;
         let responses = match decode_configuration(&object) {
             Ok(responses) => responses,
             Err(error) => {
@@ -510,9 +510,9 @@
     }
 }
 
-fn decode_update(update: News) -> Result<Vec<PlatformResponse>, Error> {
+fn decode_update(update: JournalUpdate) -> Result<Vec<PlatformResponse>, Error> {
     match update {
-        News::Record(record) => {
+        JournalUpdate::Record(record) => {
             let step = version::Step::parse(&record)?;
             Ok(vec![PlatformResponse::Step {
                 version: step.version,
@@ -520,7 +520,7 @@
                 digest: step.entry.digest,
             }])
         }
-        News::Reset(loaded) => {
+        JournalUpdate::Reset(loaded) => {
             let state = version::State::build(&loaded)?;
             let full = PlatformResponse::Full {
                 version: state.version,
@@ -540,9 +540,9 @@
 }
 
 /// Parses the lease of a root, whose holder is given as name, zone and address.
-fn parse_root_lease(standing: &Standing, is_live: bool) -> Option<RootLease> {
-    let slot = standing.name.rsplit_once('.')?.1.parse().ok()?;
-    let mut fields = standing.holder.split(' ');
+fn parse_root_lease(record: &LeaseRecord, is_live: bool) -> Option<RootLease> {
+    let slot = record.name.rsplit_once('.')?.1.parse().ok()?;
+    let mut fields = record.holder.split(' ');
     let holder = Peer {
         node: fields.next()?.into(),
         zone: fields.next()?.into(),
--- a/crates/node/src/control/removal.rs
+++ b/crates/node/src/control/removal.rs
@@ -4,7 +4,7 @@
 use log::debug;
 use rand::Rng;
 use std::time::Duration;
-use store::retain::Retention;
+use store::retention::RetentionTracker;
 use store::{Journal, Store};
 
 /// Mean time between two rounds, jittered per root.
@@ -22,7 +22,7 @@
     S: Store,
     C: Clock,
 {
-    let mut retention = Retention::default();
+    let mut retention = RetentionTracker::default();
     loop {
         let factor = rand::rng().random_range(0.5..1.5);
         tokio::time::sleep(ROUND_INTERVAL.mul_f64(factor)).await;
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, UNIX_EPOCH};
-use store::follow::News;
+use store::follow::JournalUpdate;
 use store::version::{JOURNAL, Step};
 use store::{Error, Event, Follower, Journal, Store};
 use tokio::sync::mpsc;
@@ -112,17 +112,17 @@
     }
 }
 
-fn apply_update(mesh: &mut VersionedMesh, update: News) -> Result<(), Error> {
+fn apply_update(mesh: &mut VersionedMesh, update: JournalUpdate) -> Result<(), Error> {
     let invalid = |error: config::Error| Error::Invalid(error.to_string());
     match update {
-        News::Record(record) => {
+        JournalUpdate::Record(record) => {
             let step = Step::parse(&record)?;
             let entry = &step.entry;
             let base = Version(step.version.0.saturating_sub(1));
             mesh.apply_patch(base, step.version, &entry.patch, entry.digest)
                 .map_err(invalid)
         }
-        News::Reset(loaded) => {
+        JournalUpdate::Reset(loaded) => {
             let state = store::version::State::build(&loaded)?;
             if state.version == Version::ZERO {
                 return Ok(());
@@ -157,7 +157,7 @@
             send(changes, &object.value).await?;
         }
         match page.items.last() {
-            Some(last) if page.more => after = last.name.to_string(),
+            Some(last) if page.has_more => after = last.name.to_string(),
             _ => break page.revision,
         }
     };
--- a/crates/node/src/reserve/journal.rs
+++ b/crates/node/src/reserve/journal.rs
@@ -7,7 +7,7 @@
 use smol_str::{SmolStr, format_smolstr};
 use std::time::Duration;
 use store::journal::{Append, Moment, Record};
-use store::retain::Retention;
+use store::retention::RetentionTracker;
 use store::{Error, Journal, Store};
 use tokio::time::Instant;
 
@@ -57,7 +57,7 @@
     expiry: KeyExpiry,
     /// Number of the last record in the last snapshot.
     snapshot: u64,
-    retention: Retention,
+    retention: RetentionTracker,
 }
 
 impl<S, C> ShardLog<S, C>
@@ -79,7 +79,7 @@
             abandoned: Vec::new(),
             expiry: KeyExpiry::default(),
             snapshot: 0,
-            retention: Retention::default(),
+            retention: RetentionTracker::default(),
         }
     }
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -17,11 +17,11 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use store::{Event, MAX_VALUE, Memory, Object, Revision, Store};
+use store::{Event, MAX_VALUE_BYTES, Memory, Object, Revision, Store};
 use tokio::net::TcpListener;
 
 /// Room for an object's JSON around the value.
-const MAX_BODY: usize = MAX_VALUE + (64 << 10);
+const MAX_BODY: usize = MAX_VALUE_BYTES + (64 << 10);
 
 /// Objects of a page, as the platform has it.
 const PAGE: usize = 500;
@@ -181,7 +181,7 @@
         .await?;
     let page = Page {
         items: list.items.into_iter().map(make_item).collect(),
-        has_more: list.more,
+        has_more: list.has_more,
         revision: list.revision.number,
     };
     Ok(answer_json(StatusCode::OK, &page))
@@ -301,7 +301,7 @@
 }
 
 fn era_of(memory: &Memory) -> u64 {
-    memory.eras().borrow().unwrap_or_default()
+    memory.watch_era().borrow().unwrap_or_default()
 }
 
 /// Gives the place of a write of the era that holds now.
--- a/crates/standin/tests/object_api.rs
+++ b/crates/standin/tests/object_api.rs
@@ -6,7 +6,7 @@
 use standin::forward::Forwarder;
 use standin::platform::{Rates, serve};
 use std::time::Duration;
-use store::follow::News;
+use store::follow::JournalUpdate;
 use store::memory::Faults;
 use store::{Error, Event, Follower, Journal, Memory, Store, Watch};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -63,9 +63,9 @@
     let page = client.list("a/", "", 2).await.unwrap();
     let names = page.items.iter().map(|object| object.name.as_str());
     assert_eq!(names.collect::<Vec<_>>(), ["a/1", "a/2"]);
-    assert!(page.more);
+    assert!(page.has_more);
     let rest = client.list("a/", "a/2", 2).await.unwrap();
-    assert_eq!((rest.items.len(), rest.more), (1, false));
+    assert_eq!((rest.items.len(), rest.has_more), (1, false));
     assert_eq!(rest.items[0].value, json!("a/3"));
 }
 
@@ -229,7 +229,7 @@
             .unwrap();
         let next = tokio::time::timeout(Duration::from_secs(10), follower.next()).await;
         assert!(
-            matches!(&next, Ok(News::Record(record)) if record.number == number),
+            matches!(&next, Ok(JournalUpdate::Record(record)) if record.number == number),
             "{next:?}"
         );
         forwarder.lose();
@@ -328,7 +328,7 @@
 async fn another_era() {
     let (memory, client) = open(Rates::default(), QUICK).await;
     client.create("things/a", &json!(1)).await.unwrap();
-    let mut eras = client.eras();
+    let mut eras = client.watch_era();
     assert_eq!(*eras.borrow_and_update(), Some(0));
     let copy = memory.copy();
     let lost = client.create("things/b", &json!("lost")).await.unwrap();
--- a/crates/store/src/patience.rs
+++ b/crates/store/src/adaptive_timeout.rs
@@ -13,12 +13,12 @@
 /// serve nobody, for as long as it is slow, although it answers every call.
 /// With a long one each silent connection would cost as much.
 #[derive(Debug)]
-pub struct Patience {
+pub struct AdaptiveTimeout {
     base: Duration,
     doublings: AtomicU32,
 }
 
-impl Patience {
+impl AdaptiveTimeout {
     /// Starts with `base` as the limit.
     #[must_use]
     pub fn new(base: Duration) -> Self {
@@ -35,7 +35,7 @@
     }
 
     /// Notes that a call got no answer within `limit`.
-    pub fn note_timeout(&self, limit: Duration) {
+    pub fn record_timeout(&self, limit: Duration) {
         let doublings = self.doublings.load(Ordering::Relaxed);
         // Calls that ran at once and all ended so count as one.
         if limit == self.limit() && doublings < MAX_DOUBLINGS {
@@ -44,7 +44,7 @@
     }
 
     /// Notes that a call was answered after `time`.
-    pub fn note_answer(&self, time: Duration) {
+    pub fn record_answer(&self, time: Duration) {
         if time < self.base / 2 {
             self.doublings.store(0, Ordering::Relaxed);
         }
--- a/crates/store/src/board.rs
+++ b/crates/store/src/board.rs
@@ -27,12 +27,12 @@
 
 /// Where roots write and read crashes.
 #[derive(Debug, Clone)]
-pub struct Board<S, C> {
+pub struct CrashStore<S, C> {
     store: S,
     clock: C,
 }
 
-impl<S, C> Board<S, C>
+impl<S, C> CrashStore<S, C>
 where
     S: Store,
     C: Clock,
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// When the platform can't be reached, or another holder writes at the same moment.
-    pub async fn post(&self, seat: &str, crashes: &[Crash]) -> Result<(), Error> {
+    pub async fn write(&self, seat: &str, crashes: &[Crash]) -> Result<(), Error> {
         let as_invalid = |error: serde_json::Error| Error::Invalid(error.to_string());
         let values = crashes.iter().map(serde_json::to_value);
         let note = Note {
@@ -72,14 +72,14 @@
     pub async fn list(&self) -> Result<Vec<Crash>, Error> {
         let page = self.store.list(FOLDER, "", PAGE).await?;
         let objects = page.items.iter();
-        Ok(objects.flat_map(|object| self.read(object)).collect())
+        Ok(objects.flat_map(|object| self.decode(object)).collect())
     }
 
     /// Reads what one object says, with the ages that the crashes have now.
     ///
     /// What can't be read is left out: another writer may know more kinds of evidence.
     #[must_use]
-    pub fn read(&self, object: &Object) -> Vec<Crash> {
+    pub fn decode(&self, object: &Object) -> Vec<Crash> {
         let note = match Note::deserialize(&object.value) {
             Ok(note) => note,
             Err(error) => {
--- a/crates/store/src/chunk.rs
+++ b/crates/store/src/chunk.rs
@@ -3,7 +3,7 @@
 //! The parts of a large value go first, under the writer's nonce; the object
 //! that names them comes last, so that whoever sees it finds them all.
 
-use crate::MAX_VALUE;
+use crate::MAX_VALUE_BYTES;
 use crate::{Error, Object, Store};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -11,7 +11,7 @@
 
 /// Longest text of one part, in bytes. As a JSON string it may grow, at most
 /// to twice its length, since the text is itself JSON without control characters.
-const MAX_PART: usize = (MAX_VALUE - 1024) / 2;
+const MAX_PART: usize = (MAX_VALUE_BYTES - 1024) / 2;
 
 /// Tries of a part whose answer is lost.
 const PART_ATTEMPTS: u32 = 3;
@@ -85,7 +85,7 @@
 }
 
 /// Makes the envelope of `value`, after writing its parts under `directory` if it has any.
-pub(crate) async fn seal<S>(
+pub(crate) async fn make_envelope<S>(
     store: &S,
     directory: &str,
     nonce: &str,
@@ -114,7 +114,7 @@
 /// Gives the nonce and the value of an object, reading its parts if it has any.
 ///
 /// [`Error::Gone`] tells that the parts are removed already.
-pub(crate) async fn unseal<S>(
+pub(crate) async fn read_envelope<S>(
     store: &S,
     directory: &str,
     object: Object,
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -16,7 +16,7 @@
 
 /// What a reader learns.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum JournalUpdate {
     /// The next record.
     Record(Record),
     /// The whole journal, because records in between are gone or none was known.
@@ -61,16 +61,16 @@
     }
 
     /// Waits for news, through outages; numbers only grow, and none is left out.
-    pub async fn next(&mut self) -> News {
+    pub async fn next(&mut self) -> JournalUpdate {
         loop {
             if let Some(record) = self.take_ready() {
-                return News::Record(record);
+                return JournalUpdate::Record(record);
             }
             match self.advance().await {
                 Ok(None) => self.note_answer(),
                 Ok(Some(loaded)) => {
                     self.note_answer();
-                    return News::Reset(loaded);
+                    return JournalUpdate::Reset(loaded);
                 }
                 // The events in between are gone, the records are not.
                 Err(Error::Gone) => self.watch = None,
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -6,10 +6,10 @@
 //! for correctness, neither leases nor clocks that agree.
 //!
 //! Snapshots let readers start late and old records be removed (see
-//! [`crate::retain`]). The object `head` names the snapshot to start from and
+//! [`crate::retention`]). The object `head` names the snapshot to start from and
 //! the floor: records up to the floor may be gone.
 
-use crate::chunk::{seal, unseal};
+use crate::chunk::{make_envelope, read_envelope};
 use crate::{Error, Object, Revision, Store};
 use clock::Clock;
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
 
 /// Time since a number was seen to be free, after which a successful creation
 /// of it is checked against the floor. Records are kept for ten times as long
-/// at least ([`crate::retain::RETENTION`]), so that clocks may differ much.
+/// at least ([`crate::retention::RETENTION`]), so that clocks may differ much.
 pub const FREE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Tries of a creation whose answer is lost, before the caller is told.
@@ -208,7 +208,7 @@
         value: &Value,
         free: Moment,
     ) -> Result<Append, Error> {
-        let sealed = seal(&self.store, &self.name_parts(number), nonce, value).await?;
+        let sealed = make_envelope(&self.store, &self.name_parts(number), nonce, value).await?;
         let mut doubt = None;
         for attempt in 0..CREATE_ATTEMPTS {
             if attempt > 0 {
@@ -306,7 +306,7 @@
                 last = record.number;
                 tail.records.push(record);
             }
-            if !page.more {
+            if !page.has_more {
                 return Ok(tail);
             }
         }
@@ -317,7 +317,7 @@
         let Some(number) = parse_number(&object.name) else {
             return Ok(None);
         };
-        let (nonce, value) = unseal(&self.store, &self.name_parts(number), object).await?;
+        let (nonce, value) = read_envelope(&self.store, &self.name_parts(number), object).await?;
         Ok(Some(Record {
             number,
             nonce,
@@ -354,7 +354,7 @@
         }
         let name = self.name_snapshot(number);
         let object = self.store.get(&name).await?.ok_or(Error::Gone)?;
-        let (_, value) = unseal(&self.store, &self.name_parts(number), object).await?;
+        let (_, value) = read_envelope(&self.store, &self.name_parts(number), object).await?;
         Ok(Some(value))
     }
 
--- a/crates/store/src/latest.rs
+++ b/crates/store/src/latest.rs
@@ -18,7 +18,7 @@
 
 /// A reader of one object, or of all objects of a folder, that are replaced as a whole.
 #[derive(Debug)]
-pub struct Latest<S> {
+pub struct ObjectWatcher<S> {
     store: S,
     /// The object; none stands for all of the folder.
     name: Option<SmolStr>,
@@ -31,7 +31,7 @@
     backoff: Backoff,
 }
 
-impl<S> Latest<S>
+impl<S> ObjectWatcher<S>
 where
     S: Store,
 {
@@ -44,7 +44,7 @@
 
     /// Starts to follow all objects of a folder, none of which may be deleted.
     #[must_use]
-    pub fn open_all(store: S, folder: &str) -> Self {
+    pub fn open_folder(store: S, folder: &str) -> Self {
         Self::follow(store, folder, None)
     }
 
--- a/crates/store/src/lease.rs
+++ b/crates/store/src/lease.rs
@@ -20,7 +20,7 @@
 
 /// A lease as it stands in the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct LeaseRecord {
     /// Name of the lease.
     pub name: SmolStr,
     /// Who holds it, or held it last.
@@ -39,7 +39,7 @@
 /// # Errors
 ///
 /// When the platform can't be read.
-pub async fn list<S>(store: &S, prefix: &str, is_exact: bool) -> Result<Vec<Standing>, Error>
+pub async fn list<S>(store: &S, prefix: &str, is_exact: bool) -> Result<Vec<LeaseRecord>, Error>
 where
     S: Store,
 {
@@ -54,7 +54,7 @@
         };
         all.extend(page.items.iter().filter_map(read_standing));
         match page.items.last() {
-            Some(last) if page.more => after = last.name.clone(),
+            Some(last) if page.has_more => after = last.name.clone(),
             _ => return Ok(all),
         }
     }
@@ -64,9 +64,9 @@
     Grant::deserialize(&object.value).ok()
 }
 
-fn read_standing(object: &Object) -> Option<Standing> {
+fn read_standing(object: &Object) -> Option<LeaseRecord> {
     let grant = read_grant(object)?;
-    Some(Standing {
+    Some(LeaseRecord {
         name: object.name.strip_prefix(FOLDER)?.into(),
         holder: grant.holder,
         revision: object.revision,
@@ -130,7 +130,7 @@
 
     /// Gives the end of the lease, as far as it is known to be held.
     #[must_use]
-    pub fn until(&self) -> Option<Instant> {
+    pub fn expires_at(&self) -> Option<Instant> {
         self.until.filter(|_| self.is_held())
     }
 
@@ -142,7 +142,7 @@
     ///
     /// When the platform can't be read or written. The lease is then held up
     /// to the end that was known before.
-    pub async fn tend(&mut self) -> Result<bool, Error> {
+    pub async fn acquire_or_renew(&mut self) -> Result<bool, Error> {
         let sent = self.clock.now();
         let nonce = format_smolstr!("{:016x}", rand::random::<u64>());
         let outcome = match self.revision {
@@ -174,10 +174,10 @@
     ///
     /// # Errors
     ///
-    /// As [`Lease::tend`].
-    pub async fn seize(&mut self, revision: Revision) -> Result<bool, Error> {
+    /// As [`Lease::acquire_or_renew`].
+    pub async fn take_over(&mut self, revision: Revision) -> Result<bool, Error> {
         self.revision = Some(revision);
-        let outcome = self.tend().await;
+        let outcome = self.acquire_or_renew().await;
         if !self.is_held() {
             self.lose();
         }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -17,26 +17,26 @@
 //! # tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(run).unwrap();
 //! ```
 
+pub mod adaptive_timeout;
 pub mod board;
 pub mod follow;
 pub mod journal;
 pub mod latest;
 pub mod lease;
 pub mod memory;
-pub mod patience;
 pub mod propose;
-pub mod retain;
+pub mod retention;
 pub mod version;
 
 mod chunk;
 mod error;
 mod store;
 
-pub use board::Board;
+pub use board::CrashStore;
 pub use error::Error;
 pub use follow::Follower;
 pub use journal::Journal;
-pub use latest::Latest;
+pub use latest::ObjectWatcher;
 pub use lease::Lease;
 pub use memory::Memory;
-pub use store::{Event, List, MAX_VALUE, Object, Revision, Store, Watch};
+pub use store::{Event, List, MAX_VALUE_BYTES, Object, Revision, Store, Watch};
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -2,7 +2,7 @@
 //!
 //! Tests use it in place of the real one, and the stand-in serves it over HTTP.
 
-use crate::MAX_VALUE;
+use crate::MAX_VALUE_BYTES;
 use crate::{Error, Event, List, Object, Revision, Store, Watch};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -354,7 +354,7 @@
     }
 
     fn put(&mut self, name: SmolStr, value: Value, status: Value) -> Result<Revision, Error> {
-        if value.to_string().len() > MAX_VALUE {
+        if value.to_string().len() > MAX_VALUE_BYTES {
             return Err(Error::TooLarge);
         }
         self.revision.number += 1;
@@ -412,7 +412,7 @@
         List {
             items,
             revision: self.revision,
-            more: named.next().is_some(),
+            has_more: named.next().is_some(),
         }
     }
 }
@@ -430,7 +430,7 @@
         self.write(Write::Create(name.into(), value.clone())).await
     }
 
-    fn eras(&self) -> watch::Receiver<Option<u64>> {
+    fn watch_era(&self) -> watch::Receiver<Option<u64>> {
         self.eras.subscribe()
     }
 
--- a/crates/store/src/retain.rs
+++ b/crates/store/src/retention.rs
@@ -1,6 +1,6 @@
 //! Snapshots of a journal, and the removal of its old records.
 
-use crate::chunk::seal;
+use crate::chunk::make_envelope;
 use crate::journal::{Head, Moment, parse_number};
 use crate::{Error, Journal, Revision, Store};
 use clock::Clock;
@@ -25,7 +25,7 @@
 /// Age counts from when this process first saw a snapshot, so that no clock
 /// has to agree with another; a new process removes nothing at first.
 #[derive(Debug, Clone, Default)]
-pub struct Retention {
+pub struct RetentionTracker {
     seen: VecDeque<(Moment, u64)>,
 }
 
@@ -45,7 +45,7 @@
         nonce: &str,
         value: &Value,
     ) -> Result<(), Error> {
-        let sealed = seal(&self.store, &self.name_parts(number), nonce, value).await?;
+        let sealed = make_envelope(&self.store, &self.name_parts(number), nonce, value).await?;
         match self
             .store
             .create(&self.name_snapshot(number), &sealed)
@@ -70,7 +70,11 @@
     /// # Errors
     ///
     /// When the platform can't be read or written; the next step goes on.
-    pub async fn remove_old(&self, retention: &mut Retention, keep: u64) -> Result<bool, Error> {
+    pub async fn remove_old(
+        &self,
+        retention: &mut RetentionTracker,
+        keep: u64,
+    ) -> Result<bool, Error> {
         let (head, _) = self.read_head().await?;
         let aged = retention.note(Moment::now(&self.clock), head.snapshot, &self.clock);
         let floor = aged.min(head.snapshot.saturating_sub(keep));
@@ -140,7 +144,7 @@
     }
 }
 
-impl Retention {
+impl RetentionTracker {
     /// Notes that `snapshot` stands now, and gives the last one that has stood for [`RETENTION`].
     fn note<C>(&mut self, now: Moment, snapshot: u64, clock: &C) -> u64
     where
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// Largest value, in bytes of JSON (the platform's limit of a megabyte).
-pub const MAX_VALUE: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// The place of a write among all the platform's writes.
 ///
@@ -51,7 +51,7 @@
     /// The revision at which they were read; a watch from here misses nothing.
     pub revision: Revision,
     /// Whether there are more after the last one.
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// News of a watch.
@@ -150,7 +150,7 @@
 
     /// Gives the same store for a reader whom another one backs up: its watches ask less often.
     #[must_use]
-    fn relaxed(&self) -> Self {
+    fn with_relaxed_polling(&self) -> Self {
         self.clone()
     }
 
@@ -163,7 +163,7 @@
 
     /// Tells the platform's era once it is known, and when another one begins: then its last
     /// seconds are gone.
-    fn eras(&self) -> watch::Receiver<Option<u64>>;
+    fn watch_era(&self) -> watch::Receiver<Option<u64>>;
 
     /// Changes an object that is still at `expected`; [`Error::Conflict`] when it is not, and
     /// [`Error::Gone`] when that is of another era.
--- a/crates/store/tests/append.rs
+++ b/crates/store/tests/append.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 use store::journal::{Append, FREE_TIMEOUT};
 use store::memory::Faults;
-use store::retain::{RETENTION, Retention};
+use store::retention::{RETENTION, RetentionTracker};
 use store::{Error, Journal, Memory, Store};
 use yare::parameterized;
 
@@ -96,7 +96,7 @@
 
 /// Writes twelve records with snapshots at 5 and 10, and removes what has aged.
 async fn fill_and_remove(clock: &Manual, journal: &Numbers) {
-    let mut retention = Retention::default();
+    let mut retention = RetentionTracker::default();
     for number in 1..=12 {
         append(journal, number, &format!("n{number}"))
             .await
@@ -151,7 +151,7 @@
     journal.write_snapshot(1, "s", &json!(1)).await.unwrap();
     clock.advance(RETENTION * 2);
     journal
-        .remove_old(&mut Retention::default(), 0)
+        .remove_old(&mut RetentionTracker::default(), 0)
         .await
         .unwrap();
     assert_eq!(journal.read(0).await.unwrap().unwrap().records.len(), 1);
--- a/crates/store/tests/board.rs
+++ b/crates/store/tests/board.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use store::board::FOLDER;
 use store::memory::Faults;
-use store::{Board, Latest, Memory, Store};
+use store::{CrashStore, Memory, ObjectWatcher, Store};
 
 fn crash(id: u64, age_ms: u32) -> Crash {
     Crash {
@@ -22,9 +22,9 @@
     }
 }
 
-fn open() -> (Memory, Manual, Board<Memory, Manual>) {
+fn open() -> (Memory, Manual, CrashStore<Memory, Manual>) {
     let (memory, clock) = (Memory::new(), Manual::new());
-    let board = Board::open(memory.clone(), clock.clone());
+    let board = CrashStore::open(memory.clone(), clock.clone());
     (memory, clock, board)
 }
 
@@ -32,11 +32,11 @@
 #[tokio::test(start_paused = true)]
 async fn two_seats() {
     let (_, clock, board) = open();
-    board.post("kl-a.0", &[crash(1, 500)]).await.unwrap();
-    board.post("kl-b.0", &[crash(2, 0)]).await.unwrap();
+    board.write("kl-a.0", &[crash(1, 500)]).await.unwrap();
+    board.write("kl-b.0", &[crash(2, 0)]).await.unwrap();
     clock.advance(Duration::from_secs(2));
     board
-        .post("kl-b.0", &[crash(2, 2_000), crash(3, 0)])
+        .write("kl-b.0", &[crash(2, 2_000), crash(3, 0)])
         .await
         .unwrap();
     clock.advance(Duration::from_secs(1));
@@ -49,7 +49,7 @@
 #[tokio::test(start_paused = true)]
 async fn other_writers() {
     let (memory, _, board) = open();
-    board.post("kl-a.0", &[crash(1, 0)]).await.unwrap();
+    board.write("kl-a.0", &[crash(1, 0)]).await.unwrap();
     for (seat, value) in [
         ("other.0", json!({"told_ms": "soon"})),
         ("other.1", json!(7)),
@@ -67,23 +67,23 @@
 #[tokio::test(start_paused = true)]
 async fn watched() {
     let (memory, _, board) = open();
-    board.post("kl-a.0", &[crash(1, 0)]).await.unwrap();
-    let mut objects = Latest::open_all(memory.clone(), FOLDER);
-    assert_eq!(board.read(&objects.next().await), [crash(1, 0)]);
-    board.post("kl-b.0", &[crash(2, 0)]).await.unwrap();
-    assert_eq!(board.read(&objects.next().await), [crash(2, 0)]);
+    board.write("kl-a.0", &[crash(1, 0)]).await.unwrap();
+    let mut objects = ObjectWatcher::open_folder(memory.clone(), FOLDER);
+    assert_eq!(board.decode(&objects.next().await), [crash(1, 0)]);
+    board.write("kl-b.0", &[crash(2, 0)]).await.unwrap();
+    assert_eq!(board.decode(&objects.next().await), [crash(2, 0)]);
     memory.set_faults(Faults {
         down: true,
         ..Faults::default()
     });
-    board.post("kl-a.0", &[crash(3, 0)]).await.unwrap_err();
+    board.write("kl-a.0", &[crash(3, 0)]).await.unwrap_err();
     memory.set_faults(Faults::default());
     memory.forget_history();
-    board.post("kl-a.0", &[crash(3, 0)]).await.unwrap();
-    board.post("kl-c.0", &[crash(4, 0)]).await.unwrap();
+    board.write("kl-a.0", &[crash(3, 0)]).await.unwrap();
+    board.write("kl-c.0", &[crash(4, 0)]).await.unwrap();
     let mut found = Vec::new();
     for _ in 0..2 {
-        found.extend(board.read(&objects.next().await));
+        found.extend(board.decode(&objects.next().await));
     }
     assert_eq!(found, [crash(3, 0), crash(4, 0)]);
 }
--- a/crates/store/tests/eras.rs
+++ b/crates/store/tests/eras.rs
@@ -3,7 +3,7 @@
 use clock::Manual;
 use serde_json::json;
 use std::time::Duration;
-use store::{Error, Latest, Lease, Memory, Store};
+use store::{Error, Lease, Memory, ObjectWatcher, Store};
 
 const TERM: Duration = Duration::from_secs(10);
 
@@ -28,7 +28,7 @@
     let store = Memory::new();
     store.create("things/a", &json!(1)).await.unwrap();
     let copy = store.copy();
-    let mut latest = Latest::open(store.clone(), "things/a");
+    let mut latest = ObjectWatcher::open(store.clone(), "things/a");
     assert_eq!(latest.next().await.value, json!(1));
     for number in 2..6 {
         let stands = store.get("things/a").await.unwrap().unwrap();
@@ -62,18 +62,18 @@
     let open = |holder: &str| Lease::open(store.clone(), clock.clone(), "roots/a.0", holder, TERM);
     let before = store.copy();
     let (mut one, mut two) = (open("one"), open("two"));
-    assert!(one.tend().await.unwrap());
+    assert!(one.acquire_or_renew().await.unwrap());
     let taken = store.copy();
-    assert!(one.tend().await.unwrap());
+    assert!(one.acquire_or_renew().await.unwrap());
     // Its own older grant stands.
     store.restore(taken);
-    assert!(one.tend().await.unwrap());
+    assert!(one.acquire_or_renew().await.unwrap());
     // Nothing stands.
     store.restore(before.clone());
-    assert!(one.tend().await.unwrap());
+    assert!(one.acquire_or_renew().await.unwrap());
     // Somebody else was faster.
     store.restore(before);
-    assert!(two.tend().await.unwrap());
-    assert!(!one.tend().await.unwrap());
-    assert!(two.tend().await.unwrap());
+    assert!(two.acquire_or_renew().await.unwrap());
+    assert!(!one.acquire_or_renew().await.unwrap());
+    assert!(two.acquire_or_renew().await.unwrap());
 }
--- a/crates/store/tests/follower.rs
+++ b/crates/store/tests/follower.rs
@@ -3,9 +3,9 @@
 use clock::Manual;
 use serde_json::json;
 use std::time::Duration;
-use store::follow::{Follower, News};
+use store::follow::{Follower, JournalUpdate};
 use store::memory::Faults;
-use store::retain::{RETENTION, Retention};
+use store::retention::{RETENTION, RetentionTracker};
 use store::{Journal, Memory};
 
 type Numbers = Journal<Memory, Manual>;
@@ -27,8 +27,8 @@
 
 async fn expect(follower: &mut Follower<Memory, Manual>, number: u64) {
     match follower.next().await {
-        News::Record(record) => assert_eq!(record.number, number),
-        other @ News::Reset(_) => panic!("{other:?}"),
+        JournalUpdate::Record(record) => assert_eq!(record.number, number),
+        other @ JournalUpdate::Reset(_) => panic!("{other:?}"),
     }
 }
 
@@ -39,7 +39,7 @@
     let mut follower = Follower::open(journal.clone(), None);
     let first = follower.next().await;
     assert!(
-        matches!(&first, News::Reset(loaded) if loaded.last() == 1),
+        matches!(&first, JournalUpdate::Reset(loaded) if loaded.last() == 1),
         "{first:?}"
     );
     for number in 2..200 {
@@ -88,13 +88,13 @@
         .write_snapshot(8, "s", &json!("eight"))
         .await
         .unwrap();
-    let mut retention = Retention::default();
+    let mut retention = RetentionTracker::default();
     journal.remove_old(&mut retention, 0).await.unwrap();
     clock.advance(RETENTION);
     while journal.remove_old(&mut retention, 0).await.unwrap() {}
     let news = follower.next().await;
     assert!(
-        matches!(&news, News::Reset(loaded) if loaded.snapshot == Some(json!("eight"))),
+        matches!(&news, JournalUpdate::Reset(loaded) if loaded.snapshot == Some(json!("eight"))),
         "{news:?}"
     );
 }
--- a/crates/store/tests/lease.rs
+++ b/crates/store/tests/lease.rs
@@ -28,15 +28,15 @@
 #[tokio::test]
 async fn one_holds() {
     let (_, clock, mut first, mut second) = open();
-    assert_eq!(first.tend().await, Ok(true));
+    assert_eq!(first.acquire_or_renew().await, Ok(true));
     for _ in 0..10 {
         clock.advance(RENEWAL);
-        assert_eq!(first.tend().await, Ok(true));
-        assert_eq!(second.tend().await, Ok(false));
+        assert_eq!(first.acquire_or_renew().await, Ok(true));
+        assert_eq!(second.acquire_or_renew().await, Ok(false));
     }
     first.release().await.unwrap();
     assert!(!first.is_held());
-    assert_eq!(second.tend().await, Ok(true));
+    assert_eq!(second.acquire_or_renew().await, Ok(true));
 }
 
 // A root relay's renewals are answered into the void although they take
@@ -45,19 +45,19 @@
 async fn renewal_answer_lost() {
     let (memory, clock, mut first, mut second) = open();
     memory.set_faults(losing(1));
-    assert_eq!(first.tend().await, Ok(true));
+    assert_eq!(first.acquire_or_renew().await, Ok(true));
     for _ in 0..10 {
         clock.advance(RENEWAL);
         memory.set_faults(losing(1));
-        assert_eq!(first.tend().await, Ok(true));
-        assert_eq!(second.tend().await, Ok(false));
+        assert_eq!(first.acquire_or_renew().await, Ok(true));
+        assert_eq!(second.acquire_or_renew().await, Ok(false));
     }
     clock.advance(RENEWAL);
     memory.set_faults(Faults {
         late_next: 1,
         ..Faults::default()
     });
-    let lost = first.tend().await;
+    let lost = first.acquire_or_renew().await;
     assert!(matches!(lost, Err(Error::Unknown(_))), "{lost:?}");
     assert!(first.is_held());
     clock.advance(DURATION);
@@ -69,12 +69,12 @@
 #[tokio::test]
 async fn paused_holder() {
     let (_, clock, mut first, mut second) = open();
-    assert_eq!(first.tend().await, Ok(true));
-    assert_eq!(second.tend().await, Ok(false));
+    assert_eq!(first.acquire_or_renew().await, Ok(true));
+    assert_eq!(second.acquire_or_renew().await, Ok(false));
     clock.advance(DURATION);
     assert!(!first.is_held());
-    assert_eq!(second.tend().await, Ok(true));
-    assert_eq!(first.tend().await, Ok(false));
+    assert_eq!(second.acquire_or_renew().await, Ok(true));
+    assert_eq!(first.acquire_or_renew().await, Ok(false));
     assert!(second.is_held());
 }
 
@@ -87,7 +87,7 @@
         slow_ms: 10,
         ..Faults::default()
     });
-    let tend = first.tend();
+    let tend = first.acquire_or_renew();
     let pass = async {
         tokio::time::sleep(Duration::from_millis(5)).await;
         clock.advance(DURATION);
--- a/crates/store/tests/removal_race.rs
+++ b/crates/store/tests/removal_race.rs
@@ -6,10 +6,10 @@
 use serde_json::json;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime};
-use store::follow::{Follower, News};
+use store::follow::{Follower, JournalUpdate};
 use store::journal::Append;
 use store::memory::Faults;
-use store::retain::Retention;
+use store::retention::RetentionTracker;
 use store::{Error, Journal, Memory};
 use yare::parameterized;
 
@@ -92,7 +92,7 @@
 }
 
 async fn shorten(journal: Names, mut rng: SmallRng) {
-    let mut retention = Retention::default();
+    let mut retention = RetentionTracker::default();
     loop {
         tokio::time::sleep(Duration::from_secs(rng.random_range(1..120))).await;
         if let Ok(names) = read_all(&journal).await {
@@ -114,13 +114,13 @@
     }
 }
 
-fn note(news: News, seen: &mut Vec<String>) {
+fn note(news: JournalUpdate, seen: &mut Vec<String>) {
     match news {
-        News::Record(record) => {
+        JournalUpdate::Record(record) => {
             assert_eq!(record.number, seen.len() as u64 + 1, "one after the other");
             seen.push(record.nonce.to_string());
         }
-        News::Reset(loaded) => {
+        JournalUpdate::Reset(loaded) => {
             let snapshot = loaded.snapshot.unwrap_or_else(|| json!([]));
             let mut names: Vec<String> = serde_json::from_value(snapshot).unwrap();
             let tail = loaded.tail.records.iter();
