--- a/crates/bench/src/proposer.rs
+++ b/crates/bench/src/proposer.rs
@@ -75,7 +75,7 @@
         let json = serde_json::to_vec(&patch);
         let json = json.map_err(|error| Error::Unexpected(error.to_string()))?;
         let proposal = Proposal {
-            id: Id::draw(self.version),
+            id: Id::generate(self.version),
             author: "bench".into(),
             patch,
         };
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -19,8 +19,8 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::Mutex;
 use tokio::time::MissedTickBehavior;
-use wire::control::{Beat, Frame, MAX_ENDPOINTS};
-use wire::{Hello, Link, PROTOCOL, codec};
+use wire::control::{Frame, Heartbeat, MAX_ENDPOINTS};
+use wire::{Hello, LinkKind, PROTOCOL_VERSION, codec};
 
 /// Versions a day.
 const VERSIONS_A_DAY: f64 = 3_700.0;
@@ -274,11 +274,11 @@
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         node: format!("child-{index}").into(),
         incarnation: rand::random(),
         zone: "zone-1".into(),
-        link: Link::Control,
+        link: LinkKind::Control,
     };
     codec::write(&mut stream, &hello).await?;
     codec::read_hello(&mut stream).await?;
@@ -302,17 +302,17 @@
             match frame {
                 Frame::Step { version: next, .. } => version = next,
                 Frame::Chunk(chunk) => version = chunk.version,
-                Frame::Beat(beat) => {
-                    let beat = Beat {
+                Frame::Heartbeat(beat) => {
+                    let beat = Heartbeat {
                         count: beat.count,
                         echo: beat.count,
                         version,
                         is_ready: true,
-                        endpoints: beat.endpoints,
-                        room: 0,
+                        endpoints_checksum: beat.endpoints_checksum,
+                        child_capacity: 0,
                         status: None,
                     };
-                    if send(&echo, Frame::Beat(beat)).await.is_err() {
+                    if send(&echo, Frame::Heartbeat(beat)).await.is_err() {
                         return;
                     }
                 }
--- a/crates/cli/src/history.rs
+++ b/crates/cli/src/history.rs
@@ -6,7 +6,7 @@
 use crate::table::render_table;
 use config::{Digest, Mesh, Patch, Version};
 use serde::Serialize;
-use store::journal::Loaded;
+use store::journal::LoadedJournal;
 use store::version::{State, Step};
 
 /// What `show --json` writes.
@@ -84,8 +84,8 @@
 /// Reads the last `limit` steps, or as many as are kept.
 async fn read_steps(versions: &Versions, limit: u64) -> Result<Vec<Step>, Error> {
     let loaded = versions.load().await?;
-    let before = loaded.last().saturating_sub(limit);
-    let tail = versions.read(before).await?;
+    let before = loaded.last_number().saturating_sub(limit);
+    let tail = versions.read_after(before).await?;
     let records = tail.map_or(loaded.tail.records, |tail| tail.records);
     let steps = records
         .iter()
@@ -108,18 +108,18 @@
 /// A version before the last snapshot needs all records from the first one.
 async fn find_state(versions: &Versions, version: Option<Version>) -> Result<State, Error> {
     let mut loaded = versions.load().await?;
-    let last = Version(loaded.last());
+    let last = Version(loaded.last_number());
     let version = version.unwrap_or(last);
     if version > last {
         return Err(Error::NoSuchVersion(version, last));
     }
-    if version.0 < loaded.number {
-        let oldest = Version(loaded.number);
-        let whole = versions.read(0).await?;
+    if version.0 < loaded.snapshot_number {
+        let oldest = Version(loaded.snapshot_number);
+        let whole = versions.read_after(0).await?;
         let tail = whole.ok_or(Error::Removed(version, oldest))?;
-        loaded = Loaded {
+        loaded = LoadedJournal {
             tail,
-            ..Loaded::default()
+            ..LoadedJournal::default()
         };
     }
     let records = &mut loaded.tail.records;
--- a/crates/cli/src/propose.rs
+++ b/crates/cli/src/propose.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 use std::time::{Duration, Instant};
-use store::propose::{Outcome, Proposal, Refusal, propose, settle};
+use store::propose::{Outcome, Proposal, Refusal, propose, resolve};
 use store::version::{Id, Step};
 
 /// First bound of the wait between two tries; each further one doubles it.
@@ -56,7 +56,7 @@
 
 pub(crate) async fn propose_file(session: &Session, flags: &Propose) -> Result<Exit, Error> {
     let patch = read_patch(&flags.file)?;
-    let id = flags.id.clone().unwrap_or_else(|| Id::draw(flags.base));
+    let id = flags.id.clone().unwrap_or_else(|| Id::generate(flags.base));
     if id.base != flags.base {
         return Err(Error::Usage(
             "--id names a proposal against another version than --base",
@@ -119,7 +119,7 @@
     id: &Id,
     author: &str,
 ) -> Result<Exit, Error> {
-    let outcome = settle(&session.versions()?, id, author).await;
+    let outcome = resolve(&session.versions()?, id, author).await;
     let (report, exit) = describe_outcome(id, outcome);
     print_report(session, &report);
     Ok(exit)
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use store::Memory;
+use store::MemoryStore;
 use support::{Desk, Ended, run_program};
 use tokio::runtime::Runtime;
 use yare::parameterized;
@@ -41,7 +41,7 @@
 
 fn explain(id: &str, flags: &[&str]) -> Ended {
     let runtime = Runtime::new().unwrap();
-    let desk = runtime.block_on(Desk::open(&Memory::new()));
+    let desk = runtime.block_on(Desk::open(&MemoryStore::new()));
     let files = LOGS.map(|(node, text)| desk.write(node, text));
     let mut arguments = vec!["explain"];
     arguments.extend(flags);
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -10,7 +10,7 @@
 use settings::node::Settings;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use store::Memory;
+use store::MemoryStore;
 use support::{Desk, run_program};
 use tokio::net::TcpListener;
 
@@ -55,7 +55,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn status_of_two() {
-    let desk = Desk::open(&Memory::new()).await;
+    let desk = Desk::open(&MemoryStore::new()).await;
     let (one, two) = (Node::spawn("jobs-1").await, Node::spawn("jobs-2").await);
     let ended = desk.run(&["status", &one.flag(), &two.flag()]);
     assert_eq!(ended.code, 0, "{ended:?}");
@@ -85,7 +85,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_by_name() {
-    let desk = Desk::open(&Memory::new()).await;
+    let desk = Desk::open(&MemoryStore::new()).await;
     let (one, two) = (Node::spawn("jobs-1").await, Node::spawn("jobs-2").await);
     let right = format!(
         "--token-file={}",
--- a/crates/cli/tests/history.rs
+++ b/crates/cli/tests/history.rs
@@ -2,13 +2,13 @@
 
 mod support;
 
-use store::Memory;
+use store::MemoryStore;
 use support::{Desk, run_program};
 use yare::parameterized;
 
 /// Proposes one service after the other.
 async fn open_with(names: &[&str]) -> Desk {
-    let desk = Desk::open(&Memory::new()).await;
+    let desk = Desk::open(&MemoryStore::new()).await;
     for (base, name) in names.iter().enumerate() {
         let text = format!(r#"{{"put_service":{{"name":"{name}","service":{{}}}}}}"#);
         let file = desk.write(name, &text);
--- a/crates/cli/tests/propose.rs
+++ b/crates/cli/tests/propose.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use store::Memory;
+use store::MemoryStore;
 use store::memory::Faults;
 use support::Desk;
 use yare::parameterized;
@@ -23,7 +23,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn accepted() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let desk = Desk::open(&memory).await;
     let file = desk.write("patch", SERVICE);
     let ended = desk.run(&["propose", &file, "--base=0"]);
@@ -41,7 +41,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn crossed() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let desk = Desk::open(&memory).await;
     let (first, second) = (desk.write("first", SERVICE), desk.write("second", OTHER));
     let winner = desk.run(&["propose", &first, "--base=0"]);
@@ -61,7 +61,7 @@
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
 async fn wrong_patch(text: &str, base: &str, code: i32, message: &str) {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let desk = Desk::open(&memory).await;
     let file = desk.write("patch", text);
     let ended = desk.run(&["propose", &file, "--base", base]);
@@ -74,7 +74,7 @@
 // written and nobody else knows the proposal, so it is plainly never applied.
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_down() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let desk = Desk::open(&memory).await;
     memory.set_faults(Faults {
         down: true,
@@ -105,7 +105,7 @@
 // lost write arrives after all, that must still be true.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_write() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let desk = Desk::open(&memory).await;
     memory.set_faults(Faults {
         late_next: 1_000,
@@ -123,7 +123,7 @@
         let settled = desk.run(&["outcome", id]);
         assert_eq!(settled.code, 4, "{settled:?}");
         assert!(settled.output.starts_with("never applied: "));
-        memory.deliver();
+        memory.deliver_late_writes();
     }
     let shown = desk.run(&["show"]);
     assert!(shown.output.starts_with("# version 1, digest"));
@@ -134,7 +134,7 @@
 // that it is accepted, since the second try finds the first one's record.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let desk = Desk::open(&memory).await;
     memory.set_faults(Faults {
         lose_next: 2,
@@ -152,7 +152,7 @@
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
 async fn example_patches(first: &str, second: Option<&str>) {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let desk = Desk::open(&memory).await;
     let file = find_example(first);
     let checked = desk.run(&["check", &file, "--base=0"]);
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use std::fs;
 use std::net::SocketAddr;
 use std::process::Command;
-use store::Memory;
+use store::MemoryStore;
 use tempfile::TempDir;
 use tokio::net::TcpListener;
 
@@ -35,7 +35,7 @@
 
 impl Desk {
     /// Serves `memory` as the platform.
-    pub async fn open(memory: &Memory) -> Self {
+    pub async fn open(memory: &MemoryStore) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let platform = listener.local_addr().unwrap();
         tokio::spawn(serve(listener, memory.clone(), Rates::default()));
--- a/crates/fleet/src/children.rs
+++ b/crates/fleet/src/children.rs
@@ -74,7 +74,7 @@
                     }
                 }
             }
-            Frame::Ask => self.refuse(key, Duration::ZERO),
+            Frame::QueryVersion => self.refuse(key, Duration::ZERO),
             _ => {
                 self.close(key);
             }
--- a/crates/fleet/src/endpoints.rs
+++ b/crates/fleet/src/endpoints.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wire::control::{BUCKETS, MAX_ENDPOINTS};
+use wire::control::{BUCKET_COUNT, MAX_ENDPOINTS};
 
 /// Interval at which a node announces its endpoint again without a change.
 ///
@@ -53,7 +53,7 @@
     fn default() -> Self {
         Self {
             entries: BTreeMap::new(),
-            bucket_checksums: vec![0; BUCKETS],
+            bucket_checksums: vec![0; BUCKET_COUNT],
         }
     }
 }
@@ -175,7 +175,7 @@
 
 /// Returns the index of a node's bucket.
 fn bucket_index(node: &str) -> usize {
-    index_for_hash(stable_hash(node.as_bytes()), BUCKETS)
+    index_for_hash(stable_hash(node.as_bytes()), BUCKET_COUNT)
 }
 
 /// Returns the contribution of an endpoint to the checksum of its bucket.
--- a/crates/fleet/src/heartbeat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 use std::time::Instant;
-use wire::control::{Beat, Frame, Status};
+use wire::control::{Frame, Heartbeat, Status};
 
 /// Consecutive heartbeats with a different checksum of the endpoints after which the tables are
 /// compared: updates in flight make checksums differ for a moment.
@@ -23,7 +23,7 @@
         let Some(status) = self.status_for(key) else {
             return;
         };
-        let (version, endpoints, room) =
+        let (version, endpoints_checksum, child_capacity) =
             (self.version(), self.table.checksum(), self.child_capacity());
         let is_ready = self.is_ready();
         let Some(link) = self.links.get_mut(&key) else {
@@ -34,20 +34,20 @@
         if is_new {
             link.sent_status = Some(status.clone());
         }
-        let beat = Beat {
+        let beat = Heartbeat {
             count,
             echo,
             version,
             is_ready,
-            endpoints,
-            room,
+            endpoints_checksum,
+            child_capacity,
             status: is_new.then_some(status),
         };
-        self.send(key, Frame::Beat(beat));
+        self.send(key, Frame::Heartbeat(beat));
     }
 
-    pub(crate) fn on_heartbeat(&mut self, now: Instant, key: LinkKey, beat: &Beat) {
-        let differs = beat.endpoints != self.table.checksum();
+    pub(crate) fn on_heartbeat(&mut self, now: Instant, key: LinkKey, beat: &Heartbeat) {
+        let differs = beat.endpoints_checksum != self.table.checksum();
         let own = self.settings.local.node.clone();
         let Some(link) = self.links.get_mut(&key) else {
             return;
--- a/crates/fleet/src/link.rs
+++ b/crates/fleet/src/link.rs
@@ -2,7 +2,7 @@
 
 use config::Version;
 use std::time::{Duration, Instant};
-use wire::control::{Beat, Part, Peer, Status};
+use wire::control::{Heartbeat, Peer, RolloutTally, Status};
 
 /// Time between heartbeats: 27 bytes a second in each direction.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
@@ -75,9 +75,9 @@
     /// Status last sent to the peer.
     pub(crate) sent_status: Option<Status>,
     /// Latest roll-out tallies of the peer's part of the fleet.
-    pub(crate) tallies: Vec<Part>,
+    pub(crate) tallies: Vec<RolloutTally>,
     /// Roll-out tallies last sent to the peer.
-    pub(crate) sent_tallies: Vec<Part>,
+    pub(crate) sent_tallies: Vec<RolloutTally>,
     /// Consecutive heartbeats whose endpoint checksum differed from this node's.
     pub(crate) mismatches: u8,
     opened_at: Instant,
@@ -132,9 +132,9 @@
     }
 
     /// Records a heartbeat of the peer.
-    pub(crate) fn record_heartbeat(&mut self, beat: &Beat, now: Instant) {
+    pub(crate) fn record_heartbeat(&mut self, beat: &Heartbeat, now: Instant) {
         self.received_count = beat.count;
-        self.child_capacity = beat.room;
+        self.child_capacity = beat.child_capacity;
         if beat.echo > self.echoed_count {
             self.echoed_count = beat.echo;
             self.echoed_at = now;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -285,7 +285,7 @@
 
     fn on_update(&mut self, now: Instant, key: LinkKey, frame: Frame) {
         match frame {
-            Frame::Beat(beat) => self.on_heartbeat(now, key, &beat),
+            Frame::Heartbeat(beat) => self.on_heartbeat(now, key, &beat),
             Frame::Step {
                 base,
                 version,
@@ -300,10 +300,13 @@
                 };
                 self.on_step(now, key, &step);
             }
-            Frame::Want { after, whole } => self.on_want(key, after, whole),
+            Frame::RequestUpdates { after, full } => self.on_request_updates(key, after, full),
             Frame::Chunk(chunk) => self.on_chunk(now, key, &chunk),
             Frame::Endpoints(list) => self.on_endpoints(now, key, &list),
-            Frame::Sums { sums, is_reply } => self.on_checksums(key, &sums, is_reply),
+            Frame::Checksums {
+                checksums,
+                is_reply,
+            } => self.on_checksums(key, &checksums, is_reply),
             Frame::Path(path) => self.on_path(now, key, path),
             Frame::Nominate { slot } => self.on_nominate(key, slot),
             Frame::Crashes(list) => self.on_crashes(now, Origin::Link(key), &list),
@@ -318,7 +321,7 @@
             // Valid only during the handshake; a later one is a bug in the peer.
             Frame::Join { .. }
             | Frame::Meet { .. }
-            | Frame::Ask
+            | Frame::QueryVersion
             | Frame::Admit { .. }
             | Frame::Refuse { .. } => self.drop_link(now, key, false),
         }
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -200,7 +200,7 @@
         let Some(assembly) = self.assembly.take() else {
             return ApplyOutcome::Gap;
         };
-        match wire::control::join(&assembly.bytes) {
+        match wire::control::decode_chunks(&assembly.bytes) {
             Ok(mesh) => self.apply_full(assembly.version, mesh, assembly.digest),
             Err(error) => {
                 self.refused = Some((assembly.version, error.to_smolstr()));
@@ -230,7 +230,7 @@
         }
         let held = &self.held;
         let chunks = self.chunks.get_or_init(|| {
-            let split = wire::control::split(held.version(), held.digest(), held.mesh());
+            let split = wire::control::encode_chunks(held.version(), held.digest(), held.mesh());
             split.unwrap_or_else(|error| {
                 log::warn!(version = held.version().0, error:%; "version_too_long");
                 Vec::new()
--- a/crates/fleet/src/rollouts.rs
+++ b/crates/fleet/src/rollouts.rs
@@ -14,7 +14,7 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
-use wire::control::{Frame, MAX_ROLLOUTS, Part};
+use wire::control::{Frame, MAX_ROLLOUTS, RolloutTally};
 
 /// Interval between evaluations of a roll-out and reports of its counts.
 ///
@@ -228,7 +228,7 @@
     }
 
     /// Records the counts of a neighbour's part of the fleet.
-    pub(crate) fn on_neighbour_tallies(&mut self, key: LinkKey, parts: Vec<Part>) {
+    pub(crate) fn on_neighbour_tallies(&mut self, key: LinkKey, parts: Vec<RolloutTally>) {
         if let Some(link) = self.links.get_mut(&key) {
             link.tallies = parts;
         }
@@ -332,7 +332,7 @@
             };
             let parts = services.iter().filter_map(|service| {
                 let known = self.rollouts.known.get(service)?;
-                Some(Part {
+                Some(RolloutTally {
                     service: service.clone(),
                     target: known.rollout.target.clone(),
                     tally: sum(service),
@@ -361,7 +361,7 @@
         sum
     }
 
-    fn find_part<'a>(&self, link: &'a Link, service: &SmolStr) -> Option<&'a Part> {
+    fn find_part<'a>(&self, link: &'a Link, service: &SmolStr) -> Option<&'a RolloutTally> {
         let target = &self.rollouts.known.get(service)?.rollout.target;
         let mut parts = link.tallies.iter();
         parts.find(|part| part.service == *service && part.target == *target)
--- a/crates/fleet/src/sync.rs
+++ b/crates/fleet/src/sync.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wire::control::{BUCKETS, Chunk, Frame, MAX_ENDPOINTS};
+use wire::control::{BUCKET_COUNT, Chunk, Frame, MAX_ENDPOINTS};
 
 /// Longest wait of a root for the endpoints that other roots know.
 ///
@@ -120,12 +120,12 @@
         }
     }
 
-    pub(crate) fn on_want(&mut self, key: LinkKey, after: Version, whole: bool) {
+    pub(crate) fn on_request_updates(&mut self, key: LinkKey, after: Version, full: bool) {
         let held = self.version();
         if let Some(link) = self.links.get_mut(&key) {
             link.version = link.version.max(held);
         }
-        self.send_updates_after(key, after, whole);
+        self.send_updates_after(key, after, full);
     }
 
     pub(crate) fn on_step(&mut self, now: Instant, key: LinkKey, step: &Step) {
@@ -312,15 +312,21 @@
     }
 
     pub(crate) fn send_checksums(&mut self, key: LinkKey, is_reply: bool) {
-        let sums = self.table.bucket_checksums().to_vec();
-        self.send(key, Frame::Sums { sums, is_reply });
+        let checksums = self.table.bucket_checksums().to_vec();
+        self.send(
+            key,
+            Frame::Checksums {
+                checksums,
+                is_reply,
+            },
+        );
     }
 
-    pub(crate) fn on_checksums(&mut self, key: LinkKey, sums: &[u64], is_reply: bool) {
-        if sums.len() != BUCKETS {
+    pub(crate) fn on_checksums(&mut self, key: LinkKey, checksums: &[u64], is_reply: bool) {
+        if checksums.len() != BUCKET_COUNT {
             return;
         }
-        for list in self.table.differing_endpoints(sums) {
+        for list in self.table.differing_endpoints(checksums) {
             self.send(key, Frame::Endpoints(list));
         }
         if is_reply {
@@ -419,11 +425,11 @@
             return;
         };
         let key = *key;
-        let whole = self.replica.refused().is_some();
-        self.send(key, Frame::Want { after, whole });
+        let full = self.replica.refused().is_some();
+        self.send(key, Frame::RequestUpdates { after, full });
         let wait = self.sync.request_wait;
         self.sync.request_at = Some(now + wait + self.jitter(wait / 4));
-        if whole {
+        if full {
             self.sync.request_wait = (wait * 2).min(REQUEST_RETRY.1);
         }
     }
--- a/crates/fleet/src/tree.rs
+++ b/crates/fleet/src/tree.rs
@@ -27,7 +27,7 @@
         let frame = match purpose {
             Purpose::Join => Frame::Join { address, version },
             Purpose::Meet => Frame::Meet { address, version },
-            Purpose::Ask => Frame::Ask,
+            Purpose::Ask => Frame::QueryVersion,
         };
         self.send(key, frame);
     }
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use wire::control::{BUCKETS, Frame};
+use wire::control::{BUCKET_COUNT, Frame};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -317,8 +317,8 @@
                 address: address(2),
                 version: Version(0),
             },
-            Frame::Sums {
-                sums: vec![0; BUCKETS],
+            Frame::Checksums {
+                checksums: vec![0; BUCKET_COUNT],
                 is_reply: true,
             },
         ] {
--- a/crates/node/benches/reserve.rs
+++ b/crates/node/benches/reserve.rs
@@ -20,9 +20,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use store::memory::Faults;
-use store::{Memory, Store};
+use store::{MemoryStore, Store};
 use tokio::net::TcpListener;
-use wire::{Link, codec};
+use wire::{LinkKind, codec};
 
 /// Offered keyed calls per second; the last is one in a thousand of all calls at the design size.
 const OFFERED: [u32; 4] = [20, 100, 400, 1_100];
@@ -110,10 +110,10 @@
     pages.unwrap_or(0_usize) * PAGE
 }
 
-async fn spawn_platform() -> (Memory, SocketAddr) {
+async fn spawn_platform() -> (MemoryStore, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     memory.set_faults(Faults {
         slow_ms: PLATFORM_MS,
         ..Faults::default()
@@ -172,7 +172,7 @@
 async fn accept(listener: TcpListener, shared: Arc<Shared<System>>, reserve: Handle<System>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         stream.set_nodelay(true).expect("an open socket");
-        let hello = make_hello(&shared, Link::Reserve);
+        let hello = make_hello(&shared, LinkKind::Reserve);
         if codec::read_hello(&mut stream).await.is_ok()
             && codec::write(&mut stream, &hello).await.is_ok()
         {
@@ -217,7 +217,7 @@
 fn print_row(
     method: &str,
     offered: u32,
-    platform: &Memory,
+    platform: &MemoryStore,
     (granted, refused): (Vec<Duration>, u32),
 ) {
     let percentile = |percent: usize| {
--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -179,7 +179,7 @@
             return Ok(self.parse_configuration(version, &text).await);
         }
         let journal = Journal::open(self.store.clone(), self.shared.clock.clone(), JOURNAL);
-        let last = match journal.read(after.0).await? {
+        let last = match journal.read_after(after.0).await? {
             Some(tail) => tail.records.last().map(|record| record.number),
             // The journal no longer reaches back to `after`, so there is surely a newer version.
             None => Some(after.0 + 1),
@@ -456,7 +456,7 @@
     C: Clock,
     S: Store,
 {
-    let Some(tail) = journal.read(after.0).await? else {
+    let Some(tail) = journal.read_after(after.0).await? else {
         return decode_update(JournalUpdate::Reset(journal.load().await?));
     };
     let mut responses = vec![PlatformResponse::LatestVersion(after)];
--- a/crates/node/src/control/link.rs
+++ b/crates/node/src/control/link.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use wire::control::Frame;
-use wire::{Error, Hello, Link, codec};
+use wire::{Error, Hello, LinkKind, codec};
 
 /// Capacity of a link's send queue in frames: all chunks of the largest configuration and lists of
 /// 14,000 endpoints fit. Queued frames share their contents with the queues of other links.
@@ -66,7 +66,7 @@
 {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    codec::write(&mut stream, &make_hello(shared, Link::Control)).await?;
+    codec::write(&mut stream, &make_hello(shared, LinkKind::Control)).await?;
     let Hello { node, zone, .. } = codec::read_hello(&mut stream).await?;
     let peer = Peer {
         node,
--- a/crates/node/src/inbound.rs
+++ b/crates/node/src/inbound.rs
@@ -38,7 +38,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Semaphore, oneshot};
 use wire::Hello;
-use wire::call::{Frame, Look, Reason, Request};
+use wire::call::{Frame, LoadProbe, Reason, Request};
 
 /// Number of shards of the attempt table, each with its own lock; all attempts of a peer are in
 /// one shard.
@@ -143,8 +143,8 @@
     }
 
     /// Estimates what would happen to a call that enters on this VM.
-    pub(crate) fn estimate(&self, look: &Look) -> Estimate {
-        load_probe::estimate(&self.inner, look)
+    pub(crate) fn estimate(&self, probe: &LoadProbe) -> Estimate {
+        load_probe::estimate(&self.inner, probe)
     }
 
     /// Runs a call that entered on this VM, without a link.
--- a/crates/node/src/inbound/deliver.rs
+++ b/crates/node/src/inbound/deliver.rs
@@ -56,7 +56,7 @@
         status: parts.status.as_u16(),
         headers: collect_end_to_end(&parts.headers),
         load_percent: percent_of(load_report.load),
-        waited_ms: whole_ms(load_report.queue_wait),
+        queue_wait_ms: whole_ms(load_report.queue_wait),
         end: end && first.is_none(),
     };
     call.send_head(head, first, end);
--- a/crates/node/src/inbound/inbound_call.rs
+++ b/crates/node/src/inbound/inbound_call.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::timeout;
-use wire::call::{Answer, EAGER, Frame, Reason, Refusal, WINDOW};
+use wire::call::{Answer, Frame, INITIAL_WINDOW, MAX_EAGER_BODY, Reason, Refusal};
 
 /// Interval at which the progress of a response's reader is checked.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -59,7 +59,11 @@
     /// none follows.
     pub(crate) fn new(id: Id, link: Arc<Sender>, is_complete: bool, length: u64) -> Arc<Self> {
         // A short body follows the head without being requested.
-        let eager = if length <= EAGER as u64 { EAGER } else { 0 };
+        let eager = if length <= MAX_EAGER_BODY as u64 {
+            MAX_EAGER_BODY
+        } else {
+            0
+        };
         Arc::new(Self {
             id,
             response: Mutex::new(ResponseStream::new(id, link)),
@@ -153,7 +157,7 @@
         let mut body = self.request_body.lock();
         if let Some(chunk) = body.chunks.pop_front() {
             body.consumed += chunk.len();
-            if body.consumed >= WINDOW / 2 && !body.ended {
+            if body.consumed >= INITIAL_WINDOW / 2 && !body.ended {
                 let bytes = u32::try_from(body.consumed).unwrap_or(u32::MAX);
                 body.consumed = 0;
                 drop(body);
--- a/crates/node/src/inbound/link.rs
+++ b/crates/node/src/inbound/link.rs
@@ -98,20 +98,20 @@
                 }
                 ControlFlow::Continue(())
             }
-            Frame::Ask {
+            Frame::QueryOutcome {
                 id,
-                link,
-                head,
+                previous_link,
+                head_received,
                 received,
-                room,
+                window,
             } => {
-                self.answer_query(id, link, head, received, room);
+                self.answer_query(id, previous_link, head_received, received, window);
                 ControlFlow::Continue(())
             }
-            Frame::Look(look) => {
-                let outlook = Frame::Outlook(load_probe::answer_probe(self.inner, &look));
+            Frame::LoadProbe(probe) => {
+                let estimate = Frame::Estimate(load_probe::answer_probe(self.inner, &probe));
                 // If the link is closed, the peer sees from its end that no reply comes.
-                drop(self.sender.send([outlook]));
+                drop(self.sender.send([estimate]));
                 ControlFlow::Continue(())
             }
             _ => ControlFlow::Break(()),
--- a/crates/node/src/inbound/load_probe.rs
+++ b/crates/node/src/inbound/load_probe.rs
@@ -7,17 +7,17 @@
 use policy::admission;
 use policy::load_probe::Estimate;
 use std::time::Duration;
-use wire::call::Look;
+use wire::call::LoadProbe;
 
 /// Answers a load probe of another node.
-pub(crate) fn answer_probe<C>(inner: &Inner<C>, look: &Look) -> wire::call::Outlook
+pub(crate) fn answer_probe<C>(inner: &Inner<C>, probe: &LoadProbe) -> wire::call::Estimate
 where
     C: Clock,
 {
-    let estimate = estimate(inner, look);
-    wire::call::Outlook {
-        serial: look.serial,
-        takes: estimate.accepts,
+    let estimate = estimate(inner, probe);
+    wire::call::Estimate {
+        serial: probe.serial,
+        accepts: estimate.accepts,
         wait_ms: whole_ms(estimate.wait),
         run_ms: estimate.run.map(whole_ms),
         load_percent: percent_of(estimate.load),
@@ -26,11 +26,11 @@
 
 /// Estimates what would happen to a call; `accepts` is false if it would be refused whatever the
 /// load.
-pub(crate) fn estimate<C>(inner: &Inner<C>, look: &Look) -> Estimate
+pub(crate) fn estimate<C>(inner: &Inner<C>, probe: &LoadProbe) -> Estimate
 where
     C: Clock,
 {
-    let Ok(backend) = inner.find_backend(&look.service) else {
+    let Ok(backend) = inner.find_backend(&probe.service) else {
         return Estimate {
             accepts: false,
             wait: Duration::ZERO,
@@ -41,14 +41,14 @@
         };
     };
     let request = admission::Request {
-        class: look.class,
+        class: probe.class,
         // No particular caller: fair shares are enforced when the call arrives.
         caller: 0,
         key: 0,
-        route: look.route,
-        deadline: deadline_after(inner, look.timeout_ms),
-        target: look.target_ms.map(|target| deadline_after(inner, target)),
-        nested: look.nested,
+        route: probe.route,
+        deadline: deadline_after(inner, probe.timeout_ms),
+        target: probe.target_ms.map(|target| deadline_after(inner, target)),
+        nested: probe.nested,
     };
     inner.gate.estimate(backend.slots, &request)
 }
--- a/crates/node/src/inbound/response_stream.rs
+++ b/crates/node/src/inbound/response_stream.rs
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::task::{Context, Poll, Waker};
-use wire::call::{Answer, Frame, Refusal, WINDOW};
+use wire::call::{Answer, Frame, INITIAL_WINDOW, Refusal};
 
 /// Largest part of a body in one frame: small enough that calls on one link take turns.
 pub(crate) const MAX_CHUNK: usize = 16 << 10;
@@ -54,7 +54,7 @@
             sent: 0,
             waiting: VecDeque::new(),
             waiting_bytes: 0,
-            credit_limit: WINDOW as u64,
+            credit_limit: INITIAL_WINDOW as u64,
             body_ended: false,
             end_sent: false,
             refusal: None,
@@ -120,7 +120,7 @@
     /// Adds credit of the outbound proxy.
     pub(super) fn add_credit(&mut self, bytes: u32) {
         self.credit_limit += u64::from(bytes);
-        let confirmed = self.credit_limit.saturating_sub(WINDOW as u64);
+        let confirmed = self.credit_limit.saturating_sub(INITIAL_WINDOW as u64);
         self.drop_confirmed(confirmed);
         self.send_available();
         wake(&mut self.writer);
--- a/crates/node/src/nodes.rs
+++ b/crates/node/src/nodes.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 use tokio::task::JoinHandle;
-use wire::{Error, Hello, Link, PROTOCOL, codec};
+use wire::{Error, Hello, LinkKind, PROTOCOL_VERSION, codec};
 
 /// Timeout for a peer's hello, so that connections that never identify themselves
 /// do not occupy memory.
@@ -43,12 +43,12 @@
 
 /// Makes the hello that this node sends on a link.
 #[must_use]
-pub fn make_hello<C>(shared: &Shared<C>, link: Link) -> Hello
+pub fn make_hello<C>(shared: &Shared<C>, link: LinkKind) -> Hello
 where
     C: Clock,
 {
     Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         node: shared.settings.name.clone(),
         incarnation: shared.incarnation,
         zone: shared.settings.zone.clone(),
@@ -123,9 +123,9 @@
         Err(_elapsed) => return Err(io::Error::from(io::ErrorKind::TimedOut).into()),
     };
     match hello.link {
-        Link::Call => handlers.inbound.accept(stream, &hello)?,
-        Link::Control => handlers.control.accept(stream, &hello)?,
-        Link::Reserve => handlers.reserve.accept(stream),
+        LinkKind::Call => handlers.inbound.accept(stream, &hello)?,
+        LinkKind::Control => handlers.control.accept(stream, &hello)?,
+        LinkKind::Reserve => handlers.reserve.accept(stream),
     }
     Ok(())
 }
--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -38,7 +38,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use tokio_io_timeout::TimeoutStream;
-use wire::{Hello, Link, PROTOCOL};
+use wire::{Hello, LinkKind, PROTOCOL_VERSION};
 
 /// Name of this listener in settings and metrics.
 const LISTENER: &str = "callers";
@@ -225,11 +225,11 @@
 {
     let connections = usize::from(shared.settings.connections);
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         node: shared.settings.name.clone(),
         incarnation: shared.incarnation,
         zone: shared.settings.zone.clone(),
-        link: Link::Call,
+        link: LinkKind::Call,
     };
     let locality = Locality {
         node: shared.settings.name.clone(),
--- a/crates/node/src/outbound/attempt.rs
+++ b/crates/node/src/outbound/attempt.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::task::{Context, Poll, Waker};
-use wire::call::{Answer, Frame, Reason, Refusal, WINDOW};
+use wire::call::{Answer, Frame, INITIAL_WINDOW, Reason, Refusal};
 
 /// One try of a call that was sent over a link and is not over yet.
 #[derive(Debug)]
@@ -115,7 +115,7 @@
         ReceiveProgress {
             head_received: state.head_seen,
             received: state.received,
-            window: WINDOW - state.held(),
+            window: INITIAL_WINDOW - state.held(),
         }
     }
 
@@ -137,7 +137,7 @@
                 state.head = Some(answer);
             }
             Frame::Body { bytes, end, .. } => {
-                if !state.head_seen || state.ended || state.held() + bytes.len() > WINDOW {
+                if !state.head_seen || state.ended || state.held() + bytes.len() > INITIAL_WINDOW {
                     return false;
                 }
                 state.received += bytes.len() as u64;
@@ -203,7 +203,7 @@
         let mut state = self.state.lock();
         if let Some(part) = state.parts.pop_front() {
             state.taken += part.len();
-            if state.taken >= WINDOW / 2 && !state.ended {
+            if state.taken >= INITIAL_WINDOW / 2 && !state.ended {
                 let bytes = u32::try_from(state.taken).unwrap_or(u32::MAX);
                 state.taken = 0;
                 let credit = Frame::Credit { id: self.id, bytes };
--- a/crates/node/src/outbound/link.rs
+++ b/crates/node/src/outbound/link.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
-use wire::call::{Frame, Look, Outlook, Reason, Request};
+use wire::call::{Estimate, Frame, LoadProbe, Reason, Request};
 use wire::{Hello, codec};
 
 /// Timeout for connecting to a peer and receiving its hello.
@@ -57,7 +57,7 @@
     leaving: AtomicBool,
     next_probe_serial: AtomicU64,
     /// Load probes that wait for a reply, by serial number.
-    pending_probes: Mutex<HashMap<u64, oneshot::Sender<Outlook>>>,
+    pending_probes: Mutex<HashMap<u64, oneshot::Sender<Estimate>>>,
     /// Finished attempts that have not been reported to the peer yet.
     finished: Mutex<Vec<u64>>,
 }
@@ -67,12 +67,12 @@
 pub(crate) struct PendingProbe<'a> {
     link: &'a Link,
     serial: u64,
-    receiver: oneshot::Receiver<Outlook>,
+    receiver: oneshot::Receiver<Estimate>,
 }
 
 impl PendingProbe<'_> {
     /// Waits for the reply; `None` when the link ends first.
-    pub(crate) async fn estimate(mut self) -> Option<Outlook> {
+    pub(crate) async fn estimate(mut self) -> Option<Estimate> {
         (&mut self.receiver).await.ok()
     }
 }
@@ -98,7 +98,7 @@
     }
 
     /// Sends a load probe for a call; `None` when the link is closed.
-    pub(crate) fn probe(&self, mut probe: Look) -> Option<PendingProbe<'_>> {
+    pub(crate) fn probe(&self, mut probe: LoadProbe) -> Option<PendingProbe<'_>> {
         let serial = self.next_probe_serial.fetch_add(1, Ordering::Relaxed);
         probe.serial = serial;
         let (sender, receiver) = oneshot::channel();
@@ -109,7 +109,7 @@
             receiver,
         };
         // An early return drops `pending`, which unregisters the probe.
-        self.sender.send([Frame::Look(probe)]).ok()?;
+        self.sender.send([Frame::LoadProbe(probe)]).ok()?;
         self.sender.expect_answer();
         Some(pending)
     }
@@ -131,12 +131,12 @@
             .lock()
             .insert(id.sequence, Arc::clone(attempt));
         let progress = attempt.move_to(Arc::clone(&self.sender));
-        let query = Frame::Ask {
+        let query = Frame::QueryOutcome {
             id,
-            link: attempt.link_number,
-            head: progress.head_received,
+            previous_link: attempt.link_number,
+            head_received: progress.head_received,
             received: progress.received,
-            room: u32::try_from(progress.window).unwrap_or(u32::MAX),
+            window: u32::try_from(progress.window).unwrap_or(u32::MAX),
         };
         if self.sender.send([query]).is_err() {
             self.forget(id);
@@ -162,10 +162,10 @@
     /// Attempt numbers are never reused, so a late or duplicate frame matches no
     /// attempt and cannot reach another caller.
     fn handle_frame(&self, frame: Frame) -> ControlFlow<()> {
-        if let Frame::Outlook(outlook) = frame {
-            if let Some(sender) = self.pending_probes.lock().remove(&outlook.serial) {
+        if let Frame::Estimate(estimate) = frame {
+            if let Some(sender) = self.pending_probes.lock().remove(&estimate.serial) {
                 // The prober may have timed out already.
-                drop(sender.send(outlook));
+                drop(sender.send(estimate));
             }
             return ControlFlow::Continue(());
         }
--- a/crates/node/src/outbound/pick.rs
+++ b/crates/node/src/outbound/pick.rs
@@ -11,7 +11,7 @@
 use policy::load_probe::{Estimate, ProbeResult};
 use std::sync::Arc;
 use std::time::Duration;
-use wire::call::Look;
+use wire::call::LoadProbe;
 
 /// Longest wait for the replies to load probes.
 ///
@@ -143,7 +143,7 @@
 where
     C: Clock,
 {
-    let request = Look {
+    let request = LoadProbe {
         serial: 0,
         service: plan.service.clone(),
         route: plan.route,
@@ -169,7 +169,7 @@
     }
     let reply = link.probe(request)?.estimate().await?;
     Some(Estimate {
-        accepts: reply.takes,
+        accepts: reply.accepts,
         wait: Duration::from_millis(reply.wait_ms.into()),
         run: reply.run_ms.map(|run| Duration::from_millis(run.into())),
         load: f64::from(reply.load_percent) / 100.0,
--- a/crates/node/src/outbound/plan.rs
+++ b/crates/node/src/outbound/plan.rs
@@ -19,7 +19,7 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wire::call::WINDOW;
+use wire::call::INITIAL_WINDOW;
 
 /// Header that names the caller on whose behalf a call is made; defaults to the peer's IP address.
 const CALLER_HEADER: &str = "bluebellpick-caller";
@@ -35,7 +35,7 @@
 const MAX_TIMEOUT: Duration = Duration::from_mins(5);
 
 // A digest is the same at every node only if all of the body that it covers is held in memory.
-const _: () = assert!(call::MAX_DIGEST_BODY <= WINDOW);
+const _: () = assert!(call::MAX_DIGEST_BODY <= INITIAL_WINDOW);
 
 /// Attempts for a call whose route has no retry rule, including the first.
 const DEFAULT_ATTEMPTS: u8 = 3;
@@ -239,7 +239,7 @@
 ) -> Result<remote_attempt::RequestBody, hyper::Error> {
     let mut prefix = Bytes::new();
     while !body.is_end_stream() {
-        if prefix.len() >= WINDOW {
+        if prefix.len() >= INITIAL_WINDOW {
             return Ok(remote_attempt::RequestBody {
                 prefix,
                 rest: Some(body),
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::oneshot;
-use wire::call::{EAGER, Frame, Header, Reason};
+use wire::call::{Frame, Header, MAX_EAGER_BODY, Reason};
 
 /// Header that names a try to the backend server, for its logs.
 pub(crate) const CALL_HEADER: &str = "bluebellpick-call";
@@ -195,7 +195,11 @@
     };
     let kept = body.prefix.clone();
     let length = body.length();
-    let credit = if length > EAGER as u64 { 0 } else { EAGER };
+    let credit = if length > MAX_EAGER_BODY as u64 {
+        0
+    } else {
+        MAX_EAGER_BODY
+    };
     let first = kept.slice(..kept.len().min(credit));
     let end = body.rest.is_none() && first.len() == kept.len();
     let sent = inner.links.send(&link, plan.repeatable, credit, |id| {
@@ -224,7 +228,7 @@
         Ok(Ok(answer)) => {
             let told = LoadReport {
                 load: f64::from(answer.load_percent) / 100.0,
-                queue_wait: Duration::from_millis(answer.waited_ms.into()),
+                queue_wait: Duration::from_millis(answer.queue_wait_ms.into()),
             };
             let id = answer.id;
             let head = read_head(answer);
--- a/crates/node/src/outbound/serve.rs
+++ b/crates/node/src/outbound/serve.rs
@@ -26,7 +26,7 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wire::call::{EAGER, Reason};
+use wire::call::{MAX_EAGER_BODY, Reason};
 
 /// A call's answer, and how it counts.
 pub(crate) struct Served<C>
@@ -119,7 +119,7 @@
         Ok(Err(_)) => return reject(StatusCode::BAD_REQUEST, "body-cut-off"),
         Err(_) => return reject(StatusCode::REQUEST_TIMEOUT, "body-late"),
     };
-    if body.length() > EAGER as u64 {
+    if body.length() > MAX_EAGER_BODY as u64 {
         plan.body_size = BodySize::Large;
     }
     plan.digest = digest_of(&plan, &head, &body);
--- a/crates/node/src/reserve.rs
+++ b/crates/node/src/reserve.rs
@@ -35,7 +35,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::{Instant, timeout_at};
-use wire::Link;
+use wire::LinkKind;
 
 /// Maximum time to wait for a reservation, over all attempts.
 ///
@@ -354,7 +354,7 @@
             return link.clone();
         }
         links.retain(|_, link| !link.is_closed());
-        let link = OwnerLink::open(address, make_hello(&self.shared, Link::Reserve));
+        let link = OwnerLink::open(address, make_hello(&self.shared, LinkKind::Reserve));
         links.insert(address, link.clone());
         link
     }
--- a/crates/node/src/reserve/journal.rs
+++ b/crates/node/src/reserve/journal.rs
@@ -6,7 +6,7 @@
 use clock::Clock;
 use smol_str::{SmolStr, format_smolstr};
 use std::time::Duration;
-use store::journal::{Append, Moment, Record};
+use store::journal::{AppendOutcome, Record, Timestamp};
 use store::retention::RetentionTracker;
 use store::{Error, Journal, Store};
 use tokio::time::Instant;
@@ -33,7 +33,7 @@
     number: u64,
     nonce: SmolStr,
     /// When the number was known to be free.
-    free_at: Moment,
+    free_at: Timestamp,
     entries: Vec<Entry>,
 }
 
@@ -47,7 +47,7 @@
     /// Number of the last applied record.
     position: u64,
     /// When the next number was known to be free.
-    free_at: Moment,
+    free_at: Timestamp,
     /// When the table was last up to date.
     fresh_at: Option<Instant>,
     /// A record whose write got no response: it may be committed, now or later.
@@ -66,7 +66,7 @@
     C: Clock,
 {
     pub(crate) fn new(journal: Journal<S, C>, clock: C) -> Self {
-        let free_at = journal.moment();
+        let free_at = journal.now();
         Self {
             journal,
             clock,
@@ -133,9 +133,9 @@
 
     /// Applies the records that other nodes have written.
     pub(crate) async fn catch_up(&mut self) -> Result<(), Error> {
-        let free_at = self.journal.moment();
+        let free_at = self.journal.now();
         let now = Instant::now();
-        let Some(tail) = self.journal.read(self.position).await? else {
+        let Some(tail) = self.journal.read_after(self.position).await? else {
             return self.load().await;
         };
         for record in &tail.records {
@@ -180,18 +180,18 @@
 
     async fn append(&mut self, record: PendingRecord) -> Result<Option<Vec<Reply>>, Error> {
         let value = encode(&record.entries)?;
-        let free_at = self.journal.moment();
+        let free_at = self.journal.now();
         let now = Instant::now();
         let journal = &self.journal;
         let appended = journal.append(record.number, &record.nonce, &value, record.free_at);
         match appended.await {
-            Ok(Append::Written) => {
+            Ok(AppendOutcome::Written) => {
                 self.free_at = free_at;
                 self.fresh_at = Some(now);
                 self.expiry.record_commit(&self.clock, record.number);
                 Ok(Some(self.apply(&record.entries, record.number)))
             }
-            Ok(Append::Taken(_)) => Ok(None),
+            Ok(AppendOutcome::Taken(_)) => Ok(None),
             Err(error) => {
                 if matches!(error, Error::Unknown(_) | Error::Gone) {
                     self.abandoned
@@ -227,15 +227,15 @@
     }
 
     async fn load(&mut self) -> Result<(), Error> {
-        let free_at = self.journal.moment();
+        let free_at = self.journal.now();
         let now = Instant::now();
         let loaded = self.journal.load().await?;
         self.table = match &loaded.snapshot {
             Some(value) => decode(value)?,
             None => KeyTable::default(),
         };
-        self.position = loaded.number;
-        self.snapshot = loaded.number;
+        self.position = loaded.snapshot_number;
+        self.snapshot = loaded.snapshot_number;
         for record in &loaded.tail.records {
             self.apply_record(record)?;
         }
--- a/crates/node/src/reserve/link.rs
+++ b/crates/node/src/reserve/link.rs
@@ -204,7 +204,7 @@
             );
             Some(Frame::Claim { serial, claim })
         }
-        Request::Outcome(entry) => Some(Frame::Note(entry)),
+        Request::Outcome(entry) => Some(Frame::Outcome(entry)),
         Request::Flush(done) => {
             // Fails only if the receiver has stopped waiting, which is harmless.
             let _sent = done.send(());
@@ -219,7 +219,7 @@
 /// waits for any longer.
 fn handle_frame(frame: Frame, sent: &mut HashMap<u64, SentClaim>) -> Option<Frame> {
     match frame {
-        Frame::Heard { serial } => {
+        Frame::Acknowledged { serial } => {
             sent.get_mut(&serial)?.acknowledged = true;
             None
         }
@@ -231,12 +231,12 @@
             } = sent.remove(&serial)?;
             let granted = reply == Reply::Granted;
             let abandoned = sender.send(reply).is_err();
-            (abandoned && granted).then_some(Frame::Note(Entry::Release {
+            (abandoned && granted).then_some(Frame::Outcome(Entry::Release {
                 key: claim.key,
                 holder: claim.holder,
             }))
         }
-        Frame::Claim { .. } | Frame::Note(_) => None,
+        Frame::Claim { .. } | Frame::Outcome(_) => None,
     }
 }
 
@@ -261,8 +261,8 @@
     while let Ok(Some(frame)) = timeout(2 * IDLE_TIMEOUT, received.recv()).await {
         match frame {
             Frame::Claim { serial, claim } => serve_claim(serial, claim, &shards, &replies).await,
-            Frame::Note(entry) => queue_outcome(entry, &shards),
-            Frame::Heard { .. } | Frame::Reply { .. } => break,
+            Frame::Outcome(entry) => queue_outcome(entry, &shards),
+            Frame::Acknowledged { .. } | Frame::Reply { .. } => break,
         }
     }
     reader.abort();
@@ -283,7 +283,7 @@
     if shard.try_send(Command::Claim(claim, sender)).is_err() {
         return;
     }
-    drop(replies.send(Frame::Heard { serial }).await);
+    drop(replies.send(Frame::Acknowledged { serial }).await);
     let replies = replies.clone();
     tokio::spawn(async move {
         if let Ok(reply) = receiver.await {
--- a/crates/node/tests/calls/keyed.rs
+++ b/crates/node/tests/calls/keyed.rs
@@ -10,7 +10,7 @@
 use standin::record::Record;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use store::Memory;
+use store::MemoryStore;
 use store::memory::Faults;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -22,11 +22,11 @@
     two: Node,
     far: Node,
     record: Record,
-    store: Memory,
+    store: MemoryStore,
 }
 
 async fn spawn_mesh() -> Mesh {
-    let store = Memory::new();
+    let store = MemoryStore::new();
     let (address, record) = spawn_server(2).await;
     let one = spawn_node_with("one", &store).await;
     let two = spawn_node_with("two", &store).await;
--- a/crates/node/tests/calls/load_probe.rs
+++ b/crates/node/tests/calls/load_probe.rs
@@ -4,16 +4,16 @@
 use crate::raw_peer::{encode, open_link, read_frame};
 use config::Class;
 use tokio::io::AsyncWriteExt;
-use wire::call::{Frame, Look, Outlook};
+use wire::call::{Estimate, Frame, LoadProbe};
 
-async fn probe(service: &str, is_leaving: bool) -> Outlook {
+async fn probe(service: &str, is_leaving: bool) -> Estimate {
     let (address, _record) = spawn_server(6).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 6);
     far.shared.leaving.send_replace(is_leaving);
     let mut stream = open_link(&near, &far).await;
-    let request = Look {
+    let request = LoadProbe {
         serial: 5,
         service: service.into(),
         route: 1,
@@ -23,11 +23,11 @@
         target_ms: None,
     };
     stream
-        .write_all(&encode(Frame::Look(request)))
+        .write_all(&encode(Frame::LoadProbe(request)))
         .await
         .unwrap();
     loop {
-        if let Frame::Outlook(estimate) = read_frame(&mut stream).await {
+        if let Frame::Estimate(estimate) = read_frame(&mut stream).await {
             return estimate;
         }
     }
@@ -36,7 +36,7 @@
 #[tokio::test]
 async fn idle_accepts() {
     let estimate = probe("jobs", false).await;
-    let reported = (estimate.serial, estimate.takes, estimate.wait_ms);
+    let reported = (estimate.serial, estimate.accepts, estimate.wait_ms);
     assert_eq!(reported, (5, true, 0));
     assert_eq!(estimate.load_percent, 0);
 }
@@ -51,6 +51,6 @@
 #[test_macro(tokio::test)]
 async fn refusing_reports_full_load(service: &str, is_leaving: bool) {
     let estimate = probe(service, is_leaving).await;
-    assert!(!estimate.takes);
+    assert!(!estimate.accepts);
     assert_eq!(estimate.load_percent, 100);
 }
--- a/crates/node/tests/calls/mesh.rs
+++ b/crates/node/tests/calls/mesh.rs
@@ -16,9 +16,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use store::Memory;
+use store::MemoryStore;
 use tokio::net::{TcpListener, TcpStream};
-use wire::{Link, codec};
+use wire::{LinkKind, codec};
 
 /// A node in this process.
 #[derive(Debug)]
@@ -38,11 +38,11 @@
 
 /// Starts a node named `name` in a zone of its own.
 pub async fn spawn_node(name: &str) -> Node {
-    spawn_node_with(name, &Memory::new()).await
+    spawn_node_with(name, &MemoryStore::new()).await
 }
 
 /// Starts a node that keeps its reservations in `store`.
-pub async fn spawn_node_with(name: &str, store: &Memory) -> Node {
+pub async fn spawn_node_with(name: &str, store: &MemoryStore) -> Node {
     let (listener, nodes) = bind().await;
     let text = format!(
         "[node]\nname = {name}\nzone = zone-{name}\nregion = kl\n\
@@ -85,7 +85,7 @@
                 .is_ok()
         {
             match peer_hello.link {
-                Link::Reserve => reserve.accept(stream),
+                LinkKind::Reserve => reserve.accept(stream),
                 _ => inbound.accept(stream, &peer_hello).unwrap(),
             }
         }
--- a/crates/node/tests/calls/raw_peer.rs
+++ b/crates/node/tests/calls/raw_peer.rs
@@ -6,14 +6,14 @@
 use node::nodes::make_hello;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
-use wire::Link;
+use wire::LinkKind;
 use wire::call::{Frame, Header, Request};
 use wire::codec;
 
 /// Opens a call link to `far` in the name of the node `peer`.
 pub async fn open_link(peer: &Node, far: &Node) -> TcpStream {
     let mut stream = TcpStream::connect(far.nodes_address).await.unwrap();
-    let hello = make_hello(&peer.shared, Link::Call);
+    let hello = make_hello(&peer.shared, LinkKind::Call);
     codec::write(&mut stream, &hello).await.unwrap();
     codec::read_hello(&mut stream).await.unwrap();
     let open = encode(Frame::Open { link: 1 });
--- a/crates/node/tests/calls/round_trip.rs
+++ b/crates/node/tests/calls/round_trip.rs
@@ -139,7 +139,7 @@
             status: 200,
             headers: Vec::new(),
             load_percent: 0,
-            waited_ms: 0,
+            queue_wait_ms: 0,
             end: false,
         })
     };
@@ -381,7 +381,7 @@
 async fn unread_replies() {
     let far = spawn_node("far").await;
     let mut stream = TcpStream::connect(far.nodes_address).await.unwrap();
-    let hello = make_hello(&spawn_node("deaf").await.shared, wire::Link::Call);
+    let hello = make_hello(&spawn_node("deaf").await.shared, wire::LinkKind::Call);
     codec::write(&mut stream, &hello).await.unwrap();
     let open = wire::Frame::Call(Frame::Open { link: 1 });
     codec::write(&mut stream, &open).await.unwrap();
--- a/crates/node/tests/control.rs
+++ b/crates/node/tests/control.rs
@@ -7,7 +7,7 @@
 use settings::node::Settings;
 use std::sync::Arc;
 use std::time::Duration;
-use store::Memory;
+use store::MemoryStore;
 
 const SETTINGS: &str = "[node]\nname = records-1\nzone = kl-a\nregion = kl\n\
     [listen]\ncallers = 127.0.0.1:1\nbackend = 127.0.0.1:2\n\
@@ -32,7 +32,7 @@
         cold_ms: None,
         leaving: false,
     }));
-    let _control = control::spawn(Arc::clone(&shared), Memory::new());
+    let _control = control::spawn(Arc::clone(&shared), MemoryStore::new());
     let is_serving = async {
         loop {
             let view = shared.view.load_full();
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
-use wire::{Hello, Link, PROTOCOL, codec};
+use wire::{Hello, LinkKind, PROTOCOL_VERSION, codec};
 use yare::parameterized;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_bluebellpick-node");
@@ -258,7 +258,7 @@
     (0..length).map(|_| next()).collect()
 }
 
-fn make_hello(protocol: u16, link: Link) -> Vec<u8> {
+fn make_hello(protocol: u16, link: LinkKind) -> Vec<u8> {
     let hello = Hello {
         protocol,
         node: "records-2".into(),
@@ -276,14 +276,14 @@
 fn make_malformed_input() -> Vec<Vec<u8>> {
     let huge = u32::MAX.to_le_bytes().to_vec();
     let unknown = [2, 0, 0, 0, 1, 120].to_vec();
-    let hello = make_hello(PROTOCOL, Link::Call);
+    let hello = make_hello(PROTOCOL_VERSION, LinkKind::Call);
     let half = hello[..hello.len() / 2].to_vec();
-    let links = [Link::Call, Link::Control].map(|link| make_hello(PROTOCOL, link));
+    let links = [LinkKind::Call, LinkKind::Control].map(|link| make_hello(PROTOCOL_VERSION, link));
     let mut inputs = vec![
         make_noise(1, 2_000),
         make_noise(2, 100_000),
         half,
-        make_hello(PROTOCOL + 1, Link::Call),
+        make_hello(PROTOCOL_VERSION + 1, LinkKind::Call),
         huge.clone(),
     ];
     for link in links {
@@ -321,8 +321,9 @@
     }
     // A valid peer must still receive a hello.
     let mut peer = node.connect(NODES);
-    peer.write_all(&make_hello(PROTOCOL, Link::Call)).unwrap();
-    let mut prefix = [0; codec::PREFIX];
+    peer.write_all(&make_hello(PROTOCOL_VERSION, LinkKind::Call))
+        .unwrap();
+    let mut prefix = [0; codec::PREFIX_LEN];
     peer.read_exact(&mut prefix).unwrap();
     drop(peer);
     node.signal(Signal::TERM);
--- a/crates/node/tests/reserve.rs
+++ b/crates/node/tests/reserve.rs
@@ -16,12 +16,12 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use store::Memory;
+use store::MemoryStore;
 use store::memory::Faults;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
-use wire::{Link, codec};
+use wire::{LinkKind, codec};
 
 const LIMIT: Duration = Duration::from_secs(5);
 
@@ -37,11 +37,11 @@
     calls: AtomicU64,
 }
 
-async fn spawn_node(name: &str, store: &Memory) -> Node {
+async fn spawn_node(name: &str, store: &MemoryStore) -> Node {
     spawn_node_with(name, store, System).await
 }
 
-async fn spawn_node_with<C>(name: &str, store: &Memory, clock: C) -> Node<C>
+async fn spawn_node_with<C>(name: &str, store: &MemoryStore, clock: C) -> Node<C>
 where
     C: Clock,
 {
@@ -71,7 +71,7 @@
 {
     while let Ok((mut stream, _)) = listener.accept().await {
         if codec::read_hello(&mut stream).await.is_ok() {
-            let hello = make_hello(&shared, Link::Reserve);
+            let hello = make_hello(&shared, LinkKind::Reserve);
             codec::write(&mut stream, &hello).await.unwrap();
             reserve.accept(stream);
         }
@@ -120,7 +120,7 @@
 }
 
 /// Starts three nodes that agree on the owners.
-async fn spawn_fleet(store: &Memory) -> Vec<Node> {
+async fn spawn_fleet(store: &MemoryStore) -> Vec<Node> {
     let mut fleet = Vec::new();
     for name in ["first", "second", "third"] {
         fleet.push(spawn_node(name, store).await);
@@ -167,7 +167,7 @@
 // run" as long as that is not known.
 #[tokio::test]
 async fn repeat_at_other_node() {
-    let fleet = spawn_fleet(&Memory::new()).await;
+    let fleet = spawn_fleet(&MemoryStore::new()).await;
     for key in ["k1", "k2", "k3", "k4", "k5", "k6"] {
         let grant = expect_grant(fleet[0].claim(key).await);
         for node in &fleet {
@@ -188,7 +188,7 @@
 
 #[tokio::test]
 async fn released_key() {
-    let fleet = spawn_fleet(&Memory::new()).await;
+    let fleet = spawn_fleet(&MemoryStore::new()).await;
     let grant = expect_grant(fleet[0].claim("k1").await);
     fleet[0].reserve.release(grant);
     let unsettled = |reply: &Reply| *reply == Reply::Unsettled;
@@ -199,7 +199,7 @@
 // the caller's repeat gets "may have run" for a day.
 #[tokio::test(start_paused = true)]
 async fn flush_at_stop() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let node = spawn_node("own", &memory).await;
     let keys = ["k1", "k2", "k3", "k4", "k5", "k6"];
     for key in keys {
@@ -219,7 +219,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn expired_key() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let clock = Manual::new();
     let node = spawn_node_with("own", &memory, clock.clone()).await;
     let grant = expect_grant(node.claim("k1").await);
@@ -252,7 +252,7 @@
 #[tokio::test(start_paused = true)]
 async fn full_shard() {
     let clock = Manual::new();
-    let node = Arc::new(spawn_node_with("own", &Memory::new(), clock.clone()).await);
+    let node = Arc::new(spawn_node_with("own", &MemoryStore::new(), clock.clone()).await);
     let keys: Vec<_> = (0..u64::MAX)
         .map(|number| number.to_string())
         .filter(|key| Key::of("claims", key).shard() == 0)
@@ -285,7 +285,7 @@
 // platform, so each record must contain many reservations.
 #[tokio::test]
 async fn group_commit() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     memory.set_faults(Faults {
         slow_ms: 20,
         ..Faults::default()
@@ -307,7 +307,7 @@
 // The owner of a key's shard is gone, and nothing answers at its address.
 #[tokio::test]
 async fn owner_gone() {
-    let fleet = spawn_fleet(&Memory::new()).await;
+    let fleet = spawn_fleet(&MemoryStore::new()).await;
     fleet[1].listener.abort();
     fleet[2].listener.abort();
     for number in 0..16 {
@@ -324,7 +324,7 @@
 // nothing; once the platform is back, the same key must be granted.
 #[tokio::test(start_paused = true)]
 async fn platform_outage() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let node = spawn_node("own", &memory).await;
     memory.set_faults(Faults {
         down: true,
@@ -350,14 +350,14 @@
 // then: 1 to 6 sockets at a node 2 s after all faults had ended.
 #[tokio::test]
 async fn link_closed() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let owner = spawn_node("own", &memory).await;
     memory.set_faults(Faults {
         slow_ms: 60_000,
         ..Faults::default()
     });
     let mut stream = TcpStream::connect(owner.forwarder.address()).await.unwrap();
-    let hello = make_hello(&owner.shared, Link::Reserve);
+    let hello = make_hello(&owner.shared, LinkKind::Reserve);
     codec::write(&mut stream, &hello).await.unwrap();
     codec::read_hello(&mut stream).await.unwrap();
     let claim = Claim {
@@ -376,7 +376,7 @@
         .await
         .unwrap();
     let received: wire::Frame = codec::read(&mut stream, &mut Vec::new()).await.unwrap();
-    let expected = wire::reserve::Frame::Heard { serial: 1 };
+    let expected = wire::reserve::Frame::Acknowledged { serial: 1 };
     assert_eq!(received, wire::Frame::Reserve(expected));
     stream.shutdown().await.unwrap();
     let mut rest = Vec::new();
@@ -388,7 +388,7 @@
 // timeout; the following ones must be refused immediately.
 #[tokio::test(start_paused = true)]
 async fn slow_platform() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let node = spawn_node("own", &memory).await;
     memory.set_faults(Faults {
         slow_ms: 60_000,
@@ -413,7 +413,7 @@
 // "may have run" for a day.
 #[tokio::test(start_paused = true)]
 async fn record_in_doubt() {
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     let node = spawn_node("own", &memory).await;
     memory.set_faults(Faults {
         lose_next: 4,
@@ -458,7 +458,7 @@
 }
 
 /// Changes the platform's faults at random.
-async fn inject_faults(memory: Memory, mut rng: SmallRng) {
+async fn inject_faults(memory: MemoryStore, mut rng: SmallRng) {
     loop {
         memory.set_faults(Faults {
             slow_ms: rng.random_range(0..20),
@@ -469,7 +469,7 @@
         });
         let pause = Duration::from_millis(rng.random_range(0..200));
         tokio::time::sleep(pause).await;
-        memory.deliver();
+        memory.deliver_late_writes();
     }
 }
 
@@ -480,7 +480,7 @@
 #[yare::parameterized(one = { 1 }, two = { 2 }, three = { 3 }, four = { 4 })]
 #[test_macro(tokio::test(start_paused = true))]
 async fn rival_owners(seed: u64) {
-    let memory = Memory::seeded(seed);
+    let memory = MemoryStore::with_seed(seed);
     let mut nodes = Vec::new();
     for name in ["first", "second", "third"] {
         nodes.push(spawn_node(name, &memory).await);
@@ -504,7 +504,7 @@
 #[yare::parameterized(one = { 1 }, two = { 2 })]
 #[test_macro(tokio::test)]
 async fn stalled_links(seed: u64) {
-    let memory = Memory::seeded(seed);
+    let memory = MemoryStore::with_seed(seed);
     let nodes = Arc::new(spawn_fleet(&memory).await);
     let rng = SmallRng::seed_from_u64(seed);
     let stalls = tokio::spawn(stall_connections(Arc::clone(&nodes), rng));
@@ -516,7 +516,7 @@
 /// Runs callers while the platform is faulty; returns how many got their answer.
 ///
 /// Panics if more than one call ran under a key.
-async fn run_callers(seed: u64, memory: Memory, nodes: Arc<Vec<Node>>) -> u32 {
+async fn run_callers(seed: u64, memory: MemoryStore, nodes: Arc<Vec<Node>>) -> u32 {
     let runs = Runs::default();
     let faults = tokio::spawn(inject_faults(memory.clone(), SmallRng::seed_from_u64(seed)));
     let callers = (0..120).map(|caller| {
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use store::Memory;
+use store::MemoryStore;
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Exit status of a backend server that a request has crashed.
@@ -188,7 +188,7 @@
             seed,
         } => {
             let listener = standin::http::bind(listen).await?;
-            standin::platform::serve(listener, Memory::seeded(seed), rates).await;
+            standin::platform::serve(listener, MemoryStore::with_seed(seed), rates).await;
         }
         Command::Backend {
             listen,
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -17,7 +17,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use store::{Event, MAX_VALUE_BYTES, Memory, Object, Revision, Store};
+use store::{Event, MAX_VALUE_BYTES, MemoryStore, Object, Revision, Store};
 use tokio::net::TcpListener;
 
 /// Room for an object's JSON around the value.
@@ -46,15 +46,15 @@
 }
 
 struct Shared {
-    memory: Memory,
+    memory: MemoryStore,
     writes: Mutex<Limit>,
     reads: Mutex<Limit>,
     /// What `POST /restore` comes back from.
-    copy: Mutex<Option<store::memory::Copy>>,
+    copy: Mutex<Option<store::memory::Backup>>,
 }
 
 /// Serves `memory` on `listener` for as long as the process lives.
-pub async fn serve(listener: TcpListener, memory: Memory, rates: Rates) {
+pub async fn serve(listener: TcpListener, memory: MemoryStore, rates: Rates) {
     let now = Instant::now();
     let shared = Arc::new(Shared {
         memory,
@@ -93,7 +93,7 @@
     Ok(match (request.method(), path.as_str()) {
         (&Method::GET, "/counts") => answer_json(StatusCode::OK, &shared.memory.counts()),
         (&Method::POST, "/copy") => {
-            *shared.copy.lock() = Some(shared.memory.copy());
+            *shared.copy.lock() = Some(shared.memory.backup());
             answer_json(StatusCode::OK, &Value::Null)
         }
         (&Method::POST, "/restore") => match shared.copy.lock().clone() {
@@ -161,7 +161,7 @@
 }
 
 async fn read_object(
-    memory: &Memory,
+    memory: &MemoryStore,
     kind: &str,
     leaf: &str,
 ) -> Result<Response<Body>, store::Error> {
@@ -171,7 +171,7 @@
 }
 
 async fn read_list(
-    memory: &Memory,
+    memory: &MemoryStore,
     kind: &str,
     query: &HashMap<&str, &str>,
 ) -> Result<Response<Body>, store::Error> {
@@ -187,7 +187,11 @@
     Ok(answer_json(StatusCode::OK, &page))
 }
 
-async fn create(memory: &Memory, kind: &str, item: Item) -> Result<Response<Body>, store::Error> {
+async fn create(
+    memory: &MemoryStore,
+    kind: &str,
+    item: Item,
+) -> Result<Response<Body>, store::Error> {
     let name = format!("{kind}/{}", item.metadata.name);
     let revision = memory.create(&name, &item.spec).await?;
     let written = Item::new(&item.metadata.name, Some(revision), item.spec);
@@ -196,7 +200,7 @@
 
 /// Replaces an object, or answers with it as it stands when it is another than expected.
 async fn replace(
-    memory: &Memory,
+    memory: &MemoryStore,
     kind: &str,
     leaf: &str,
     item: Item,
@@ -209,7 +213,7 @@
 
 /// Reports on an object, or answers with it as it stands when it is another than expected.
 async fn report(
-    memory: &Memory,
+    memory: &MemoryStore,
     kind: &str,
     leaf: &str,
     item: Item,
@@ -221,7 +225,7 @@
 }
 
 async fn answer_written(
-    memory: &Memory,
+    memory: &MemoryStore,
     name: &str,
     written: Result<Revision, store::Error>,
 ) -> Result<Response<Body>, store::Error> {
@@ -239,7 +243,7 @@
 
 /// Waits until something of a kind has changed, or the time that the reader gave is up.
 async fn wait_changes(
-    memory: &Memory,
+    memory: &MemoryStore,
     kind: &str,
     query: &HashMap<&str, &str>,
 ) -> Result<Response<Body>, store::Error> {
@@ -300,12 +304,12 @@
     }
 }
 
-fn era_of(memory: &Memory) -> u64 {
+fn era_of(memory: &MemoryStore) -> u64 {
     memory.watch_era().borrow().unwrap_or_default()
 }
 
 /// Gives the place of a write of the era that holds now.
-fn now_at(memory: &Memory, number: u64) -> Revision {
+fn now_at(memory: &MemoryStore, number: u64) -> Revision {
     Revision {
         era: era_of(memory),
         number,
@@ -319,7 +323,7 @@
         .collect()
 }
 
-fn read_revision(memory: &Memory, query: &HashMap<&str, &str>, key: &str) -> Option<Revision> {
+fn read_revision(memory: &MemoryStore, query: &HashMap<&str, &str>, key: &str) -> Option<Revision> {
     let number = query.get(key)?.parse().ok()?;
     Some(now_at(memory, number))
 }
--- a/crates/standin/tests/object_api.rs
+++ b/crates/standin/tests/object_api.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use store::follow::JournalUpdate;
 use store::memory::Faults;
-use store::{Error, Event, Follower, Journal, Memory, Store, Watch};
+use store::{Error, Event, Follower, Journal, MemoryStore, Store, Watch};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
@@ -18,10 +18,10 @@
     settle: Duration::from_millis(100),
 };
 
-async fn open(rates: Rates, limits: Limits) -> (Memory, Client) {
+async fn open(rates: Rates, limits: Limits) -> (MemoryStore, Client) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let memory = Memory::new();
+    let memory = MemoryStore::new();
     tokio::spawn(serve(listener, memory.clone(), rates));
     (memory, Client::open(address, limits))
 }
@@ -93,7 +93,7 @@
     }
     let removed = next_change(&mut watch).await;
     assert!(matches!(removed, Ok(Event::Deleted { name, .. }) if name == "a/1"));
-    memory.forget_history();
+    memory.compact_history();
     let mut late = client.watch("a/", first).await.unwrap();
     assert_eq!(late.next().await, Err(Error::Gone));
 }
@@ -155,7 +155,7 @@
     let forwarder = Forwarder::spawn(listener.local_addr().unwrap())
         .await
         .unwrap();
-    tokio::spawn(serve(listener, Memory::new(), Rates::default()));
+    tokio::spawn(serve(listener, MemoryStore::new(), Rates::default()));
     let client = Client::open(forwarder.address(), QUICK);
     let one = json!(1);
     let (first, second, third) = tokio::join!(
@@ -216,12 +216,12 @@
     let forwarder = Forwarder::spawn(listener.local_addr().unwrap())
         .await
         .unwrap();
-    tokio::spawn(serve(listener, Memory::new(), Rates::default()));
+    tokio::spawn(serve(listener, MemoryStore::new(), Rates::default()));
     let client = Client::open(forwarder.address(), QUICK);
     let journal = Journal::open(client, clock::System, "numbers");
     let mut follower = Follower::open(journal.clone(), Some(0));
     for number in 1..4 {
-        let free = journal.moment();
+        let free = journal.now();
         let nonce = number.to_string();
         journal
             .append(number, &nonce, &json!(number), free)
@@ -330,7 +330,7 @@
     client.create("things/a", &json!(1)).await.unwrap();
     let mut eras = client.watch_era();
     assert_eq!(*eras.borrow_and_update(), Some(0));
-    let copy = memory.copy();
+    let copy = memory.backup();
     let lost = client.create("things/b", &json!("lost")).await.unwrap();
     let mut watch = client.watch("things", lost).await.unwrap();
     memory.restore(copy);
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -1,6 +1,6 @@
 //! A reader that learns of a journal's records as they are written.
 
-use crate::journal::{Loaded, Record};
+use crate::journal::{LoadedJournal, Record};
 use crate::{Error, Event, Journal, Revision, Store, Watch};
 use clock::Clock;
 use policy::backoff::Backoff;
@@ -20,7 +20,7 @@
     /// The next record.
     Record(Record),
     /// The whole journal, because records in between are gone or none was known.
-    Reset(Loaded),
+    Reset(LoadedJournal),
 }
 
 /// A reader of a journal.
@@ -96,7 +96,7 @@
     }
 
     /// Takes one step: reads what is missing, opens the watch, or waits for its next event.
-    async fn advance(&mut self) -> Result<Option<Loaded>, Error> {
+    async fn advance(&mut self) -> Result<Option<LoadedJournal>, Error> {
         let Some(watch) = &mut self.watch else {
             return self.catch_up().await;
         };
@@ -112,19 +112,22 @@
         Ok(None)
     }
 
-    async fn catch_up(&mut self) -> Result<Option<Loaded>, Error> {
+    async fn catch_up(&mut self) -> Result<Option<LoadedJournal>, Error> {
         let tail = match self.position {
-            Some(position) => self.journal.read(position).await?,
+            Some(position) => self.journal.read_after(position).await?,
             None => None,
         };
         let Some(tail) = tail else {
             let loaded = self.journal.load().await?;
             // What the platform tells is older than what is known already.
-            if self.position.is_some_and(|known| loaded.last() < known) {
+            if self
+                .position
+                .is_some_and(|known| loaded.last_number() < known)
+            {
                 return Err(Error::Unavailable("the platform went back".into()));
             }
             self.open_watch(loaded.tail.revision).await?;
-            self.position = Some(loaded.last());
+            self.position = Some(loaded.last_number());
             return Ok(Some(loaded));
         };
         self.ready.extend(tail.records);
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -20,7 +20,7 @@
 /// Time since a number was seen to be free, after which a successful creation
 /// of it is checked against the floor. Records are kept for ten times as long
 /// at least ([`crate::retention::RETENTION`]), so that clocks may differ much.
-pub const FREE_TIMEOUT: Duration = Duration::from_mins(1);
+pub const FLOOR_CHECK_AFTER: Duration = Duration::from_mins(1);
 
 /// Tries of a creation whose answer is lost, before the caller is told.
 const CREATE_ATTEMPTS: u32 = 3;
@@ -47,7 +47,7 @@
 
 /// How an append ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Append {
+pub enum AppendOutcome {
     /// The record stands at the number.
     Written,
     /// Another's record stands there.
@@ -65,21 +65,21 @@
 
 /// All that is needed to know the whole journal.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Loaded {
+pub struct LoadedJournal {
     /// Number of the last record that the snapshot contains.
-    pub number: u64,
+    pub snapshot_number: u64,
     /// The snapshot, unless there is none yet.
     pub snapshot: Option<Value>,
     /// What comes after it.
     pub tail: Tail,
 }
 
-impl Loaded {
+impl LoadedJournal {
     /// Gives the number of the last record.
     #[must_use]
-    pub fn last(&self) -> u64 {
+    pub fn last_number(&self) -> u64 {
         let last = self.tail.records.last();
-        last.map_or(self.number, |record| record.number)
+        last.map_or(self.snapshot_number, |record| record.number)
     }
 }
 
@@ -94,12 +94,12 @@
 
 /// A moment by the monotonic clock and by the time of day.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Moment {
+pub struct Timestamp {
     now: Instant,
     wall: SystemTime,
 }
 
-impl Moment {
+impl Timestamp {
     /// Gives the present moment.
     pub fn now<C>(clock: &C) -> Self
     where
@@ -115,7 +115,7 @@
     ///
     /// A VM that was suspended finds that its monotonic clock stood still; the
     /// time of day may have been set back. Both at once would be needed to err.
-    pub fn elapsed<C>(self, clock: &C) -> Duration
+    pub fn max_elapsed<C>(self, clock: &C) -> Duration
     where
         C: Clock,
     {
@@ -127,7 +127,7 @@
     ///
     /// The time of day may be set forward by hours in one step; this clock at
     /// worst stands still.
-    pub fn waited<C>(self, clock: &C) -> Duration
+    pub fn monotonic_elapsed<C>(self, clock: &C) -> Duration
     where
         C: Clock,
     {
@@ -160,8 +160,8 @@
 
     /// Gives the present moment, to be taken before reading that a number is free.
     #[must_use]
-    pub fn moment(&self) -> Moment {
-        Moment::now(&self.clock)
+    pub fn now(&self) -> Timestamp {
+        Timestamp::now(&self.clock)
     }
 
     /// Gives the platform that the journal is in.
@@ -174,20 +174,20 @@
         format!("{}/log/", self.name)
     }
 
-    pub(crate) fn name_record(&self, number: u64) -> String {
+    pub(crate) fn record_name(&self, number: u64) -> String {
         format!("{}/log/{number:020}", self.name)
     }
 
-    pub(crate) fn name_snapshot(&self, number: u64) -> String {
+    pub(crate) fn snapshot_name(&self, number: u64) -> String {
         format!("{}/snapshots/{number:020}", self.name)
     }
 
     /// Names the directory of the parts of what is written for `number`.
-    pub(crate) fn name_parts(&self, number: u64) -> String {
+    pub(crate) fn parts_prefix(&self, number: u64) -> String {
         format!("{}/parts/{number:020}", self.name)
     }
 
-    pub(crate) fn name_head(&self) -> String {
+    pub(crate) fn head_name(&self) -> String {
         format!("{}/head", self.name)
     }
 
@@ -206,15 +206,15 @@
         number: u64,
         nonce: &str,
         value: &Value,
-        free: Moment,
-    ) -> Result<Append, Error> {
-        let sealed = make_envelope(&self.store, &self.name_parts(number), nonce, value).await?;
+        free: Timestamp,
+    ) -> Result<AppendOutcome, Error> {
+        let sealed = make_envelope(&self.store, &self.parts_prefix(number), nonce, value).await?;
         let mut doubt = None;
         for attempt in 0..CREATE_ATTEMPTS {
             if attempt > 0 {
                 tokio::time::sleep(ATTEMPT_PAUSE).await;
             }
-            match self.store.create(&self.name_record(number), &sealed).await {
+            match self.store.create(&self.record_name(number), &sealed).await {
                 Ok(_) => return self.confirm(number, free).await,
                 Err(Error::Conflict) => {
                     let settled = self.settle(number, nonce, free).await;
@@ -230,12 +230,17 @@
     /// Finds out whose record stands at a number that is taken.
     ///
     /// After a lost answer it may well be the writer's own; its nonce tells.
-    async fn settle(&self, number: u64, nonce: &str, free: Moment) -> Result<Append, Error> {
+    async fn settle(
+        &self,
+        number: u64,
+        nonce: &str,
+        free: Timestamp,
+    ) -> Result<AppendOutcome, Error> {
         let record = self.get(number).await?.ok_or(Error::Gone)?;
         if record.nonce == nonce {
             return self.confirm(number, free).await;
         }
-        Ok(Append::Taken(record))
+        Ok(AppendOutcome::Taken(record))
     }
 
     /// Makes sure that a record that was written stands among the others.
@@ -243,13 +248,13 @@
     /// A writer that was paused for hours may find its number free again,
     /// because the record that stood there has been removed. Its creation then
     /// succeeds and means nothing. Records are kept for much longer than
-    /// [`FREE_TIMEOUT`], so that only a slow writer has to look at the floor.
-    async fn confirm(&self, number: u64, free: Moment) -> Result<Append, Error> {
-        if free.elapsed(&self.clock) < FREE_TIMEOUT {
-            return Ok(Append::Written);
+    /// [`FLOOR_CHECK_AFTER`], so that only a slow writer has to look at the floor.
+    async fn confirm(&self, number: u64, free: Timestamp) -> Result<AppendOutcome, Error> {
+        if free.max_elapsed(&self.clock) < FLOOR_CHECK_AFTER {
+            return Ok(AppendOutcome::Written);
         }
         match self.read_head().await {
-            Ok((head, _)) if number > head.floor => Ok(Append::Written),
+            Ok((head, _)) if number > head.floor => Ok(AppendOutcome::Written),
             Ok(_) => Err(Error::Gone),
             Err(error) => Err(Error::Unknown(error.to_string())),
         }
@@ -261,7 +266,7 @@
     ///
     /// [`Error::Gone`] when the number is at or below the floor.
     pub async fn get(&self, number: u64) -> Result<Option<Record>, Error> {
-        let Some(object) = self.store.get(&self.name_record(number)).await? else {
+        let Some(object) = self.store.get(&self.record_name(number)).await? else {
             return Ok(None);
         };
         let record = self.unseal_record(object).await?;
@@ -277,7 +282,7 @@
     /// # Errors
     ///
     /// When the platform can't be read.
-    pub async fn read(&self, number: u64) -> Result<Option<Tail>, Error> {
+    pub async fn read_after(&self, number: u64) -> Result<Option<Tail>, Error> {
         let tail = match self.read_records(number).await {
             Err(Error::Gone) => return Ok(None),
             tail => tail?,
@@ -293,7 +298,7 @@
         let mut tail = Tail::default();
         let mut last = number;
         loop {
-            let after = self.name_record(last);
+            let after = self.record_name(last);
             let page = self.store.list(&self.log_prefix(), &after, PAGE).await?;
             tail.revision = page.revision;
             for object in page.items {
@@ -317,7 +322,7 @@
         let Some(number) = parse_number(&object.name) else {
             return Ok(None);
         };
-        let (nonce, value) = read_envelope(&self.store, &self.name_parts(number), object).await?;
+        let (nonce, value) = read_envelope(&self.store, &self.parts_prefix(number), object).await?;
         Ok(Some(Record {
             number,
             nonce,
@@ -330,16 +335,16 @@
     /// # Errors
     ///
     /// When the platform can't be read.
-    pub async fn load(&self) -> Result<Loaded, Error> {
+    pub async fn load(&self) -> Result<LoadedJournal, Error> {
         for _ in 0..LOAD_ATTEMPTS {
             let (head, _) = self.read_head().await?;
             let snapshot = match self.read_snapshot(head.snapshot).await {
                 Err(Error::Gone) => continue,
                 snapshot => snapshot?,
             };
-            if let Some(tail) = self.read(head.snapshot).await? {
-                return Ok(Loaded {
-                    number: head.snapshot,
+            if let Some(tail) = self.read_after(head.snapshot).await? {
+                return Ok(LoadedJournal {
+                    snapshot_number: head.snapshot,
                     snapshot,
                     tail,
                 });
@@ -352,14 +357,14 @@
         if number == 0 {
             return Ok(None);
         }
-        let name = self.name_snapshot(number);
+        let name = self.snapshot_name(number);
         let object = self.store.get(&name).await?.ok_or(Error::Gone)?;
-        let (_, value) = read_envelope(&self.store, &self.name_parts(number), object).await?;
+        let (_, value) = read_envelope(&self.store, &self.parts_prefix(number), object).await?;
         Ok(Some(value))
     }
 
     pub(crate) async fn read_head(&self) -> Result<(Head, Option<Revision>), Error> {
-        let Some(object) = self.store.get(&self.name_head()).await? else {
+        let Some(object) = self.store.get(&self.head_name()).await? else {
             return Ok((Head::default(), None));
         };
         let head = serde_json::from_value(object.value)
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,13 +1,13 @@
 //! What lasts: the platform's store as an interface, and what is kept in it.
 //!
-//! [`Store`] is the platform as the rest of the system sees it; [`Memory`]
+//! [`Store`] is the platform as the rest of the system sees it; [`MemoryStore`]
 //! keeps its objects in the process, with faults on demand.
 //!
 //! ```
-//! use store::{Error, Memory, Store};
+//! use store::{Error, MemoryStore, Store};
 //!
 //! let run = async {
-//!     let store = Memory::new();
+//!     let store = MemoryStore::new();
 //!     let first = store.create("versions/1", &serde_json::json!({"by": "ann"})).await?;
 //!     let second = store.create("versions/1", &serde_json::json!({"by": "ben"})).await;
 //!     assert!(matches!(second, Err(Error::Conflict)));
@@ -38,5 +38,5 @@
 pub use journal::Journal;
 pub use latest::ObjectWatcher;
 pub use lease::Lease;
-pub use memory::Memory;
+pub use memory::MemoryStore;
 pub use store::{Event, List, MAX_VALUE_BYTES, Object, Revision, Store, Watch};
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -33,7 +33,7 @@
     pub lose_next: u32,
     /// Share of writes whose answers are lost after the effect, in per cent.
     pub lose_percent: u8,
-    /// That many next writes are lost on the way, and take effect only when [`Memory::deliver`] is called.
+    /// That many next writes are lost on the way, and take effect only when [`MemoryStore::deliver_late_writes`] is called.
     pub late_next: u32,
     /// Watches say nothing more, not even bookmarks, yet stay open.
     pub silent_watches: bool,
@@ -75,7 +75,7 @@
 
 /// A platform in memory; clones share it.
 #[derive(Debug, Clone)]
-pub struct Memory {
+pub struct MemoryStore {
     table: Arc<Mutex<Table>>,
     changed: watch::Sender<Revision>,
     eras: watch::Sender<Option<u64>>,
@@ -83,7 +83,7 @@
 
 /// A copy of a platform, to come back from.
 #[derive(Debug, Clone)]
-pub struct Copy {
+pub struct Backup {
     objects: BTreeMap<SmolStr, Object>,
     number: u64,
 }
@@ -96,16 +96,16 @@
     Late,
 }
 
-impl Memory {
+impl MemoryStore {
     /// Makes an empty platform.
     #[must_use]
     pub fn new() -> Self {
-        Self::seeded(0)
+        Self::with_seed(0)
     }
 
     /// Makes an empty platform whose random faults follow `seed`.
     #[must_use]
-    pub fn seeded(seed: u64) -> Self {
+    pub fn with_seed(seed: u64) -> Self {
         Self {
             table: Arc::new(Mutex::new(Table {
                 objects: BTreeMap::new(),
@@ -141,7 +141,7 @@
     }
 
     /// Lets the writes that were lost on the way arrive now.
-    pub fn deliver(&self) {
+    pub fn deliver_late_writes(&self) {
         let mut table = self.lock();
         let late = std::mem::take(&mut table.late);
         for write in late {
@@ -155,16 +155,16 @@
 
     /// Takes a copy of all objects.
     #[must_use]
-    pub fn copy(&self) -> Copy {
+    pub fn backup(&self) -> Backup {
         let table = self.lock();
-        Copy {
+        Backup {
             objects: table.objects.clone(),
             number: table.revision.number,
         }
     }
 
     /// Comes back from a copy: a new era begins, and what was written since is gone.
-    pub fn restore(&self, copy: Copy) {
+    pub fn restore(&self, copy: Backup) {
         let mut table = self.lock();
         let era = table.revision.era + 1;
         let back = |mut object: Object| {
@@ -187,7 +187,7 @@
     }
 
     /// Forgets all events, so that watches from before are told [`Error::Gone`].
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut table = self.lock();
         table.history.clear();
         table.forgotten = table.revision;
@@ -287,7 +287,7 @@
     }
 }
 
-impl Default for Memory {
+impl Default for MemoryStore {
     fn default() -> Self {
         Self::new()
     }
@@ -417,7 +417,7 @@
     }
 }
 
-impl Store for Memory {
+impl Store for MemoryStore {
     async fn get(&self, name: &str) -> Result<Option<Object>, Error> {
         self.read(|table| table.objects.get(name).cloned()).await
     }
--- a/crates/store/src/propose.rs
+++ b/crates/store/src/propose.rs
@@ -4,7 +4,7 @@
 //! under the proposal's name as nonce. However often and by whomever one
 //! proposal is tried, it stands there once or not at all.
 
-use crate::journal::Append;
+use crate::journal::AppendOutcome;
 use crate::version::{Entry, Id, JOURNAL, State, Step, load};
 use crate::{Error, Journal, Store};
 use clock::Clock;
@@ -59,13 +59,13 @@
 /// Proposes a patch.
 ///
 /// A proposal that ended as [`Outcome::Unknown`] may be proposed again as it
-/// is, or settled with [`settle`].
+/// is, or settled with [`resolve`].
 pub async fn propose<S, C>(journal: &Journal<S, C>, proposal: &Proposal) -> Outcome
 where
     S: Store,
     C: Clock,
 {
-    let free = journal.moment();
+    let free = journal.now();
     let state = match load(journal).await {
         Ok(state) => state,
         Err(error) => return Outcome::NotSent(error),
@@ -96,12 +96,12 @@
 /// Where its number is still free, a void version takes it first. A write that
 /// is late, on its way through the network or in a process that was paused,
 /// then finds the number taken: only that makes "never applied" true.
-pub async fn settle<S, C>(journal: &Journal<S, C>, id: &Id, author: &str) -> Outcome
+pub async fn resolve<S, C>(journal: &Journal<S, C>, id: &Id, author: &str) -> Outcome
 where
     S: Store,
     C: Clock,
 {
-    let free = journal.moment();
+    let free = journal.now();
     let state = match load(journal).await {
         Ok(state) => state,
         Err(error) => return Outcome::Unknown(error),
@@ -121,7 +121,7 @@
         return Outcome::Unknown(Error::Invalid("a void version without JSON form".into()));
     };
     // Two that settle one proposal at once both see a void version, of either.
-    let nonce = format_smolstr!("void-{}", Id::draw(id.base));
+    let nonce = format_smolstr!("void-{}", Id::generate(id.base));
     let number = state.version.next().0;
     let appended = journal.append(number, &nonce, &value, free).await;
     match judge_append(id, appended, Outcome::NeverApplied) {
@@ -163,10 +163,10 @@
 }
 
 /// Tells what an append at a proposal's number means for it.
-fn judge_append(id: &Id, appended: Result<Append, Error>, written: Outcome) -> Outcome {
+fn judge_append(id: &Id, appended: Result<AppendOutcome, Error>, written: Outcome) -> Outcome {
     match appended {
-        Ok(Append::Written) => written,
-        Ok(Append::Taken(record)) => match Step::parse(&record) {
+        Ok(AppendOutcome::Written) => written,
+        Ok(AppendOutcome::Taken(record)) => match Step::parse(&record) {
             Ok(step) => judge_holder(id, step),
             Err(error) => Outcome::Unknown(error),
         },
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -1,7 +1,7 @@
 //! Snapshots of a journal, and the removal of its old records.
 
 use crate::chunk::make_envelope;
-use crate::journal::{Head, Moment, parse_number};
+use crate::journal::{Head, Timestamp, parse_number};
 use crate::{Error, Journal, Revision, Store};
 use clock::Clock;
 use serde_json::Value;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Time for which a record stays after a snapshot that contains it was first
-/// seen. Must be far above [`crate::journal::FREE_TIMEOUT`] and above the
+/// seen. Must be far above [`crate::journal::FLOOR_CHECK_AFTER`] and above the
 /// longest time that a reader takes from a snapshot to the records after it.
 pub const RETENTION: Duration = Duration::from_mins(10);
 
@@ -26,7 +26,7 @@
 /// has to agree with another; a new process removes nothing at first.
 #[derive(Debug, Clone, Default)]
 pub struct RetentionTracker {
-    seen: VecDeque<(Moment, u64)>,
+    seen: VecDeque<(Timestamp, u64)>,
 }
 
 impl<S, C> Journal<S, C>
@@ -45,10 +45,10 @@
         nonce: &str,
         value: &Value,
     ) -> Result<(), Error> {
-        let sealed = make_envelope(&self.store, &self.name_parts(number), nonce, value).await?;
+        let sealed = make_envelope(&self.store, &self.parts_prefix(number), nonce, value).await?;
         match self
             .store
-            .create(&self.name_snapshot(number), &sealed)
+            .create(&self.snapshot_name(number), &sealed)
             .await
         {
             // Snapshots of one number say the same, whoever wrote them.
@@ -76,7 +76,7 @@
         keep: u64,
     ) -> Result<bool, Error> {
         let (head, _) = self.read_head().await?;
-        let aged = retention.note(Moment::now(&self.clock), head.snapshot, &self.clock);
+        let aged = retention.note(Timestamp::now(&self.clock), head.snapshot, &self.clock);
         let floor = aged.min(head.snapshot.saturating_sub(keep));
         // The floor is raised before anything goes, so that a reader that
         // looks at it after reading can't take a gap for the end.
@@ -138,22 +138,22 @@
         let value =
             serde_json::to_value(head).map_err(|error| Error::Invalid(error.to_string()))?;
         match revision {
-            Some(revision) => self.store.update(&self.name_head(), &value, revision).await,
-            None => self.store.create(&self.name_head(), &value).await,
+            Some(revision) => self.store.update(&self.head_name(), &value, revision).await,
+            None => self.store.create(&self.head_name(), &value).await,
         }
     }
 }
 
 impl RetentionTracker {
     /// Notes that `snapshot` stands now, and gives the last one that has stood for [`RETENTION`].
-    fn note<C>(&mut self, now: Moment, snapshot: u64, clock: &C) -> u64
+    fn note<C>(&mut self, now: Timestamp, snapshot: u64, clock: &C) -> u64
     where
         C: Clock,
     {
         if self.seen.back().is_none_or(|(_, last)| *last < snapshot) {
             self.seen.push_back((now, snapshot));
         }
-        let aged = |entry: &(Moment, u64)| entry.0.waited(clock) >= RETENTION;
+        let aged = |entry: &(Timestamp, u64)| entry.0.monotonic_elapsed(clock) >= RETENTION;
         while self.seen.get(1).is_some_and(aged) {
             self.seen.pop_front();
         }
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -1,6 +1,6 @@
 //! Configuration versions as a journal: record N is the step from N - 1 to N.
 
-use crate::journal::{Loaded, Record};
+use crate::journal::{LoadedJournal, Record};
 use crate::{Error, Journal, Store};
 use clock::Clock;
 use config::{Digest, Mesh, Patch, Version};
@@ -33,9 +33,9 @@
 quick_error! {
     /// Text that names no proposal.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum Malformed {
+    pub enum ParseIdError {
         /// It is not a number, a hyphen and letters or digits.
-        Id(text: SmolStr) {
+        Malformed(text: SmolStr) {
             display("{:?} is no proposal's name, such as 7-3f9a20c1", text)
         }
     }
@@ -44,7 +44,7 @@
 impl Id {
     /// Names a new proposal against `base`.
     #[must_use]
-    pub fn draw(base: Version) -> Self {
+    pub fn generate(base: Version) -> Self {
         Self {
             base,
             nonce: format_smolstr!("{:016x}", rand::random::<u64>()),
@@ -59,10 +59,10 @@
 }
 
 impl FromStr for Id {
-    type Err = Malformed;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
-        let malformed = || Malformed::Id(text.into());
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
+        let malformed = || ParseIdError::Malformed(text.into());
         let (base, nonce) = text.split_once('-').ok_or_else(malformed)?;
         let base = base.parse().ok().ok_or_else(malformed)?;
         let plain = nonce.bytes().all(|byte| byte.is_ascii_alphanumeric());
@@ -175,14 +175,15 @@
     ///
     /// When a record or the snapshot is none of this journal's, or a step's
     /// digest isn't that of the configuration it leads to.
-    pub fn build(loaded: &Loaded) -> Result<Self, Error> {
+    pub fn build(loaded: &LoadedJournal) -> Result<Self, Error> {
         let snapshot = match &loaded.snapshot {
-            Some(value) => Snapshot::deserialize(value)
-                .map_err(|error| Error::Invalid(format!("snapshot {}: {error}", loaded.number)))?,
+            Some(value) => Snapshot::deserialize(value).map_err(|error| {
+                Error::Invalid(format!("snapshot {}: {error}", loaded.snapshot_number))
+            })?,
             None => Snapshot::default(),
         };
         let mut state = Self {
-            version: Version(loaded.number),
+            version: Version(loaded.snapshot_number),
             mesh: snapshot.mesh,
             steps: Vec::new(),
             origins: snapshot.origins,
--- a/crates/store/tests/append.rs
+++ b/crates/store/tests/append.rs
@@ -2,28 +2,28 @@
 
 use clock::Manual;
 use serde_json::{Value, json};
-use store::journal::{Append, FREE_TIMEOUT};
+use store::journal::{AppendOutcome, FLOOR_CHECK_AFTER};
 use store::memory::Faults;
 use store::retention::{RETENTION, RetentionTracker};
-use store::{Error, Journal, Memory, Store};
+use store::{Error, Journal, MemoryStore, Store};
 use yare::parameterized;
 
-type Numbers = Journal<Memory, Manual>;
+type Numbers = Journal<MemoryStore, Manual>;
 
-fn open() -> (Memory, Manual, Numbers) {
-    let memory = Memory::new();
+fn open() -> (MemoryStore, Manual, Numbers) {
+    let memory = MemoryStore::new();
     let clock = Manual::new();
     let journal = Journal::open(memory.clone(), clock.clone(), "numbers");
     (memory, clock, journal)
 }
 
-async fn append(journal: &Numbers, number: u64, nonce: &str) -> Result<Append, Error> {
-    let free = journal.moment();
+async fn append(journal: &Numbers, number: u64, nonce: &str) -> Result<AppendOutcome, Error> {
+    let free = journal.now();
     journal.append(number, nonce, &json!(nonce), free).await
 }
 
-fn is_taken_by(outcome: &Result<Append, Error>, nonce: &str) -> bool {
-    matches!(outcome, Ok(Append::Taken(record)) if record.nonce == nonce)
+fn is_taken_by(outcome: &Result<AppendOutcome, Error>, nonce: &str) -> bool {
+    matches!(outcome, Ok(AppendOutcome::Taken(record)) if record.nonce == nonce)
 }
 
 fn losing(lose_next: u32) -> Faults {
@@ -46,10 +46,10 @@
     let (memory, _, journal) = open();
     memory.set_faults(losing(lost));
     let outcome = append(&journal, 1, "a").await;
-    assert_eq!(outcome == Ok(Append::Written), written);
-    assert_eq!(append(&journal, 1, "a").await, Ok(Append::Written));
+    assert_eq!(outcome == Ok(AppendOutcome::Written), written);
+    assert_eq!(append(&journal, 1, "a").await, Ok(AppendOutcome::Written));
     assert!(is_taken_by(&append(&journal, 1, "b").await, "a"));
-    let tail = journal.read(0).await.unwrap().unwrap();
+    let tail = journal.read_after(0).await.unwrap().unwrap();
     assert_eq!(tail.records.len(), 1);
 }
 
@@ -75,8 +75,8 @@
     });
     let outcome = append(&journal, 1, "a").await;
     assert!(outcome.is_err_and(|error| error.may_have_taken_effect()));
-    assert_eq!(append(&journal, 1, "b").await, Ok(Append::Written));
-    memory.deliver();
+    assert_eq!(append(&journal, 1, "b").await, Ok(AppendOutcome::Written));
+    memory.deliver_late_writes();
     assert!(is_taken_by(&append(&journal, 1, "a").await, "b"));
 }
 
@@ -85,10 +85,10 @@
     let (memory, _, journal) = open();
     memory.set_faults(losing(1));
     let value = Value::String("\"é\"".repeat(700_000));
-    let free = journal.moment();
+    let free = journal.now();
     let outcome = journal.append(1, "a", &value, free).await;
-    assert_eq!(outcome, Ok(Append::Written));
-    let tail = journal.read(0).await.unwrap().unwrap();
+    assert_eq!(outcome, Ok(AppendOutcome::Written));
+    let tail = journal.read_after(0).await.unwrap().unwrap();
     assert_eq!(tail.records[0].value, value);
     let names = memory.list("", "", 100).await.unwrap().items;
     assert!(names.len() > 4, "{}", names.len());
@@ -120,10 +120,10 @@
     let left = memory.list("numbers/log/", "", 100).await.unwrap().items;
     assert_eq!(left.len(), 7, "the snapshot at 10 is too young");
     let loaded = journal.load().await.unwrap();
-    assert_eq!((loaded.number, loaded.last()), (10, 12));
+    assert_eq!((loaded.snapshot_number, loaded.last_number()), (10, 12));
     assert_eq!(loaded.snapshot, Some(json!(10)));
-    assert_eq!(journal.read(4).await.unwrap(), None);
-    let numbers = journal.read(5).await.unwrap().unwrap().records;
+    assert_eq!(journal.read_after(4).await.unwrap(), None);
+    let numbers = journal.read_after(5).await.unwrap().unwrap().records;
     assert!(numbers.iter().map(|record| record.number).eq(6..=12));
     assert_eq!(journal.get(3).await, Ok(None));
 }
@@ -134,14 +134,14 @@
 #[tokio::test(start_paused = true)]
 async fn paused_past_removal() {
     let (_, clock, journal) = open();
-    let free = journal.moment();
+    let free = journal.now();
     fill_and_remove(&clock, &journal).await;
-    assert!(free.elapsed(&clock) > FREE_TIMEOUT);
+    assert!(free.max_elapsed(&clock) > FLOOR_CHECK_AFTER);
     let outcome = journal.append(2, "paused", &json!("paused"), free).await;
     assert_eq!(outcome, Err(Error::Gone));
     assert_eq!(journal.get(2).await, Err(Error::Gone));
-    assert_eq!(journal.read(1).await, Ok(None));
-    assert_eq!(journal.load().await.unwrap().last(), 12);
+    assert_eq!(journal.read_after(1).await, Ok(None));
+    assert_eq!(journal.load().await.unwrap().last_number(), 12);
 }
 
 #[tokio::test]
@@ -154,5 +154,8 @@
         .remove_old(&mut RetentionTracker::default(), 0)
         .await
         .unwrap();
-    assert_eq!(journal.read(0).await.unwrap().unwrap().records.len(), 1);
+    assert_eq!(
+        journal.read_after(0).await.unwrap().unwrap().records.len(),
+        1
+    );
 }
--- a/crates/store/tests/board.rs
+++ b/crates/store/tests/board.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use store::board::FOLDER;
 use store::memory::Faults;
-use store::{CrashStore, Memory, ObjectWatcher, Store};
+use store::{CrashStore, MemoryStore, ObjectWatcher, Store};
 
 fn crash(id: u64, age_ms: u32) -> Crash {
     Crash {
@@ -22,8 +22,8 @@
     }
 }
 
-fn open() -> (Memory, Manual, CrashStore<Memory, Manual>) {
-    let (memory, clock) = (Memory::new(), Manual::new());
+fn open() -> (MemoryStore, Manual, CrashStore<MemoryStore, Manual>) {
+    let (memory, clock) = (MemoryStore::new(), Manual::new());
     let board = CrashStore::open(memory.clone(), clock.clone());
     (memory, clock, board)
 }
@@ -78,7 +78,7 @@
     });
     board.write("kl-a.0", &[crash(3, 0)]).await.unwrap_err();
     memory.set_faults(Faults::default());
-    memory.forget_history();
+    memory.compact_history();
     board.write("kl-a.0", &[crash(3, 0)]).await.unwrap();
     board.write("kl-c.0", &[crash(4, 0)]).await.unwrap();
     let mut found = Vec::new();
--- a/crates/store/tests/eras.rs
+++ b/crates/store/tests/eras.rs
@@ -3,16 +3,16 @@
 use clock::Manual;
 use serde_json::json;
 use std::time::Duration;
-use store::{Error, Lease, Memory, ObjectWatcher, Store};
+use store::{Error, Lease, MemoryStore, ObjectWatcher, Store};
 
 const TERM: Duration = Duration::from_secs(10);
 
 /// A write bound to a revision that was given out again must not hit what stands there now.
 #[tokio::test]
 async fn revision_again() {
-    let store = Memory::new();
+    let store = MemoryStore::new();
     store.create("things/a", &json!(1)).await.unwrap();
-    let copy = store.copy();
+    let copy = store.backup();
     let lost = store.create("things/b", &json!("lost")).await.unwrap();
     store.restore(copy);
     let again = store.create("things/b", &json!("other")).await.unwrap();
@@ -25,9 +25,9 @@
 /// A reader must not take up its watch in the numbers of another era, and miss writes for good.
 #[tokio::test(start_paused = true)]
 async fn watch_again() {
-    let store = Memory::new();
+    let store = MemoryStore::new();
     store.create("things/a", &json!(1)).await.unwrap();
-    let copy = store.copy();
+    let copy = store.backup();
     let mut latest = ObjectWatcher::open(store.clone(), "things/a");
     assert_eq!(latest.next().await.value, json!(1));
     for number in 2..6 {
@@ -57,13 +57,13 @@
 /// A lease whose last renewals are lost must stay with its holder, or go to who took it since.
 #[tokio::test]
 async fn lease_again() {
-    let store = Memory::new();
+    let store = MemoryStore::new();
     let clock = Manual::new();
     let open = |holder: &str| Lease::open(store.clone(), clock.clone(), "roots/a.0", holder, TERM);
-    let before = store.copy();
+    let before = store.backup();
     let (mut one, mut two) = (open("one"), open("two"));
     assert!(one.acquire_or_renew().await.unwrap());
-    let taken = store.copy();
+    let taken = store.backup();
     assert!(one.acquire_or_renew().await.unwrap());
     // Its own older grant stands.
     store.restore(taken);
--- a/crates/store/tests/follower.rs
+++ b/crates/store/tests/follower.rs
@@ -6,26 +6,26 @@
 use store::follow::{Follower, JournalUpdate};
 use store::memory::Faults;
 use store::retention::{RETENTION, RetentionTracker};
-use store::{Journal, Memory};
+use store::{Journal, MemoryStore};
 
-type Numbers = Journal<Memory, Manual>;
+type Numbers = Journal<MemoryStore, Manual>;
 
-fn open() -> (Memory, Manual, Numbers) {
-    let memory = Memory::new();
+fn open() -> (MemoryStore, Manual, Numbers) {
+    let memory = MemoryStore::new();
     let clock = Manual::new();
     let journal = Journal::open(memory.clone(), clock.clone(), "numbers");
     (memory, clock, journal)
 }
 
 async fn append(journal: &Numbers, number: u64) {
-    let free = journal.moment();
+    let free = journal.now();
     journal
         .append(number, "n", &json!(number), free)
         .await
         .unwrap();
 }
 
-async fn expect(follower: &mut Follower<Memory, Manual>, number: u64) {
+async fn expect(follower: &mut Follower<MemoryStore, Manual>, number: u64) {
     match follower.next().await {
         JournalUpdate::Record(record) => assert_eq!(record.number, number),
         other @ JournalUpdate::Reset(_) => panic!("{other:?}"),
@@ -39,7 +39,7 @@
     let mut follower = Follower::open(journal.clone(), None);
     let first = follower.next().await;
     assert!(
-        matches!(&first, JournalUpdate::Reset(loaded) if loaded.last() == 1),
+        matches!(&first, JournalUpdate::Reset(loaded) if loaded.last_number() == 1),
         "{first:?}"
     );
     for number in 2..200 {
@@ -59,7 +59,7 @@
     for number in 2..5 {
         append(&journal, number).await;
     }
-    memory.forget_history();
+    memory.compact_history();
     let down = Faults {
         down: true,
         ..Faults::default()
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -8,13 +8,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use store::memory::Faults;
-use store::propose::{Outcome, Proposal, Refusal, propose, settle};
+use store::propose::{Outcome, Proposal, Refusal, propose, resolve};
 use store::version::{Id, JOURNAL, load};
-use store::{Journal, Memory};
+use store::{Journal, MemoryStore};
 use todc_utils::{Action, History, Specification, WGLChecker};
 use yare::parameterized;
 
-type Versions = Journal<Memory, System>;
+type Versions = Journal<MemoryStore, System>;
 
 /// Who holds a version's number.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -127,7 +127,7 @@
         outcome = if rng.random_bool(0.1) {
             propose(journal, proposal).await
         } else {
-            settle(journal, &id, "ann").await
+            resolve(journal, &id, "ann").await
         };
     }
 }
@@ -169,7 +169,7 @@
 }
 
 /// Lets writes arrive late, while others go on.
-async fn disturb(memory: Memory, mut rng: SmallRng) {
+async fn disturb(memory: MemoryStore, mut rng: SmallRng) {
     loop {
         let faults = Faults {
             slow_ms: 3,
@@ -181,12 +181,12 @@
         for _ in 0..5 {
             pause(&mut rng).await;
         }
-        memory.deliver();
+        memory.deliver_late_writes();
     }
 }
 
 async fn record(seed: u64) -> Vec<(usize, Action<Operation>)> {
-    let memory = Memory::seeded(seed);
+    let memory = MemoryStore::with_seed(seed);
     let journal = Journal::open(memory.clone(), System, JOURNAL);
     let actions = Actions::default();
     let chaos = tokio::spawn(disturb(memory.clone(), SmallRng::seed_from_u64(seed)));
--- a/crates/store/tests/lease.rs
+++ b/crates/store/tests/lease.rs
@@ -3,15 +3,15 @@
 use clock::Manual;
 use std::time::Duration;
 use store::memory::Faults;
-use store::{Error, Lease, Memory};
+use store::{Error, Lease, MemoryStore};
 
 const DURATION: Duration = Duration::from_secs(15);
 const RENEWAL: Duration = Duration::from_secs(5);
 
-type Root = Lease<Memory, Manual>;
+type Root = Lease<MemoryStore, Manual>;
 
-fn open() -> (Memory, Manual, Root, Root) {
-    let memory = Memory::new();
+fn open() -> (MemoryStore, Manual, Root, Root) {
+    let memory = MemoryStore::new();
     let clock = Manual::new();
     let lease = |holder| Lease::open(memory.clone(), clock.clone(), "z1/0", holder, DURATION);
     let (first, second) = (lease("first"), lease("second"));
--- a/crates/store/tests/proposal.rs
+++ b/crates/store/tests/proposal.rs
@@ -3,14 +3,14 @@
 use clock::Manual;
 use config::{Patch, Version};
 use store::memory::Faults;
-use store::propose::{Outcome, Proposal, Refusal, SNAPSHOT_INTERVAL, propose, settle};
+use store::propose::{Outcome, Proposal, Refusal, SNAPSHOT_INTERVAL, propose, resolve};
 use store::version::{Id, JOURNAL, load};
-use store::{Journal, Memory};
+use store::{Journal, MemoryStore};
 
-type Versions = Journal<Memory, Manual>;
+type Versions = Journal<MemoryStore, Manual>;
 
-fn open() -> (Memory, Versions) {
-    let memory = Memory::new();
+fn open() -> (MemoryStore, Versions) {
+    let memory = MemoryStore::new();
     let journal = Journal::open(memory.clone(), Manual::new(), JOURNAL);
     (memory, journal)
 }
@@ -18,7 +18,7 @@
 fn put_service(base: u64, name: &str) -> Proposal {
     let line = format!("{{\"put_service\":{{\"name\":\"{name}\",\"service\":{{}}}}}}");
     Proposal {
-        id: Id::draw(Version(base)),
+        id: Id::generate(Version(base)),
         author: "ann".into(),
         patch: Patch::parse(&line).unwrap(),
     }
@@ -101,7 +101,7 @@
         matches!(outcome, Outcome::Accepted(Version(1))),
         "{outcome:?}"
     );
-    let outcome = settle(&journal, &proposal.id, "ann").await;
+    let outcome = resolve(&journal, &proposal.id, "ann").await;
     assert!(
         matches!(outcome, Outcome::Accepted(Version(1))),
         "{outcome:?}"
@@ -118,12 +118,12 @@
     let proposal = put_service(0, "claims");
     let outcome = propose(&journal, &proposal).await;
     assert!(matches!(outcome, Outcome::Unknown(_)), "{outcome:?}");
-    let outcome = settle(&journal, &proposal.id, "ann").await;
+    let outcome = resolve(&journal, &proposal.id, "ann").await;
     assert!(matches!(outcome, Outcome::Unknown(_)), "{outcome:?}");
     memory.set_faults(Faults::default());
-    let outcome = settle(&journal, &proposal.id, "ann").await;
+    let outcome = resolve(&journal, &proposal.id, "ann").await;
     assert!(matches!(outcome, Outcome::NeverApplied), "{outcome:?}");
-    memory.deliver();
+    memory.deliver_late_writes();
     let outcome = propose(&journal, &proposal).await;
     assert!(matches!(outcome, Outcome::NeverApplied), "{outcome:?}");
     assert!(service_names(&journal).await.is_empty());
@@ -138,8 +138,8 @@
     let outcome = propose(&journal, &proposal).await;
     assert!(matches!(outcome, Outcome::Unknown(_)), "{outcome:?}");
     memory.set_faults(Faults::default());
-    memory.deliver();
-    let outcome = settle(&journal, &proposal.id, "ann").await;
+    memory.deliver_late_writes();
+    let outcome = resolve(&journal, &proposal.id, "ann").await;
     assert!(
         matches!(outcome, Outcome::Accepted(Version(1))),
         "{outcome:?}"
@@ -164,23 +164,23 @@
     let (_, journal) = open();
     let first = put_service(0, "s0");
     propose(&journal, &first).await;
-    let shut_out = Id::draw(Version(1));
-    settle(&journal, &shut_out, "ann").await;
+    let shut_out = Id::generate(Version(1));
+    resolve(&journal, &shut_out, "ann").await;
     for base in 2..SNAPSHOT_INTERVAL as u64 + 2 {
         let proposal = put_service(base, &format!("s{base}"));
         let outcome = propose(&journal, &proposal).await;
         assert!(matches!(outcome, Outcome::Accepted(_)), "{outcome:?}");
     }
     let loaded = journal.load().await.unwrap();
-    assert_eq!(loaded.number, SNAPSHOT_INTERVAL as u64);
-    let outcome = settle(&journal, &first.id, "ann").await;
+    assert_eq!(loaded.snapshot_number, SNAPSHOT_INTERVAL as u64);
+    let outcome = resolve(&journal, &first.id, "ann").await;
     assert!(
         matches!(outcome, Outcome::Accepted(Version(1))),
         "{outcome:?}"
     );
-    let outcome = settle(&journal, &shut_out, "ann").await;
+    let outcome = resolve(&journal, &shut_out, "ann").await;
     assert!(matches!(outcome, Outcome::NeverApplied), "{outcome:?}");
-    let outcome = settle(&journal, &Id::draw(Version::ZERO), "ann").await;
+    let outcome = resolve(&journal, &Id::generate(Version::ZERO), "ann").await;
     assert!(
         matches!(outcome, Outcome::Refused(Refusal::Superseded(Version(1)))),
         "{outcome:?}"
--- a/crates/store/tests/removal_race.rs
+++ b/crates/store/tests/removal_race.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime};
 use store::follow::{Follower, JournalUpdate};
-use store::journal::Append;
+use store::journal::AppendOutcome;
 use store::memory::Faults;
 use store::retention::RetentionTracker;
-use store::{Error, Journal, Memory};
+use store::{Error, Journal, MemoryStore};
 use yare::parameterized;
 
 /// The time of the paused runtime.
@@ -27,7 +27,7 @@
     }
 }
 
-type Names = Journal<Memory, Virtual>;
+type Names = Journal<MemoryStore, Virtual>;
 
 /// What a writer was told of its record.
 #[derive(Debug, Clone)]
@@ -58,7 +58,7 @@
     let mut names: Vec<String> = serde_json::from_value(snapshot).unwrap();
     assert_eq!(
         names.len() as u64,
-        loaded.number,
+        loaded.snapshot_number,
         "a snapshot holds all up to its number"
     );
     names.extend(
@@ -75,15 +75,15 @@
     for count in 0.. {
         tokio::time::sleep(Duration::from_secs(1)).await;
         let name = format!("{writer}-{count}");
-        let free = journal.moment();
+        let free = journal.now();
         let Ok(names) = read_all(&journal).await else {
             continue;
         };
         let number = names.len() as u64 + 1;
         tokio::time::sleep(draw_pause(&mut rng)).await;
         let told = match journal.append(number, &name, &json!(name), free).await {
-            Ok(Append::Written) => Told::Written(number, name),
-            Ok(Append::Taken(record)) => Told::Taken(number, record.nonce.to_string()),
+            Ok(AppendOutcome::Written) => Told::Written(number, name),
+            Ok(AppendOutcome::Taken(record)) => Told::Taken(number, record.nonce.to_string()),
             Err(Error::Unknown(_) | Error::Gone) => continue,
             Err(_) => Told::NotWritten(name),
         };
@@ -131,7 +131,7 @@
     }
 }
 
-async fn disturb(memory: Memory, mut rng: SmallRng) {
+async fn disturb(memory: MemoryStore, mut rng: SmallRng) {
     loop {
         memory.set_faults(Faults {
             slow_ms: rng.random_range(0..500),
@@ -142,16 +142,16 @@
         });
         tokio::time::sleep(draw_pause(&mut rng)).await;
         if rng.random_bool(0.2) {
-            memory.forget_history();
+            memory.compact_history();
         }
-        memory.deliver();
+        memory.deliver_late_writes();
     }
 }
 
 #[parameterized(one = { 1 }, two = { 2 }, three = { 3 }, four = { 4 }, five = { 5 })]
 #[test_macro(tokio::test(start_paused = true))]
 async fn one_history(seed: u64) {
-    let memory = Memory::seeded(seed);
+    let memory = MemoryStore::with_seed(seed);
     let clock = Virtual(tokio::time::Instant::now());
     let journal = Journal::open(memory.clone(), clock, "names");
     let rng = |part| SmallRng::seed_from_u64(seed * 100 + part);
@@ -185,13 +185,13 @@
         );
     }
     memory.set_faults(Faults::default());
-    memory.deliver();
+    memory.deliver_late_writes();
     let names = read_all(&journal).await.unwrap();
     for seen in &seen {
         assert!(names.starts_with(&seen.lock().unwrap()));
     }
     check(&names, &log.lock().unwrap());
-    let kept = journal.load().await.unwrap().number;
+    let kept = journal.load().await.unwrap().snapshot_number;
     assert!(kept > 100, "{kept} records in the snapshot");
 }
 
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -53,7 +53,8 @@
     /// Calls that run and wait at the inbound proxy, in per cent of its slots.
     pub load_percent: u16,
     /// How long the call waited there for a slot, in milliseconds.
-    pub waited_ms: u32,
+    #[serde(rename = "waited_ms")]
+    pub queue_wait_ms: u32,
     /// Whether no body follows.
     pub end: bool,
 }
@@ -133,17 +134,21 @@
         link: u64,
     },
     /// Outbound to inbound: what became of a try that was sent over an earlier link?
-    Ask {
+    #[serde(rename = "Ask")]
+    QueryOutcome {
         /// The try.
         id: Id,
         /// The link that it was sent over.
-        link: u64,
+        #[serde(rename = "link")]
+        previous_link: u64,
         /// Whether the head of the answer has come.
-        head: bool,
+        #[serde(rename = "head")]
+        head_received: bool,
         /// Bytes of the answer's body that have come.
         received: u64,
         /// Further bytes of it that may be sent.
-        room: u32,
+        #[serde(rename = "room")]
+        window: u32,
     },
     /// Outbound to inbound: tries of this link's process that are over, and will not be asked about.
     Done(Vec<u64>),
@@ -154,14 +159,17 @@
     /// Inbound to outbound: whether new work is refused from here on.
     Leaving(bool),
     /// Outbound to inbound: what would become of a call that is not sent yet?
-    Look(Look),
-    /// Inbound to outbound: answers [`Frame::Look`].
-    Outlook(Outlook),
+    #[serde(rename = "Look")]
+    LoadProbe(LoadProbe),
+    /// Inbound to outbound: answers [`Frame::LoadProbe`].
+    #[serde(rename = "Outlook")]
+    Estimate(Estimate),
 }
 
 /// A question about a call that its sender has not sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Look {
+#[serde(rename = "Look")]
+pub struct LoadProbe {
     /// Names the question among those of its link.
     pub serial: u64,
     /// Service that the call is for.
@@ -180,11 +188,13 @@
 
 /// What an inbound proxy expects of a call that it was asked about.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Outlook {
+#[serde(rename = "Outlook")]
+pub struct Estimate {
     /// The question that is answered.
     pub serial: u64,
     /// Whether the call would be let in.
-    pub takes: bool,
+    #[serde(rename = "takes")]
+    pub accepts: bool,
     /// How long it would wait for a slot, in milliseconds.
     pub wait_ms: u32,
     /// How long calls of its route run, in milliseconds, if any has.
@@ -198,10 +208,10 @@
 ///
 /// Refused, it has cost its head alone. Forms and searches are some hundred bytes,
 /// for which to ask first would only be a trip more.
-pub const EAGER: usize = 4 << 10;
+pub const MAX_EAGER_BODY: usize = 4 << 10;
 
 /// Bytes of an answer's body that its sender may send before the first [`Frame::Credit`].
 ///
 /// One trip and back within a region is about 1 ms, so that a body still moves
 /// at 64 MB a second, and a thousand calls that nobody reads hold 64 MB at most.
-pub const WINDOW: usize = 64 << 10;
+pub const INITIAL_WINDOW: usize = 64 << 10;
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,6 +1,6 @@
 //! Frames to bytes and back, with a bound on what a peer may announce.
 
-use crate::{Error, Hello, PROTOCOL};
+use crate::{Error, Hello, PROTOCOL_VERSION};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -9,7 +9,7 @@
 pub const MAX_FRAME: usize = (1 << 20) + (64 << 10);
 
 /// Bytes of a frame's length prefix.
-pub const PREFIX: usize = 4;
+pub const PREFIX_LEN: usize = 4;
 
 /// Appends a frame with its length prefix to `buffer`.
 ///
@@ -21,16 +21,16 @@
     T: Serialize,
 {
     let start = buffer.len();
-    buffer.extend_from_slice(&[0; PREFIX]);
+    buffer.extend_from_slice(&[0; PREFIX_LEN]);
     let mut whole = postcard::to_extend(frame, std::mem::take(buffer))?;
-    let length = whole.len() - start - PREFIX;
+    let length = whole.len() - start - PREFIX_LEN;
     if length > MAX_FRAME {
         whole.truncate(start);
         *buffer = whole;
         return Err(Error::TooLong(length));
     }
     let prefix = u32::try_from(length).unwrap_or(u32::MAX).to_le_bytes();
-    whole[start..start + PREFIX].copy_from_slice(&prefix);
+    whole[start..start + PREFIX_LEN].copy_from_slice(&prefix);
     *buffer = whole;
     Ok(())
 }
@@ -45,7 +45,7 @@
 where
     T: DeserializeOwned,
 {
-    let Some((prefix, rest)) = bytes.split_first_chunk::<PREFIX>() else {
+    let Some((prefix, rest)) = bytes.split_first_chunk::<PREFIX_LEN>() else {
         return Ok(None);
     };
     let length = u32::from_le_bytes(*prefix) as usize;
@@ -55,7 +55,7 @@
     let Some(body) = rest.get(..length) else {
         return Ok(None);
     };
-    Ok(Some((postcard::from_bytes(body)?, PREFIX + length)))
+    Ok(Some((postcard::from_bytes(body)?, PREFIX_LEN + length)))
 }
 
 /// Reads one frame, through `scratch`, which is kept between frames to save allocations.
@@ -76,7 +76,7 @@
     R: AsyncRead + Unpin,
     T: DeserializeOwned,
 {
-    let mut prefix = [0; PREFIX];
+    let mut prefix = [0; PREFIX_LEN];
     reader.read_exact(&mut prefix).await?;
     let length = u32::from_le_bytes(prefix) as usize;
     if length > limit {
@@ -120,7 +120,7 @@
 {
     let mut scratch = Vec::new();
     let hello: Hello = read_bounded(reader, &mut scratch, MAX_HELLO).await?;
-    if hello.protocol == PROTOCOL {
+    if hello.protocol == PROTOCOL_VERSION {
         Ok(hello)
     } else {
         Err(Error::Protocol(hello.protocol))
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -20,7 +20,7 @@
 pub use status::{Count, Fleet as Status, Refusal};
 
 /// Bytes of a configuration in one [`Chunk`]: short enough that beats aren't held up behind it.
-pub const CHUNK: usize = 64 << 10;
+pub const CHUNK_SIZE: usize = 64 << 10;
 
 /// Most chunks of a configuration: 16 MB, forty times the one that is planned for.
 pub const MAX_CHUNKS: u32 = 256;
@@ -35,7 +35,7 @@
 pub const MAX_ROLLOUTS: usize = 512;
 
 /// Parts that a table of endpoints is summed up in, to find what differs.
-pub const BUCKETS: usize = 256;
+pub const BUCKET_COUNT: usize = 256;
 
 /// A node as others reach it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -50,7 +50,8 @@
 
 /// A sign of life with what the sender holds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+#[serde(rename = "Beat")]
+pub struct Heartbeat {
     /// Counts the sender's beats on this link.
     pub count: u32,
     /// Highest count heard from the receiver: shows that its direction works too.
@@ -60,9 +61,11 @@
     /// Whether the sender serves: a new process that doesn't is no witness of the newest version.
     pub is_ready: bool,
     /// Sum of the sender's table of endpoints.
-    pub endpoints: u64,
+    #[serde(rename = "endpoints")]
+    pub endpoints_checksum: u64,
     /// Children that the sender would still take.
-    pub room: u8,
+    #[serde(rename = "room")]
+    pub child_capacity: u8,
     /// Up: the sender's subtree; down: the fleet; between roots: the sender's
     /// part. Only when it changed.
     pub status: Option<Status>,
@@ -85,7 +88,8 @@
 
 /// What a part of the fleet has counted of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+#[serde(rename = "Part")]
+pub struct RolloutTally {
     /// The service.
     pub service: SmolStr,
     /// The version that is brought in.
@@ -112,7 +116,8 @@
         version: Version,
     },
     /// Asks what the receiver holds, no more.
-    Ask,
+    #[serde(rename = "Ask")]
+    QueryVersion,
     /// Takes a child or an equal.
     Admit {
         /// Names from the root down to the sender; a child must not be among them.
@@ -124,7 +129,7 @@
         /// Other parents, should this one be lost.
         parents: Vec<Peer>,
     },
-    /// Takes none, and answers [`Frame::Ask`].
+    /// Takes none, and answers [`Frame::QueryVersion`].
     Refuse {
         /// Not to be asked again before, in milliseconds.
         wait_ms: u32,
@@ -138,7 +143,8 @@
     /// The sender's way to the root has changed; empty when it has none.
     Path(Vec<SmolStr>),
     /// A sign of life.
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     /// The step from one version to a later one.
     Step {
         /// The version before the step.
@@ -151,20 +157,24 @@
         digest: Digest,
     },
     /// Asks for all that comes after a version.
-    Want {
+    #[serde(rename = "Want")]
+    RequestUpdates {
         /// The version that the sender holds.
         after: Version,
         /// Whether steps didn't help, and the whole is needed.
-        whole: bool,
+        #[serde(rename = "whole")]
+        full: bool,
     },
     /// Part of a whole configuration.
     Chunk(Chunk),
     /// News of endpoints.
     Endpoints(Vec<Arc<Endpoint>>),
     /// Sums of the sender's endpoints by bucket, for the receiver to send what differs.
-    Sums {
-        /// One for each of [`BUCKETS`].
-        sums: Vec<u64>,
+    #[serde(rename = "Sums")]
+    Checksums {
+        /// One for each of [`BUCKET_COUNT`].
+        #[serde(rename = "sums")]
+        checksums: Vec<u64>,
         /// Whether this answers the receiver's own sums.
         is_reply: bool,
     },
@@ -183,11 +193,11 @@
     /// Roll-outs, and how far they have come.
     Rollouts(Vec<Rollout>),
     /// What the sender's part of the fleet has counted of those that go on; to parents and other roots.
-    Tallies(Vec<Part>),
+    Tallies(Vec<RolloutTally>),
 }
 
 /// Longest whole configuration, in bytes before it is compressed.
-const MAX_WHOLE: u64 = MAX_CHUNKS as u64 * CHUNK as u64;
+const MAX_WHOLE: u64 = MAX_CHUNKS as u64 * CHUNK_SIZE as u64;
 
 /// Cuts a whole configuration into chunks, compressed.
 ///
@@ -199,21 +209,23 @@
 /// # Errors
 ///
 /// Refuses a configuration of more than [`MAX_CHUNKS`].
-pub fn split(version: Version, digest: Digest, mesh: &Mesh) -> Result<Vec<Chunk>, Error> {
+pub fn encode_chunks(version: Version, digest: Digest, mesh: &Mesh) -> Result<Vec<Chunk>, Error> {
     let mut packer = DeflateEncoder::new(Vec::new(), Compression::fast());
     packer.write_all(&postcard::to_stdvec(mesh)?)?;
     let bytes = Bytes::from(packer.finish()?);
-    let count = u32::try_from(bytes.len().div_ceil(CHUNK)).unwrap_or(u32::MAX);
+    let count = u32::try_from(bytes.len().div_ceil(CHUNK_SIZE)).unwrap_or(u32::MAX);
     if count > MAX_CHUNKS {
         return Err(Error::TooLong(bytes.len()));
     }
-    let chunks = (0..).zip(bytes.chunks(CHUNK)).map(|(index, part)| Chunk {
-        version,
-        digest,
-        index,
-        count,
-        bytes: bytes.slice_ref(part),
-    });
+    let chunks = (0..)
+        .zip(bytes.chunks(CHUNK_SIZE))
+        .map(|(index, part)| Chunk {
+            version,
+            digest,
+            index,
+            count,
+            bytes: bytes.slice_ref(part),
+        });
     Ok(chunks.collect())
 }
 
@@ -222,7 +234,7 @@
 /// # Errors
 ///
 /// Refuses bytes that are no configuration, and too many of them.
-pub fn join(bytes: &[u8]) -> Result<Mesh, Error> {
+pub fn decode_chunks(bytes: &[u8]) -> Result<Mesh, Error> {
     let mut whole = Vec::new();
     // A peer may send little that becomes much.
     let packed = DeflateDecoder::new(bytes).take(MAX_WHOLE + 1);
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -25,7 +25,7 @@
         }
         /// The peer speaks another version of the protocol.
         Protocol(theirs: u16) {
-            display("peer speaks protocol {}, this node speaks {}", theirs, crate::PROTOCOL)
+            display("peer speaks protocol {}, this node speaks {}", theirs, crate::PROTOCOL_VERSION)
         }
     }
 }
--- a/crates/wire/src/hello.rs
+++ b/crates/wire/src/hello.rs
@@ -4,11 +4,12 @@
 use smol_str::SmolStr;
 
 /// Version of the protocol; peers of another version are refused.
-pub const PROTOCOL: u16 = 5;
+pub const PROTOCOL_VERSION: u16 = 5;
 
 /// What a link is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Link {
+#[serde(rename = "Link")]
+pub enum LinkKind {
     /// Calls from an outbound to an inbound proxy.
     Call,
     /// Configuration, endpoints and status.
@@ -29,5 +30,5 @@
     /// Availability zone of the sender.
     pub zone: SmolStr,
     /// What the link is for.
-    pub link: Link,
+    pub link: LinkKind,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -14,7 +14,7 @@
 mod hello;
 
 pub use error::Error;
-pub use hello::{Hello, Link, PROTOCOL};
+pub use hello::{Hello, LinkKind, PROTOCOL_VERSION};
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/wire/src/reserve.rs
+++ b/crates/wire/src/reserve.rs
@@ -14,7 +14,8 @@
         claim: Claim,
     },
     /// From the owner: the question has come; its reply may take a while.
-    Heard {
+    #[serde(rename = "Heard")]
+    Acknowledged {
         /// The question.
         serial: u64,
     },
@@ -26,5 +27,6 @@
         reply: Reply,
     },
     /// To the owner: a completion or a release, which has no reply.
-    Note(Entry),
+    #[serde(rename = "Note")]
+    Outcome(Entry),
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -6,8 +6,8 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use tokio::io::AsyncReadExt;
 use wire::call::{Frame as CallFrame, Header, Reason, Refusal, Request};
-use wire::codec::{MAX_FRAME, PREFIX, decode, encode, read};
-use wire::{Error, Frame, Hello, Link, PROTOCOL};
+use wire::codec::{MAX_FRAME, PREFIX_LEN, decode, encode, read};
+use wire::{Error, Frame, Hello, LinkKind, PROTOCOL_VERSION};
 
 /// Inputs a property is tried on.
 const CASES: u32 = 500;
@@ -77,12 +77,12 @@
     });
     let credit = (draw_id(), any::<u32>()).prop_map(|(id, bytes)| CallFrame::Credit { id, bytes });
     let ask = (draw_id(), any::<(u64, bool, u64, u32)>()).prop_map(
-        |(id, (link, head, received, room))| CallFrame::Ask {
+        |(id, (previous_link, head_received, received, window))| CallFrame::QueryOutcome {
             id,
-            link,
-            head,
+            previous_link,
+            head_received,
             received,
-            room,
+            window,
         },
     );
     prop_oneof![
@@ -160,7 +160,7 @@
     let strategy = (draw_frame(), any::<prop::sample::Index>(), 0_u32..8);
     run(&strategy, |(frame, index, bit)| {
         let mut buffer = encode_all(&[frame]);
-        let index = PREFIX + index.index(buffer.len() - PREFIX);
+        let index = PREFIX_LEN + index.index(buffer.len() - PREFIX_LEN);
         buffer[index] ^= 1 << bit;
         // An error or another frame; never a panic.
         if let Ok(Some((_, used))) = decode::<Frame>(&buffer) {
@@ -235,21 +235,21 @@
 #[test]
 fn future_hello() {
     let hello = Hello {
-        protocol: PROTOCOL + 1,
+        protocol: PROTOCOL_VERSION + 1,
         node: "records-1".into(),
         incarnation: 7,
         zone: "kl-a".into(),
-        link: Link::Call,
+        link: LinkKind::Call,
     };
     let mut buffer = Vec::new();
     encode(&hello, &mut buffer).unwrap();
     // Whatever a later version adds comes after what this one knows, so that
     // the number can still be read and told.
     buffer.extend([1, 2, 3]);
-    let length = u32::try_from(buffer.len() - PREFIX).unwrap();
-    buffer[..PREFIX].copy_from_slice(&length.to_le_bytes());
+    let length = u32::try_from(buffer.len() - PREFIX_LEN).unwrap();
+    buffer[..PREFIX_LEN].copy_from_slice(&length.to_le_bytes());
     let (found, _) = decode::<Hello>(&buffer).unwrap().unwrap();
-    assert_eq!(found.protocol, PROTOCOL + 1);
+    assert_eq!(found.protocol, PROTOCOL_VERSION + 1);
     let error = Error::Protocol(found.protocol).to_string();
     assert_eq!(error, "peer speaks protocol 6, this node speaks 5");
 }
