--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -103,7 +103,7 @@
         match watch.next().await? {
             Event::Put(object) => {
                 let revision = object.revision;
-                let record = self.journal.unseal_record(object).await?;
+                let record = self.journal.decode_record(object).await?;
                 self.ready.extend(record);
                 self.revision = revision;
             }
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -269,7 +269,7 @@
         let Some(object) = self.store.get(&self.record_name(number)).await? else {
             return Ok(None);
         };
-        let record = self.unseal_record(object).await?;
+        let record = self.decode_record(object).await?;
         let (head, _) = self.read_head().await?;
         if number <= head.floor {
             return Err(Error::Gone);
@@ -302,7 +302,7 @@
             let page = self.store.list(&self.log_prefix(), &after, PAGE).await?;
             tail.revision = page.revision;
             for object in page.items {
-                let Some(record) = self.unseal_record(object).await? else {
+                let Some(record) = self.decode_record(object).await? else {
                     return Ok(tail);
                 };
                 if record.number != last + 1 {
@@ -318,7 +318,7 @@
     }
 
     /// Gives the record that an object holds, or `None` when its name is no number.
-    pub(crate) async fn unseal_record(&self, object: Object) -> Result<Option<Record>, Error> {
+    pub(crate) async fn decode_record(&self, object: Object) -> Result<Option<Record>, Error> {
         let Some(number) = parse_number(&object.name) else {
             return Ok(None);
         };
