--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -1,13 +1,14 @@
-//! Numbered immutable records in the platform.
+//! Append-only journals of numbered, immutable records in the platform's store.
 //!
-//! To append is to create, if absent, the object of the next number. That
-//! creation is the linearisation point: of all who try a number one wins,
-//! and the others learn whose record stands there. Nothing else is needed
-//! for correctness, neither leases nor clocks that agree.
+//! A record is appended by creating the object of the next number if it does
+//! not exist. This creation is the linearization point: of all writers that
+//! try to create a number one succeeds, and the others learn whose record is
+//! stored there. Correctness needs nothing else, neither leases nor
+//! synchronized clocks.
 //!
 //! Snapshots let readers start late and old records be removed (see
 //! [`crate::retention`]). The object `head` names the snapshot to start from and
-//! the floor: records up to the floor may be gone.
+//! the floor: records up to the floor may have been removed.
 
 use crate::chunk::{make_envelope, read_envelope};
 use crate::{Error, Object, Revision, Store};
@@ -17,65 +18,66 @@
 use smol_str::SmolStr;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Time since a number was seen to be free, after which a successful creation
-/// of it is checked against the floor. Records are kept for ten times as long
-/// at least ([`crate::retention::RETENTION`]), so that clocks may differ much.
+/// Time since a number was read to be free after which a successful creation
+/// of its record is checked against the floor. Records are kept at least ten
+/// times as long ([`crate::retention::RETENTION`]), which leaves a wide margin
+/// for clocks that differ.
 pub const FLOOR_CHECK_AFTER: Duration = Duration::from_mins(1);
 
-/// Tries of a creation whose answer is lost, before the caller is told.
+/// Attempts at a creation whose response is lost, before the caller gets the error.
 const CREATE_ATTEMPTS: u32 = 3;
 
-/// Wait before another try.
+/// Pause before another attempt.
 const ATTEMPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Records read at once.
+/// Records read per list request.
 const PAGE: usize = 50;
 
-/// Tries to read a journal whole while records are being removed.
+/// Attempts to load a journal while records are being removed.
 const LOAD_ATTEMPTS: u32 = 8;
 
-/// A record as it stands in the platform.
+/// A record of a journal.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
     /// Its number; the first is 1.
     pub number: u64,
-    /// Chosen by its writer.
+    /// Identifies the append that wrote it; chosen by the writer.
     pub nonce: SmolStr,
-    /// What it says.
+    /// Its content.
     pub value: Value,
 }
 
-/// How an append ended.
+/// Result of an append that was decided.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AppendOutcome {
-    /// The record stands at the number.
+    /// The record is stored at the number.
     Written,
-    /// Another's record stands there.
+    /// Another writer's record is stored there.
     Taken(Record),
 }
 
-/// Records after a number that the reader knows already.
+/// The records that follow those up to a number which the reader already has.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tail {
-    /// The records, in order and without gap.
+    /// The records, in order and without gaps.
     pub records: Vec<Record>,
-    /// A watch from here misses none after them.
+    /// The revision at which they were read; a watch from here misses no later record.
     pub revision: Revision,
 }
 
-/// All that is needed to know the whole journal.
+/// Full content of a journal: its last snapshot and the records after it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LoadedJournal {
-    /// Number of the last record that the snapshot contains.
+    /// Number of the last record that the snapshot includes, or 0.
     pub snapshot_number: u64,
-    /// The snapshot, unless there is none yet.
+    /// The snapshot, if one has been written.
     pub snapshot: Option<Value>,
-    /// What comes after it.
+    /// The records after the snapshot.
     pub tail: Tail,
 }
 
 impl LoadedJournal {
-    /// Gives the number of the last record.
+    /// Returns the number of the last record.
     #[must_use]
     pub fn last_number(&self) -> u64 {
         let last = self.tail.records.last();
@@ -83,7 +85,7 @@
     }
 }
 
-/// Where readers start, and what may be gone.
+/// Where readers start, and which records may have been removed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Head {
     /// Number of the last snapshot.
@@ -92,7 +94,7 @@
     pub(crate) floor: u64,
 }
 
-/// A moment by the monotonic clock and by the time of day.
+/// A point in time, by the monotonic clock and by the wall clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timestamp {
     now: Instant,
@@ -100,7 +102,7 @@
 }
 
 impl Timestamp {
-    /// Gives the present moment.
+    /// Returns the current time.
     pub fn now<C>(clock: &C) -> Self
     where
         C: Clock,
@@ -111,10 +113,11 @@
         }
     }
 
-    /// Gives the time since, by whichever clock says more: for limits that must not be overrun.
+    /// Returns the time since then by the clock that shows more, for limits that must not be
+    /// exceeded.
     ///
-    /// A VM that was suspended finds that its monotonic clock stood still; the
-    /// time of day may have been set back. Both at once would be needed to err.
+    /// The monotonic clock stands still while a VM is suspended, and the wall
+    /// clock may be set back. The result is too short only if both happen.
     pub fn max_elapsed<C>(self, clock: &C) -> Duration
     where
         C: Clock,
@@ -123,10 +126,10 @@
         clock.now().duration_since(self.now).max(wall)
     }
 
-    /// Gives the time since by the monotonic clock: for waits that must not be cut short.
+    /// Returns the time since then by the monotonic clock, for waits that must not be cut short.
     ///
-    /// The time of day may be set forward by hours in one step; this clock at
-    /// worst stands still.
+    /// The wall clock may be set forward by hours in one step; the monotonic
+    /// clock at worst stands still.
     pub fn monotonic_elapsed<C>(self, clock: &C) -> Duration
     where
         C: Clock,
@@ -135,7 +138,7 @@
     }
 }
 
-/// A journal in the platform.
+/// Handle of a journal in the platform's store.
 #[derive(Debug, Clone)]
 pub struct Journal<S, C> {
     pub(crate) store: S,
@@ -148,7 +151,7 @@
     S: Store,
     C: Clock,
 {
-    /// Names a journal; it stands once the first record does.
+    /// Returns a handle of the journal; the journal exists once its first record is written.
     #[must_use]
     pub fn open(store: S, clock: C, name: &str) -> Self {
         Self {
@@ -158,13 +161,13 @@
         }
     }
 
-    /// Gives the present moment, to be taken before reading that a number is free.
+    /// Returns the current time; call it before reading that a number is free.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         Timestamp::now(&self.clock)
     }
 
-    /// Gives the platform that the journal is in.
+    /// Returns the store that holds the journal.
     #[must_use]
     pub fn store(&self) -> &S {
         &self.store
@@ -182,7 +185,7 @@
         format!("{}/snapshots/{number:020}", self.name)
     }
 
-    /// Names the directory of the parts of what is written for `number`.
+    /// Returns the name prefix of the parts of a large value that is written for `number`.
     pub(crate) fn parts_prefix(&self, number: u64) -> String {
         format!("{}/parts/{number:020}", self.name)
     }
@@ -191,66 +194,72 @@
         format!("{}/head", self.name)
     }
 
-    /// Writes a record at `number`, which was free at the moment `free`.
+    /// Writes a record at `number`, which was free at the time `free_at`.
     ///
-    /// The same `nonce` may be tried again and again; it is written once at most.
+    /// An append with the same `nonce` may be repeated any number of times; at
+    /// most one record is written.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] when the record may stand or may still come to
-    /// stand, [`Error::Gone`] when the number was removed long ago, so that
-    /// only the snapshot tells what stood there. With all other errors it
-    /// surely does not stand.
+    /// [`Error::Unknown`] if the record may have been written or may still be
+    /// written later, [`Error::Gone`] if the number was removed long ago, so
+    /// that only the snapshot shows what was stored there. After any other
+    /// error the record is certainly not written.
     pub async fn append(
         &self,
         number: u64,
         nonce: &str,
         value: &Value,
-        free: Timestamp,
+        free_at: Timestamp,
     ) -> Result<AppendOutcome, Error> {
-        let sealed = make_envelope(&self.store, &self.parts_prefix(number), nonce, value).await?;
-        let mut doubt = None;
+        let envelope = make_envelope(&self.store, &self.parts_prefix(number), nonce, value).await?;
+        let mut unknown = None;
         for attempt in 0..CREATE_ATTEMPTS {
             if attempt > 0 {
                 tokio::time::sleep(ATTEMPT_PAUSE).await;
             }
-            match self.store.create(&self.record_name(number), &sealed).await {
-                Ok(_) => return self.confirm(number, free).await,
+            match self
+                .store
+                .create(&self.record_name(number), &envelope)
+                .await
+            {
+                Ok(_) => return self.confirm(number, free_at).await,
                 Err(Error::Conflict) => {
-                    let settled = self.settle(number, nonce, free).await;
-                    return settled.map_err(|error| doubt.unwrap_or(error));
+                    let resolved = self.resolve_conflict(number, nonce, free_at).await;
+                    return resolved.map_err(|error| unknown.unwrap_or(error));
                 }
-                Err(error @ Error::Unknown(_)) => doubt = Some(error),
-                Err(error) => return Err(doubt.unwrap_or(error)),
+                Err(error @ Error::Unknown(_)) => unknown = Some(error),
+                Err(error) => return Err(unknown.unwrap_or(error)),
             }
         }
-        Err(doubt.unwrap_or_else(|| Error::Unavailable("no try was made".into())))
+        Err(unknown.unwrap_or_else(|| Error::Unavailable("no attempt was made".into())))
     }
 
-    /// Finds out whose record stands at a number that is taken.
+    /// Finds out whose record is stored at a number that is taken.
     ///
-    /// After a lost answer it may well be the writer's own; its nonce tells.
-    async fn settle(
+    /// After a lost response it may be the writer's own, which the nonce shows.
+    async fn resolve_conflict(
         &self,
         number: u64,
         nonce: &str,
-        free: Timestamp,
+        free_at: Timestamp,
     ) -> Result<AppendOutcome, Error> {
         let record = self.get(number).await?.ok_or(Error::Gone)?;
         if record.nonce == nonce {
-            return self.confirm(number, free).await;
+            return self.confirm(number, free_at).await;
         }
         Ok(AppendOutcome::Taken(record))
     }
 
-    /// Makes sure that a record that was written stands among the others.
+    /// Confirms that a record that was written is part of the journal.
     ///
     /// A writer that was paused for hours may find its number free again,
-    /// because the record that stood there has been removed. Its creation then
-    /// succeeds and means nothing. Records are kept for much longer than
-    /// [`FLOOR_CHECK_AFTER`], so that only a slow writer has to look at the floor.
-    async fn confirm(&self, number: u64, free: Timestamp) -> Result<AppendOutcome, Error> {
-        if free.max_elapsed(&self.clock) < FLOOR_CHECK_AFTER {
+    /// because the record that was stored there has been removed. Its creation
+    /// then succeeds, but the record is not part of the journal. Records are
+    /// kept much longer than [`FLOOR_CHECK_AFTER`], so only a slow writer has to
+    /// check the floor.
+    async fn confirm(&self, number: u64, free_at: Timestamp) -> Result<AppendOutcome, Error> {
+        if free_at.max_elapsed(&self.clock) < FLOOR_CHECK_AFTER {
             return Ok(AppendOutcome::Written);
         }
         match self.read_head().await {
@@ -260,11 +269,11 @@
         }
     }
 
-    /// Reads the record of a number, if one stands there.
+    /// Reads the record of a number, if there is one.
     ///
     /// # Errors
     ///
-    /// [`Error::Gone`] when the number is at or below the floor.
+    /// [`Error::Gone`] if the number is at or below the floor.
     pub async fn get(&self, number: u64) -> Result<Option<Record>, Error> {
         let Some(object) = self.store.get(&self.record_name(number)).await? else {
             return Ok(None);
@@ -277,19 +286,19 @@
         Ok(record)
     }
 
-    /// Reads the records after `number`, or `None` when some of them may be gone.
+    /// Reads the records after `number`; `None` if some of them may have been removed.
     ///
     /// # Errors
     ///
-    /// When the platform can't be read.
+    /// If the platform can't be read.
     pub async fn read_after(&self, number: u64) -> Result<Option<Tail>, Error> {
         let tail = match self.read_records(number).await {
             Err(Error::Gone) => return Ok(None),
             tail => tail?,
         };
-        // The floor is read last: a record that was removed while the list was
-        // read, and one that a slow writer left at a removed number, are both
-        // at or below it by now.
+        // The floor is read last: by then it covers every record that was
+        // removed during the list request, and every record that a slow writer
+        // has created at a removed number.
         let (head, _) = self.read_head().await?;
         Ok((head.floor <= number).then_some(tail))
     }
@@ -317,7 +326,7 @@
         }
     }
 
-    /// Gives the record that an object holds, or `None` when its name is no number.
+    /// Decodes the record that an object holds; `None` if its name has no number.
     pub(crate) async fn decode_record(&self, object: Object) -> Result<Option<Record>, Error> {
         let Some(number) = parse_number(&object.name) else {
             return Ok(None);
@@ -330,11 +339,11 @@
         }))
     }
 
-    /// Reads the whole journal: its last snapshot and what comes after.
+    /// Loads the full journal: its last snapshot and the records after it.
     ///
     /// # Errors
     ///
-    /// When the platform can't be read.
+    /// If the platform can't be read, or the snapshots change faster than they can be read.
     pub async fn load(&self) -> Result<LoadedJournal, Error> {
         for _ in 0..LOAD_ATTEMPTS {
             let (head, _) = self.read_head().await?;
@@ -350,7 +359,9 @@
                 });
             }
         }
-        Err(Error::Unavailable("snapshots changed at each try".into()))
+        Err(Error::Unavailable(
+            "the snapshot changed at each attempt".into(),
+        ))
     }
 
     async fn read_snapshot(&self, number: u64) -> Result<Option<Value>, Error> {
@@ -373,7 +384,7 @@
     }
 }
 
-/// Reads the number at the end of a record's name.
+/// Parses the number at the end of a record's name.
 pub(crate) fn parse_number(name: &str) -> Option<u64> {
     name.rsplit('/').next()?.parse().ok()
 }
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,6 +1,6 @@
-//! A platform in the process's own memory, with faults on demand.
+//! An in-memory implementation of the platform's store, with fault injection.
 //!
-//! Tests use it in place of the real one, and the stand-in serves it over HTTP.
+//! Tests use it in place of the real platform, and the stand-in serves it over HTTP.
 
 use crate::MAX_VALUE_BYTES;
 use crate::{Error, Event, List, Object, Revision, Store, Watch};
@@ -15,44 +15,46 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Events kept for watches that start in the past, before they are told [`Error::Gone`].
-const HISTORY: usize = 4096;
+/// Events kept for watches that start in the past; a watch that starts before them gets
+/// [`Error::Gone`].
+const MAX_HISTORY: usize = 4096;
 
-/// Time between two bookmarks of a watch.
+/// Interval between the bookmarks of a watch.
 const BOOKMARK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Faults that are in force.
+/// Faults that are injected into calls and watches.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// No call is answered, none takes effect, and watches end.
+    /// Calls fail without taking effect, and watches end.
     pub down: bool,
-    /// Every call takes this long, in milliseconds.
+    /// Delay of every call, in milliseconds.
     pub slow_ms: u64,
-    /// That many next writes take effect, but their answers are lost.
+    /// Number of upcoming writes that take effect, but whose responses are lost.
     pub lose_next: u32,
-    /// Share of writes whose answers are lost after the effect, in per cent.
+    /// Share of writes that take effect, but whose responses are lost, in percent.
     pub lose_percent: u8,
-    /// That many next writes are lost on the way, and take effect only when [`MemoryStore::deliver_late_writes`] is called.
+    /// Number of upcoming writes whose requests are delayed: they take effect only when
+    /// [`MemoryStore::deliver_late_writes`] is called.
     pub late_next: u32,
-    /// Watches say nothing more, not even bookmarks, yet stay open.
+    /// Watches stay open but deliver no events, not even bookmarks.
     pub silent_watches: bool,
 }
 
-/// Calls that were made, each counted once; a waiting watch is one.
+/// Number of calls received so far; a watch counts once, when it is opened.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Reads and lists.
+    /// Reads and list requests.
     pub reads: u64,
     /// Watches opened.
     pub watches: u64,
     /// Creations, updates and deletions.
     pub writes: u64,
-    /// Those among the writes that met a conflict.
+    /// Writes that failed with a conflict.
     pub conflicts: u64,
 }
 
-/// A write on its way.
+/// A write request.
 #[derive(Debug, Clone)]
 enum Write {
     Create(SmolStr, Value),
@@ -62,58 +64,58 @@
 }
 
 #[derive(Debug)]
-struct Table {
+struct State {
     objects: BTreeMap<SmolStr, Object>,
     history: VecDeque<Event>,
     revision: Revision,
-    forgotten: Revision,
+    compacted: Revision,
     faults: Faults,
-    late: Vec<Write>,
+    delayed: Vec<Write>,
     counts: Counts,
     rng: SmallRng,
 }
 
-/// A platform in memory; clones share it.
+/// The platform's store in memory; clones share the same objects.
 #[derive(Debug, Clone)]
 pub struct MemoryStore {
-    table: Arc<Mutex<Table>>,
+    state: Arc<Mutex<State>>,
     changed: watch::Sender<Revision>,
     eras: watch::Sender<Option<u64>>,
 }
 
-/// A copy of a platform, to come back from.
+/// A backup of all objects, for [`MemoryStore::restore`].
 #[derive(Debug, Clone)]
 pub struct Backup {
     objects: BTreeMap<SmolStr, Object>,
     number: u64,
 }
 
-/// What the faults in force do to a write.
+/// The fault that is injected into a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
-    Answered,
-    AnswerLost,
-    Late,
+enum InjectedFault {
+    None,
+    ResponseLost,
+    Delayed,
 }
 
 impl MemoryStore {
-    /// Makes an empty platform.
+    /// Creates an empty store.
     #[must_use]
     pub fn new() -> Self {
         Self::with_seed(0)
     }
 
-    /// Makes an empty platform whose random faults follow `seed`.
+    /// Creates an empty store whose random faults are determined by `seed`.
     #[must_use]
     pub fn with_seed(seed: u64) -> Self {
         Self {
-            table: Arc::new(Mutex::new(Table {
+            state: Arc::new(Mutex::new(State {
                 objects: BTreeMap::new(),
                 history: VecDeque::new(),
                 revision: Revision::default(),
-                forgotten: Revision::default(),
+                compacted: Revision::default(),
                 faults: Faults::default(),
-                late: Vec::new(),
+                delayed: Vec::new(),
                 counts: Counts::default(),
                 rng: SmallRng::seed_from_u64(seed),
             })),
@@ -122,86 +124,86 @@
         }
     }
 
-    /// Sets the faults in force, in place of those before.
+    /// Replaces the faults that are injected.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
         self.changed.send_modify(|_| {});
     }
 
-    /// Gives the faults in force.
+    /// Returns the faults that are injected now.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.lock().faults.clone()
     }
 
-    /// Gives the calls counted so far.
+    /// Returns the number of calls so far.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.lock().counts
     }
 
-    /// Lets the writes that were lost on the way arrive now.
+    /// Applies the delayed writes now.
     pub fn deliver_late_writes(&self) {
-        let mut table = self.lock();
-        let late = std::mem::take(&mut table.late);
-        for write in late {
-            // Nobody waits for the answer any more.
-            drop(table.apply(write));
+        let mut state = self.lock();
+        let delayed = std::mem::take(&mut state.delayed);
+        for write in delayed {
+            // The caller has already been given an error.
+            drop(state.apply(write));
         }
-        let revision = table.revision;
-        drop(table);
+        let revision = state.revision;
+        drop(state);
         self.changed.send_replace(revision);
     }
 
-    /// Takes a copy of all objects.
+    /// Makes a backup of all objects.
     #[must_use]
     pub fn backup(&self) -> Backup {
-        let table = self.lock();
+        let state = self.lock();
         Backup {
-            objects: table.objects.clone(),
-            number: table.revision.number,
+            objects: state.objects.clone(),
+            number: state.revision.number,
         }
     }
 
-    /// Comes back from a copy: a new era begins, and what was written since is gone.
-    pub fn restore(&self, copy: Backup) {
-        let mut table = self.lock();
-        let era = table.revision.era + 1;
-        let back = |mut object: Object| {
+    /// Restores a backup: a new era begins, and everything written since the backup is lost.
+    pub fn restore(&self, backup: Backup) {
+        let mut state = self.lock();
+        let era = state.revision.era + 1;
+        let restore = |mut object: Object| {
             object.revision.era = era;
             object
         };
-        let objects = copy.objects.into_iter();
-        table.objects = objects.map(|(name, one)| (name, back(one))).collect();
-        table.revision = Revision {
+        let objects = backup.objects.into_iter();
+        state.objects = objects.map(|(name, one)| (name, restore(one))).collect();
+        state.revision = Revision {
             era,
-            number: copy.number,
+            number: backup.number,
         };
-        table.forgotten = table.revision;
-        table.history.clear();
-        table.late.clear();
-        let revision = table.revision;
-        drop(table);
+        state.compacted = state.revision;
+        state.history.clear();
+        state.delayed.clear();
+        let revision = state.revision;
+        drop(state);
         self.changed.send_replace(revision);
         self.eras.send_replace(Some(era));
     }
 
-    /// Forgets all events, so that watches from before are told [`Error::Gone`].
+    /// Drops all events, so that watches from earlier revisions get [`Error::Gone`].
     pub fn compact_history(&self) {
-        let mut table = self.lock();
-        table.history.clear();
-        table.forgotten = table.revision;
+        let mut state = self.lock();
+        state.history.clear();
+        state.compacted = state.revision;
     }
 
-    fn lock(&self) -> MutexGuard<'_, Table> {
-        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits as long as a slow platform makes its callers wait.
-    async fn enter(&self) -> Result<(), Error> {
-        let slow = self.lock().faults.slow_ms;
-        if slow > 0 {
-            tokio::time::sleep(Duration::from_millis(slow)).await;
+    /// Applies the faults that all calls share: the delay of a slow platform, and its outage.
+    async fn apply_common_faults(&self) -> Result<(), Error> {
+        let delay_ms = self.lock().faults.slow_ms;
+        if delay_ms > 0 {
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
         if self.lock().faults.down {
             return Err(Error::Unavailable("down".into()));
@@ -211,36 +213,40 @@
 
     async fn write(&self, write: Write) -> Result<Revision, Error> {
         self.lock().counts.writes += 1;
-        self.enter().await?;
-        let mut table = self.lock();
-        let fate = table.draw_fate();
-        if fate == Fate::Late {
-            table.late.push(write);
-            return Err(Error::Unknown("lost on the way".into()));
+        self.apply_common_faults().await?;
+        let mut state = self.lock();
+        let fault = state.sample_fault();
+        if fault == InjectedFault::Delayed {
+            state.delayed.push(write);
+            return Err(Error::Unknown(
+                "request delayed by an injected fault".into(),
+            ));
         }
-        let outcome = table.apply(write);
+        let outcome = state.apply(write);
         if outcome == Err(Error::Conflict) {
-            table.counts.conflicts += 1;
+            state.counts.conflicts += 1;
         }
-        let revision = table.revision;
-        drop(table);
+        let revision = state.revision;
+        drop(state);
         self.changed.send_replace(revision);
-        if fate == Fate::AnswerLost {
-            return Err(Error::Unknown("lost on the way back".into()));
+        if fault == InjectedFault::ResponseLost {
+            return Err(Error::Unknown(
+                "response dropped by an injected fault".into(),
+            ));
         }
         outcome
     }
 
-    async fn read<T, F>(&self, take: F) -> Result<T, Error>
+    async fn read<T, F>(&self, query: F) -> Result<T, Error>
     where
-        F: FnOnce(&Table) -> T,
+        F: FnOnce(&State) -> T,
     {
         self.lock().counts.reads += 1;
-        self.enter().await?;
-        Ok(take(&self.lock()))
+        self.apply_common_faults().await?;
+        Ok(query(&self.lock()))
     }
 
-    async fn feed(
+    async fn run_watch(
         self,
         prefix: SmolStr,
         from: Revision,
@@ -248,18 +254,19 @@
     ) {
         let mut changed = self.changed.subscribe();
         let mut position = from;
-        // Due by the clock and not by silence: writes that don't concern the
-        // watch would else hold its bookmarks off for good.
+        // Bookmarks are due at fixed times, not after a time without events:
+        // otherwise a steady stream of writes to other folders, which wake this
+        // loop too, would postpone them forever.
         let mut bookmarks = tokio::time::interval(BOOKMARK_INTERVAL);
         bookmarks.reset();
         loop {
             let (next, revision) = {
                 changed.borrow_and_update();
-                let table = self.lock();
-                if table.faults.down {
+                let state = self.lock();
+                if state.faults.down {
                     return;
                 }
-                (table.read_history(&prefix, position), table.revision)
+                (state.read_history(&prefix, position), state.revision)
             };
             let events = match next {
                 Ok(events) => events,
@@ -275,7 +282,7 @@
                 _ = changed.changed() => {}
                 () = sender.closed() => return,
                 _ = bookmarks.tick() => {
-                    let bookmark = self.lock().draw_bookmark();
+                    let bookmark = self.lock().bookmark();
                     if let Some(bookmark) = bookmark
                         && sender.send(Ok(bookmark)).await.is_err()
                     {
@@ -293,23 +300,23 @@
     }
 }
 
-impl Table {
-    fn draw_fate(&mut self) -> Fate {
+impl State {
+    fn sample_fault(&mut self) -> InjectedFault {
         if self.faults.late_next > 0 {
             self.faults.late_next -= 1;
-            return Fate::Late;
+            return InjectedFault::Delayed;
         }
         if self.faults.lose_next > 0 {
             self.faults.lose_next -= 1;
-            return Fate::AnswerLost;
+            return InjectedFault::ResponseLost;
         }
         if self.rng.random_range(0..100) < self.faults.lose_percent {
-            return Fate::AnswerLost;
+            return InjectedFault::ResponseLost;
         }
-        Fate::Answered
+        InjectedFault::None
     }
 
-    fn draw_bookmark(&self) -> Option<Event> {
+    fn bookmark(&self) -> Option<Event> {
         (!self.faults.silent_watches).then_some(Event::Bookmark(self.revision))
     }
 
@@ -336,7 +343,7 @@
                 self.objects.remove(&name);
                 self.revision.number += 1;
                 let revision = self.revision;
-                self.remember(Event::Deleted { name, revision });
+                self.record_event(Event::Deleted { name, revision });
                 Ok(revision)
             }
         }
@@ -365,16 +372,16 @@
             status,
         };
         self.objects.insert(name, object.clone());
-        self.remember(Event::Put(object));
+        self.record_event(Event::Put(object));
         Ok(self.revision)
     }
 
-    fn remember(&mut self, event: Event) {
+    fn record_event(&mut self, event: Event) {
         self.history.push_back(event);
-        if self.history.len() > HISTORY
+        if self.history.len() > MAX_HISTORY
             && let Some(oldest) = self.history.pop_front()
         {
-            self.forgotten = oldest.revision();
+            self.compacted = oldest.revision();
         }
     }
 
@@ -382,18 +389,18 @@
         if self.faults.silent_watches {
             return Ok(Vec::new());
         }
-        if position < self.forgotten {
+        if position < self.compacted {
             return Err(Error::Gone);
         }
         let newer = self
             .history
             .partition_point(|event| event.revision() <= position);
-        let named = self.history.range(newer..).filter(|event| match event {
+        let matching = self.history.range(newer..).filter(|event| match event {
             Event::Put(object) => object.name.starts_with(prefix),
             Event::Deleted { name, .. } => name.starts_with(prefix),
             Event::Bookmark(_) => false,
         });
-        Ok(named.cloned().collect())
+        Ok(matching.cloned().collect())
     }
 
     fn list(&self, prefix: &str, after: &str, limit: usize) -> List {
@@ -403,27 +410,27 @@
         } else {
             Bound::Excluded(start)
         };
-        let mut named = self
+        let mut matching = self
             .objects
             .range::<str, _>((bound, Bound::Unbounded))
             .map(|(_, object)| object)
             .take_while(|object| object.name.starts_with(prefix));
-        let items = named.by_ref().take(limit).cloned().collect();
+        let items = matching.by_ref().take(limit).cloned().collect();
         List {
             items,
             revision: self.revision,
-            has_more: named.next().is_some(),
+            has_more: matching.next().is_some(),
         }
     }
 }
 
 impl Store for MemoryStore {
     async fn get(&self, name: &str) -> Result<Option<Object>, Error> {
-        self.read(|table| table.objects.get(name).cloned()).await
+        self.read(|state| state.objects.get(name).cloned()).await
     }
 
     async fn list(&self, folder: &str, after: &str, limit: usize) -> Result<List, Error> {
-        self.read(|table| table.list(folder, after, limit)).await
+        self.read(|state| state.list(folder, after, limit)).await
     }
 
     async fn create(&self, name: &str, value: &Value) -> Result<Revision, Error> {
@@ -461,9 +468,9 @@
 
     async fn watch(&self, folder: &str, from: Revision) -> Result<Watch, Error> {
         self.lock().counts.watches += 1;
-        self.enter().await?;
+        self.apply_common_faults().await?;
         let (sender, watch) = Watch::channel();
-        tokio::spawn(self.clone().feed(folder.into(), from, sender));
+        tokio::spawn(self.clone().run_watch(folder.into(), from, sender));
         Ok(watch)
     }
 }
--- a/crates/store/src/propose.rs
+++ b/crates/store/src/propose.rs
@@ -1,8 +1,9 @@
 //! Proposals: a patch against a version is accepted, refused or never applied.
 //!
-//! A proposal against N becomes N + 1 by creating the record of that number,
-//! under the proposal's name as nonce. However often and by whomever one
-//! proposal is tried, it stands there once or not at all.
+//! A proposal against version N becomes version N + 1 by creating the record of
+//! that number, with the proposal's id as the nonce. A proposal may be submitted
+//! any number of times and from any process: its record is written once or not
+//! at all.
 
 use crate::journal::AppendOutcome;
 use crate::version::{Entry, Id, JOURNAL, State, Step, load};
@@ -12,127 +13,130 @@
 use smol_str::{SmolStr, format_smolstr};
 use std::time::UNIX_EPOCH;
 
-/// Versions between two snapshots: a reader that starts reads at most that
-/// many steps, and a snapshot's write is spread over as many.
+/// Versions between two snapshots: a reader that starts reads at most this
+/// many steps, and the cost of writing a snapshot is spread over as many.
 pub const SNAPSHOT_INTERVAL: usize = 64;
 
 /// A patch that an operator wants applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
-    /// Its name; a second try must carry the same one.
+    /// Identifies the proposal; a repeated submission must use the same id.
     pub id: Id,
-    /// Who wants it.
+    /// The operator who submits it.
     pub author: SmolStr,
-    /// What to change.
+    /// The change.
     pub patch: Patch,
 }
 
 /// Why a proposal is refused.
 #[derive(Debug)]
 pub enum Refusal {
-    /// Another proposal became the version that this one would have been.
+    /// Another proposal has become the version that this one would have been: the step to it.
     Crossed(Box<Step>),
-    /// As [`Refusal::Crossed`], but only a snapshot of that version is left.
+    /// As [`Refusal::Crossed`], but the step to that version is already part of a snapshot.
     Superseded(Version),
-    /// The version it is against isn't there; this is the last one.
+    /// The version that it is against doesn't exist; this is the last one.
     NoSuchBase(Version),
-    /// It breaks a rule.
+    /// The patch or the configuration that it leads to is invalid.
     Invalid(config::Error),
 }
 
-/// What became of a proposal.
+/// Outcome of a proposal.
 #[derive(Debug)]
 pub enum Outcome {
-    /// It is this version, for good.
+    /// It is this version; final.
     Accepted(Version),
-    /// It is not applied and can't be any more.
+    /// It was not applied and never will be.
     Refused(Refusal),
-    /// It is not applied and can't be any more, although nothing was wrong with it.
+    /// It was not applied and never will be, although it was valid.
     NeverApplied,
-    /// This try wrote nothing, because the platform did not answer or refused
-    /// the load; earlier tries of the same proposal are not settled by it.
+    /// This submission wrote nothing, because the platform was unreachable or
+    /// refused the load; the outcome of earlier submissions of the same
+    /// proposal remains open.
     NotSent(Error),
-    /// Not known yet: it may stand already, or may still come to stand.
+    /// Not known yet: it may have been written, or may still be written later.
     Unknown(Error),
 }
 
-/// Proposes a patch.
+/// Submits a proposal.
 ///
-/// A proposal that ended as [`Outcome::Unknown`] may be proposed again as it
-/// is, or settled with [`resolve`].
+/// After [`Outcome::Unknown`] the same proposal may be submitted again, or
+/// resolved with [`resolve`].
 pub async fn propose<S, C>(journal: &Journal<S, C>, proposal: &Proposal) -> Outcome
 where
     S: Store,
     C: Clock,
 {
-    let free = journal.now();
+    let free_at = journal.now();
     let state = match load(journal).await {
         Ok(state) => state,
         Err(error) => return Outcome::NotSent(error),
     };
-    if let Some(outcome) = find_outcome(&state, &proposal.id) {
+    if let Some(outcome) = known_outcome(&state, &proposal.id) {
         return outcome;
     }
-    let entry = match make_entry(journal, &state, proposal) {
+    let entry = match build_entry(journal, &state, proposal) {
         Ok(entry) => entry,
         Err(error) => return Outcome::Refused(Refusal::Invalid(error)),
     };
     let number = state.version.next().0;
     let Ok(value) = serde_json::to_value(&entry) else {
-        return Outcome::NotSent(Error::Invalid("a patch without JSON form".into()));
+        return Outcome::NotSent(Error::Invalid("the patch can't be encoded as JSON".into()));
     };
     let nonce = format_smolstr!("{}", proposal.id);
-    let appended = journal.append(number, &nonce, &value, free).await;
+    let appended = journal.append(number, &nonce, &value, free_at).await;
     let written = Outcome::Accepted(Version(number));
-    let outcome = judge_append(&proposal.id, appended, written);
+    let outcome = outcome_of_append(&proposal.id, appended, written);
     if matches!(outcome, Outcome::Accepted(_)) {
-        keep_short(journal, state, number, entry).await;
+        write_snapshot_if_due(journal, state, number, entry).await;
     }
     outcome
 }
 
-/// Finds out what became of a proposal, and makes sure that it stays so.
+/// Finds out the outcome of a proposal and makes it final.
 ///
-/// Where its number is still free, a void version takes it first. A write that
-/// is late, on its way through the network or in a process that was paused,
-/// then finds the number taken: only that makes "never applied" true.
+/// If the proposal's number is still free, a void version is written there
+/// first. A delayed write, still in the network or in a paused process, then
+/// finds the number taken; without that, "never applied" might turn out false.
 pub async fn resolve<S, C>(journal: &Journal<S, C>, id: &Id, author: &str) -> Outcome
 where
     S: Store,
     C: Clock,
 {
-    let free = journal.now();
+    let free_at = journal.now();
     let state = match load(journal).await {
         Ok(state) => state,
         Err(error) => return Outcome::Unknown(error),
     };
-    if let Some(outcome) = find_outcome(&state, id) {
+    if let Some(outcome) = known_outcome(&state, id) {
         return outcome;
     }
     let entry = Entry {
         proposal: id.clone(),
         void: true,
         author: author.into(),
-        at_ms: wall_ms(journal),
+        at_ms: unix_ms(journal),
         patch: Patch::default(),
         digest: Digest::of(&state.mesh),
     };
     let Ok(value) = serde_json::to_value(&entry) else {
-        return Outcome::Unknown(Error::Invalid("a void version without JSON form".into()));
+        return Outcome::Unknown(Error::Invalid(
+            "the void version can't be encoded as JSON".into(),
+        ));
     };
-    // Two that settle one proposal at once both see a void version, of either.
+    // If two callers resolve one proposal at the same time, both see a void version: one of theirs.
     let nonce = format_smolstr!("void-{}", Id::generate(id.base));
     let number = state.version.next().0;
-    let appended = journal.append(number, &nonce, &value, free).await;
-    match judge_append(id, appended, Outcome::NeverApplied) {
-        // Nothing was shut out.
+    let appended = journal.append(number, &nonce, &value, free_at).await;
+    match outcome_of_append(id, appended, Outcome::NeverApplied) {
+        // The number is still free, so a delayed write may still succeed.
         Outcome::NotSent(error) => Outcome::Unknown(error),
         outcome => outcome,
     }
 }
 
-/// Gives the outcome that the state tells, or `None` while the proposal's number is free.
-fn find_outcome(state: &State, id: &Id) -> Option<Outcome> {
+/// Returns the outcome as of `state`; `None` while the proposal's number is free.
+fn known_outcome(state: &State, id: &Id) -> Option<Outcome> {
     let version = id.base.next();
     if version > state.version.next() {
         return Some(Outcome::Refused(Refusal::NoSuchBase(state.version)));
@@ -141,7 +145,7 @@
         return None;
     }
     if let Some(step) = state.step(version) {
-        return Some(judge_holder(id, step.clone()));
+        return Some(outcome_of_holder(id, step.clone()));
     }
     Some(match state.origin(version) {
         Some(origin) if origin.proposal != *id => Outcome::Refused(Refusal::Superseded(version)),
@@ -151,8 +155,8 @@
     })
 }
 
-/// Tells what the step at a proposal's number means for it.
-fn judge_holder(id: &Id, holder: Step) -> Outcome {
+/// Returns the outcome of a proposal at whose number `holder` is stored.
+fn outcome_of_holder(id: &Id, holder: Step) -> Outcome {
     if holder.entry.proposal != *id {
         Outcome::Refused(Refusal::Crossed(Box::new(holder)))
     } else if holder.entry.void {
@@ -162,12 +166,12 @@
     }
 }
 
-/// Tells what an append at a proposal's number means for it.
-fn judge_append(id: &Id, appended: Result<AppendOutcome, Error>, written: Outcome) -> Outcome {
+/// Returns the outcome of a proposal from an append at its number: `written` if that succeeded.
+fn outcome_of_append(id: &Id, appended: Result<AppendOutcome, Error>, written: Outcome) -> Outcome {
     match appended {
         Ok(AppendOutcome::Written) => written,
         Ok(AppendOutcome::Taken(record)) => match Step::parse(&record) {
-            Ok(step) => judge_holder(id, step),
+            Ok(step) => outcome_of_holder(id, step),
             Err(error) => Outcome::Unknown(error),
         },
         Err(error @ (Error::Unknown(_) | Error::Gone)) => Outcome::Unknown(error),
@@ -175,7 +179,7 @@
     }
 }
 
-fn make_entry<S, C>(
+fn build_entry<S, C>(
     journal: &Journal<S, C>,
     state: &State,
     proposal: &Proposal,
@@ -189,13 +193,13 @@
         proposal: proposal.id.clone(),
         void: false,
         author: proposal.author.clone(),
-        at_ms: wall_ms(journal),
+        at_ms: unix_ms(journal),
         patch: proposal.patch.clone(),
         digest: Digest::of(&mesh),
     })
 }
 
-fn wall_ms<S, C>(journal: &Journal<S, C>) -> u64
+fn unix_ms<S, C>(journal: &Journal<S, C>) -> u64
 where
     S: Store,
     C: Clock,
@@ -205,11 +209,15 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Writes a snapshot when many steps have come since the last one.
+/// Writes a snapshot if [`SNAPSHOT_INTERVAL`] steps were written since the last one.
 ///
-/// It saves work only: should it fail, the next proposal tries again.
-async fn keep_short<S, C>(journal: &Journal<S, C>, mut state: State, number: u64, entry: Entry)
-where
+/// Snapshots only save readers work: if this fails, the next proposal tries again.
+async fn write_snapshot_if_due<S, C>(
+    journal: &Journal<S, C>,
+    mut state: State,
+    number: u64,
+    entry: Entry,
+) where
     S: Store,
     C: Clock,
 {
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -1,4 +1,4 @@
-//! Configuration versions as a journal: record N is the step from N - 1 to N.
+//! The journal of configuration versions: record N is the step from version N - 1 to N.
 
 use crate::journal::{LoadedJournal, Record};
 use crate::{Error, Journal, Store};
@@ -11,30 +11,30 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Name of the journal of versions.
+/// Name of the journal.
 pub const JOURNAL: &str = "versions";
 
-/// Versions whose proposals a snapshot remembers, so that an operator may
-/// still ask for an outcome the next day (3,700 changes a day).
-const REMEMBERED: usize = 4_000;
+/// Versions whose proposals a snapshot keeps, so that an operator can still
+/// query an outcome the next day (3,700 changes a day).
+const MAX_ORIGINS: usize = 4_000;
 
-/// Longest random part of a proposal's name.
+/// Longest random part of a proposal's id, in bytes.
 const MAX_NONCE: usize = 64;
 
-/// Names a proposal: the version that it is against, and a random part.
+/// Identifies a proposal: the version that it is against, and a random part.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id {
-    /// The version that the operator last saw.
+    /// The version that the proposal is against: the last one that the operator saw.
     pub base: Version,
-    /// Tells proposals against one version apart.
+    /// Distinguishes the proposals against one version.
     pub nonce: SmolStr,
 }
 
 quick_error! {
-    /// Text that names no proposal.
+    /// Error of parsing a proposal's id.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ParseIdError {
-        /// It is not a number, a hyphen and letters or digits.
+        /// The text is not a number, a hyphen, and ASCII letters or digits.
         Malformed(text: SmolStr) {
             display("{:?} is no proposal's name, such as 7-3f9a20c1", text)
         }
@@ -42,7 +42,7 @@
 }
 
 impl Id {
-    /// Names a new proposal against `base`.
+    /// Generates the id of a new proposal against `base`.
     #[must_use]
     pub fn generate(base: Version) -> Self {
         Self {
@@ -95,40 +95,40 @@
     }
 }
 
-/// What a version's record says.
+/// Content of a version's record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The proposal that was accepted, or the one that a void version shuts out.
+    /// The proposal that was accepted, or the one that a void version rules out.
     pub proposal: Id,
-    /// Whether the version changes nothing and only takes its number from a
-    /// proposal whose fate was open.
+    /// Whether the version is void: it changes nothing and only occupies the
+    /// number of a proposal whose outcome was unknown.
     #[serde(default)]
     pub void: bool,
-    /// Who proposed it.
+    /// The operator who proposed it.
     pub author: SmolStr,
-    /// When, in milliseconds of the Unix epoch, for people to read.
+    /// When it was written, in milliseconds since the Unix epoch; only for display.
     pub at_ms: u64,
-    /// What it changes.
+    /// The change.
     pub patch: Patch,
-    /// Digest of the whole configuration after it.
+    /// Digest of the full configuration after it.
     pub digest: Digest,
 }
 
-/// A version with the step that leads to it.
+/// The step to a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// The version after the step.
     pub version: Version,
-    /// What its record says.
+    /// Content of its record.
     pub entry: Entry,
 }
 
 impl Step {
-    /// Reads a record of the journal.
+    /// Decodes a record of the journal.
     ///
     /// # Errors
     ///
-    /// When it is no version's.
+    /// If its content is not an [`Entry`].
     pub fn parse(record: &Record) -> Result<Self, Error> {
         let entry = Entry::deserialize(&record.value)
             .map_err(|error| Error::Invalid(format!("version {}: {error}", record.number)))?;
@@ -139,29 +139,29 @@
     }
 }
 
-/// What a snapshot still knows of a version's record.
+/// What a snapshot keeps of a version's record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
-    /// The proposal that was accepted or shut out.
+    /// The proposal that was accepted or ruled out.
     pub proposal: Id,
     /// As [`Entry::void`].
     #[serde(default)]
     pub void: bool,
 }
 
-/// What a snapshot says.
+/// Content of a snapshot.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 struct Snapshot {
     mesh: Mesh,
     origins: BTreeMap<Version, Origin>,
 }
 
-/// The configuration at its last version, with the steps since the last snapshot.
+/// The last version of the configuration, and the steps since the last snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct State {
     /// The last version.
     pub version: Version,
-    /// The whole configuration.
+    /// The full configuration at that version.
     pub mesh: Mesh,
     /// The steps since the last snapshot.
     pub steps: Vec<Step>,
@@ -169,12 +169,12 @@
 }
 
 impl State {
-    /// Puts together what was loaded from the journal.
+    /// Builds the state from the loaded journal.
     ///
     /// # Errors
     ///
-    /// When a record or the snapshot is none of this journal's, or a step's
-    /// digest isn't that of the configuration it leads to.
+    /// If the snapshot or a record can't be decoded, or a step's digest differs
+    /// from that of the configuration that it leads to.
     pub fn build(loaded: &LoadedJournal) -> Result<Self, Error> {
         let snapshot = match &loaded.snapshot {
             Some(value) => Snapshot::deserialize(value).map_err(|error| {
@@ -194,22 +194,22 @@
         Ok(state)
     }
 
-    /// Adds the next step.
+    /// Applies the next step.
     ///
     /// # Errors
     ///
-    /// As [`State::build`]; the state is then as it was.
+    /// As [`State::build`]; the state is then unchanged.
     pub fn push(&mut self, step: Step) -> Result<(), Error> {
-        let wrong = |why: String| Error::Invalid(format!("version {}: {why}", step.version));
+        let invalid = |why: String| Error::Invalid(format!("version {}: {why}", step.version));
         if step.version != self.version.next() {
-            return Err(wrong(format!("can't follow {}", self.version)));
+            return Err(invalid(format!("is not the successor of {}", self.version)));
         }
         let patch = &step.entry.patch;
         let mesh = patch
             .apply(&self.mesh)
-            .map_err(|error| wrong(error.to_string()))?;
+            .map_err(|error| invalid(error.to_string()))?;
         if Digest::of(&mesh) != step.entry.digest {
-            return Err(wrong("the digest is another".into()));
+            return Err(invalid("the digest differs".into()));
         }
         self.mesh = mesh;
         self.version = step.version;
@@ -218,30 +218,30 @@
             void: step.entry.void,
         };
         self.origins.insert(step.version, origin);
-        while self.origins.len() > REMEMBERED {
+        while self.origins.len() > MAX_ORIGINS {
             self.origins.pop_first();
         }
         self.steps.push(step);
         Ok(())
     }
 
-    /// Finds what stands at a version, as far as that is remembered.
+    /// Returns the origin of a version, if it is still kept.
     #[must_use]
     pub fn origin(&self, version: Version) -> Option<&Origin> {
         self.origins.get(&version)
     }
 
-    /// Finds the step to a version, unless it is in the snapshot.
+    /// Returns the step to a version, unless it is part of the snapshot.
     #[must_use]
     pub fn step(&self, version: Version) -> Option<&Step> {
         self.steps.iter().find(|step| step.version == version)
     }
 
-    /// Gives what a snapshot at this version says.
+    /// Encodes the state as a snapshot of this version.
     ///
     /// # Errors
     ///
-    /// Never in practice: all of it has a JSON form.
+    /// Never in practice: all of it can be encoded as JSON.
     pub fn snapshot(&self) -> Result<serde_json::Value, Error> {
         let snapshot = Snapshot {
             mesh: self.mesh.clone(),
@@ -251,11 +251,11 @@
     }
 }
 
-/// Reads the last version and the steps since the last snapshot.
+/// Loads the last version and the steps since the last snapshot.
 ///
 /// # Errors
 ///
-/// When the platform can't be read, or holds something else.
+/// If the platform can't be read, or its content is not a valid journal of versions.
 pub async fn load<S, C>(journal: &Journal<S, C>) -> Result<State, Error>
 where
     S: Store,
--- a/crates/store/tests/append.rs
+++ b/crates/store/tests/append.rs
@@ -1,4 +1,4 @@
-//! Appending to a journal, reading it, and removing what is old.
+//! Appending to a journal, reading it, and removing old records.
 
 use clock::Manual;
 use serde_json::{Value, json};
@@ -8,33 +8,33 @@
 use store::{Error, Journal, MemoryStore, Store};
 use yare::parameterized;
 
-type Numbers = Journal<MemoryStore, Manual>;
+type TestJournal = Journal<MemoryStore, Manual>;
 
-fn open() -> (MemoryStore, Manual, Numbers) {
+fn open() -> (MemoryStore, Manual, TestJournal) {
     let memory = MemoryStore::new();
     let clock = Manual::new();
     let journal = Journal::open(memory.clone(), clock.clone(), "numbers");
     (memory, clock, journal)
 }
 
-async fn append(journal: &Numbers, number: u64, nonce: &str) -> Result<AppendOutcome, Error> {
-    let free = journal.now();
-    journal.append(number, nonce, &json!(nonce), free).await
+async fn append(journal: &TestJournal, number: u64, nonce: &str) -> Result<AppendOutcome, Error> {
+    let free_at = journal.now();
+    journal.append(number, nonce, &json!(nonce), free_at).await
 }
 
 fn is_taken_by(outcome: &Result<AppendOutcome, Error>, nonce: &str) -> bool {
     matches!(outcome, Ok(AppendOutcome::Taken(record)) if record.nonce == nonce)
 }
 
-fn losing(lose_next: u32) -> Faults {
+fn lose_responses(lose_next: u32) -> Faults {
     Faults {
         lose_next,
         ..Faults::default()
     }
 }
 
-// An answer is lost after the record came to stand. The writer must neither
-// think that it failed, nor write again, nor take the record for another's.
+// The response is lost after the record was written. The writer must not report
+// a failure, write a second record, or take its own record for another's.
 #[parameterized(
     none_lost = { 0, true },
     one_lost = { 1, true },
@@ -42,9 +42,9 @@
     all_lost = { 3, false },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn answer_lost(lost: u32, written: bool) {
+async fn response_lost(lost: u32, written: bool) {
     let (memory, _, journal) = open();
-    memory.set_faults(losing(lost));
+    memory.set_faults(lose_responses(lost));
     let outcome = append(&journal, 1, "a").await;
     assert_eq!(outcome == Ok(AppendOutcome::Written), written);
     assert_eq!(append(&journal, 1, "a").await, Ok(AppendOutcome::Written));
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn outage_is_certain() {
+async fn certain_failure_in_outage() {
     let (memory, _, journal) = open();
     memory.set_faults(Faults {
         down: true,
@@ -64,8 +64,8 @@
     assert!(outcome.is_err_and(|error| !error.may_have_taken_effect()));
 }
 
-// Every try is lost on the way and one arrives an hour later. Whoever took the
-// number in between must keep it.
+// All creation requests of an append are delayed and arrive after another writer
+// has taken the number. That writer must keep it.
 #[tokio::test(start_paused = true)]
 async fn late_write() {
     let (memory, _, journal) = open();
@@ -83,10 +83,10 @@
 #[tokio::test(start_paused = true)]
 async fn large_value() {
     let (memory, _, journal) = open();
-    memory.set_faults(losing(1));
+    memory.set_faults(lose_responses(1));
     let value = Value::String("\"é\"".repeat(700_000));
-    let free = journal.now();
-    let outcome = journal.append(1, "a", &value, free).await;
+    let free_at = journal.now();
+    let outcome = journal.append(1, "a", &value, free_at).await;
     assert_eq!(outcome, Ok(AppendOutcome::Written));
     let tail = journal.read_after(0).await.unwrap().unwrap();
     assert_eq!(tail.records[0].value, value);
@@ -94,8 +94,8 @@
     assert!(names.len() > 4, "{}", names.len());
 }
 
-/// Writes twelve records with snapshots at 5 and 10, and removes what has aged.
-async fn fill_and_remove(clock: &Manual, journal: &Numbers) {
+/// Writes twelve records with snapshots at 5 and 10, and removes the records that have expired.
+async fn fill_and_remove(clock: &Manual, journal: &TestJournal) {
     let mut retention = RetentionTracker::default();
     for number in 1..=12 {
         append(journal, number, &format!("n{number}"))
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn removal_keeps_readers_whole() {
+async fn readable_after_removal() {
     let (memory, clock, journal) = open();
     fill_and_remove(&clock, &journal).await;
     let left = memory.list("numbers/log/", "", 100).await.unwrap().items;
@@ -128,16 +128,17 @@
     assert_eq!(journal.get(3).await, Ok(None));
 }
 
-// A proposer is paused between reading that its number is free and writing,
-// and wakes after the record that won has been removed. It must not tell its
-// operator "accepted", and no reader may take its record for a version.
+// A writer is paused between reading that its number is free and writing, and
+// resumes after the record that was stored there meanwhile has been removed, so
+// that its creation succeeds. The append must fail, or an operator would be told
+// "accepted", and no reader may return the record.
 #[tokio::test(start_paused = true)]
-async fn paused_past_removal() {
+async fn paused_beyond_removal() {
     let (_, clock, journal) = open();
-    let free = journal.now();
+    let free_at = journal.now();
     fill_and_remove(&clock, &journal).await;
-    assert!(free.max_elapsed(&clock) > FLOOR_CHECK_AFTER);
-    let outcome = journal.append(2, "paused", &json!("paused"), free).await;
+    assert!(free_at.max_elapsed(&clock) > FLOOR_CHECK_AFTER);
+    let outcome = journal.append(2, "paused", &json!("paused"), free_at).await;
     assert_eq!(outcome, Err(Error::Gone));
     assert_eq!(journal.get(2).await, Err(Error::Gone));
     assert_eq!(journal.read_after(1).await, Ok(None));
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -1,4 +1,4 @@
-//! Histories of concurrent proposals are those of one list of versions.
+//! Concurrent proposals are linearizable: each history is one of a single list of versions.
 
 use clock::System;
 use config::{Patch, Version};
@@ -14,19 +14,19 @@
 use todc_utils::{Action, History, Specification, WGLChecker};
 use yare::parameterized;
 
-type Versions = Journal<MemoryStore, System>;
+type VersionJournal = Journal<MemoryStore, System>;
 
-/// Who holds a version's number.
+/// The proposal that a version's number belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Holder {
     id: String,
     void: bool,
 }
 
-/// What an operator did, with what came of it once it is known.
+/// An operation of an operator, with its outcome once it is known.
 #[derive(Debug, Clone)]
 enum Operation {
-    Begun,
+    Started,
     Accepted(Id),
     NeverApplied(Id),
     Crossed(Id, Holder),
@@ -34,10 +34,10 @@
     Read(u64, BTreeSet<String>),
 }
 
-/// The versions, one after the other.
-struct List;
+/// The sequential specification: a list of versions.
+struct VersionList;
 
-impl Specification for List {
+impl Specification for VersionList {
     type State = Vec<Holder>;
     type Operation = Operation;
 
@@ -48,12 +48,12 @@
     fn apply(op: &Operation, state: &Self::State) -> (bool, Self::State) {
         let unchanged = |valid| (valid, state.clone());
         match op {
-            Operation::Begun => unchanged(false),
-            Operation::Accepted(id) => hold(state, id, false),
-            Operation::NeverApplied(id) => hold(state, id, true),
+            Operation::Started => unchanged(false),
+            Operation::Accepted(id) => assign(state, id, false),
+            Operation::NeverApplied(id) => assign(state, id, true),
             Operation::Crossed(id, holder) => {
-                let stands = state.get(index(id)) == Some(holder);
-                unchanged(stands && holder.id != id.to_string())
+                let is_holder = state.get(index(id)) == Some(holder);
+                unchanged(is_holder && holder.id != id.to_string())
             }
             Operation::NoSuchBase(id) => unchanged(index(id) > state.len()),
             Operation::Read(version, services) => {
@@ -69,8 +69,9 @@
     usize::try_from(id.base.0).unwrap()
 }
 
-/// The number is the proposal's now, or was so before; a second try finds it so.
-fn hold(state: &[Holder], id: &Id, void: bool) -> (bool, Vec<Holder>) {
+/// Assigns the number of a proposal to it, or checks that it has been assigned before: a
+/// repeated submission finds it so.
+fn assign(state: &[Holder], id: &Id, void: bool) -> (bool, Vec<Holder>) {
     let holder = Holder {
         id: id.to_string(),
         void,
@@ -87,7 +88,7 @@
     format!("s{id}")
 }
 
-fn draw_proposal(rng: &mut SmallRng, base: Version) -> Proposal {
+fn sample_proposal(rng: &mut SmallRng, base: Version) -> Proposal {
     let id = Id {
         base,
         nonce: format!("{:08x}", rng.random::<u32>()).into(),
@@ -101,8 +102,8 @@
     }
 }
 
-/// Proposes, and asks until it is known what came of it; tries again like a nervous operator.
-async fn drive(journal: &Versions, proposal: &Proposal, rng: &mut SmallRng) -> Operation {
+/// Submits a proposal and resolves it until the outcome is known; now and then submits it again.
+async fn submit(journal: &VersionJournal, proposal: &Proposal, rng: &mut SmallRng) -> Operation {
     let id = proposal.id.clone();
     let mut outcome = propose(journal, proposal).await;
     loop {
@@ -139,7 +140,12 @@
 
 type Actions = Arc<Mutex<Vec<(usize, Action<Operation>)>>>;
 
-async fn operate(process: usize, journal: Versions, actions: Actions, mut rng: SmallRng) {
+async fn run_operator(
+    process: usize,
+    journal: VersionJournal,
+    actions: Actions,
+    mut rng: SmallRng,
+) {
     for _ in 0..12 {
         pause(&mut rng).await;
         let Ok(seen) = load(&journal).await else {
@@ -148,7 +154,7 @@
         actions
             .lock()
             .unwrap()
-            .push((process, Action::Call(Operation::Begun)));
+            .push((process, Action::Call(Operation::Started)));
         let operation = if rng.random_bool(0.2) {
             match load(&journal).await {
                 Ok(state) => {
@@ -158,8 +164,8 @@
                 Err(error) => panic!("only writes fail here: {error}"),
             }
         } else {
-            let proposal = draw_proposal(&mut rng, seen.version);
-            drive(&journal, &proposal, &mut rng).await
+            let proposal = sample_proposal(&mut rng, seen.version);
+            submit(&journal, &proposal, &mut rng).await
         };
         actions
             .lock()
@@ -168,8 +174,8 @@
     }
 }
 
-/// Lets writes arrive late, while others go on.
-async fn disturb(memory: MemoryStore, mut rng: SmallRng) {
+/// Delays some writes and delivers them later, while others go on.
+async fn inject_faults(memory: MemoryStore, mut rng: SmallRng) {
     loop {
         let faults = Faults {
             slow_ms: 3,
@@ -189,15 +195,20 @@
     let memory = MemoryStore::with_seed(seed);
     let journal = Journal::open(memory.clone(), System, JOURNAL);
     let actions = Actions::default();
-    let chaos = tokio::spawn(disturb(memory.clone(), SmallRng::seed_from_u64(seed)));
+    let injector = tokio::spawn(inject_faults(memory.clone(), SmallRng::seed_from_u64(seed)));
     let operators = (0..3).map(|process| {
         let rng = SmallRng::seed_from_u64(seed * 10 + process as u64);
-        tokio::spawn(operate(process, journal.clone(), Arc::clone(&actions), rng))
+        tokio::spawn(run_operator(
+            process,
+            journal.clone(),
+            Arc::clone(&actions),
+            rng,
+        ))
     });
     for operator in operators.collect::<Vec<_>>() {
         operator.await.unwrap();
     }
-    chaos.abort();
+    injector.abort();
     actions.lock().unwrap().clone()
 }
 
@@ -212,26 +223,31 @@
 #[test_macro(tokio::test(start_paused = true))]
 async fn linearizable(seed: u64) {
     let actions = record(seed).await;
-    let count = |wanted: fn(&Operation) -> bool| {
+    let count = |matches_kind: fn(&Operation) -> bool| {
         let responses = actions.iter().filter_map(|(_, action)| match action {
             Action::Response(operation) => Some(operation),
             Action::Call(_) => None,
         });
-        responses.filter(|operation| wanted(operation)).count()
+        responses
+            .filter(|operation| matches_kind(operation))
+            .count()
     };
     let accepted = count(|operation| matches!(operation, Operation::Accepted(_)));
     let crossed = count(|operation| matches!(operation, Operation::Crossed(..)));
-    let never = count(|operation| matches!(operation, Operation::NeverApplied(_)));
+    let never_applied = count(|operation| matches!(operation, Operation::NeverApplied(_)));
     assert!(
-        accepted > 2 && crossed > 2 && never > 0,
-        "{accepted} {crossed} {never}"
+        accepted > 2 && crossed > 2 && never_applied > 0,
+        "{accepted} {crossed} {never_applied}"
     );
     let history = History::from_actions(actions.clone());
-    assert!(WGLChecker::<List>::is_linearizable(history), "{actions:#?}");
+    assert!(
+        WGLChecker::<VersionList>::is_linearizable(history),
+        "{actions:#?}"
+    );
 }
 
-// The check itself must bite: here an operator is told "never applied" and
-// another reads the patch afterwards.
+// The check itself must detect a wrong outcome: here an operator is told "never
+// applied", and another one reads the patch afterwards.
 #[test]
 fn false_never_applied() {
     let id = Id {
@@ -240,11 +256,11 @@
     };
     let names = BTreeSet::from([service_name(&id.to_string())]);
     let actions = vec![
-        (0, Action::Call(Operation::Begun)),
+        (0, Action::Call(Operation::Started)),
         (0, Action::Response(Operation::NeverApplied(id))),
-        (1, Action::Call(Operation::Begun)),
+        (1, Action::Call(Operation::Started)),
         (1, Action::Response(Operation::Read(1, names))),
     ];
     let history = History::from_actions(actions);
-    assert!(!WGLChecker::<List>::is_linearizable(history));
+    assert!(!WGLChecker::<VersionList>::is_linearizable(history));
 }
--- a/crates/store/tests/proposal.rs
+++ b/crates/store/tests/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals, as an operator sees them.
+//! Outcomes of proposals, as operators see them.
 
 use clock::Manual;
 use config::{Patch, Version};
@@ -7,9 +7,9 @@
 use store::version::{Id, JOURNAL, load};
 use store::{Journal, MemoryStore};
 
-type Versions = Journal<MemoryStore, Manual>;
+type VersionJournal = Journal<MemoryStore, Manual>;
 
-fn open() -> (MemoryStore, Versions) {
+fn open() -> (MemoryStore, VersionJournal) {
     let memory = MemoryStore::new();
     let journal = Journal::open(memory.clone(), Manual::new(), JOURNAL);
     (memory, journal)
@@ -24,17 +24,17 @@
     }
 }
 
-fn late(late_next: u32) -> Faults {
+fn delay_writes(late_next: u32) -> Faults {
     Faults {
         late_next,
         ..Faults::default()
     }
 }
 
-/// More tries than a proposal or a settlement makes.
-const ALL: u32 = 100;
+/// More writes than a proposal or its resolution makes.
+const ALL_WRITES: u32 = 100;
 
-async fn service_names(journal: &Versions) -> Vec<String> {
+async fn service_names(journal: &VersionJournal) -> Vec<String> {
     let state = load(journal).await.unwrap();
     state
         .mesh
@@ -44,10 +44,10 @@
         .collect()
 }
 
-// Two operators patch the same version. One must win, and the other must learn
-// by whom it was beaten.
+// Two operators submit patches against the same version. One must succeed, and
+// the other must learn which proposal became the version.
 #[tokio::test]
-async fn crossing() {
+async fn concurrent_proposals() {
     let (_, journal) = open();
     let (first, second) = (put_service(0, "claims"), put_service(0, "jobs"));
     let outcome = propose(&journal, &first).await;
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn refused() {
+async fn invalid_proposals() {
     let (_, journal) = open();
     let outcome = propose(&journal, &put_service(1, "claims")).await;
     let missing = matches!(
@@ -86,10 +86,10 @@
     assert_eq!(load(&journal).await.unwrap().version, Version::ZERO);
 }
 
-// The platform takes a proposal, and all its answers are lost. The operator is
-// told that it isn't known, asks again, and must learn that it was accepted.
+// The platform stores a proposal, but its first response is lost. The proposal
+// must be reported as accepted, and so must a later query for its outcome.
 #[tokio::test(start_paused = true)]
-async fn answers_lost() {
+async fn response_lost() {
     let (memory, journal) = open();
     memory.set_faults(Faults {
         lose_next: 1,
@@ -108,13 +108,13 @@
     );
 }
 
-// A proposal is lost on the way; the operator asks what became of it, is told
-// "never applied" and writes another patch. Then the first one arrives after
-// all. It must not be applied: the number has to be taken before it is said.
+// The write of a proposal is delayed; the operator queries the outcome and is told
+// "never applied". Then the write arrives after all. It must not be applied: the
+// number has to be taken before the outcome is reported.
 #[tokio::test(start_paused = true)]
 async fn never_applied() {
     let (memory, journal) = open();
-    memory.set_faults(late(ALL));
+    memory.set_faults(delay_writes(ALL_WRITES));
     let proposal = put_service(0, "claims");
     let outcome = propose(&journal, &proposal).await;
     assert!(matches!(outcome, Outcome::Unknown(_)), "{outcome:?}");
@@ -129,11 +129,11 @@
     assert!(service_names(&journal).await.is_empty());
 }
 
-// As above, but the write arrives before the question.
+// As above, but the write arrives before the query.
 #[tokio::test(start_paused = true)]
-async fn late_but_accepted() {
+async fn delayed_but_accepted() {
     let (memory, journal) = open();
-    memory.set_faults(late(ALL));
+    memory.set_faults(delay_writes(ALL_WRITES));
     let proposal = put_service(0, "claims");
     let outcome = propose(&journal, &proposal).await;
     assert!(matches!(outcome, Outcome::Unknown(_)), "{outcome:?}");
@@ -146,8 +146,8 @@
     );
 }
 
-// An operator proposes while the platform is down, and must not wait for it
-// nor wonder: nothing was sent.
+// An operator submits a proposal while the platform is down. The call must return
+// at once with a certain outcome: nothing was sent.
 #[tokio::test]
 async fn outage() {
     let (memory, journal) = open();
@@ -160,12 +160,12 @@
 }
 
 #[tokio::test]
-async fn remembered_by_snapshot() {
+async fn outcomes_in_snapshot() {
     let (_, journal) = open();
     let first = put_service(0, "s0");
     propose(&journal, &first).await;
-    let shut_out = Id::generate(Version(1));
-    resolve(&journal, &shut_out, "ann").await;
+    let ruled_out = Id::generate(Version(1));
+    resolve(&journal, &ruled_out, "ann").await;
     for base in 2..SNAPSHOT_INTERVAL as u64 + 2 {
         let proposal = put_service(base, &format!("s{base}"));
         let outcome = propose(&journal, &proposal).await;
@@ -178,7 +178,7 @@
         matches!(outcome, Outcome::Accepted(Version(1))),
         "{outcome:?}"
     );
-    let outcome = resolve(&journal, &shut_out, "ann").await;
+    let outcome = resolve(&journal, &ruled_out, "ann").await;
     assert!(matches!(outcome, Outcome::NeverApplied), "{outcome:?}");
     let outcome = resolve(&journal, &Id::generate(Version::ZERO), "ann").await;
     assert!(
