--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -9,7 +9,7 @@
 /// The head of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Names this try of the call.
+    /// Identifies this attempt of the call.
     pub id: Id,
     /// Service that the call is for.
     pub service: SmolStr,
@@ -17,201 +17,207 @@
     pub method: SmolStr,
     /// Path and query.
     pub path: SmolStr,
-    /// Headers, without those of one connection only.
+    /// End-to-end headers, without hop-by-hop ones.
     pub headers: Vec<Header>,
-    /// Time left when sent, in milliseconds.
+    /// Time left until the deadline when sent, in milliseconds.
     pub timeout_ms: u32,
-    /// Time left when sent until which an answer is worth most, in milliseconds.
+    /// Time left until the latency target when sent, in milliseconds; an answer by then is worth
+    /// most.
     pub target_ms: Option<u32>,
-    /// What the call is worth.
+    /// Class of the call: what it is worth.
     pub class: config::Class,
-    /// What the call is worth that runs on the sender's own backend server and waits for this one.
+    /// For a nested call: the class of the call that runs on the sender's own backend server and
+    /// waits for this one.
     pub nested: Option<config::Class>,
-    /// Caller on whose behalf it runs, for fair shares.
+    /// The caller on whose behalf it runs, for fair sharing.
     pub caller: SmolStr,
-    /// Hash of its route and method: calls of one take about as long.
+    /// Hash of its route and method: calls with the same hash take about as long.
     pub route: u64,
-    /// Bytes of body that follow, as far as its sender knows: all, or those it has read.
+    /// Bytes of the body that follow, as far as the sender knows: all of them, or those that it has
+    /// read so far.
     pub length: u64,
     /// Whether no body follows.
     pub end: bool,
-    /// Names the request through all its repeats, by whatever node it enters.
+    /// Identifies the request in all its repeats, through whichever node they enter the mesh.
     pub digest: Digest,
-    /// Whether a backend server ended under it before, as far as the sender knows.
+    /// Whether a backend server has ended while it ran this request, as far as the sender knows.
     pub is_suspect: bool,
 }
 
 /// The head of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The try that is answered.
+    /// The attempt that is answered.
     pub id: Id,
     /// HTTP status.
     pub status: u16,
-    /// Headers, without those of one connection only.
+    /// End-to-end headers, without hop-by-hop ones.
     pub headers: Vec<Header>,
-    /// Calls that run and wait at the inbound proxy, in per cent of its slots.
+    /// Calls that run or wait at the inbound proxy, in percent of its slots.
     pub load_percent: u16,
-    /// How long the call waited there for a slot, in milliseconds.
+    /// Time that the call waited there for a slot, in milliseconds.
     #[serde(rename = "waited_ms")]
     pub queue_wait_ms: u32,
     /// Whether no body follows.
     pub end: bool,
 }
 
-/// Why an inbound proxy gave no answer of the backend server's.
+/// Why an attempt got no answer from the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
-    /// It is leaving.
+    /// The node is leaving.
     Leaving,
-    /// It is full, or the wait would not fit the deadline.
+    /// The queue is full, or the wait would exceed the deadline.
     Full,
-    /// The backend server itself refused it for load, when it had reached it.
+    /// The backend server received the call and refused it because of its own load.
     Shed,
     /// The deadline passed.
     Deadline,
-    /// The backend server can't be reached, or broke off.
+    /// The backend server can't be reached, or closed the connection before the end of its answer.
     Backend,
-    /// No connection to the node came about.
+    /// No connection to the node could be opened.
     Unreached,
-    /// It has no backend server of that service.
+    /// The node has no backend server of that service.
     NoService,
-    /// The caller went away.
+    /// The caller no longer waits for the answer.
     Cancelled,
     /// The node has no configuration yet.
     NoRoutes,
-    /// Its idempotency key could not be reserved.
+    /// The call's idempotency key could not be reserved.
     Reservation,
     /// The backend server ended while it ran the call.
     Crashed,
-    /// The request crashes backend servers, and is held.
+    /// The request crashes backend servers and is held in quarantine.
     Held,
 }
 
-/// A try that ended without an answer.
+/// The end of an attempt without a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The try that is refused.
+    /// The attempt that is refused.
     pub id: Id,
-    /// Whether it may have run.
+    /// Whether the call may have run.
     pub verdict: Verdict,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// When to come back, in milliseconds.
+    /// Time after which the call may be retried, in milliseconds.
     pub retry_after_ms: u32,
 }
 
-/// Part of a call.
+/// Message about a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Outbound to inbound: a request starts.
+    /// Outbound to inbound: the head of a request.
     Request(Request),
-    /// Either way: a part of a body; `end` ends it.
+    /// Both directions: a chunk of a body.
     Body {
-        /// The try.
+        /// The attempt.
         id: Id,
         /// The bytes.
         bytes: Bytes,
-        /// Whether it was the last part.
+        /// Whether this is the last chunk.
         end: bool,
     },
-    /// Inbound to outbound: an answer starts.
+    /// Inbound to outbound: the head of an answer.
     Answer(Answer),
-    /// Inbound to outbound: there will be no (more) answer.
+    /// Inbound to outbound: there is no answer, or no more of it.
     Refusal(Refusal),
-    /// Outbound to inbound: nobody waits for the answer any more.
+    /// Outbound to inbound: the answer is no longer needed.
     Cancel(Id),
-    /// Either way: the receiver of a body has room for that many more bytes.
+    /// Both directions: the receiver of a body grants credit for more bytes.
     Credit {
-        /// The try.
+        /// The attempt.
         id: Id,
-        /// Further bytes that may be sent.
+        /// Number of further bytes that may be sent.
         bytes: u32,
     },
-    /// Outbound to inbound, first on a link: voids whatever the sender's lower-numbered links still bring.
+    /// Outbound to inbound, first on a link: invalidates whatever still arrives over the sender's
+    /// lower-numbered links.
     Open {
-        /// Number of this link; each of one incarnation's links to a peer has a higher one.
+        /// Number of this link; it rises with each link of one incarnation to a peer.
         link: u64,
     },
-    /// Outbound to inbound: what became of a try that was sent over an earlier link?
+    /// Outbound to inbound: queries the outcome of an attempt that was sent over an earlier link.
     #[serde(rename = "Ask")]
     QueryOutcome {
-        /// The try.
+        /// The attempt.
         id: Id,
-        /// The link that it was sent over.
+        /// Number of the link that it was sent over.
         #[serde(rename = "link")]
         previous_link: u64,
-        /// Whether the head of the answer has come.
+        /// Whether the head of the answer has been received.
         #[serde(rename = "head")]
         head_received: bool,
-        /// Bytes of the answer's body that have come.
+        /// Bytes of the answer's body that have been received.
         received: u64,
-        /// Further bytes of it that may be sent.
+        /// Number of further bytes of it that may be sent.
         #[serde(rename = "room")]
         window: u32,
     },
-    /// Outbound to inbound: tries of this link's process that are over, and will not be asked about.
+    /// Outbound to inbound: attempts of this link's process whose outcome will not be queried any
+    /// more.
     Done(Vec<u64>),
-    /// Either way: the receiver answers with [`Frame::Pong`].
+    /// Both directions: the receiver replies with [`Frame::Pong`].
     Ping,
-    /// Either way: answers [`Frame::Ping`].
+    /// Both directions: the reply to [`Frame::Ping`].
     Pong,
-    /// Inbound to outbound: whether new work is refused from here on.
+    /// Inbound to outbound: whether the node refuses new calls from now on.
     Leaving(bool),
-    /// Outbound to inbound: what would become of a call that is not sent yet?
+    /// Outbound to inbound: asks how a call would fare that has not been sent yet.
     #[serde(rename = "Look")]
     LoadProbe(LoadProbe),
-    /// Inbound to outbound: answers [`Frame::LoadProbe`].
+    /// Inbound to outbound: the reply to [`Frame::LoadProbe`].
     #[serde(rename = "Outlook")]
     Estimate(Estimate),
 }
 
-/// A question about a call that its sender has not sent.
+/// Load probe: a query about a call that has not been sent yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Look")]
 pub struct LoadProbe {
-    /// Names the question among those of its link.
+    /// Identifies the probe on its link.
     pub serial: u64,
     /// Service that the call is for.
     pub service: SmolStr,
     /// Hash of its route and method.
     pub route: u64,
-    /// What it is worth.
+    /// Class of the call: what it is worth.
     pub class: config::Class,
-    /// What the call is worth that waits for it on the sender's own backend server.
+    /// For a nested call: the class of the call that waits for it on the sender's own backend
+    /// server.
     pub nested: Option<config::Class>,
-    /// Time left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub timeout_ms: u32,
-    /// Time left until which an answer is worth most, in milliseconds.
+    /// Time left until the latency target, in milliseconds; an answer by then is worth most.
     pub target_ms: Option<u32>,
 }
 
-/// What an inbound proxy expects of a call that it was asked about.
+/// Reply to a load probe: what the inbound proxy expects of the call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Outlook")]
 pub struct Estimate {
-    /// The question that is answered.
+    /// The probe's number.
     pub serial: u64,
-    /// Whether the call would be let in.
+    /// Whether the call would be admitted.
     #[serde(rename = "takes")]
     pub accepts: bool,
-    /// How long it would wait for a slot, in milliseconds.
+    /// Time that it would wait for a slot, in milliseconds.
     pub wait_ms: u32,
-    /// How long calls of its route run, in milliseconds, if any has.
+    /// Time that calls of its route run, in milliseconds, if any has run.
     pub run_ms: Option<u32>,
-    /// Calls that run and wait, in per cent of the slots.
+    /// Calls that run or wait, in percent of the slots.
     pub load_percent: u16,
 }
 
-/// Longest body of a request that goes with its head; of a longer one nothing is sent
-/// before the first [`Frame::Credit`].
+/// Longest request body, in bytes, that is sent right after the head; nothing of a longer one is
+/// sent before the first [`Frame::Credit`].
 ///
-/// Refused, it has cost its head alone. Forms and searches are some hundred bytes,
-/// for which to ask first would only be a trip more.
+/// If a call with a longer body is refused, only its head has been sent in vain. Forms and searches
+/// are a few hundred bytes; waiting for credit would only cost them another round trip.
 pub const MAX_EAGER_BODY: usize = 4 << 10;
 
-/// Bytes of an answer's body that its sender may send before the first [`Frame::Credit`].
+/// Bytes of an answer's body that may be sent before the first [`Frame::Credit`].
 ///
-/// One trip and back within a region is about 1 ms, so that a body still moves
-/// at 64 MB a second, and a thousand calls that nobody reads hold 64 MB at most.
+/// The round trip within a region is about 1 ms, so a body still moves at 64 MB per second, and
+/// a thousand answers that nobody reads hold 64 MB at most.
 pub const INITIAL_WINDOW: usize = 64 << 10;
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames to bytes and back, with a bound on what a peer may announce.
+//! Encodes and decodes frames, with a limit on the length that a peer may announce.
 
 use crate::{Error, Hello, PROTOCOL_VERSION};
 use serde::Serialize;
@@ -8,39 +8,40 @@
 /// Longest frame, in bytes: the platform's largest value (1 MB) and its envelope.
 pub const MAX_FRAME: usize = (1 << 20) + (64 << 10);
 
-/// Bytes of a frame's length prefix.
+/// Length of a frame's length prefix, in bytes.
 pub const PREFIX_LEN: usize = 4;
 
 /// Appends a frame with its length prefix to `buffer`.
 ///
 /// # Errors
 ///
-/// Refuses a frame over [`MAX_FRAME`]; `buffer` is then as it was.
+/// If the frame is longer than [`MAX_FRAME`]; `buffer` is then unchanged.
 pub fn encode<T>(frame: &T, buffer: &mut Vec<u8>) -> Result<(), Error>
 where
     T: Serialize,
 {
     let start = buffer.len();
     buffer.extend_from_slice(&[0; PREFIX_LEN]);
-    let mut whole = postcard::to_extend(frame, std::mem::take(buffer))?;
-    let length = whole.len() - start - PREFIX_LEN;
+    let mut encoded = postcard::to_extend(frame, std::mem::take(buffer))?;
+    let length = encoded.len() - start - PREFIX_LEN;
     if length > MAX_FRAME {
-        whole.truncate(start);
-        *buffer = whole;
+        encoded.truncate(start);
+        *buffer = encoded;
         return Err(Error::TooLong(length));
     }
     let prefix = u32::try_from(length).unwrap_or(u32::MAX).to_le_bytes();
-    whole[start..start + PREFIX_LEN].copy_from_slice(&prefix);
-    *buffer = whole;
+    encoded[start..start + PREFIX_LEN].copy_from_slice(&prefix);
+    *buffer = encoded;
     Ok(())
 }
 
-/// Takes the first whole frame off `bytes`: the frame and the bytes used, or `None` when more must come.
+/// Decodes the first frame of `bytes`; returns it with the number of bytes it takes up, or `None`
+/// if it is not complete yet.
 ///
 /// # Errors
 ///
-/// Refuses a length over [`MAX_FRAME`] before any memory is set aside for it,
-/// and bytes that are no frame.
+/// If the announced length is over [`MAX_FRAME`], which is checked before any
+/// memory is allocated for it, or the bytes are not a valid frame.
 pub fn decode<T>(bytes: &[u8]) -> Result<Option<(T, usize)>, Error>
 where
     T: DeserializeOwned,
@@ -58,11 +59,13 @@
     Ok(Some((postcard::from_bytes(body)?, PREFIX_LEN + length)))
 }
 
-/// Reads one frame, through `scratch`, which is kept between frames to save allocations.
+/// Reads one frame.
+///
+/// `scratch` is a buffer that is reused between frames to save allocations.
 ///
 /// # Errors
 ///
-/// As [`decode`], and when the link fails or ends.
+/// As [`decode`], and if the link fails or ends.
 pub async fn read<R, T>(reader: &mut R, scratch: &mut Vec<u8>) -> Result<T, Error>
 where
     R: AsyncRead + Unpin,
@@ -83,8 +86,8 @@
         return Err(Error::TooLong(length));
     }
     scratch.clear();
-    let got = reader.take(length as u64).read_to_end(scratch).await?;
-    if got < length {
+    let count = reader.take(length as u64).read_to_end(scratch).await?;
+    if count < length {
         return Err(Error::Io(std::io::ErrorKind::UnexpectedEof.into()));
     }
     Ok(postcard::from_bytes(scratch)?)
@@ -94,7 +97,7 @@
 ///
 /// # Errors
 ///
-/// As [`encode`], and when the link fails.
+/// As [`encode`], and if the link fails.
 pub async fn write<W, T>(writer: &mut W, frame: &T) -> Result<(), Error>
 where
     W: AsyncWrite + Unpin,
@@ -109,11 +112,11 @@
 /// Longest hello, in bytes: names of at most 255 bytes and a few numbers.
 pub const MAX_HELLO: usize = 1 << 10;
 
-/// Reads the first frame of a link, from a peer about which nothing is known yet.
+/// Reads the first frame of a link, from a peer that has not identified itself yet.
 ///
 /// # Errors
 ///
-/// As [`read`], with the bound of [`MAX_HELLO`], and for a peer of another protocol.
+/// As [`read`], with the limit [`MAX_HELLO`], and if the peer speaks another protocol version.
 pub async fn read_hello<R>(reader: &mut R) -> Result<Hello, Error>
 where
     R: AsyncRead + Unpin,
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -1,7 +1,8 @@
 //! Frames of configuration, endpoints and status between nodes.
 //!
-//! A control link joins a child to its parent, or two roots as equals. News
-//! flow the same way over both: each side knows what the other holds.
+//! A control link connects a child to its parent, or two roots to each other.
+//! Updates are sent in the same way over both: each side tracks which version
+//! and which endpoints the other holds.
 
 use crate::Error;
 use bytes::Bytes;
@@ -19,25 +20,25 @@
 
 pub use status::{Count, Fleet as Status, Refusal};
 
-/// Bytes of a configuration in one [`Chunk`]: short enough that beats aren't held up behind it.
+/// Bytes of a configuration in one [`Chunk`]: short enough not to delay the heartbeats behind it.
 pub const CHUNK_SIZE: usize = 64 << 10;
 
-/// Most chunks of a configuration: 16 MB, forty times the one that is planned for.
+/// Maximum number of chunks of a configuration: 16 MB, forty times the planned size.
 pub const MAX_CHUNKS: u32 = 256;
 
-/// Most endpoints in one frame: some 30 KB.
+/// Maximum number of endpoints in one frame: about 30 KB.
 pub const MAX_ENDPOINTS: usize = 512;
 
-/// Most crashes in one frame: some 50 KB.
+/// Maximum number of crashes in one frame: about 50 KB.
 pub const MAX_CRASHES: usize = 256;
 
-/// Most roll-outs in one frame: some 40 KB.
+/// Maximum number of roll-outs in one frame: about 40 KB.
 pub const MAX_ROLLOUTS: usize = 512;
 
-/// Parts that a table of endpoints is summed up in, to find what differs.
+/// Buckets of a table of endpoints; each has a checksum, to find the endpoints that differ.
 pub const BUCKET_COUNT: usize = 256;
 
-/// A node as others reach it.
+/// A node, and where other nodes reach it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
     /// Name of the node.
@@ -48,101 +49,103 @@
     pub address: SocketAddr,
 }
 
-/// A sign of life with what the sender holds.
+/// Shows that the sender is alive, and what it holds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Beat")]
 pub struct Heartbeat {
-    /// Counts the sender's beats on this link.
+    /// Number of heartbeats that the sender has sent on this link.
     pub count: u32,
-    /// Highest count heard from the receiver: shows that its direction works too.
+    /// Highest count received from the other end: shows that its direction works too.
     pub echo: u32,
     /// Version that the sender holds.
     pub version: Version,
-    /// Whether the sender serves: a new process that doesn't is no witness of the newest version.
+    /// Whether the sender serves: the version of a new process that doesn't serve yet is no
+    /// evidence of the newest version.
     pub is_ready: bool,
-    /// Sum of the sender's table of endpoints.
+    /// Checksum of the sender's table of endpoints.
     #[serde(rename = "endpoints")]
     pub endpoints_checksum: u64,
-    /// Children that the sender would still take.
+    /// Number of further children that the sender can accept.
     #[serde(rename = "room")]
     pub child_capacity: u8,
-    /// Up: the sender's subtree; down: the fleet; between roots: the sender's
-    /// part. Only when it changed.
+    /// To a parent: the status of the sender's subtree; to a child: that of the
+    /// fleet; between roots: that of the sender's part. Present only if it has
+    /// changed.
     pub status: Option<Status>,
 }
 
-/// Part of a whole configuration.
+/// Part of a full configuration, compressed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Version of the whole.
+    /// Version of the configuration.
     pub version: Version,
-    /// Digest of the whole.
+    /// Digest of the configuration.
     pub digest: Digest,
-    /// Place of this part.
+    /// Index of this chunk.
     pub index: u32,
-    /// Number of parts.
+    /// Number of chunks.
     pub count: u32,
     /// The bytes.
     pub bytes: Bytes,
 }
 
-/// What a part of the fleet has counted of a roll-out.
+/// Call results of a roll-out, as counted by part of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Part")]
 pub struct RolloutTally {
     /// The service.
     pub service: SmolStr,
-    /// The version that is brought in.
+    /// The version that is rolled out.
     pub target: SmolStr,
-    /// What its calls came to.
+    /// The counts.
     pub tally: Tally,
 }
 
-/// News between two nodes.
+/// Message between two nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Asks to become a child; the first frame of the side that connected.
+    /// Asks to become a child; first frame of the connecting side.
     Join {
         /// Where the sender listens for other nodes.
         address: SocketAddr,
         /// Version that it holds.
         version: Version,
     },
-    /// Asks to become an equal, from root to root.
+    /// Asks to become a root peer, from root to root; first frame of the connecting side.
     Meet {
         /// Where the sender listens for other nodes.
         address: SocketAddr,
         /// Version that it holds.
         version: Version,
     },
-    /// Asks what the receiver holds, no more.
+    /// Asks only for the version that the receiver holds; first frame of the connecting side.
     #[serde(rename = "Ask")]
     QueryVersion,
-    /// Takes a child or an equal.
+    /// Accepts a child or a root peer.
     Admit {
-        /// Names from the root down to the sender; a child must not be among them.
+        /// Node names from the root down to the sender; the child must not be among them.
         path: Vec<SmolStr>,
         /// Version that the sender holds.
         version: Version,
         /// Whether the sender serves.
         is_ready: bool,
-        /// Other parents, should this one be lost.
+        /// Other candidates for a parent, in case this one is lost.
         parents: Vec<Peer>,
     },
-    /// Takes none, and answers [`Frame::QueryVersion`].
+    /// Refuses a child or a root peer; also the reply to [`Frame::QueryVersion`].
     Refuse {
-        /// Not to be asked again before, in milliseconds.
+        /// Time for which the receiver must not ask again, in milliseconds.
         wait_ms: u32,
         /// Version that the sender holds.
         version: Version,
         /// Whether the sender serves.
         is_ready: bool,
-        /// Others to ask.
+        /// Other candidates for a parent.
         parents: Vec<Peer>,
     },
-    /// The sender's way to the root has changed; empty when it has none.
+    /// The sender's path from the root has changed; empty if it has none.
     Path(Vec<SmolStr>),
-    /// A sign of life.
+    /// Sent at regular intervals.
     #[serde(rename = "Beat")]
     Heartbeat(Heartbeat),
     /// The step from one version to a later one.
@@ -151,68 +154,71 @@
         base: Version,
         /// The version after the step.
         version: Version,
-        /// What changes.
+        /// The change.
         patch: Arc<Patch>,
-        /// Digest of the whole configuration after the step.
+        /// Digest of the full configuration after the step.
         digest: Digest,
     },
-    /// Asks for all that comes after a version.
+    /// Requests everything after a version.
     #[serde(rename = "Want")]
     RequestUpdates {
         /// The version that the sender holds.
         after: Version,
-        /// Whether steps didn't help, and the whole is needed.
+        /// Whether the full configuration is needed, because steps could not be applied.
         #[serde(rename = "whole")]
         full: bool,
     },
-    /// Part of a whole configuration.
+    /// Part of a full configuration.
     Chunk(Chunk),
-    /// News of endpoints.
+    /// Endpoints that are new or have changed.
     Endpoints(Vec<Arc<Endpoint>>),
-    /// Sums of the sender's endpoints by bucket, for the receiver to send what differs.
+    /// Checksums of the sender's endpoints by bucket; the receiver replies with the endpoints of
+    /// the buckets that differ.
     #[serde(rename = "Sums")]
     Checksums {
-        /// One for each of [`BUCKET_COUNT`].
+        /// One checksum per bucket, [`BUCKET_COUNT`] in all.
         #[serde(rename = "sums")]
         checksums: Vec<u64>,
-        /// Whether this answers the receiver's own sums.
+        /// Whether this is the reply to the receiver's own checksums.
         is_reply: bool,
     },
-    /// Asks a child to take the lease of a root.
+    /// Asks a child to acquire a root lease.
     Nominate {
-        /// Which of the zone's leases.
+        /// Index of the lease in its zone.
         slot: u8,
     },
     /// The sender closes the link on purpose.
     Leave {
-        /// Others to ask.
+        /// Other candidates for a parent.
         parents: Vec<Peer>,
     },
-    /// News of requests that crashed backend servers.
+    /// Requests that crashed backend servers.
     Crashes(Vec<Crash>),
-    /// Roll-outs, and how far they have come.
+    /// Roll-outs and their progress.
     Rollouts(Vec<Rollout>),
-    /// What the sender's part of the fleet has counted of those that go on; to parents and other roots.
+    /// Call results of the roll-outs in progress, as counted by the sender's part of the fleet;
+    /// sent to parents and other roots.
     Tallies(Vec<RolloutTally>),
 }
 
-/// Longest whole configuration, in bytes before it is compressed.
-const MAX_WHOLE: u64 = MAX_CHUNKS as u64 * CHUNK_SIZE as u64;
+/// Maximum size of a full configuration before compression, in bytes.
+const MAX_FULL_BYTES: u64 = MAX_CHUNKS as u64 * CHUNK_SIZE as u64;
 
-/// Cuts a whole configuration into chunks, compressed.
+/// Compresses a full configuration and splits it into chunks.
 ///
-/// Guards against a version of many routes that takes seconds to get through:
-/// 1,640 routes are 75 kB, each relay sends them to up to 16 children, and the
-/// links of the smallest VMs carry 5 Mbit/s, which makes 1.9 s. Compressed they
-/// are 9.7 kB (`fleet/tests/refusal.rs`, `many_routes_short`).
+/// Without compression a version with many routes takes seconds to reach the
+/// fleet: 1,640 routes take up 75 kB, each inner node sends them to up to 16
+/// children, and the links of the smallest VMs carry 5 Mbit/s, which takes
+/// 1.9 s. Compressed they take up 9.7 kB (`fleet/tests/refusal.rs`,
+/// `many_routes_short`).
 ///
 /// # Errors
 ///
-/// Refuses a configuration of more than [`MAX_CHUNKS`].
+/// If the configuration needs more than [`MAX_CHUNKS`].
 pub fn encode_chunks(version: Version, digest: Digest, mesh: &Mesh) -> Result<Vec<Chunk>, Error> {
-    let mut packer = DeflateEncoder::new(Vec::new(), Compression::fast());
-    packer.write_all(&postcard::to_stdvec(mesh)?)?;
-    let bytes = Bytes::from(packer.finish()?);
+    let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
+    encoder.write_all(&postcard::to_stdvec(mesh)?)?;
+    let bytes = Bytes::from(encoder.finish()?);
     let count = u32::try_from(bytes.len().div_ceil(CHUNK_SIZE)).unwrap_or(u32::MAX);
     if count > MAX_CHUNKS {
         return Err(Error::TooLong(bytes.len()));
@@ -229,18 +235,18 @@
     Ok(chunks.collect())
 }
 
-/// Reads a whole configuration from the bytes of all its chunks.
+/// Decodes a full configuration from the concatenated bytes of its chunks.
 ///
 /// # Errors
 ///
-/// Refuses bytes that are no configuration, and too many of them.
+/// If the bytes are not a configuration, or it is too long.
 pub fn decode_chunks(bytes: &[u8]) -> Result<Mesh, Error> {
-    let mut whole = Vec::new();
-    // A peer may send little that becomes much.
-    let packed = DeflateDecoder::new(bytes).take(MAX_WHOLE + 1);
-    { packed }.read_to_end(&mut whole)?;
-    if whole.len() as u64 > MAX_WHOLE {
-        return Err(Error::TooLong(whole.len()));
+    let mut config = Vec::new();
+    // A few compressed bytes of a peer may expand to a huge configuration.
+    let decoder = DeflateDecoder::new(bytes).take(MAX_FULL_BYTES + 1);
+    { decoder }.read_to_end(&mut config)?;
+    if config.len() as u64 > MAX_FULL_BYTES {
+        return Err(Error::TooLong(config.len()));
     }
-    Ok(postcard::from_bytes(&whole)?)
+    Ok(postcard::from_bytes(&config)?)
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,10 +1,10 @@
-//! What can go wrong with frames.
+//! Errors of sending and receiving frames.
 
 use quick_error::quick_error;
 use std::io;
 
 quick_error! {
-    /// What can go wrong with frames.
+    /// Error of sending or receiving a frame.
     #[derive(Debug)]
     pub enum Error {
         /// The link failed.
@@ -13,11 +13,11 @@
             display("link: {}", source)
             source(source)
         }
-        /// The peer announced a frame over the limit.
+        /// A frame, or a configuration in chunks, exceeds its size limit.
         TooLong(length: usize) {
             display("frame of {} bytes is over the limit of {}", length, crate::codec::MAX_FRAME)
         }
-        /// The bytes are no frame of this protocol.
+        /// The bytes are not a valid frame of this protocol.
         Malformed(source: postcard::Error) {
             from()
             display("not a frame: {}", source)
--- a/crates/wire/src/hello.rs
+++ b/crates/wire/src/hello.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Version of the protocol; peers of another version are refused.
+/// Version of the protocol; peers with another version are refused.
 pub const PROTOCOL_VERSION: u16 = 5;
 
 /// What a link is for.
@@ -18,14 +18,14 @@
     Reserve,
 }
 
-/// Who is at the other end of a link.
+/// Introduces the sender to the other end of a link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// Version of the protocol that the sender speaks.
     pub protocol: u16,
     /// Name of the sender's node.
     pub node: SmolStr,
-    /// Random number of the sender's process.
+    /// Random number that identifies the sender's process.
     pub incarnation: u64,
     /// Availability zone of the sender.
     pub zone: SmolStr,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
 //! The protocol between nodes: frames and their codec.
 //!
-//! Nodes keep TCP links to each other. A link opens with one [`Hello`] from the
-//! side that connected and one from the side that accepted; after that, each
-//! side sends [`Frame`]s. A frame is its length (four bytes, little endian)
-//! and its `postcard` form.
+//! Nodes are connected by TCP links. On each link the connecting side and the
+//! accepting side first send one [`Hello`] each; after that, both send
+//! [`Frame`]s. A frame is encoded as its length (four bytes, little endian)
+//! followed by its `postcard` encoding.
 
 pub mod call;
 pub mod codec;
@@ -18,13 +18,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What goes over a link after both hellos.
+/// Message on a link after both hellos.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Part of a call between an outbound and an inbound proxy.
+    /// Calls between an outbound and an inbound proxy.
     Call(call::Frame),
-    /// News of configuration, endpoints and status.
+    /// Distribution of configuration, endpoints and status.
     Control(control::Frame),
-    /// Reservation of a call's idempotency key.
+    /// Reservations of idempotency keys.
     Reserve(reserve::Frame),
 }
--- a/crates/wire/src/reserve.rs
+++ b/crates/wire/src/reserve.rs
@@ -1,32 +1,32 @@
-//! Frames of reservations between a node and the owner of a shard.
+//! Frames between a node and the owner of a shard of idempotency keys.
 
 use call::reserve::{Claim, Entry, Reply};
 use serde::{Deserialize, Serialize};
 
-/// Part of a reservation.
+/// Message about a reservation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// To the owner: a call asks for its key.
+    /// To the owner: claims the key of a call.
     Claim {
-        /// Names the question on this link.
+        /// Identifies the claim on this link.
         serial: u64,
-        /// The question.
+        /// The claim.
         claim: Claim,
     },
-    /// From the owner: the question has come; its reply may take a while.
+    /// From the owner: the claim has been received; the reply may take a while.
     #[serde(rename = "Heard")]
     Acknowledged {
-        /// The question.
+        /// The claim's number.
         serial: u64,
     },
-    /// From the owner: what came of it.
+    /// From the owner: the result of a claim.
     Reply {
-        /// The question.
+        /// The claim's number.
         serial: u64,
-        /// The answer.
+        /// The result.
         reply: Reply,
     },
-    /// To the owner: a completion or a release, which has no reply.
+    /// To the owner: the outcome of a granted claim, a completion or a release; it has no reply.
     #[serde(rename = "Note")]
     Outcome(Entry),
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec: what is written is read back, and no bytes make it panic or hoard memory.
+//! The codec: frames survive a round trip, and no input makes it panic or allocate much memory.
 
 use bytes::Bytes;
 use call::{Id, Verdict};
@@ -9,7 +9,7 @@
 use wire::codec::{MAX_FRAME, PREFIX_LEN, decode, encode, read};
 use wire::{Error, Frame, Hello, LinkKind, PROTOCOL_VERSION};
 
-/// Inputs a property is tried on.
+/// Number of random inputs per property.
 const CASES: u32 = 500;
 
 fn run<S, F>(strategy: &S, test: F)
@@ -28,22 +28,22 @@
         .unwrap();
 }
 
-fn draw_id() -> impl Strategy<Value = Id> {
+fn arbitrary_id() -> impl Strategy<Value = Id> {
     any::<(u64, u64)>().prop_map(|(origin, sequence)| Id { origin, sequence })
 }
 
-fn draw_bytes(longest: usize) -> impl Strategy<Value = Bytes> {
-    proptest::collection::vec(any::<u8>(), 0..longest).prop_map(Bytes::from)
+fn arbitrary_bytes(max_len: usize) -> impl Strategy<Value = Bytes> {
+    proptest::collection::vec(any::<u8>(), 0..max_len).prop_map(Bytes::from)
 }
 
-fn draw_request() -> impl Strategy<Value = Request> {
-    let header = ("[a-z-]{1,20}", draw_bytes(40)).prop_map(|(name, value)| Header {
+fn arbitrary_request() -> impl Strategy<Value = Request> {
+    let header = ("[a-z-]{1,20}", arbitrary_bytes(40)).prop_map(|(name, value)| Header {
         name: name.into(),
         value,
     });
     let headers = proptest::collection::vec(header, 0..20);
     let texts = ("[a-z-]{1,20}", "[A-Z]{1,7}", "/[ -~]{0,60}", "\\PC{0,20}");
-    (draw_id(), texts, headers, any::<(u32, u64, bool)>()).prop_map(
+    (arbitrary_id(), texts, headers, any::<(u32, u64, bool)>()).prop_map(
         |(id, (service, method, path, caller), headers, (timeout_ms, route, end))| Request {
             id,
             service: service.into(),
@@ -64,10 +64,10 @@
     )
 }
 
-fn draw_frame() -> impl Strategy<Value = Frame> {
-    let body = (draw_id(), draw_bytes(400), any::<bool>())
+fn arbitrary_frame() -> impl Strategy<Value = Frame> {
+    let body = (arbitrary_id(), arbitrary_bytes(400), any::<bool>())
         .prop_map(|(id, bytes, end)| CallFrame::Body { id, bytes, end });
-    let refusal = (draw_id(), any::<u32>()).prop_map(|(id, retry_after_ms)| {
+    let refusal = (arbitrary_id(), any::<u32>()).prop_map(|(id, retry_after_ms)| {
         CallFrame::Refusal(Refusal {
             id,
             verdict: Verdict::NotRun,
@@ -75,8 +75,9 @@
             retry_after_ms,
         })
     });
-    let credit = (draw_id(), any::<u32>()).prop_map(|(id, bytes)| CallFrame::Credit { id, bytes });
-    let ask = (draw_id(), any::<(u64, bool, u64, u32)>()).prop_map(
+    let credit =
+        (arbitrary_id(), any::<u32>()).prop_map(|(id, bytes)| CallFrame::Credit { id, bytes });
+    let query = (arbitrary_id(), any::<(u64, bool, u64, u32)>()).prop_map(
         |(id, (previous_link, head_received, received, window))| CallFrame::QueryOutcome {
             id,
             previous_link,
@@ -86,13 +87,13 @@
         },
     );
     prop_oneof![
-        draw_request().prop_map(CallFrame::Request),
+        arbitrary_request().prop_map(CallFrame::Request),
         body,
         refusal,
         credit,
-        draw_id().prop_map(CallFrame::Cancel),
+        arbitrary_id().prop_map(CallFrame::Cancel),
         any::<u64>().prop_map(|link| CallFrame::Open { link }),
-        ask,
+        query,
         proptest::collection::vec(any::<u64>(), 0..20).prop_map(CallFrame::Done),
         Just(CallFrame::Ping),
         any::<bool>().prop_map(CallFrame::Leaving),
@@ -110,38 +111,41 @@
 
 #[test]
 fn round_trip() {
-    run(&proptest::collection::vec(draw_frame(), 0..5), |frames| {
-        let buffer = encode_all(&frames);
-        let mut rest = &*buffer;
-        for frame in &frames {
-            let (found, used) = decode::<Frame>(rest).unwrap().unwrap();
-            prop_assert_eq!(&found, frame);
-            rest = &rest[used..];
-        }
-        prop_assert!(rest.is_empty());
-        Ok(())
-    });
+    run(
+        &proptest::collection::vec(arbitrary_frame(), 0..5),
+        |frames| {
+            let buffer = encode_all(&frames);
+            let mut rest = &*buffer;
+            for frame in &frames {
+                let (found, used) = decode::<Frame>(rest).unwrap().unwrap();
+                prop_assert_eq!(&found, frame);
+                rest = &rest[used..];
+            }
+            prop_assert!(rest.is_empty());
+            Ok(())
+        },
+    );
 }
 
 #[test]
-fn cut_short() {
+fn incomplete_frame() {
     run(
-        &(draw_frame(), any::<prop::sample::Index>()),
+        &(arbitrary_frame(), any::<prop::sample::Index>()),
         |(frame, cut)| {
             let buffer = encode_all(&[frame]);
-            let part = &buffer[..cut.index(buffer.len())];
-            prop_assert!(decode::<Frame>(part).unwrap().is_none());
+            let prefix = &buffer[..cut.index(buffer.len())];
+            prop_assert!(decode::<Frame>(prefix).unwrap().is_none());
             Ok(())
         },
     );
 }
 
 #[test]
-fn any_bytes() {
+fn random_bytes() {
     run(
         &proptest::collection::vec(any::<u8>(), 0..600),
         |mut bytes| {
-            // As they come, and as the body of a frame whose length is right.
+            // As they are, and as the body of a frame with a correct length prefix.
             if let Ok(Some((_, used))) = decode::<Frame>(&bytes) {
                 prop_assert!(used <= bytes.len());
             }
@@ -157,7 +161,7 @@
 
 #[test]
 fn flipped_bit() {
-    let strategy = (draw_frame(), any::<prop::sample::Index>(), 0_u32..8);
+    let strategy = (arbitrary_frame(), any::<prop::sample::Index>(), 0_u32..8);
     run(&strategy, |(frame, index, bit)| {
         let mut buffer = encode_all(&[frame]);
         let index = PREFIX_LEN + index.index(buffer.len() - PREFIX_LEN);
@@ -170,11 +174,11 @@
     });
 }
 
-// A node's memory grows until it is killed, and with it go its callers' calls.
-// Cause: a peer, mad or of another protocol, announces a frame of 4 GB, and
-// room for it is set aside before a byte of it has come.
+// A peer that is faulty or speaks another protocol announces a frame of 4 GB. If
+// the memory for it is allocated before its bytes arrive, the node runs out of
+// memory and is killed, and its callers' calls fail with it.
 #[tokio::test]
-async fn announced_too_long() {
+async fn announced_frame_too_long() {
     let mut bytes = u32::MAX.to_le_bytes().to_vec();
     bytes.extend([0; 100]);
     assert!(matches!(decode::<Frame>(&bytes), Err(Error::TooLong(_))));
@@ -185,7 +189,7 @@
 }
 
 #[tokio::test]
-async fn stopped_half_way() {
+async fn truncated_stream() {
     let length = u32::try_from(MAX_FRAME).unwrap().to_le_bytes();
     let mut reader = length.as_slice().chain(&[0; 64][..]);
     let mut scratch = Vec::new();
@@ -194,10 +198,10 @@
     assert!(scratch.capacity() < 4_096, "{}", scratch.capacity());
 }
 
-// As above, but the frame is short and a list in it claims four thousand
+// As above, but the frame is short, and a list in it announces four thousand
 // million headers.
 #[test]
-fn long_list_claimed() {
+fn announced_list_too_long() {
     let mut bytes = vec![0, 0, 1, 1, 1, b'a', 1, b'b', 1, b'c'];
     bytes.extend([0xff, 0xff, 0xff, 0xff, 0x0f]);
     let length = u32::try_from(bytes.len()).unwrap().to_le_bytes();
@@ -224,7 +228,7 @@
 }
 
 #[test]
-fn future_frame() {
+fn unknown_frame() {
     for body in [&[0, 120][..], &[1, 120], &[9, 0]] {
         let length = u32::try_from(body.len()).unwrap().to_le_bytes();
         let bytes = [&length, body].concat();
@@ -233,7 +237,7 @@
 }
 
 #[test]
-fn future_hello() {
+fn newer_protocol() {
     let hello = Hello {
         protocol: PROTOCOL_VERSION + 1,
         node: "records-1".into(),
@@ -243,8 +247,8 @@
     };
     let mut buffer = Vec::new();
     encode(&hello, &mut buffer).unwrap();
-    // Whatever a later version adds comes after what this one knows, so that
-    // the number can still be read and told.
+    // Later versions append fields after the known ones, so that the version
+    // number can still be read and reported.
     buffer.extend([1, 2, 3]);
     let length = u32::try_from(buffer.len() - PREFIX_LEN).unwrap();
     buffer[..PREFIX_LEN].copy_from_slice(&length.to_le_bytes());
