--- a/crates/store/src/adaptive_timeout.rs
+++ b/crates/store/src/adaptive_timeout.rs
@@ -1,17 +1,17 @@
-//! How long to wait for an answer of a platform that may be slow.
+//! Timeout of calls to a platform that may be slow.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// Times that the limit is doubled at most: a call that is lost to a silent
-/// connection must end within the few seconds that a version may take.
+/// Highest number of doublings of the timeout: a call on a connection that has gone silent
+/// must fail within the few seconds in which a version has to be in force.
 const MAX_DOUBLINGS: u32 = 2;
 
-/// The time limit of a call: doubled while the platform is slow.
+/// Timeout of a call, which doubles while the platform is slow.
 ///
-/// With a fixed limit a platform that takes a little longer than that would
-/// serve nobody, for as long as it is slow, although it answers every call.
-/// With a long one each silent connection would cost as much.
+/// With a short fixed timeout, a platform that takes slightly longer than that would serve
+/// nobody for as long as it is slow, although it answers every call. With a long fixed
+/// timeout, each silent connection would cost that long.
 #[derive(Debug)]
 pub struct AdaptiveTimeout {
     base: Duration,
@@ -19,7 +19,7 @@
 }
 
 impl AdaptiveTimeout {
-    /// Starts with `base` as the limit.
+    /// Creates a timeout that starts at `base`.
     #[must_use]
     pub fn new(base: Duration) -> Self {
         Self {
@@ -28,22 +28,22 @@
         }
     }
 
-    /// Gives the limit for the next call.
+    /// Returns the timeout of the next call.
     #[must_use]
     pub fn limit(&self) -> Duration {
         self.base * (1 << self.doublings.load(Ordering::Relaxed))
     }
 
-    /// Notes that a call got no answer within `limit`.
+    /// Records that a call got no response within `limit`.
     pub fn record_timeout(&self, limit: Duration) {
         let doublings = self.doublings.load(Ordering::Relaxed);
-        // Calls that ran at once and all ended so count as one.
+        // Concurrent calls that all timed out count as one.
         if limit == self.limit() && doublings < MAX_DOUBLINGS {
             self.doublings.store(doublings + 1, Ordering::Relaxed);
         }
     }
 
-    /// Notes that a call was answered after `time`.
+    /// Records that a call was answered after `time`; a fast response resets the timeout.
     pub fn record_answer(&self, time: Duration) {
         if time < self.base / 2 {
             self.doublings.store(0, Ordering::Relaxed);
--- a/crates/store/src/board.rs
+++ b/crates/store/src/board.rs
@@ -1,8 +1,8 @@
-//! Crashes that roots write to the platform, for those whom no link leads to.
+//! Crashes that roots write to the platform, for nodes that no control link reaches.
 //!
-//! Each seat of a root has an object of its own, which says all that its holder
-//! remembers; whoever reads them joins them. So writers never wait for each other, and
-//! a fleet that restarts whole finds what it knew.
+//! Each root lease has its own object, with all crashes that the lease's holder remembers;
+//! readers merge the objects. Writers therefore never wait for each other, and a fleet that
+//! restarts completely gets its crash history back.
 
 use crate::{Error, Object, Store};
 use call::Crash;
@@ -11,21 +11,21 @@
 use serde_json::Value;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Folder of the objects.
+/// Folder that holds one object per root lease.
 pub const FOLDER: &str = "crashes/";
 
-/// Objects read at once.
-const PAGE: usize = 100;
+/// Objects read per list request.
+const PAGE_SIZE: usize = 100;
 
-/// What an object says.
+/// Content of an object: the crashes that a root remembers.
 #[derive(Debug, Serialize, Deserialize)]
-struct Note {
-    /// When it was written, in milliseconds of the Unix epoch: ages count from here.
+struct StoredCrashes {
+    /// Time of writing, in milliseconds since the Unix epoch; the crashes' ages are relative to it.
     told_ms: u64,
     crashes: Vec<Value>,
 }
 
-/// Where roots write and read crashes.
+/// The crashes that roots publish on the platform.
 #[derive(Debug, Clone)]
 pub struct CrashStore<S, C> {
     store: S,
@@ -37,64 +37,69 @@
     S: Store,
     C: Clock,
 {
-    /// Names the place in a store.
+    /// Opens the crash objects of `store`, without accessing the platform.
     #[must_use]
     pub fn open(store: S, clock: C) -> Self {
         Self { store, clock }
     }
 
-    /// Writes what the holder of a seat remembers, in place of what stood there.
+    /// Replaces the crashes stored for the root lease `lease`.
     ///
     /// # Errors
     ///
-    /// When the platform can't be reached, or another holder writes at the same moment.
-    pub async fn write(&self, seat: &str, crashes: &[Crash]) -> Result<(), Error> {
-        let as_invalid = |error: serde_json::Error| Error::Invalid(error.to_string());
+    /// Fails when the platform can't be reached, or when another holder writes at the same time.
+    pub async fn write(&self, lease: &str, crashes: &[Crash]) -> Result<(), Error> {
+        let to_invalid = |error: serde_json::Error| Error::Invalid(error.to_string());
         let values = crashes.iter().map(serde_json::to_value);
-        let note = Note {
-            told_ms: millis_of(self.clock.wall()),
-            crashes: values.collect::<Result<_, _>>().map_err(as_invalid)?,
+        let stored = StoredCrashes {
+            told_ms: unix_millis(self.clock.wall()),
+            crashes: values.collect::<Result<_, _>>().map_err(to_invalid)?,
         };
-        let value = serde_json::to_value(note).map_err(as_invalid)?;
-        let name = format!("{FOLDER}{seat}");
+        let value = serde_json::to_value(stored).map_err(to_invalid)?;
+        let name = format!("{FOLDER}{lease}");
         match self.store.get(&name).await? {
-            Some(held) => self.store.update(&name, &value, held.revision).await?,
+            Some(existing) => self.store.update(&name, &value, existing.revision).await?,
             None => self.store.create(&name, &value).await?,
         };
         Ok(())
     }
 
-    /// Reads what all seats say.
+    /// Reads the crashes of all root leases.
     ///
     /// # Errors
     ///
-    /// When the platform can't be reached.
+    /// Fails when the platform can't be reached.
     pub async fn list(&self) -> Result<Vec<Crash>, Error> {
-        let page = self.store.list(FOLDER, "", PAGE).await?;
+        let page = self.store.list(FOLDER, "", PAGE_SIZE).await?;
         let objects = page.items.iter();
         Ok(objects.flat_map(|object| self.decode(object)).collect())
     }
 
-    /// Reads what one object says, with the ages that the crashes have now.
+    /// Decodes the crashes of one object, with their ages as of now.
     ///
-    /// What can't be read is left out: another writer may know more kinds of evidence.
+    /// Crashes that can't be decoded are left out: another version of the software may write
+    /// more kinds of evidence.
     #[must_use]
     pub fn decode(&self, object: &Object) -> Vec<Crash> {
-        let note = match Note::deserialize(&object.value) {
-            Ok(note) => note,
+        let stored = match StoredCrashes::deserialize(&object.value) {
+            Ok(stored) => stored,
             Err(error) => {
                 log::warn!(object:% = object.name, error:%; "board_unreadable");
                 return Vec::new();
             }
         };
-        let told = UNIX_EPOCH + Duration::from_millis(note.told_ms);
-        let since = self.clock.wall().duration_since(told).unwrap_or_default();
-        let since = u32::try_from(since.as_millis()).unwrap_or(u32::MAX);
+        let written_at = UNIX_EPOCH + Duration::from_millis(stored.told_ms);
+        let elapsed = self
+            .clock
+            .wall()
+            .duration_since(written_at)
+            .unwrap_or_default();
+        let elapsed = u32::try_from(elapsed.as_millis()).unwrap_or(u32::MAX);
         let mut crashes = Vec::new();
-        for value in &note.crashes {
+        for value in &stored.crashes {
             match Crash::deserialize(value) {
                 Ok(crash) => crashes.push(Crash {
-                    age_ms: crash.age_ms.saturating_add(since),
+                    age_ms: crash.age_ms.saturating_add(elapsed),
                     ..crash
                 }),
                 Err(error) => log::warn!(object:% = object.name, error:%; "board_unreadable"),
@@ -104,7 +109,7 @@
     }
 }
 
-fn millis_of(time: SystemTime) -> u64 {
+fn unix_millis(time: SystemTime) -> u64 {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/store/src/chunk.rs
+++ b/crates/store/src/chunk.rs
@@ -1,7 +1,7 @@
-//! Values that may be larger than the platform's limit, written once.
+//! Immutable values that may exceed the platform's size limit.
 //!
-//! The parts of a large value go first, under the writer's nonce; the object
-//! that names them comes last, so that whoever sees it finds them all.
+//! A large value is split into parts, which are written first, under a random nonce. The
+//! object that references them is written last, so that a reader who sees it finds every part.
 
 use crate::MAX_VALUE_BYTES;
 use crate::{Error, Object, Store};
@@ -9,37 +9,37 @@
 use serde_json::Value;
 use smol_str::{SmolStr, format_smolstr};
 
-/// Longest text of one part, in bytes. As a JSON string it may grow, at most
-/// to twice its length, since the text is itself JSON without control characters.
-const MAX_PART: usize = (MAX_VALUE_BYTES - 1024) / 2;
+/// Longest text of one part, in bytes. Escaping it as a JSON string at most doubles its
+/// length, because the text is itself JSON without control characters.
+const MAX_PART_BYTES: usize = (MAX_VALUE_BYTES - 1024) / 2;
 
-/// Tries of a part whose answer is lost.
-const PART_ATTEMPTS: u32 = 3;
+/// Attempts to write a part when the response is lost.
+const MAX_PART_ATTEMPTS: u32 = 3;
 
-/// Where the parts of a value are.
+/// Reference to the parts of a value.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct Parts {
-    /// Drawn for each try, so that parts of two tries never mix.
+struct PartsRef {
+    /// Drawn anew for each attempt to write the value, so that parts of two attempts never mix.
     nonce: SmolStr,
     count: usize,
 }
 
-/// What an object of a journal holds: the value, or where its parts are.
+/// Content of a journal's object: the value itself, or a reference to its parts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Envelope {
-    /// Chosen by the writer; tells its own write from another's.
+    /// Chosen by the writer, to distinguish its own write from another's.
     nonce: SmolStr,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     value: Option<Value>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    parts: Option<Parts>,
+    parts: Option<PartsRef>,
 }
 
-fn name_part(directory: &str, nonce: &str, index: usize) -> String {
+fn part_name(directory: &str, nonce: &str, index: usize) -> String {
     format!("{directory}.{nonce}.{index:04}")
 }
 
-/// Cuts `text` into parts of at most `length` bytes, none inside a character.
+/// Splits `text` into parts of at most `length` bytes, at character boundaries.
 fn split_text(mut text: &str, length: usize) -> Vec<&str> {
     let mut parts = Vec::new();
     while text.len() > length {
@@ -51,40 +51,41 @@
     parts
 }
 
-/// Writes a part; one that stands already is this try's, with its answer lost.
+/// Writes a part. If it exists already, an earlier request of this call wrote it and its
+/// response was lost.
 async fn write_part<S>(store: &S, name: &str, part: &str) -> Result<(), Error>
 where
     S: Store,
 {
     let value = Value::String(part.into());
-    let mut lost = String::new();
-    for _ in 0..PART_ATTEMPTS {
+    let mut reason = String::new();
+    for _ in 0..MAX_PART_ATTEMPTS {
         match store.create(name, &value).await {
             Ok(_) | Err(Error::Conflict) => return Ok(()),
-            Err(Error::Unknown(why)) => lost = why,
+            Err(Error::Unknown(lost)) => reason = lost,
             Err(error) => return Err(error),
         }
     }
-    // Nothing names the part yet, so that it does no harm should it stand.
-    Err(Error::Unavailable(lost))
+    // No object references the part yet, so it does no harm if it was written after all.
+    Err(Error::Unavailable(reason))
 }
 
-async fn write_parts<S>(store: &S, directory: &str, text: &str) -> Result<Parts, Error>
+async fn write_parts<S>(store: &S, directory: &str, text: &str) -> Result<PartsRef, Error>
 where
     S: Store,
 {
     let nonce = format_smolstr!("{:016x}", rand::random::<u64>());
-    let parts = split_text(text, MAX_PART);
+    let parts = split_text(text, MAX_PART_BYTES);
     for (index, part) in parts.iter().enumerate() {
-        write_part(store, &name_part(directory, &nonce, index), part).await?;
+        write_part(store, &part_name(directory, &nonce, index), part).await?;
     }
-    Ok(Parts {
+    Ok(PartsRef {
         nonce,
         count: parts.len(),
     })
 }
 
-/// Makes the envelope of `value`, after writing its parts under `directory` if it has any.
+/// Wraps `value` in an envelope; a large value is first written as parts under `directory`.
 pub(crate) async fn make_envelope<S>(
     store: &S,
     directory: &str,
@@ -95,7 +96,7 @@
     S: Store,
 {
     let text = value.to_string();
-    let envelope = if text.len() <= MAX_PART {
+    let envelope = if text.len() <= MAX_PART_BYTES {
         Envelope {
             nonce: nonce.into(),
             value: Some(value.clone()),
@@ -111,9 +112,9 @@
     serde_json::to_value(envelope).map_err(|error| Error::Invalid(error.to_string()))
 }
 
-/// Gives the nonce and the value of an object, reading its parts if it has any.
+/// Returns the nonce and the value of an object, reading its parts if it has any.
 ///
-/// [`Error::Gone`] tells that the parts are removed already.
+/// Fails with [`Error::Gone`] when the parts have been removed.
 pub(crate) async fn read_envelope<S>(
     store: &S,
     directory: &str,
@@ -129,7 +130,7 @@
     };
     let mut text = String::new();
     for index in 0..parts.count {
-        let name = name_part(directory, &parts.nonce, index);
+        let name = part_name(directory, &parts.nonce, index);
         let part = store.get(&name).await?.ok_or(Error::Gone)?;
         text.push_str(part.value.as_str().unwrap_or_default());
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,58 +1,62 @@
-//! What can go wrong with the platform.
+//! Errors of calls to the platform.
 
 use quick_error::quick_error;
 use std::time::Duration;
 
 quick_error! {
-    /// What can go wrong with a call to the platform.
+    /// Error of a call to the platform.
     ///
-    /// Only [`Error::Unknown`] leaves open whether a write took effect; with
-    /// all others it surely did not.
+    /// After [`Error::Unknown`] a write may or may not have taken effect; after any other error
+    /// it has not.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// The object already stands, or not at the expected revision.
+        /// The object already exists, or is not at the expected revision.
         Conflict {
-            display("the object is not as expected")
+            display("the object already exists or is not at the expected revision")
         }
-        /// There is no such object.
+        /// The object does not exist.
         NotFound {
-            display("no such object")
+            display("the object does not exist")
         }
-        /// The watch starts too far back; list again.
+        /// The requested events, records or revision are no longer available; a watch has to
+        /// start from a new list.
         Gone {
-            display("the platform no longer holds the events asked for")
+            display("the requested state is no longer available on the platform")
         }
-        /// Over the platform's rate.
+        /// The platform's rate limit is exceeded.
         Busy(retry_after: Duration) {
-            display("over the platform's rate, come back in {} ms", retry_after.as_millis())
+            display(
+                "the platform's rate limit is exceeded; retry in {} ms",
+                retry_after.as_millis()
+            )
         }
-        /// The value is over the platform's limit.
+        /// The value exceeds the platform's size limit.
         TooLarge {
-            display("the value is over the platform's limit")
+            display("the value exceeds the platform's size limit")
         }
-        /// The name or the value can't be sent.
-        Invalid(why: String) {
-            display("not a valid object: {}", why)
+        /// The name or the value is invalid.
+        Invalid(reason: String) {
+            display("invalid object: {}", reason)
         }
-        /// The platform can't be reached; the call surely took no effect.
-        Unavailable(why: String) {
-            display("the platform can't be reached: {}", why)
+        /// The platform can't be reached; the call had no effect.
+        Unavailable(reason: String) {
+            display("the platform can't be reached: {}", reason)
         }
-        /// The answer was lost; a write may have taken effect, or may do so still.
-        Unknown(why: String) {
-            display("the platform's answer was lost: {}", why)
+        /// The response was lost; a write may have taken effect, or may still do so.
+        Unknown(reason: String) {
+            display("the platform's response was lost: {}", reason)
         }
     }
 }
 
 impl Error {
-    /// Tells whether a write that ended so may have taken effect.
+    /// Returns whether a write that failed with this error may have taken effect.
     #[must_use]
     pub fn may_have_taken_effect(&self) -> bool {
         matches!(self, Self::Unknown(_))
     }
 
-    /// Tells whether the same call may fare better later.
+    /// Returns whether the same call may succeed later.
     #[must_use]
     pub fn is_transient(&self) -> bool {
         matches!(
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -1,4 +1,4 @@
-//! A reader that learns of a journal's records as they are written.
+//! Follows a journal and returns its records as they are written.
 
 use crate::journal::{LoadedJournal, Record};
 use crate::{Error, Event, Journal, Revision, Store, Watch};
@@ -7,30 +7,34 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// First bound of the wait before the platform is asked again.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
+/// First ceiling of the delay before the platform is called again.
+const BACKOFF_BASE: Duration = Duration::from_millis(100);
 
-/// Last bound: an outage of an hour must not end in a storm, nor may the
-/// recovery take longer than a version's few seconds.
-const LAST_WAIT: Duration = Duration::from_secs(5);
+/// Highest ceiling of the delay. The end of an outage of an hour must not cause a burst of
+/// calls, yet recovery must not take longer than the few seconds in which a version has to be
+/// in force.
+const BACKOFF_CAP: Duration = Duration::from_secs(5);
 
-/// What a reader learns.
+/// What a [`Follower`] returns.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JournalUpdate {
     /// The next record.
     Record(Record),
-    /// The whole journal, because records in between are gone or none was known.
+    /// The last snapshot and all later records, because records in between have been removed or
+    /// the reader had none.
     Reset(LoadedJournal),
 }
 
-/// A reader of a journal.
+/// Follows a journal across outages.
 #[derive(Debug)]
 pub struct Follower<S, C> {
     journal: Journal<S, C>,
+    /// Number of the last record returned.
     position: Option<u64>,
     revision: Revision,
     watch: Option<Watch>,
-    ready: VecDeque<Record>,
+    /// Records that were read and not returned yet.
+    pending: VecDeque<Record>,
     is_connected: bool,
     backoff: Backoff,
 }
@@ -40,7 +44,7 @@
     S: Store,
     C: Clock,
 {
-    /// Starts to follow `journal` after the record `position`, or from its last snapshot.
+    /// Follows `journal` from the record after `position`, or from its last snapshot.
     #[must_use]
     pub fn open(journal: Journal<S, C>, position: Option<u64>) -> Self {
         Self {
@@ -48,54 +52,56 @@
             position,
             revision: Revision::default(),
             watch: None,
-            ready: VecDeque::new(),
+            pending: VecDeque::new(),
             is_connected: true,
-            backoff: Backoff::new(FIRST_WAIT, LAST_WAIT),
+            backoff: Backoff::new(BACKOFF_BASE, BACKOFF_CAP),
         }
     }
 
-    /// Tells whether the platform answered when last asked.
+    /// Returns whether the platform answered the last call.
     #[must_use]
     pub fn is_connected(&self) -> bool {
         self.is_connected
     }
 
-    /// Waits for news, through outages; numbers only grow, and none is left out.
+    /// Waits for the next update, across outages. Record numbers only grow, and none is skipped.
     pub async fn next(&mut self) -> JournalUpdate {
         loop {
-            if let Some(record) = self.take_ready() {
+            if let Some(record) = self.next_pending() {
                 return JournalUpdate::Record(record);
             }
             match self.advance().await {
-                Ok(None) => self.note_answer(),
+                Ok(None) => self.record_success(),
                 Ok(Some(loaded)) => {
-                    self.note_answer();
+                    self.record_success();
                     return JournalUpdate::Reset(loaded);
                 }
-                // The events in between are gone, the records are not.
+                // The events since are no longer available, but the records can be read again.
                 Err(Error::Gone) => self.watch = None,
-                Err(error) => self.pause(&error).await,
+                Err(error) => self.back_off(&error).await,
             }
         }
     }
 
-    fn take_ready(&mut self) -> Option<Record> {
-        while let Some(record) = self.ready.pop_front() {
+    /// Takes the record after the last one returned, if it is pending.
+    fn next_pending(&mut self) -> Option<Record> {
+        while let Some(record) = self.pending.pop_front() {
             let position = self.position.unwrap_or(0);
             if record.number == position + 1 {
                 self.position = Some(record.number);
                 return Some(record);
             }
             if record.number > position {
-                // The watch has left one out; reading gives all.
-                self.ready.clear();
+                // The watch has skipped a record; reading the journal returns all of them.
+                self.pending.clear();
                 self.watch = None;
             }
         }
         None
     }
 
-    /// Takes one step: reads what is missing, opens the watch, or waits for its next event.
+    /// Waits for the next event of the watch; without a watch, reads the missing records and
+    /// opens one.
     async fn advance(&mut self) -> Result<Option<LoadedJournal>, Error> {
         let Some(watch) = &mut self.watch else {
             return self.catch_up().await;
@@ -104,7 +110,7 @@
             Event::Put(object) => {
                 let revision = object.revision;
                 let record = self.journal.decode_record(object).await?;
-                self.ready.extend(record);
+                self.pending.extend(record);
                 self.revision = revision;
             }
             Event::Deleted { revision, .. } | Event::Bookmark(revision) => self.revision = revision,
@@ -119,18 +125,20 @@
         };
         let Some(tail) = tail else {
             let loaded = self.journal.load().await?;
-            // What the platform tells is older than what is known already.
+            // The platform's state is older than what has been returned already.
             if self
                 .position
                 .is_some_and(|known| loaded.last_number() < known)
             {
-                return Err(Error::Unavailable("the platform went back".into()));
+                return Err(Error::Unavailable(
+                    "the journal ends before the last known record".into(),
+                ));
             }
             self.open_watch(loaded.tail.revision).await?;
             self.position = Some(loaded.last_number());
             return Ok(Some(loaded));
         };
-        self.ready.extend(tail.records);
+        self.pending.extend(tail.records);
         self.open_watch(tail.revision).await?;
         Ok(None)
     }
@@ -142,13 +150,13 @@
         Ok(())
     }
 
-    fn note_answer(&mut self) {
+    fn record_success(&mut self) {
         self.is_connected = true;
         self.backoff.reset();
     }
 
-    /// Waits with full jitter, so that the readers of all zones don't come back at once.
-    async fn pause(&mut self, error: &Error) {
+    /// Waits with full jitter, so that the readers of all zones don't reconnect at once.
+    async fn back_off(&mut self, error: &Error) {
         if self.is_connected {
             log::warn!(journal:% = self.journal.name, error:%; "platform_lost");
         }
--- a/crates/store/src/latest.rs
+++ b/crates/store/src/latest.rs
@@ -1,4 +1,4 @@
-//! A reader of objects that are replaced as a whole.
+//! Watches objects that are replaced as a whole.
 
 use crate::{Error, Event, Object, Revision, Store, Watch};
 use policy::backoff::Backoff;
@@ -6,27 +6,28 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// First bound of the wait before the platform is asked again.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
+/// First ceiling of the delay before the platform is called again.
+const BACKOFF_BASE: Duration = Duration::from_millis(100);
 
-/// Last bound: a version is to be in force 2 s after the platform took it, also
-/// when that was the first thing it did after an outage.
-const LAST_WAIT: Duration = Duration::from_millis(800);
+/// Highest ceiling of the delay. A version has to be in force 2 s after the platform accepted
+/// it, even if that was the platform's first write after an outage.
+const BACKOFF_CAP: Duration = Duration::from_millis(800);
 
-/// Objects read at once; the folder holds few.
-const PAGE: usize = 100;
+/// Objects read per list request; the folder holds only a few.
+const PAGE_SIZE: usize = 100;
 
-/// A reader of one object, or of all objects of a folder, that are replaced as a whole.
+/// Follows one object, or all objects of a folder, that are replaced as a whole.
 #[derive(Debug)]
 pub struct ObjectWatcher<S> {
     store: S,
-    /// The object; none stands for all of the folder.
+    /// Name of the object, or `None` for all objects of the folder.
     name: Option<SmolStr>,
     folder: SmolStr,
     watch: Option<Watch>,
-    /// Objects that were read and not given yet.
-    ready: VecDeque<Object>,
-    seen: Option<Revision>,
+    /// Objects that were read and not returned yet.
+    pending: VecDeque<Object>,
+    /// Revision of the newest object received.
+    newest: Option<Revision>,
     is_connected: bool,
     backoff: Backoff,
 }
@@ -35,14 +36,14 @@
 where
     S: Store,
 {
-    /// Starts to follow the object `name`.
+    /// Follows the object `name`.
     #[must_use]
     pub fn open(store: S, name: &str) -> Self {
         let folder = name.rsplit_once('/').map_or("", |(folder, _)| folder);
         Self::follow(store, folder, Some(name.into()))
     }
 
-    /// Starts to follow all objects of a folder, none of which may be deleted.
+    /// Follows all objects of a folder, none of which may be deleted.
     #[must_use]
     pub fn open_folder(store: S, folder: &str) -> Self {
         Self::follow(store, folder, None)
@@ -54,73 +55,75 @@
             name,
             folder: folder.into(),
             watch: None,
-            ready: VecDeque::new(),
-            seen: None,
+            pending: VecDeque::new(),
+            newest: None,
             is_connected: true,
-            backoff: Backoff::new(FIRST_WAIT, LAST_WAIT),
+            backoff: Backoff::new(BACKOFF_BASE, BACKOFF_CAP),
         }
     }
 
-    /// Waits for an object's next state, through outages; states in between may be left out.
+    /// Waits for the next state of an object, across outages; intermediate states may be skipped.
     pub async fn next(&mut self) -> Object {
         loop {
-            if let Some(object) = self.ready.pop_front() {
+            if let Some(object) = self.pending.pop_front() {
                 return object;
             }
             match self.advance().await {
                 Ok(()) => {
                     if !self.is_connected {
-                        log::info!(object:% = self.what(); "platform_back");
+                        log::info!(object:% = self.target(); "platform_back");
                     }
                     self.is_connected = true;
                     self.backoff.reset();
                 }
-                // The events in between are gone, the object is not.
+                // The events since are no longer available, but the object can be read again.
                 Err(Error::Gone) => self.watch = None,
-                Err(error) => self.pause(&error).await,
+                Err(error) => self.back_off(&error).await,
             }
         }
     }
 
+    /// Receives the next event, or lists the folder and opens the watch if there is none.
     async fn advance(&mut self) -> Result<(), Error> {
         let Some(watch) = &mut self.watch else {
-            return self.read().await;
+            return self.list_and_watch().await;
         };
         if let Event::Put(object) = watch.next().await? {
-            self.take(object);
+            self.enqueue(object);
         }
         Ok(())
     }
 
-    /// Reads the folder, whose revision is where the watch goes on from.
-    async fn read(&mut self) -> Result<(), Error> {
-        let list = self.store.list(&self.folder, "", PAGE).await?;
+    /// Lists the folder and watches it from the list's revision.
+    async fn list_and_watch(&mut self) -> Result<(), Error> {
+        let list = self.store.list(&self.folder, "", PAGE_SIZE).await?;
         self.watch = Some(self.store.watch(&self.folder, list.revision).await?);
         let mut items = list.items;
         items.sort_by_key(|object| object.revision);
         for object in items {
-            self.take(object);
+            self.enqueue(object);
         }
         Ok(())
     }
 
-    /// Keeps an object for the reader if it is newer than what was kept before.
-    fn take(&mut self, object: Object) {
-        let is_wanted = self.name.as_ref().is_none_or(|name| *name == object.name);
-        if is_wanted && self.seen.is_none_or(|seen| object.revision > seen) {
-            self.seen = Some(object.revision);
-            self.ready.push_back(object);
+    /// Queues an object for the reader if it is newer than all objects queued before.
+    fn enqueue(&mut self, object: Object) {
+        let is_followed = self.name.as_ref().is_none_or(|name| *name == object.name);
+        if is_followed && self.newest.is_none_or(|newest| object.revision > newest) {
+            self.newest = Some(object.revision);
+            self.pending.push_back(object);
         }
     }
 
-    fn what(&self) -> &SmolStr {
+    /// Returns the name of the object or folder, for log lines.
+    fn target(&self) -> &SmolStr {
         self.name.as_ref().unwrap_or(&self.folder)
     }
 
-    /// Waits with full jitter, so that the readers of all zones don't come back at once.
-    async fn pause(&mut self, error: &Error) {
+    /// Waits with full jitter, so that the readers of all zones don't reconnect at once.
+    async fn back_off(&mut self, error: &Error) {
         if self.is_connected {
-            log::warn!(object:% = self.what(), error:%; "platform_lost");
+            log::warn!(object:% = self.target(), error:%; "platform_lost");
         }
         self.is_connected = false;
         self.watch = None;
--- a/crates/store/src/lease.rs
+++ b/crates/store/src/lease.rs
@@ -1,8 +1,8 @@
-//! Leases: who does a job that one should do. They save work only.
+//! Leases, which assign a task to one process at a time. They only avoid duplicate work.
 //!
-//! A lease says nothing about what its holder's writes may do: a holder that
-//! was paused may act after its lease lapsed, and before it has looked at the
-//! clock. Whatever must hold is guarded by the journal's numbers instead.
+//! A lease does not protect its holder's writes: a holder that was paused may still act after
+//! its lease has expired, before it checks the clock. Anything that correctness depends on is
+//! guarded by the journal's record numbers instead.
 
 use crate::{Error, Object, Revision, Store};
 use clock::Clock;
@@ -10,35 +10,36 @@
 use smol_str::{SmolStr, format_smolstr};
 use std::time::{Duration, Instant};
 
-/// What a lease's object says.
+/// Content of a lease's object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Grant {
+struct LeaseContent {
     holder: SmolStr,
     nonce: SmolStr,
     duration_ms: u64,
 }
 
-/// A lease as it stands in the platform.
+/// A lease as stored on the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseRecord {
     /// Name of the lease.
     pub name: SmolStr,
-    /// Who holds it, or held it last.
+    /// Current holder, or the last one if the lease has expired.
     pub holder: SmolStr,
-    /// The write that made it so.
+    /// Revision of the lease's last write.
     pub revision: Revision,
-    /// How long it stands without a renewal.
+    /// Time until the lease expires without a renewal.
     pub duration: Duration,
 }
 
-/// Leases read at once.
-const PAGE: usize = 100;
+/// Leases read per list request.
+const PAGE_SIZE: usize = 100;
 
-/// Reads all leases whose names start with `prefix`, as they are now or were some seconds ago.
+/// Reads all leases whose names start with `prefix`. Unless `is_exact`, the result may be some
+/// seconds old.
 ///
 /// # Errors
 ///
-/// When the platform can't be read.
+/// Fails when the platform can't be read.
 pub async fn list<S>(store: &S, prefix: &str, is_exact: bool) -> Result<Vec<LeaseRecord>, Error>
 where
     S: Store,
@@ -48,11 +49,11 @@
     let mut after = SmolStr::default();
     loop {
         let page = if is_exact {
-            store.list(&prefix, &after, PAGE).await?
+            store.list(&prefix, &after, PAGE_SIZE).await?
         } else {
-            store.list_stale(&prefix, &after, PAGE).await?
+            store.list_stale(&prefix, &after, PAGE_SIZE).await?
         };
-        all.extend(page.items.iter().filter_map(read_standing));
+        all.extend(page.items.iter().filter_map(parse_record));
         match page.items.last() {
             Some(last) if page.has_more => after = last.name.clone(),
             _ => return Ok(all),
@@ -60,32 +61,33 @@
     }
 }
 
-fn read_grant(object: &Object) -> Option<Grant> {
-    Grant::deserialize(&object.value).ok()
+fn parse_content(object: &Object) -> Option<LeaseContent> {
+    LeaseContent::deserialize(&object.value).ok()
 }
 
-fn read_standing(object: &Object) -> Option<LeaseRecord> {
-    let grant = read_grant(object)?;
+fn parse_record(object: &Object) -> Option<LeaseRecord> {
+    let content = parse_content(object)?;
     Some(LeaseRecord {
         name: object.name.strip_prefix(FOLDER)?.into(),
-        holder: grant.holder,
+        holder: content.holder,
         revision: object.revision,
-        duration: Duration::from_millis(grant.duration_ms),
+        duration: Duration::from_millis(content.duration_ms),
     })
 }
 
 /// Folder of all leases.
 const FOLDER: &str = "leases/";
 
-/// Another's lease as this process has seen it.
+/// A lease held by another process, as this process has observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Seen {
+struct ObservedLease {
     revision: Revision,
+    /// When this process first saw the revision.
     since: Instant,
     duration: Duration,
 }
 
-/// A lease that this process holds or would like to hold.
+/// A lease that this process holds or tries to acquire.
 #[derive(Debug)]
 pub struct Lease<S, C> {
     store: S,
@@ -93,9 +95,10 @@
     name: SmolStr,
     holder: SmolStr,
     duration: Duration,
-    until: Option<Instant>,
+    expires_at: Option<Instant>,
+    /// Revision that the next renewal replaces, or `None` if the lease has to be acquired first.
     revision: Option<Revision>,
-    rival: Option<Seen>,
+    observed: Option<ObservedLease>,
 }
 
 impl<S, C> Lease<S, C>
@@ -103,7 +106,8 @@
     S: Store,
     C: Clock,
 {
-    /// Names a lease that `holder` would like to hold for `duration` at a time.
+    /// Creates a client of the lease `name`, on behalf of `holder`, without accessing the
+    /// platform. Each renewal extends the lease by `duration`.
     #[must_use]
     pub fn open(store: S, clock: C, name: &str, holder: &str, duration: Duration) -> Self {
         Self {
@@ -112,85 +116,88 @@
             name: format_smolstr!("{FOLDER}{name}"),
             holder: holder.into(),
             duration,
-            until: None,
+            expires_at: None,
             revision: None,
-            rival: None,
+            observed: None,
         }
     }
 
-    /// Tells whether the lease is surely held at this moment.
+    /// Returns whether the lease is certainly held now.
     ///
-    /// The time counts from before the renewal was sent. A holder that was
-    /// paused finds here that its lease may have lapsed, even though nobody
-    /// told it; that is why it has to ask each time before it acts.
+    /// The duration counts from before the renewal was sent. A holder that was paused learns only
+    /// here that its lease may have expired, so it has to check each time before it acts.
     #[must_use]
     pub fn is_held(&self) -> bool {
-        self.until.is_some_and(|until| self.clock.now() < until)
+        self.expires_at
+            .is_some_and(|expires_at| self.clock.now() < expires_at)
     }
 
-    /// Gives the end of the lease, as far as it is known to be held.
+    /// Returns when the lease expires, if it is certainly held now.
     #[must_use]
     pub fn expires_at(&self) -> Option<Instant> {
-        self.until.filter(|_| self.is_held())
+        self.expires_at.filter(|_| self.is_held())
     }
 
-    /// Renews the lease, or takes it when it is free or has lapsed; tells whether it is held.
+    /// Renews the lease, or acquires it when it is free or has expired. Returns whether it is held.
     ///
-    /// To be called a few times within each duration.
+    /// Has to be called several times within the lease's duration.
     ///
     /// # Errors
     ///
-    /// When the platform can't be read or written. The lease is then held up
-    /// to the end that was known before.
+    /// Fails when the platform can't be read or written. The lease then counts as held until the
+    /// previously known expiry at most.
     pub async fn acquire_or_renew(&mut self) -> Result<bool, Error> {
-        let sent = self.clock.now();
+        let sent_at = self.clock.now();
         let nonce = format_smolstr!("{:016x}", rand::random::<u64>());
         let outcome = match self.revision {
             Some(revision) => self.update(&nonce, revision).await,
-            None => self.take(&nonce).await,
+            None => self.acquire(&nonce).await,
         };
         match outcome {
             Ok(Some(revision)) => {
                 self.revision = Some(revision);
-                self.until = Some(sent + self.duration);
+                self.expires_at = Some(sent_at + self.duration);
             }
             Ok(None) => {}
-            // What was held is gone with the platform's last seconds; it is taken anew, unless
-            // somebody else was faster.
+            // The platform was restored from a backup and has lost the lease's last writes. The
+            // lease is acquired again, unless another process was faster.
             Err(Error::Gone) => {
-                self.lose();
-                self.retake(&nonce, sent).await?;
+                self.clear();
+                self.reacquire(&nonce, sent_at).await?;
+            }
+            Err(Error::Conflict | Error::NotFound) => self.clear(),
+            Err(Error::Unknown(reason)) => {
+                return self.resolve_lost_write(&nonce, sent_at, reason).await;
             }
-            Err(Error::Conflict | Error::NotFound) => self.lose(),
-            Err(Error::Unknown(why)) => return self.settle(&nonce, sent, why).await,
             Err(error) => return Err(error),
         }
         Ok(self.is_held())
     }
 
-    /// Takes the lease from a holder that can't be reached, if it still stands at `revision`.
+    /// Takes the lease over from a holder that can't be reached, if it is still at `revision`.
     ///
-    /// The holder may live and go on: see the module's words on what a lease is for.
+    /// The former holder may be alive and continue to act; see the module documentation for what
+    /// a lease guarantees.
     ///
     /// # Errors
     ///
-    /// As [`Lease::acquire_or_renew`].
+    /// Fails as [`Lease::acquire_or_renew`] does.
     pub async fn take_over(&mut self, revision: Revision) -> Result<bool, Error> {
         self.revision = Some(revision);
         let outcome = self.acquire_or_renew().await;
         if !self.is_held() {
-            self.lose();
+            self.clear();
         }
         outcome
     }
 
-    /// Gives the lease up, so that another need not wait for its end.
+    /// Releases the lease, so that another process need not wait for its expiry.
     ///
     /// # Errors
     ///
-    /// When the platform can't be written; the lease then lapses by itself.
+    /// Fails when the platform can't be written; the lease then expires by itself.
     pub async fn release(&mut self) -> Result<(), Error> {
-        self.until = None;
+        self.expires_at = None;
         let Some(revision) = self.revision.take() else {
             return Ok(());
         };
@@ -200,32 +207,32 @@
         }
     }
 
-    fn lose(&mut self) {
-        self.until = None;
+    fn clear(&mut self) {
+        self.expires_at = None;
         self.revision = None;
     }
 
-    fn grant(&self, nonce: &str) -> Result<serde_json::Value, Error> {
-        let grant = Grant {
+    fn make_content(&self, nonce: &str) -> Result<serde_json::Value, Error> {
+        let content = LeaseContent {
             holder: self.holder.clone(),
             nonce: nonce.into(),
             duration_ms: u64::try_from(self.duration.as_millis()).unwrap_or(u64::MAX),
         };
-        serde_json::to_value(grant).map_err(|error| Error::Invalid(error.to_string()))
+        serde_json::to_value(content).map_err(|error| Error::Invalid(error.to_string()))
     }
 
-    /// Takes the lease again after the platform has come back from a copy.
-    async fn retake(&mut self, nonce: &str, sent: Instant) -> Result<(), Error> {
+    /// Acquires the lease again after the platform was restored from a backup.
+    async fn reacquire(&mut self, nonce: &str, sent_at: Instant) -> Result<(), Error> {
         let object = self.store.get(&self.name).await?;
-        let grant = object.as_ref().and_then(read_grant);
-        let is_own = grant.is_some_and(|grant| grant.holder == self.holder);
-        let taken = match &object {
+        let content = object.as_ref().and_then(parse_content);
+        let is_own = content.is_some_and(|content| content.holder == self.holder);
+        let written = match &object {
             Some(object) if is_own => self.update(nonce, object.revision).await,
-            _ => self.take(nonce).await,
+            _ => self.acquire(nonce).await,
         };
-        match taken {
+        match written {
             Ok(revision) => {
-                self.until = revision.map(|_| sent + self.duration);
+                self.expires_at = revision.map(|_| sent_at + self.duration);
                 self.revision = revision;
                 Ok(())
             }
@@ -235,38 +242,38 @@
     }
 
     async fn update(&self, nonce: &str, revision: Revision) -> Result<Option<Revision>, Error> {
-        let grant = self.grant(nonce)?;
-        let updated = self.store.update(&self.name, &grant, revision).await?;
+        let content = self.make_content(nonce)?;
+        let updated = self.store.update(&self.name, &content, revision).await?;
         Ok(Some(updated))
     }
 
-    async fn take(&mut self, nonce: &str) -> Result<Option<Revision>, Error> {
+    async fn acquire(&mut self, nonce: &str) -> Result<Option<Revision>, Error> {
         let Some(object) = self.store.get(&self.name).await? else {
-            let grant = self.grant(nonce)?;
-            return self.store.create(&self.name, &grant).await.map(Some);
+            let content = self.make_content(nonce)?;
+            return self.store.create(&self.name, &content).await.map(Some);
         };
-        if self.has_lapsed(&object) {
+        if self.has_expired(&object) {
             return self.update(nonce, object.revision).await;
         }
         Ok(None)
     }
 
-    /// Tells whether another's lease has stood unchanged for its whole duration.
+    /// Returns whether another process's lease has been unchanged for its whole duration.
     ///
-    /// That is measured by this process's clock since it first saw it so; the
-    /// holder counts from before it was sent, thus ends earlier.
-    fn has_lapsed(&mut self, object: &Object) -> bool {
+    /// The duration counts, by this process's clock, from when it first saw the lease's revision.
+    /// The holder counts from before its write was sent, so it stops acting earlier.
+    fn has_expired(&mut self, object: &Object) -> bool {
         let now = self.clock.now();
-        if let Some(seen) = &self.rival
-            && seen.revision == object.revision
+        if let Some(observed) = &self.observed
+            && observed.revision == object.revision
         {
-            return now.duration_since(seen.since) >= seen.duration;
+            return now.duration_since(observed.since) >= observed.duration;
         }
-        let grant = read_grant(object);
-        let duration = grant.map_or(self.duration, |grant| {
-            Duration::from_millis(grant.duration_ms)
+        let content = parse_content(object);
+        let duration = content.map_or(self.duration, |content| {
+            Duration::from_millis(content.duration_ms)
         });
-        self.rival = Some(Seen {
+        self.observed = Some(ObservedLease {
             revision: object.revision,
             since: now,
             duration,
@@ -274,22 +281,27 @@
         false
     }
 
-    /// Finds out whether a write whose answer was lost took effect.
-    async fn settle(&mut self, nonce: &str, sent: Instant, why: String) -> Result<bool, Error> {
+    /// Determines whether a write whose response was lost took effect.
+    async fn resolve_lost_write(
+        &mut self,
+        nonce: &str,
+        sent_at: Instant,
+        reason: String,
+    ) -> Result<bool, Error> {
         let Some(object) = self.store.get(&self.name).await? else {
-            self.lose();
+            self.clear();
             return Ok(false);
         };
-        let grant = read_grant(&object);
-        if grant.is_some_and(|grant| grant.nonce == nonce) {
+        let content = parse_content(&object);
+        if content.is_some_and(|content| content.nonce == nonce) {
             self.revision = Some(object.revision);
-            self.until = Some(sent + self.duration);
+            self.expires_at = Some(sent_at + self.duration);
             return Ok(self.is_held());
         }
-        // It did not take effect yet, and may still do so.
+        // The write has not taken effect yet, and may still do so.
         if Some(object.revision) != self.revision {
-            self.lose();
+            self.clear();
         }
-        Err(Error::Unknown(why))
+        Err(Error::Unknown(reason))
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,9 @@
-//! What lasts: the platform's store as an interface, and what is kept in it.
+//! Access to the platform's object store, and the structures kept in it.
 //!
-//! [`Store`] is the platform as the rest of the system sees it; [`MemoryStore`]
-//! keeps its objects in the process, with faults on demand.
+//! [`Store`] is the interface to the platform's object API. [`MemoryStore`] implements it in
+//! process, with fault injection. On top of it are numbered journals ([`Journal`],
+//! [`Follower`]), leases ([`Lease`]), objects that are replaced as a whole
+//! ([`ObjectWatcher`]) and the crashes that roots publish ([`CrashStore`]).
 //!
 //! ```
 //! use store::{Error, MemoryStore, Store};
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform as the rest of the system sees it.
+//! Interface to the platform's object API.
 
 use crate::Error;
 use serde::{Deserialize, Serialize};
@@ -7,20 +7,21 @@
 use std::fmt;
 use tokio::sync::{mpsc, watch};
 
-/// Largest value, in bytes of JSON (the platform's limit of a megabyte).
+/// Largest value, in bytes of JSON (the platform's limit is a megabyte).
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// The place of a write among all the platform's writes.
+/// Position of a write in the order of all the platform's writes.
 ///
-/// Numbers only grow within an era. A platform that comes back from a copy gives the numbers of
-/// what it has lost out again, and begins a new era, all of whose writes come after the former's.
+/// Numbers only grow within an era. A platform that is restored from a backup reuses the
+/// numbers of the writes it has lost, and begins a new era, whose writes all come after those
+/// of the previous era.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often the platform had come back from a copy.
+    /// How many times the platform had been restored from a backup.
     pub era: u64,
-    /// Number of the write.
+    /// Number of the write within its era.
     pub number: u64,
 }
 
@@ -30,54 +31,55 @@
     }
 }
 
-/// An object as it stood at a revision.
+/// An object at a revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Object {
     /// Name, `FOLDER/LEAF` such as `versions/log/00000000000000000007`.
     pub name: SmolStr,
-    /// The write that made it so.
+    /// Revision of the object's last write.
     pub revision: Revision,
-    /// What it holds.
+    /// Content of the object.
     pub value: Value,
-    /// What whoever acts on it reports; null as long as nobody has.
+    /// Status reported by the process that acts on the object; null until one has reported.
     pub status: Value,
 }
 
-/// Objects in the order of their names.
+/// A page of objects, in the order of their names.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct List {
     /// The objects.
     pub items: Vec<Object>,
-    /// The revision at which they were read; a watch from here misses nothing.
+    /// Revision of the read; a watch from this revision misses no write.
     pub revision: Revision,
-    /// Whether there are more after the last one.
+    /// Whether more objects follow the last one.
     pub has_more: bool,
 }
 
-/// News of a watch.
+/// Event of a watch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// An object was made or changed.
+    /// An object was created or changed.
     Put(Object),
     /// An object was deleted.
     Deleted {
-        /// Its name.
+        /// Name of the object.
         name: SmolStr,
-        /// The deletion's revision.
+        /// Revision of the deletion.
         revision: Revision,
     },
-    /// Nothing up to this revision concerns the watch; it also shows that the watch lives.
+    /// No further write up to this revision concerns the watch. Bookmarks also show that the
+    /// watch is alive.
     Bookmark(Revision),
 }
 
 impl Event {
-    /// Tells whether an object has changed.
+    /// Returns whether an object has changed.
     #[must_use]
     pub fn is_change(&self) -> bool {
         !matches!(self, Self::Bookmark(_))
     }
 
-    /// Gives the revision that a watch may go on from after this event.
+    /// Returns the revision from which a watch may resume after this event.
     #[must_use]
     pub fn revision(&self) -> Revision {
         match self {
@@ -87,17 +89,17 @@
     }
 }
 
-/// Events that wait for the reader of a watch, before the sender has to wait.
+/// Events buffered for the reader of a watch before the sender has to wait.
 const WATCH_BUFFER: usize = 64;
 
-/// A running watch; dropping it ends it.
+/// A running watch, which ends when it is dropped.
 #[derive(Debug)]
 pub struct Watch {
     events: mpsc::Receiver<Result<Event, Error>>,
 }
 
 impl Watch {
-    /// Makes a watch and the end that feeds it.
+    /// Creates a watch and the sender of its events.
     #[must_use]
     pub fn channel() -> (mpsc::Sender<Result<Event, Error>>, Self) {
         let (sender, events) = mpsc::channel(WATCH_BUFFER);
@@ -108,8 +110,8 @@
     ///
     /// # Errors
     ///
-    /// Any error ends the watch: [`Error::Gone`] asks for a new list, all
-    /// others for a new watch from the last event's revision.
+    /// Any error ends the watch. [`Error::Gone`] requires a new list, all others a new watch
+    /// from the last event's revision.
     pub async fn next(&mut self) -> Result<Event, Error> {
         match self.events.recv().await {
             Some(event) => event,
@@ -120,7 +122,7 @@
 
 /// The platform's object API.
 ///
-/// Names are paths; lists and watches take whole folders.
+/// Names are paths; lists and watches cover whole folders.
 pub trait Store: Clone + Send + Sync + 'static {
     /// Reads an object.
     fn get(&self, name: &str) -> impl Future<Output = Result<Option<Object>, Error>> + Send;
@@ -130,7 +132,8 @@
         async move { Ok(self.get(name).await?.map(|object| object.value.to_string())) }
     }
 
-    /// Reads up to `limit` objects of a folder (`versions/log/`) that come after `after`, in order.
+    /// Reads up to `limit` objects of a folder (such as `versions/log/`) whose names come after
+    /// `after`, in the order of their names.
     fn list(
         &self,
         folder: &str,
@@ -138,7 +141,8 @@
         limit: usize,
     ) -> impl Future<Output = Result<List, Error>> + Send;
 
-    /// The same as [`Store::list`], but perhaps as it was some seconds ago; cheaper where the platform can.
+    /// Like [`Store::list`], but the result may be some seconds old; cheaper where the platform
+    /// supports it.
     fn list_stale(
         &self,
         folder: &str,
@@ -148,25 +152,26 @@
         self.list(folder, after, limit)
     }
 
-    /// Gives the same store for a reader whom another one backs up: its watches ask less often.
+    /// Returns the same store for a redundant reader, whose watches poll less often because
+    /// another reader backs it up.
     #[must_use]
     fn with_relaxed_polling(&self) -> Self {
         self.clone()
     }
 
-    /// Makes an object; [`Error::Conflict`] when it stands already.
+    /// Creates an object; fails with [`Error::Conflict`] when it already exists.
     fn create(
         &self,
         name: &str,
         value: &Value,
     ) -> impl Future<Output = Result<Revision, Error>> + Send;
 
-    /// Tells the platform's era once it is known, and when another one begins: then its last
-    /// seconds are gone.
+    /// Returns the platform's era: `None` until it is known, updated when a new one begins. The
+    /// platform has then lost its last seconds of writes.
     fn watch_era(&self) -> watch::Receiver<Option<u64>>;
 
-    /// Changes an object that is still at `expected`; [`Error::Conflict`] when it is not, and
-    /// [`Error::Gone`] when that is of another era.
+    /// Changes an object that is still at `expected`; fails with [`Error::Conflict`] when it is
+    /// not, and with [`Error::Gone`] when `expected` is of another era.
     fn update(
         &self,
         name: &str,
@@ -174,7 +179,8 @@
         expected: Revision,
     ) -> impl Future<Output = Result<Revision, Error>> + Send;
 
-    /// Reports on an object that is still at `expected`; [`Error::Conflict`] when it is not.
+    /// Sets the status of an object that is still at `expected`; fails with
+    /// [`Error::Conflict`] when it is not.
     fn update_status(
         &self,
         name: &str,
@@ -182,7 +188,7 @@
         expected: Revision,
     ) -> impl Future<Output = Result<Revision, Error>> + Send;
 
-    /// Deletes an object, only if it is still at `expected` where that is given.
+    /// Deletes an object; if `expected` is given, only while it is at that revision.
     fn delete(
         &self,
         name: &str,
--- a/crates/store/tests/eras.rs
+++ b/crates/store/tests/eras.rs
@@ -1,51 +1,52 @@
-//! What holds when the platform comes back from a copy that is some seconds old.
+//! Guarantees when the platform is restored from a backup that is some seconds old.
 
 use clock::Manual;
 use serde_json::json;
 use std::time::Duration;
 use store::{Error, Lease, MemoryStore, ObjectWatcher, Store};
 
-const TERM: Duration = Duration::from_secs(10);
+const LEASE_DURATION: Duration = Duration::from_secs(10);
 
-/// A write bound to a revision that was given out again must not hit what stands there now.
+/// An update conditional on a lost revision must fail, although a new object reuses its number.
 #[tokio::test]
-async fn revision_again() {
+async fn reused_revision() {
     let store = MemoryStore::new();
     store.create("things/a", &json!(1)).await.unwrap();
-    let copy = store.backup();
+    let backup = store.backup();
     let lost = store.create("things/b", &json!("lost")).await.unwrap();
-    store.restore(copy);
-    let again = store.create("things/b", &json!("other")).await.unwrap();
-    assert_eq!(lost.number, again.number);
+    store.restore(backup);
+    let reused = store.create("things/b", &json!("other")).await.unwrap();
+    assert_eq!(lost.number, reused.number);
     let written = store.update("things/b", &json!("mine"), lost).await;
     assert_eq!(written, Err(Error::Gone));
-    assert!(again > lost);
+    assert!(reused > lost);
 }
 
-/// A reader must not take up its watch in the numbers of another era, and miss writes for good.
+/// A reader must not resume its watch at a revision number of the previous era: it would miss
+/// the writes of the new era for good.
 #[tokio::test(start_paused = true)]
-async fn watch_again() {
+async fn watch_after_restore() {
     let store = MemoryStore::new();
     store.create("things/a", &json!(1)).await.unwrap();
-    let copy = store.backup();
-    let mut latest = ObjectWatcher::open(store.clone(), "things/a");
-    assert_eq!(latest.next().await.value, json!(1));
+    let backup = store.backup();
+    let mut watcher = ObjectWatcher::open(store.clone(), "things/a");
+    assert_eq!(watcher.next().await.value, json!(1));
     for number in 2..6 {
-        let stands = store.get("things/a").await.unwrap().unwrap();
+        let current = store.get("things/a").await.unwrap().unwrap();
         let next = json!(number);
-        let written = store.update("things/a", &next, stands.revision).await;
+        let written = store.update("things/a", &next, current.revision).await;
         written.unwrap();
-        assert_eq!(latest.next().await.value, next);
+        assert_eq!(watcher.next().await.value, next);
     }
-    store.restore(copy);
-    let stands = store.get("things/a").await.unwrap().unwrap();
+    store.restore(backup);
+    let current = store.get("things/a").await.unwrap().unwrap();
     store
-        .update("things/a", &json!("new"), stands.revision)
+        .update("things/a", &json!("new"), current.revision)
         .await
         .unwrap();
     let read = async {
         loop {
-            if latest.next().await.value == json!("new") {
+            if watcher.next().await.value == json!("new") {
                 return;
             }
         }
@@ -54,24 +55,33 @@
     tokio::time::timeout(limit, read).await.unwrap();
 }
 
-/// A lease whose last renewals are lost must stay with its holder, or go to who took it since.
+/// A lease whose last renewals are lost must stay with its holder, unless another process has
+/// acquired it since.
 #[tokio::test]
-async fn lease_again() {
+async fn lease_after_restore() {
     let store = MemoryStore::new();
     let clock = Manual::new();
-    let open = |holder: &str| Lease::open(store.clone(), clock.clone(), "roots/a.0", holder, TERM);
+    let open = |holder: &str| {
+        Lease::open(
+            store.clone(),
+            clock.clone(),
+            "roots/a.0",
+            holder,
+            LEASE_DURATION,
+        )
+    };
     let before = store.backup();
     let (mut one, mut two) = (open("one"), open("two"));
     assert!(one.acquire_or_renew().await.unwrap());
-    let taken = store.backup();
+    let acquired = store.backup();
     assert!(one.acquire_or_renew().await.unwrap());
-    // Its own older grant stands.
-    store.restore(taken);
+    // The holder's own earlier acquisition is stored.
+    store.restore(acquired);
     assert!(one.acquire_or_renew().await.unwrap());
-    // Nothing stands.
+    // Nothing is stored.
     store.restore(before.clone());
     assert!(one.acquire_or_renew().await.unwrap());
-    // Somebody else was faster.
+    // Another process was faster.
     store.restore(before);
     assert!(two.acquire_or_renew().await.unwrap());
     assert!(!one.acquire_or_renew().await.unwrap());
--- a/crates/store/tests/follower.rs
+++ b/crates/store/tests/follower.rs
@@ -1,4 +1,4 @@
-//! Following a journal through outages.
+//! Following a journal across outages and removals.
 
 use clock::Manual;
 use serde_json::json;
@@ -25,7 +25,7 @@
         .unwrap();
 }
 
-async fn expect(follower: &mut Follower<MemoryStore, Manual>, number: u64) {
+async fn assert_next(follower: &mut Follower<MemoryStore, Manual>, number: u64) {
     match follower.next().await {
         JournalUpdate::Record(record) => assert_eq!(record.number, number),
         other @ JournalUpdate::Reset(_) => panic!("{other:?}"),
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_once() {
+async fn each_record_once() {
     let (_, _, journal) = open();
     append(&journal, 1).await;
     let mut follower = Follower::open(journal.clone(), None);
@@ -44,18 +44,18 @@
     );
     for number in 2..200 {
         append(&journal, number).await;
-        expect(&mut follower, number).await;
+        assert_next(&mut follower, number).await;
     }
 }
 
-// The platform is away, and when it comes back it no longer holds the events
-// since; the watch is told "gone". No version may be skipped.
+// After an outage the platform no longer holds the events since the watch's revision, and
+// the watch fails with `Gone`. No record may be skipped.
 #[tokio::test(start_paused = true)]
 async fn outage() {
     let (memory, _, journal) = open();
     append(&journal, 1).await;
     let mut follower = Follower::open(journal.clone(), Some(0));
-    expect(&mut follower, 1).await;
+    assert_next(&mut follower, 1).await;
     for number in 2..5 {
         append(&journal, number).await;
     }
@@ -65,19 +65,19 @@
         ..Faults::default()
     };
     memory.set_faults(down);
-    let hour = tokio::time::timeout(Duration::from_hours(1), follower.next()).await;
-    assert_eq!(hour.ok(), None);
+    let result = tokio::time::timeout(Duration::from_hours(1), follower.next()).await;
+    assert_eq!(result.ok(), None);
     memory.set_faults(Faults::default());
     for number in 2..5 {
-        expect(&mut follower, number).await;
+        assert_next(&mut follower, number).await;
     }
     assert!(follower.is_connected());
 }
 
-// A reader sleeps for so long that records which it lacks are removed. It must
-// get the whole instead of a gap.
+// A reader is paused for so long that records it has not read are removed. It must get the
+// snapshot and all later records instead of a gap.
 #[tokio::test(start_paused = true)]
-async fn removed_in_between() {
+async fn reset_after_removal() {
     let (_, clock, journal) = open();
     append(&journal, 1).await;
     let mut follower = Follower::open(journal.clone(), Some(1));
@@ -92,9 +92,9 @@
     journal.remove_old(&mut retention, 0).await.unwrap();
     clock.advance(RETENTION);
     while journal.remove_old(&mut retention, 0).await.unwrap() {}
-    let news = follower.next().await;
+    let update = follower.next().await;
     assert!(
-        matches!(&news, JournalUpdate::Reset(loaded) if loaded.snapshot == Some(json!("eight"))),
-        "{news:?}"
+        matches!(&update, JournalUpdate::Reset(loaded) if loaded.snapshot == Some(json!("eight"))),
+        "{update:?}"
     );
 }
--- a/crates/store/tests/lease.rs
+++ b/crates/store/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases under lost answers and paused holders.
+//! Leases with lost responses and paused holders.
 
 use clock::Manual;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use store::{Error, Lease, MemoryStore};
 
 const DURATION: Duration = Duration::from_secs(15);
-const RENEWAL: Duration = Duration::from_secs(5);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
 
 type Root = Lease<MemoryStore, Manual>;
 
@@ -18,7 +18,7 @@
     (memory, clock, first, second)
 }
 
-fn losing(lose_next: u32) -> Faults {
+fn lose_answers(lose_next: u32) -> Faults {
     Faults {
         lose_next,
         ..Faults::default()
@@ -26,11 +26,11 @@
 }
 
 #[tokio::test]
-async fn one_holds() {
+async fn single_holder() {
     let (_, clock, mut first, mut second) = open();
     assert_eq!(first.acquire_or_renew().await, Ok(true));
     for _ in 0..10 {
-        clock.advance(RENEWAL);
+        clock.advance(RENEWAL_INTERVAL);
         assert_eq!(first.acquire_or_renew().await, Ok(true));
         assert_eq!(second.acquire_or_renew().await, Ok(false));
     }
@@ -39,33 +39,33 @@
     assert_eq!(second.acquire_or_renew().await, Ok(true));
 }
 
-// A root relay's renewals are answered into the void although they take
-// effect. It must not give its job up, nor hold on to it when they did not.
+// A root's renewals take effect, but their responses are lost: it must keep its lease. When a
+// renewal did not take effect, it must not hold the lease past its expiry.
 #[tokio::test]
 async fn renewal_answer_lost() {
     let (memory, clock, mut first, mut second) = open();
-    memory.set_faults(losing(1));
+    memory.set_faults(lose_answers(1));
     assert_eq!(first.acquire_or_renew().await, Ok(true));
     for _ in 0..10 {
-        clock.advance(RENEWAL);
-        memory.set_faults(losing(1));
+        clock.advance(RENEWAL_INTERVAL);
+        memory.set_faults(lose_answers(1));
         assert_eq!(first.acquire_or_renew().await, Ok(true));
         assert_eq!(second.acquire_or_renew().await, Ok(false));
     }
-    clock.advance(RENEWAL);
+    clock.advance(RENEWAL_INTERVAL);
     memory.set_faults(Faults {
         late_next: 1,
         ..Faults::default()
     });
-    let lost = first.acquire_or_renew().await;
-    assert!(matches!(lost, Err(Error::Unknown(_))), "{lost:?}");
+    let result = first.acquire_or_renew().await;
+    assert!(matches!(result, Err(Error::Unknown(_))), "{result:?}");
     assert!(first.is_held());
     clock.advance(DURATION);
     assert!(!first.is_held());
 }
 
-// A root relay is stopped for longer than its lease and goes on as if no time
-// had passed. It must see by the clock that another may have taken over.
+// A root is paused for longer than its lease and then continues. It must notice by the clock
+// that another process may have acquired the lease.
 #[tokio::test]
 async fn paused_holder() {
     let (_, clock, mut first, mut second) = open();
@@ -78,8 +78,8 @@
     assert!(second.is_held());
 }
 
-// The renewal takes as long as the lease; counted from the answer the holder
-// would go on for fifteen seconds after another has taken over.
+// A renewal takes as long as the lease. Were the duration counted from the response, the
+// holder would continue for 15 s after another process has acquired the lease.
 #[tokio::test(start_paused = true)]
 async fn slow_renewal() {
     let (memory, clock, mut first, _) = open();
@@ -87,11 +87,11 @@
         slow_ms: 10,
         ..Faults::default()
     });
-    let tend = first.acquire_or_renew();
-    let pass = async {
+    let renewal = first.acquire_or_renew();
+    let advance = async {
         tokio::time::sleep(Duration::from_millis(5)).await;
         clock.advance(DURATION);
     };
-    let (held, ()) = tokio::join!(tend, pass);
+    let (held, ()) = tokio::join!(renewal, advance);
     assert_eq!(held, Ok(false));
 }
--- a/crates/store/tests/removal_race.rs
+++ b/crates/store/tests/removal_race.rs
@@ -1,4 +1,5 @@
-//! Writers that are paused for long, late writes, removal and readers, all at once.
+//! Concurrent appends, removals and reads of a journal, with long pauses, late writes, lost
+//! responses and outages.
 
 use clock::Clock;
 use rand::rngs::SmallRng;
@@ -13,11 +14,11 @@
 use store::{Error, Journal, MemoryStore};
 use yare::parameterized;
 
-/// The time of the paused runtime.
+/// Clock of the paused tokio runtime.
 #[derive(Debug, Clone, Copy)]
-struct Virtual(tokio::time::Instant);
+struct TokioClock(tokio::time::Instant);
 
-impl Clock for Virtual {
+impl Clock for TokioClock {
     fn now(&self) -> Instant {
         tokio::time::Instant::now().into_std()
     }
@@ -27,22 +28,22 @@
     }
 }
 
-type Names = Journal<MemoryStore, Virtual>;
+type NameJournal = Journal<MemoryStore, TokioClock>;
 
-/// What a writer was told of its record.
+/// Result that a writer got for its record.
 #[derive(Debug, Clone)]
-enum Told {
+enum WriteResult {
     Written(u64, String),
     NotWritten(String),
     Taken(u64, String),
 }
 
-type Log = Arc<Mutex<Vec<Told>>>;
+type Log = Arc<Mutex<Vec<WriteResult>>>;
 
-const RUN: Duration = Duration::from_hours(6);
+const RUN_TIME: Duration = Duration::from_hours(6);
 
-fn draw_pause(rng: &mut SmallRng) -> Duration {
-    // One in eight outlasts the retention.
+fn random_pause(rng: &mut SmallRng) -> Duration {
+    // One pause in eight exceeds the retention period.
     let seconds = if rng.random_bool(0.125) {
         rng.random_range(600..2_500)
     } else {
@@ -51,15 +52,15 @@
     Duration::from_secs(seconds)
 }
 
-/// Gives all names that the journal holds, first to last.
-async fn read_all(journal: &Names) -> Result<Vec<String>, Error> {
+/// Reads all names in the journal, in order.
+async fn read_all(journal: &NameJournal) -> Result<Vec<String>, Error> {
     let loaded = journal.load().await?;
     let snapshot = loaded.snapshot.unwrap_or_else(|| json!([]));
     let mut names: Vec<String> = serde_json::from_value(snapshot).unwrap();
     assert_eq!(
         names.len() as u64,
         loaded.snapshot_number,
-        "a snapshot holds all up to its number"
+        "a snapshot contains all records up to its number"
     );
     names.extend(
         loaded
@@ -71,7 +72,7 @@
     Ok(names)
 }
 
-async fn write(journal: Names, writer: u32, log: Log, mut rng: SmallRng) {
+async fn write(journal: NameJournal, writer: u32, log: Log, mut rng: SmallRng) {
     for count in 0.. {
         tokio::time::sleep(Duration::from_secs(1)).await;
         let name = format!("{writer}-{count}");
@@ -80,44 +81,50 @@
             continue;
         };
         let number = names.len() as u64 + 1;
-        tokio::time::sleep(draw_pause(&mut rng)).await;
-        let told = match journal.append(number, &name, &json!(name), free).await {
-            Ok(AppendOutcome::Written) => Told::Written(number, name),
-            Ok(AppendOutcome::Taken(record)) => Told::Taken(number, record.nonce.to_string()),
+        tokio::time::sleep(random_pause(&mut rng)).await;
+        let result = match journal.append(number, &name, &json!(name), free).await {
+            Ok(AppendOutcome::Written) => WriteResult::Written(number, name),
+            Ok(AppendOutcome::Taken(record)) => {
+                WriteResult::Taken(number, record.nonce.to_string())
+            }
             Err(Error::Unknown(_) | Error::Gone) => continue,
-            Err(_) => Told::NotWritten(name),
+            Err(_) => WriteResult::NotWritten(name),
         };
-        log.lock().unwrap().push(told);
+        log.lock().unwrap().push(result);
     }
 }
 
-async fn shorten(journal: Names, mut rng: SmallRng) {
+async fn snapshot_and_remove(journal: NameJournal, mut rng: SmallRng) {
     let mut retention = RetentionTracker::default();
     loop {
         tokio::time::sleep(Duration::from_secs(rng.random_range(1..120))).await;
         if let Ok(names) = read_all(&journal).await {
             let (number, nonce) = (names.len() as u64, rng.random::<u32>().to_string());
-            // Lost answers and outages are part of the test.
+            // Lost responses and outages are part of the test.
             drop(journal.write_snapshot(number, &nonce, &json!(names)).await);
         }
         while matches!(journal.remove_old(&mut retention, 2).await, Ok(true)) {}
     }
 }
 
-/// Follows with pauses, and notes what it saw: each name at its number.
-async fn follow(journal: Names, mut rng: SmallRng, seen: Arc<Mutex<Vec<String>>>) {
+/// Follows the journal with random pauses and records the names seen, in order.
+async fn follow(journal: NameJournal, mut rng: SmallRng, seen: Arc<Mutex<Vec<String>>>) {
     let mut follower = Follower::open(journal, None);
     loop {
-        let news = follower.next().await;
-        note(news, &mut seen.lock().unwrap());
-        tokio::time::sleep(draw_pause(&mut rng)).await;
+        let update = follower.next().await;
+        apply_update(update, &mut seen.lock().unwrap());
+        tokio::time::sleep(random_pause(&mut rng)).await;
     }
 }
 
-fn note(news: JournalUpdate, seen: &mut Vec<String>) {
-    match news {
+fn apply_update(update: JournalUpdate, seen: &mut Vec<String>) {
+    match update {
         JournalUpdate::Record(record) => {
-            assert_eq!(record.number, seen.len() as u64 + 1, "one after the other");
+            assert_eq!(
+                record.number,
+                seen.len() as u64 + 1,
+                "records come in order"
+            );
             seen.push(record.nonce.to_string());
         }
         JournalUpdate::Reset(loaded) => {
@@ -125,13 +132,13 @@
             let mut names: Vec<String> = serde_json::from_value(snapshot).unwrap();
             let tail = loaded.tail.records.iter();
             names.extend(tail.map(|record| record.nonce.to_string()));
-            assert!(names.starts_with(seen), "nothing that was seen changes");
+            assert!(names.starts_with(seen), "names seen before must not change");
             *seen = names;
         }
     }
 }
 
-async fn disturb(memory: MemoryStore, mut rng: SmallRng) {
+async fn inject_faults(memory: MemoryStore, mut rng: SmallRng) {
     loop {
         memory.set_faults(Faults {
             slow_ms: rng.random_range(0..500),
@@ -140,7 +147,7 @@
             down: rng.random_bool(0.1),
             ..Faults::default()
         });
-        tokio::time::sleep(draw_pause(&mut rng)).await;
+        tokio::time::sleep(random_pause(&mut rng)).await;
         if rng.random_bool(0.2) {
             memory.compact_history();
         }
@@ -150,15 +157,15 @@
 
 #[parameterized(one = { 1 }, two = { 2 }, three = { 3 }, four = { 4 }, five = { 5 })]
 #[test_macro(tokio::test(start_paused = true))]
-async fn one_history(seed: u64) {
+async fn consistent_history(seed: u64) {
     let memory = MemoryStore::with_seed(seed);
-    let clock = Virtual(tokio::time::Instant::now());
+    let clock = TokioClock(tokio::time::Instant::now());
     let journal = Journal::open(memory.clone(), clock, "names");
-    let rng = |part| SmallRng::seed_from_u64(seed * 100 + part);
+    let rng = |stream| SmallRng::seed_from_u64(seed * 100 + stream);
     let log = Log::default();
     let seen = [Arc::default(), Arc::default()];
-    let mut tasks = vec![tokio::spawn(disturb(memory.clone(), rng(0)))];
-    tasks.push(tokio::spawn(shorten(journal.clone(), rng(1))));
+    let mut tasks = vec![tokio::spawn(inject_faults(memory.clone(), rng(0)))];
+    tasks.push(tokio::spawn(snapshot_and_remove(journal.clone(), rng(1))));
     for writer in 0..4 {
         let rng = rng(10 + u64::from(writer));
         tasks.push(tokio::spawn(write(
@@ -168,14 +175,14 @@
             rng,
         )));
     }
-    for (part, seen) in (20..).zip(&seen) {
+    for (stream, seen) in (20..).zip(&seen) {
         tasks.push(tokio::spawn(follow(
             journal.clone(),
-            rng(part),
+            rng(stream),
             Arc::clone(seen),
         )));
     }
-    tokio::time::sleep(RUN).await;
+    tokio::time::sleep(RUN_TIME).await;
     for task in tasks {
         task.abort();
         let ended = task.await;
@@ -190,27 +197,27 @@
     for seen in &seen {
         assert!(names.starts_with(&seen.lock().unwrap()));
     }
-    check(&names, &log.lock().unwrap());
+    assert_results(&names, &log.lock().unwrap());
     let kept = journal.load().await.unwrap().snapshot_number;
     assert!(kept > 100, "{kept} records in the snapshot");
 }
 
-/// Checks that what writers were told is what stands.
-fn check(names: &[String], log: &[Told]) {
-    let stands = |number: u64| {
+/// Asserts that the writers' results agree with the journal's final content.
+fn assert_results(names: &[String], log: &[WriteResult]) {
+    let name_at = |number: u64| {
         usize::try_from(number - 1)
             .ok()
             .and_then(|index| names.get(index))
     };
     let mut written = 0;
-    for told in log {
-        match told {
-            Told::Written(number, name) => {
-                assert_eq!(stands(*number), Some(name), "{told:?}");
+    for result in log {
+        match result {
+            WriteResult::Written(number, name) => {
+                assert_eq!(name_at(*number), Some(name), "{result:?}");
                 written += 1;
             }
-            Told::Taken(number, by) => assert_eq!(stands(*number), Some(by), "{told:?}"),
-            Told::NotWritten(name) => assert!(!names.contains(name), "{told:?}"),
+            WriteResult::Taken(number, by) => assert_eq!(name_at(*number), Some(by), "{result:?}"),
+            WriteResult::NotWritten(name) => assert!(!names.contains(name), "{result:?}"),
         }
     }
     assert!(written > 100, "{written}");
