--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! The program run against a platform in this process.
 
 use serde_json::Value;
-use standin::platform::{Rates, serve};
+use standin::platform::{RateLimits, serve};
 use std::fs;
 use std::net::SocketAddr;
 use std::process::Command;
@@ -38,7 +38,7 @@
     pub async fn open(memory: &MemoryStore) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let platform = listener.local_addr().unwrap();
-        tokio::spawn(serve(listener, memory.clone(), Rates::default()));
+        tokio::spawn(serve(listener, memory.clone(), RateLimits::default()));
         Self {
             platform,
             folder: tempfile::tempdir().unwrap(),
--- a/crates/node/benches/reserve.rs
+++ b/crates/node/benches/reserve.rs
@@ -15,7 +15,7 @@
 use platform::Client;
 use platform::client::Limits;
 use settings::node::Settings;
-use standin::platform::{Rates, serve};
+use standin::platform::{RateLimits, serve};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -118,7 +118,7 @@
         slow_ms: PLATFORM_MS,
         ..Faults::default()
     });
-    tokio::spawn(serve(listener, memory.clone(), Rates::default()));
+    tokio::spawn(serve(listener, memory.clone(), RateLimits::default()));
     (memory, address)
 }
 
--- a/crates/node/src/announce.rs
+++ b/crates/node/src/announce.rs
@@ -23,7 +23,7 @@
 use hyper::body::Incoming;
 use log::info;
 use parking_lot::Mutex;
-use platform::announce::Notice;
+use platform::announce::InstanceUpdate;
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use std::io;
@@ -136,10 +136,10 @@
 {
     let shared = &*state.shared;
     if shared.uses_platform_interface()
-        && let Some(instance) = platform::announce::find_instance(request.uri().path())
+        && let Some(instance) = platform::announce::instance_in_path(request.uri().path())
     {
         let instance = SmolStr::new(instance);
-        return handle_notice(request, state, &instance).await;
+        return handle_instance_update(request, state, &instance).await;
     }
     if request.uri().path() != PATH {
         return error_response(
@@ -174,7 +174,7 @@
 
 /// Handles an announcement or leave request in the platform's format. Every one that can be decoded
 /// is acknowledged, also when it is out of date.
-async fn handle_notice<C>(
+async fn handle_instance_update<C>(
     request: Request<Incoming>,
     state: &ListenerState<C>,
     instance: &str,
@@ -188,23 +188,23 @@
         Err(refusal) => return refusal,
     };
     match platform::announce::decode(&method, instance, &body) {
-        Ok(notice) => {
-            apply_notice(state, notice);
+        Ok(update) => {
+            apply_instance_update(state, update);
             json_response(StatusCode::OK, &serde_json::Map::new())
         }
         Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
-fn apply_notice<C>(state: &ListenerState<C>, notice: Notice)
+fn apply_instance_update<C>(state: &ListenerState<C>, update: InstanceUpdate)
 where
     C: Clock,
 {
-    let announcement = notice.announcement.as_ref();
+    let announcement = update.announcement.as_ref();
     let is_leave = announcement.is_none_or(|announcement| announcement.leaving);
     let mut processes = state.processes.lock();
-    let process = Process::from_platform(notice.instance.clone(), notice.born);
-    let has_only_name = announcement.is_none() && notice.born.is_none();
+    let process = Process::from_platform(update.instance.clone(), update.process_started_ms);
+    let has_only_name = announcement.is_none() && update.process_started_ms.is_none();
     let process = if has_only_name {
         processes.match_by_name(process)
     } else {
@@ -218,17 +218,17 @@
     if !processes.accept(&process, &message) {
         return;
     }
-    match notice.announcement {
+    match update.announcement {
         Some(announcement) if !announcement.leaving => {
             let backend = Backend {
                 service: announcement.service,
                 version: announcement.version,
-                instance: Some(notice.instance),
+                instance: Some(update.instance),
                 incarnation: None,
-                process_started_ms: notice.born,
+                process_started_ms: update.process_started_ms,
                 address: announcement.address,
                 slots: announcement.slots.max(1),
-                cold_ms: announcement.cold_for.map(whole_ms),
+                cold_ms: announcement.warm_up_left.map(whole_ms),
                 leaving: false,
             };
             update_backend(state, &backend);
--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -226,7 +226,7 @@
 
     /// Reads the configuration that the operators have written.
     async fn read_configuration(&self) -> Result<String, Error> {
-        let text = self.store.get_text(platform::mesh::NAME).await?;
+        let text = self.store.get_text(platform::mesh::OBJECT_NAME).await?;
         text.ok_or(Error::NotFound)
     }
 
@@ -296,7 +296,7 @@
             } else {
                 self.store.with_relaxed_polling()
             };
-            let watcher = ObjectWatcher::open(store, platform::mesh::NAME);
+            let watcher = ObjectWatcher::open(store, platform::mesh::OBJECT_NAME);
             let configurations = forward_configurations(watcher, self.inbox.clone());
             let crashes = self.watch_crashes(is_first);
             let rollouts = self.watch_rollouts(is_first);
@@ -425,7 +425,7 @@
             PlatformResponse::Full { version, mesh },
         ]),
         Err(error) => {
-            let version = platform::mesh::read_version_of(&object.value).map_err(as_invalid)?;
+            let version = platform::mesh::decode_version(&object.value).map_err(as_invalid)?;
             Ok(vec![report_invalid_version(version, &error)])
         }
     }
--- a/crates/node/src/control/rollout.rs
+++ b/crates/node/src/control/rollout.rs
@@ -4,7 +4,7 @@
 use clock::Clock;
 use config::Rollout;
 use log::{info, warn};
-use platform::rollout::{self, Standing};
+use platform::rollout::{self, StoredRollout};
 use policy::backoff::Backoff;
 use std::sync::Arc;
 use std::time::{Duration, UNIX_EPOCH};
@@ -40,21 +40,25 @@
     pub(crate) async fn list(&self) -> Result<Vec<Rollout>, Error> {
         let page = self.store.list(rollout::FOLDER, "", PAGE_SIZE).await?;
         let objects = page.items.iter();
-        let standings = objects.filter_map(|object| read(&self.shared, object));
-        Ok(standings.map(|standing| standing.rollout).collect())
+        let stored_rollouts = objects.filter_map(|object| read(&self.shared, object));
+        Ok(stored_rollouts.map(|stored| stored.rollout).collect())
     }
 
     /// Reports an order as in progress if nothing has been reported on it yet.
     ///
     /// A write that fails is not retried: another root may have reported on the order at the same
     /// time.
-    pub(crate) async fn mark_in_progress(&self, standing: Standing, revision: Revision) -> Rollout {
-        if !standing.is_reported
-            && let Err(error) = self.write(&standing.rollout, revision).await
+    pub(crate) async fn mark_in_progress(
+        &self,
+        stored: StoredRollout,
+        revision: Revision,
+    ) -> Rollout {
+        if !stored.has_status
+            && let Err(error) = self.write(&stored.rollout, revision).await
         {
-            info!(service = standing.rollout.service.as_str(), error:%; "rollout_not_written");
+            info!(service = stored.rollout.service.as_str(), error:%; "rollout_not_written");
         }
-        standing.rollout
+        stored.rollout
     }
 
     /// Writes the progress of a roll-out, with retries until it or another outcome is stored.
@@ -81,12 +85,12 @@
         let Some(object) = self.store.get(&name).await? else {
             return Ok(None);
         };
-        let Some(standing) = read(&self.shared, &object) else {
+        let Some(stored) = read(&self.shared, &object) else {
             return Ok(None);
         };
-        let is_replaced = standing.rollout.target != wanted.target;
-        if is_replaced || standing.rollout.stage.is_final() {
-            return Ok(Some(standing.rollout));
+        let is_replaced = stored.rollout.target != wanted.target;
+        if is_replaced || stored.rollout.stage.is_final() {
+            return Ok(Some(stored.rollout));
         }
         self.write(wanted, object.revision).await?;
         info!(
@@ -107,12 +111,12 @@
 }
 
 /// Decodes one roll-out; one that can't be decoded is logged and skipped.
-pub(crate) fn read<C>(shared: &Shared<C>, object: &Object) -> Option<Standing>
+pub(crate) fn read<C>(shared: &Shared<C>, object: &Object) -> Option<StoredRollout>
 where
     C: Clock,
 {
     match rollout::decode(object, now_ms(shared)) {
-        Ok(standing) => Some(standing),
+        Ok(stored) => Some(stored),
         Err(error) => {
             warn!(object:% = object.name, error:%; "rollout_unreadable");
             None
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -283,10 +283,10 @@
     let mut in_flight = InFlightCall::new(inner, &backend, &request, suspect_permit);
     let mut request = make_request(request, upload, time_left(inner, deadline))
         .ok_or(Refused::not_run(Reason::Backend, 0))?;
-    let attempt = platform::header::find_attempt(request.headers());
+    let attempt = platform::header::attempt_id(request.headers());
     if inner.shared.uses_platform_interface() {
         let (left, instance) = (time_left(inner, deadline), backend.instance.as_ref());
-        platform::header::write_handover(request.headers_mut(), left, instance);
+        platform::header::set_forward_headers(request.headers_mut(), left, instance);
     }
     if !start() {
         return Err(Refused::not_run(Reason::Cancelled, 0));
@@ -377,16 +377,21 @@
     attempt: Option<&HeaderValue>,
     response: &Response<B>,
 ) -> Result<(), (Refused, Outcome)> {
-    let judged = platform::header::judge(attempt, response.status(), response.headers());
+    let judged =
+        platform::header::classify_response(attempt, response.status(), response.headers());
     let refused = match judged {
-        header::Answer::Whole => return Ok(()),
-        header::Answer::NotBegun { retry_after } => {
+        header::ResponseKind::Complete => return Ok(()),
+        header::ResponseKind::NotExecuted { retry_after } => {
             let wait = retry_after.unwrap_or_default().as_millis();
             let wait = u32::try_from(wait).unwrap_or(u32::MAX);
             (Refused::not_run(Reason::Shed, wait), Outcome::Shed)
         }
-        header::Answer::Elsewhere => (Refused::not_run(Reason::NoService, 0), Outcome::Failed),
-        header::Answer::Foreign => (Refused::may_have_run(Reason::Backend), Outcome::Failed),
+        header::ResponseKind::WrongInstance => {
+            (Refused::not_run(Reason::NoService, 0), Outcome::Failed)
+        }
+        header::ResponseKind::Untrusted => {
+            (Refused::may_have_run(Reason::Backend), Outcome::Failed)
+        }
     };
     Err(refused)
 }
--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -413,7 +413,7 @@
     let own = response.headers().get(&RETRY_AFTER_HEADER);
     let wait = own.and_then(|value| value.to_str().ok()?.parse().ok());
     if let Some(wait) = wait {
-        platform::header::write_wait(response.headers_mut(), Duration::from_millis(wait));
+        platform::header::set_retry_after(response.headers_mut(), Duration::from_millis(wait));
     }
 }
 
--- a/crates/node/src/outbound/plan.rs
+++ b/crates/node/src/outbound/plan.rs
@@ -116,7 +116,7 @@
     let target = view.service(pick_target(&route.targets));
     let repeatable = is_repeatable(route.repeat, &head.method);
     let caller = if inner.shared.uses_platform_interface() {
-        platform::header::name_caller(&head.headers)
+        platform::header::caller_identity(&head.headers)
     } else {
         caller_of(&head.headers, peer)
     };
@@ -162,7 +162,7 @@
     C: Clock,
 {
     if inner.shared.uses_platform_interface() {
-        return platform::header::name_caller(&head.headers);
+        return platform::header::caller_identity(&head.headers);
     }
     let name = head.headers.get(CALLER_HEADER);
     let name = name.and_then(|name| name.to_str().ok());
@@ -203,7 +203,7 @@
     C: Clock,
 {
     let parent = if inner.shared.uses_platform_interface() {
-        platform::header::find_parent(headers)
+        platform::header::parent_attempt(headers)
     } else {
         headers
             .get(PARENT_HEADER)
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -315,7 +315,7 @@
 fn mark_origin(headers: &mut Vec<Header>, service: &str) {
     headers.retain(|header| !platform::header::is_reserved(&header.name));
     headers.push(Header {
-        name: SmolStr::new_static(platform::header::ORIGIN),
+        name: SmolStr::new_static(platform::header::CALLER_SERVICE),
         value: Bytes::copy_from_slice(service.as_bytes()),
     });
 }
--- a/crates/node/tests/calls/early_end.rs
+++ b/crates/node/tests/calls/early_end.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use config::Repeat;
 use http::{Method, StatusCode};
-use standin::record::{Outcome, Record};
+use standin::record::{Outcome, RunLog};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -13,7 +13,7 @@
 
 /// Starts a node for callers and a node whose backend server has one slot; returns the record of
 /// that server as well.
-async fn spawn_pair() -> (Node, Node, Record) {
+async fn spawn_pair() -> (Node, Node, RunLog) {
     let (address, record) = spawn_server(1).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
--- a/crates/node/tests/calls/keyed.rs
+++ b/crates/node/tests/calls/keyed.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use config::{Class, Repeat};
 use http::{Method, StatusCode};
-use standin::record::Record;
+use standin::record::RunLog;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use store::MemoryStore;
@@ -21,7 +21,7 @@
     one: Node,
     two: Node,
     far: Node,
-    record: Record,
+    record: RunLog,
     store: MemoryStore,
 }
 
--- a/crates/node/tests/calls/mesh.rs
+++ b/crates/node/tests/calls/mesh.rs
@@ -12,7 +12,7 @@
 use node::{inbound, outbound, reserve};
 use settings::node::Settings;
 use standin::backend::{self, Backend as Server};
-use standin::record::{Entry, Record};
+use standin::record::{Entry, RunLog};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -169,25 +169,25 @@
 }
 
 /// Starts a backend server with that many slots; its record lists what it ran.
-pub async fn spawn_server(slots: u16) -> (SocketAddr, Record) {
+pub async fn spawn_server(slots: u16) -> (SocketAddr, RunLog) {
     let (listener, address) = bind().await;
-    let record = Record::open(None).unwrap();
-    let plan = backend::Plan {
+    let record = RunLog::open(None).unwrap();
+    let behavior = backend::Behavior {
         slots,
         queue: 20,
         work: Duration::ZERO,
         long_percent: 0,
         long_work: Duration::ZERO,
-        cold: Duration::ZERO,
-        deadly: None,
+        warm_up: Duration::ZERO,
+        crash_trigger: None,
     };
     // It serves until the runtime ends; only its record is inspected.
-    let _running = Server::spawn(listener, plan, record.clone(), 1);
+    let _running = Server::spawn(listener, behavior, record.clone(), 1);
     (address, record)
 }
 
 /// Waits until the record contains a run that `matches`.
-pub async fn wait_recorded<F>(record: &Record, matches: F)
+pub async fn wait_recorded<F>(record: &RunLog, matches: F)
 where
     F: Fn(&Entry) -> bool,
 {
--- a/crates/node/tests/calls/quarantine.rs
+++ b/crates/node/tests/calls/quarantine.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use config::Repeat;
 use http::{Method, StatusCode};
-use standin::backend::{Backend as Server, Deadly, Mark, Plan};
-use standin::record::{Outcome, Record};
+use standin::backend::{Backend as Server, Behavior, CrashTrigger, RequestPattern};
+use standin::record::{Outcome, RunLog};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,38 +20,42 @@
 
 /// A backend server that is restarted whenever a request has crashed it.
 struct SupervisedServer {
-    record: Record,
+    record: RunLog,
     address: SocketAddr,
 }
 
-fn plan(mark: Mark) -> Plan {
-    Plan {
+fn behavior(pattern: RequestPattern) -> Behavior {
+    Behavior {
         slots: 6,
         queue: 20,
         work: Duration::ZERO,
         long_percent: 0,
         long_work: Duration::ZERO,
-        cold: Duration::ZERO,
-        deadly: Some(Deadly {
-            mark,
-            after: Duration::from_millis(20),
+        warm_up: Duration::ZERO,
+        crash_trigger: Some(CrashTrigger {
+            pattern,
+            delay: Duration::from_millis(20),
         }),
     }
 }
 
-fn deadly_path() -> Mark {
-    Mark::Path("deadly".to_owned())
+fn deadly_path() -> RequestPattern {
+    RequestPattern::Path("deadly".to_owned())
 }
 
 /// Starts a backend server of the service `records` next to `node`.
-async fn spawn_supervised(node: &Arc<Node>, mark: Mark) -> SupervisedServer {
+async fn spawn_supervised(node: &Arc<Node>, pattern: RequestPattern) -> SupervisedServer {
     let (mut listener, address) = bind().await;
-    let record = Record::open(None).unwrap();
+    let record = RunLog::open(None).unwrap();
     let (server_record, node) = (record.clone(), Arc::clone(node));
     tokio::spawn(async move {
         for process in 1.. {
-            let server =
-                Server::spawn(listener, plan(mark.clone()), server_record.clone(), process);
+            let server = Server::spawn(
+                listener,
+                behavior(pattern.clone()),
+                server_record.clone(),
+                process,
+            );
             node.announce_process("records", address, process);
             server.crashed().await;
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -71,10 +75,10 @@
     }
 }
 
-/// Starts a node whose backend server is crashed by requests with `mark`.
-async fn spawn_crashing(mark: Mark, repeat: Repeat) -> (Arc<Node>, SupervisedServer) {
+/// Starts a node whose backend server is crashed by requests with `pattern`.
+async fn spawn_crashing(pattern: RequestPattern, repeat: Repeat) -> (Arc<Node>, SupervisedServer) {
     let node = Arc::new(spawn_node("near").await);
-    let server = spawn_supervised(&node, mark).await;
+    let server = spawn_supervised(&node, pattern).await;
     node.set_route(
         "records",
         repeat,
@@ -191,8 +195,8 @@
 #[yare::parameterized(short = { 0 }, requested = { 20_000 }, longer_than_digest = { 300_000 })]
 #[test_macro(tokio::test)]
 async fn crashing_body(padding: usize) {
-    let mark = Mark::Body("deadly".to_owned());
-    let (node, server) = spawn_crashing(mark, Repeat::Never).await;
+    let pattern = RequestPattern::Body("deadly".to_owned());
+    let (node, server) = spawn_crashing(pattern, Repeat::Never).await;
     let mut deadly = Call::new(Method::POST, "/records/1");
     deadly.body = [b"deadly".as_slice(), &vec![b'x'; padding]].concat().into();
     send_until_held(&node, &server, &deadly).await;
--- a/crates/node/tests/calls/silent_link.rs
+++ b/crates/node/tests/calls/silent_link.rs
@@ -5,14 +5,14 @@
 use bytes::Bytes;
 use config::Repeat;
 use http::{Method, StatusCode};
-use standin::record::Record;
+use standin::record::RunLog;
 use std::time::{Duration, Instant};
 
 /// A node for callers, and a node with a backend server behind a forwarder.
 struct Pair {
     near: Node,
     far: Node,
-    record: Record,
+    record: RunLog,
     forwarder: Forwarder,
 }
 
--- a/crates/node/tests/calls/unread_answers.rs
+++ b/crates/node/tests/calls/unread_answers.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use config::{Class, Repeat};
 use http::{Method, StatusCode};
-use standin::record::{Outcome, Record};
+use standin::record::{Outcome, RunLog};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -26,7 +26,7 @@
 const MARGIN: Duration = Duration::from_secs(2);
 
 /// Starts a node for callers and a node whose backend server has one slot.
-async fn spawn_pair() -> (Node, Node, Record) {
+async fn spawn_pair() -> (Node, Node, RunLog) {
     let (address, record) = spawn_server(1).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
--- a/crates/node/tests/reserve.rs
+++ b/crates/node/tests/reserve.rs
@@ -494,7 +494,9 @@
     loop {
         let pause = Duration::from_millis(rng.random_range(0..400));
         tokio::time::sleep(pause).await;
-        nodes[rng.random_range(0..nodes.len())].forwarder.lose();
+        nodes[rng.random_range(0..nodes.len())]
+            .forwarder
+            .stall_connections();
     }
 }
 
--- a/crates/standin/src/announce.rs
+++ b/crates/standin/src/announce.rs
@@ -41,7 +41,7 @@
 
 /// What it says when it leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Farewell {
+pub struct LeaveRequest {
     /// Number of its process.
     pub incarnation: u64,
 }
@@ -57,12 +57,12 @@
 
 /// The node on the same VM.
 #[derive(Debug, Clone)]
-pub struct Node {
+pub struct NodeClient {
     address: SocketAddr,
     client: legacy::Client<HttpConnector, Full<Bytes>>,
 }
 
-impl Node {
+impl NodeClient {
     /// Names the node whose listener for the backend server is at `address`.
     #[must_use]
     pub fn open(address: SocketAddr) -> Self {
@@ -88,7 +88,7 @@
     /// and is told again.
     ///
     /// `told_at` hears each time that a node has answered the farewell.
-    pub async fn leave<F>(&self, farewell: Farewell, limit: Duration, mut told_at: F)
+    pub async fn leave<F>(&self, farewell: LeaveRequest, limit: Duration, mut told_at: F)
     where
         F: FnMut(),
     {
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -6,8 +6,8 @@
 //! the answer, and [`TIMEOUT`] ends the work early. A request that the plan
 //! calls deadly ends the process, or what stands for it in a test.
 
-use crate::http::{Body, Error, answer_bytes, answer_json, read_json};
-use crate::record::{Entry, Outcome, Record};
+use crate::http::{Body, Error, bytes_response, json_response, read_json};
+use crate::record::{Entry, Outcome, RunLog};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -41,7 +41,7 @@
 
 /// How a backend server works.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Plan {
+pub struct Behavior {
     /// Calls that it runs at once.
     pub slots: u16,
     /// Calls that may wait for a slot; over that it sheds with 503.
@@ -53,23 +53,23 @@
     /// Work of a long call.
     pub long_work: Duration,
     /// Time after the start in which work takes [`COLD_FACTOR`] times as long.
-    pub cold: Duration,
+    pub warm_up: Duration,
     /// Requests that end the process, if there are any.
-    pub deadly: Option<Deadly>,
+    pub crash_trigger: Option<CrashTrigger>,
 }
 
 /// Which requests end the process that runs them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Deadly {
+pub struct CrashTrigger {
     /// Part of a request that makes it deadly.
-    pub mark: Mark,
+    pub pattern: RequestPattern,
     /// Time from the start of the work to the end of the process.
-    pub after: Duration,
+    pub delay: Duration,
 }
 
 /// Part of a request that makes it deadly.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Mark {
+pub enum RequestPattern {
     /// The path contains this.
     Path(String),
     /// There is a header of this name.
@@ -78,8 +78,8 @@
     Body(String),
 }
 
-impl Mark {
-    fn is_on(&self, head: &http::request::Parts, body: &[u8]) -> bool {
+impl RequestPattern {
+    fn matches(&self, head: &http::request::Parts, body: &[u8]) -> bool {
         match self {
             Self::Path(part) => path_of(head).contains(part),
             Self::Header(name) => head.headers.contains_key(name.as_str()),
@@ -124,8 +124,8 @@
 
 #[derive(Debug)]
 struct Shared {
-    plan: Plan,
-    record: Record,
+    behavior: Behavior,
+    record: RunLog,
     started: Instant,
     slots: Semaphore,
     in_flight: AtomicUsize,
@@ -165,11 +165,11 @@
 impl Backend {
     /// Starts to serve on `listener`.
     #[must_use]
-    pub fn spawn(listener: TcpListener, plan: Plan, record: Record, seed: u64) -> Self {
+    pub fn spawn(listener: TcpListener, behavior: Behavior, record: RunLog, seed: u64) -> Self {
         let now = Instant::now();
         let backend = Self(Arc::new(Shared {
-            slots: Semaphore::new(plan.slots.into()),
-            plan,
+            slots: Semaphore::new(behavior.slots.into()),
+            behavior,
             record,
             started: now,
             in_flight: AtomicUsize::new(0),
@@ -211,13 +211,13 @@
         Ok(match (request.method(), path) {
             (&Method::GET, "/health") => self.answer_health(),
             (&Method::GET, "/load") => self.answer_load(),
-            (&Method::GET, "/record") => answer_json(StatusCode::OK, &self.0.record.entries()),
+            (&Method::GET, "/record") => json_response(StatusCode::OK, &self.0.record.entries()),
             (&Method::POST, "/fault") => match read_json(request.into_body(), MAX_COMMAND).await {
                 Ok(faults) => {
                     *self.0.faults.lock() = faults;
-                    answer_json(StatusCode::OK, &json!({}))
+                    json_response(StatusCode::OK, &json!({}))
                 }
-                Err(status) => answer_bytes(status, Bytes::new()),
+                Err(status) => bytes_response(status, Bytes::new()),
             },
             _ => return self.answer_call(request).await,
         })
@@ -226,9 +226,9 @@
     fn answer_health(&self) -> Response<Body> {
         let healthy = self.0.faults.lock().health.unwrap_or(true);
         if healthy {
-            answer_json(StatusCode::OK, &json!({"status": "ok"}))
+            json_response(StatusCode::OK, &json!({"status": "ok"}))
         } else {
-            answer_json(
+            json_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 &json!({"status": "failing"}),
             )
@@ -246,8 +246,8 @@
         }
         let in_flight = lie.unwrap_or(load.1);
         let shed = self.0.shed.load(Ordering::Relaxed);
-        let slots = self.0.plan.slots;
-        answer_json(
+        let slots = self.0.behavior.slots;
+        json_response(
             StatusCode::OK,
             &json!({"in_flight": in_flight, "slots": slots, "shed": shed}),
         )
@@ -256,30 +256,33 @@
     async fn answer_call(&self, request: Request<Incoming>) -> Result<Response<Body>, Error> {
         let shared = &*self.0;
         let _in_flight = InFlight::enter(&shared.in_flight);
-        if self.in_flight() > usize::from(shared.plan.slots) + shared.plan.queue {
+        if self.in_flight() > usize::from(shared.behavior.slots) + shared.behavior.queue {
             shared.shed.fetch_add(1, Ordering::Relaxed);
-            return Ok(answer_bytes(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()));
+            return Ok(bytes_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                Bytes::new(),
+            ));
         }
         let (head, body) = request.into_parts();
         let Ok(body) = body.collect().await else {
-            return Err(Error::NoAnswer);
+            return Err(Error::NoResponse);
         };
         let body = body.to_bytes();
         let Ok(_slot) = shared.slots.acquire().await else {
-            return Err(Error::NoAnswer);
+            return Err(Error::NoResponse);
         };
         let run = shared.record.start(entry_of(&head));
-        if let Some(deadly) = &shared.plan.deadly
-            && deadly.mark.is_on(&head, &body)
+        if let Some(trigger) = &shared.behavior.crash_trigger
+            && trigger.pattern.matches(&head, &body)
         {
-            sleep(deadly.after).await;
+            sleep(trigger.delay).await;
             run.end(Outcome::Crashed);
             shared.stage.send_replace(Stage::Crashed);
-            return Err(Error::NoAnswer);
+            return Err(Error::NoResponse);
         }
         if self.draw_failure() {
             run.end(Outcome::Failed);
-            return Ok(answer_bytes(
+            return Ok(bytes_response(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 Bytes::new(),
             ));
@@ -289,7 +292,7 @@
         // A timer takes up to a millisecond even for nothing.
         if !work.is_zero() && timeout(limit, sleep(work)).await.is_err() {
             run.end(Outcome::Expired);
-            return Ok(answer_bytes(StatusCode::GATEWAY_TIMEOUT, Bytes::new()));
+            return Ok(bytes_response(StatusCode::GATEWAY_TIMEOUT, Bytes::new()));
         }
         let answer = describe(&head, &body, run.number());
         run.end(Outcome::Completed);
@@ -302,19 +305,19 @@
     }
 
     fn draw_planned_work(&self) -> Duration {
-        let plan = &self.0.plan;
+        let behavior = &self.0.behavior;
         let mut rng = self.0.rng.lock();
-        if rng.random_range(0..100) < plan.long_percent {
-            plan.long_work
+        if rng.random_range(0..100) < behavior.long_percent {
+            behavior.long_work
         } else {
-            plan.work.mul_f64(rng.random_range(0.5..1.5))
+            behavior.work.mul_f64(rng.random_range(0.5..1.5))
         }
     }
 
     fn draw_work(&self, headers: &HeaderMap) -> Duration {
         let asked = number_of(headers, "x-work-ms").map(Duration::from_millis);
         let mut work = asked.unwrap_or_else(|| self.draw_planned_work());
-        if self.0.started.elapsed() < self.0.plan.cold {
+        if self.0.started.elapsed() < self.0.behavior.warm_up {
             work *= COLD_FACTOR;
         }
         work * self.0.faults.lock().slow_factor
@@ -410,7 +413,7 @@
     let mut bytes = serde_json::to_vec(&told).unwrap_or_default();
     let length = number_of(&head.headers, "x-answer-bytes").and_then(|n| usize::try_from(n).ok());
     bytes.resize(bytes.len().max(length.unwrap_or(0)), b' ');
-    let mut answer = answer_bytes(StatusCode::OK, bytes.into());
+    let mut answer = bytes_response(StatusCode::OK, bytes.into());
     let kind = http::HeaderValue::from_static("application/json");
     answer
         .headers_mut()
--- a/crates/standin/src/forward.rs
+++ b/crates/standin/src/forward.rs
@@ -34,7 +34,7 @@
     }
 
     /// Loses track of all connections: they stay open at both ends and carry nothing any more.
-    pub fn lose(&self) {
+    pub fn stall_connections(&self) {
         self.lost.send_modify(|count| *count += 1);
     }
 }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -20,7 +20,7 @@
     #[derive(Debug)]
     pub enum Error {
         /// The stand-in was told to give no answer.
-        NoAnswer {
+        NoResponse {
             display("told to give no answer")
         }
     }
@@ -38,12 +38,12 @@
 }
 
 /// Makes an answer with a JSON body.
-pub fn answer_json<T>(status: StatusCode, value: &T) -> Response<Body>
+pub fn json_response<T>(status: StatusCode, value: &T) -> Response<Body>
 where
     T: Serialize,
 {
     let json = serde_json::to_vec(value).unwrap_or_default();
-    let mut answer = answer_bytes(status, json.into());
+    let mut answer = bytes_response(status, json.into());
     let kind = http::HeaderValue::from_static("application/json");
     answer
         .headers_mut()
@@ -53,7 +53,7 @@
 
 /// Makes an answer with that body.
 #[must_use]
-pub fn answer_bytes(status: StatusCode, bytes: Bytes) -> Response<Body> {
+pub fn bytes_response(status: StatusCode, bytes: Bytes) -> Response<Body> {
     let mut answer = Response::new(Full::new(bytes).boxed());
     *answer.status_mut() = status;
     answer
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -2,10 +2,10 @@
 
 use bpaf::{Parser, construct, long};
 use smol_str::SmolStr;
-use standin::announce::{Announcement, Farewell, Node};
-use standin::backend::{Backend, Deadly, Mark, Plan};
-use standin::platform::Rates;
-use standin::record::Record;
+use standin::announce::{Announcement, LeaveRequest, NodeClient};
+use standin::backend::{Backend, Behavior, CrashTrigger, RequestPattern};
+use standin::platform::RateLimits;
+use standin::record::RunLog;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,14 +21,14 @@
 enum Command {
     Platform {
         listen: SocketAddr,
-        rates: Rates,
+        rates: RateLimits,
         seed: u64,
     },
     Backend {
         listen: SocketAddr,
         announce: Option<SocketAddr>,
         service: SmolStr,
-        plan: Plan,
+        behavior: Behavior,
         record: Option<PathBuf>,
         drain_timeout: Duration,
         seed: u64,
@@ -62,12 +62,12 @@
     let writes = long("writes")
         .help("Writes a second that the platform takes")
         .argument("RATE")
-        .fallback(Rates::default().writes);
+        .fallback(RateLimits::default().writes);
     let reads = long("reads")
         .help("Reads and watches a second that the platform takes")
         .argument("RATE")
-        .fallback(Rates::default().reads);
-    let rates = construct!(Rates { writes, reads });
+        .fallback(RateLimits::default().reads);
+    let rates = construct!(RateLimits { writes, reads });
     let seed = parse_seed();
     construct!(Command::Platform {
         listen,
@@ -76,7 +76,7 @@
     })
 }
 
-fn parse_plan() -> impl Parser<Plan> {
+fn parse_behavior() -> impl Parser<Behavior> {
     let slots = long("slots")
         .help("Calls that run at once")
         .argument("N")
@@ -91,39 +91,40 @@
         .argument("PERCENT")
         .fallback(0);
     let long_work = parse_ms("long-ms", "Work of a long call", 200);
-    let cold = parse_ms("cold-ms", "Time after the start in which work is slow", 0);
-    let deadly = parse_deadly();
-    construct!(Plan {
+    let warm_up = parse_ms("cold-ms", "Time after the start in which work is slow", 0);
+    let crash_trigger = parse_crash_trigger();
+    construct!(Behavior {
         slots,
         queue,
         work,
         long_percent,
         long_work,
-        cold,
-        deadly
+        warm_up,
+        crash_trigger
     })
 }
 
-fn parse_deadly() -> impl Parser<Option<Deadly>> {
+fn parse_crash_trigger() -> impl Parser<Option<CrashTrigger>> {
     let path = long("deadly-path")
         .help("Requests whose path contains this end the process")
         .argument::<String>("TEXT")
-        .map(Mark::Path);
+        .map(RequestPattern::Path);
     let header = long("deadly-header")
         .help("Requests with a header of this name end the process")
         .argument::<String>("NAME")
-        .map(|name| Mark::Header(name.to_ascii_lowercase()));
+        .map(|name| RequestPattern::Header(name.to_ascii_lowercase()));
     let body = long("deadly-body")
         .help("Requests whose body contains this end the process")
         .argument::<String>("TEXT")
-        .map(Mark::Body);
-    let mark = construct!([path, header, body]).optional();
-    let after = parse_ms(
+        .map(RequestPattern::Body);
+    let pattern = construct!([path, header, body]).optional();
+    let delay = parse_ms(
         "deadly-after-ms",
         "Time from the start of a deadly request to the end",
         30,
     );
-    construct!(mark, after).map(|(mark, after)| mark.map(|mark| Deadly { mark, after }))
+    construct!(pattern, delay)
+        .map(|(pattern, delay)| pattern.map(|pattern| CrashTrigger { pattern, delay }))
 }
 
 fn parse_backend() -> impl Parser<Command> {
@@ -137,7 +138,7 @@
         .argument::<String>("NAME")
         .map(SmolStr::from)
         .fallback("records".into());
-    let plan = parse_plan();
+    let behavior = parse_behavior();
     let record = long("record")
         .help("File for a line at each start and end of a run")
         .argument("FILE")
@@ -148,7 +149,7 @@
         listen,
         announce,
         service,
-        plan,
+        behavior,
         record,
         drain_timeout,
         seed
@@ -194,24 +195,24 @@
             listen,
             announce,
             service,
-            plan,
+            behavior,
             record,
             drain_timeout,
             seed,
         } => {
             let mut stop = signal(SignalKind::terminate())?;
-            let record = Record::open(record.as_deref())?;
+            let record = RunLog::open(record.as_deref())?;
             let listener = standin::http::bind(listen).await?;
             let announcement = Announcement {
                 service,
                 address: listener.local_addr()?,
-                slots: plan.slots,
+                slots: behavior.slots,
                 incarnation: rand::random(),
                 sequence: 1,
             };
-            let backend = Backend::spawn(listener, plan, record.clone(), seed);
+            let backend = Backend::spawn(listener, behavior, record.clone(), seed);
             let announcer = Announcer {
-                node: announce.map(Node::open),
+                node: announce.map(NodeClient::open),
                 announcement,
                 record,
             };
@@ -227,10 +228,10 @@
 /// What announces a backend server, and where.
 struct Announcer {
     /// The node on the same VM, if there is one.
-    node: Option<Node>,
+    node: Option<NodeClient>,
     announcement: Announcement,
     /// Where it is noted that the node has answered the farewell.
-    record: Record,
+    record: RunLog,
 }
 
 /// Serves until SIGTERM, then until nothing is in flight here or at the node.
@@ -245,7 +246,7 @@
         announcement,
         record,
     } = announcer;
-    let farewell = Farewell {
+    let farewell = LeaveRequest {
         incarnation: announcement.incarnation,
     };
     let heartbeat = async {
@@ -259,7 +260,7 @@
         _ = stop.recv() => {}
     }
     if let Some(node) = &node {
-        let told_at = || record.note_farewell();
+        let told_at = || record.record_leave_acknowledged();
         node.leave(farewell, drain_timeout, told_at).await;
     }
     if tokio::time::timeout(drain_timeout, backend.drain())
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -4,15 +4,15 @@
 //! /fault` with [`store::memory::Faults`] as JSON. `POST /copy` keeps a copy of all objects, and
 //! `POST /restore` comes back from it.
 
-use crate::http::{Body, Error, answer_json, read_json};
-use crate::rate::Limit;
+use crate::http::{Body, Error, json_response, read_json};
+use crate::rate::RateLimiter;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use parking_lot::Mutex;
-use platform::api::{Change, Changes, ERA, Item, MAX_WAIT_MS, Page, ROOT};
+use platform::api::{Change, Changes, ERA_HEADER, Item, MAX_WAIT_MS, OBJECTS_PATH, Page};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,16 +26,16 @@
 /// Objects of a page, as the platform has it.
 const PAGE: usize = 500;
 
-/// Rates that the platform takes, in calls a second.
+/// RateLimits that the platform takes, in calls a second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rates {
+pub struct RateLimits {
     /// Creations, updates and deletions.
     pub writes: u32,
     /// Reads, lists and watches.
     pub reads: u32,
 }
 
-impl Default for Rates {
+impl Default for RateLimits {
     /// Several hundred writes and about two thousand reads.
     fn default() -> Self {
         Self {
@@ -47,19 +47,19 @@
 
 struct Shared {
     memory: MemoryStore,
-    writes: Mutex<Limit>,
-    reads: Mutex<Limit>,
+    writes: Mutex<RateLimiter>,
+    reads: Mutex<RateLimiter>,
     /// What `POST /restore` comes back from.
     copy: Mutex<Option<store::memory::Backup>>,
 }
 
 /// Serves `memory` on `listener` for as long as the process lives.
-pub async fn serve(listener: TcpListener, memory: MemoryStore, rates: Rates) {
+pub async fn serve(listener: TcpListener, memory: MemoryStore, rates: RateLimits) {
     let now = Instant::now();
     let shared = Arc::new(Shared {
         memory,
-        writes: Mutex::new(Limit::new(rates.writes, now)),
-        reads: Mutex::new(Limit::new(rates.reads, now)),
+        writes: Mutex::new(RateLimiter::new(rates.writes, now)),
+        reads: Mutex::new(RateLimiter::new(rates.reads, now)),
         copy: Mutex::default(),
     });
     loop {
@@ -84,30 +84,30 @@
 
 async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Result<Response<Body>, Error> {
     let path = request.uri().path().to_owned();
-    if let Some(name) = path.strip_prefix(ROOT) {
+    if let Some(name) = path.strip_prefix(OBJECTS_PATH) {
         let mut answer = answer_object(&shared, name, request).await?;
         let era = era_of(&shared.memory).into();
-        answer.headers_mut().insert(ERA, era);
+        answer.headers_mut().insert(ERA_HEADER, era);
         return Ok(answer);
     }
     Ok(match (request.method(), path.as_str()) {
-        (&Method::GET, "/counts") => answer_json(StatusCode::OK, &shared.memory.counts()),
+        (&Method::GET, "/counts") => json_response(StatusCode::OK, &shared.memory.counts()),
         (&Method::POST, "/copy") => {
             *shared.copy.lock() = Some(shared.memory.backup());
-            answer_json(StatusCode::OK, &Value::Null)
+            json_response(StatusCode::OK, &Value::Null)
         }
         (&Method::POST, "/restore") => match shared.copy.lock().clone() {
             Some(copy) => {
                 shared.memory.restore(copy);
-                answer_json(StatusCode::OK, &era_of(&shared.memory))
+                json_response(StatusCode::OK, &era_of(&shared.memory))
             }
             None => answer_status(StatusCode::CONFLICT),
         },
-        (&Method::GET, "/fault") => answer_json(StatusCode::OK, &shared.memory.faults()),
+        (&Method::GET, "/fault") => json_response(StatusCode::OK, &shared.memory.faults()),
         (&Method::POST, "/fault") => match read_json(request.into_body(), MAX_BODY).await {
             Ok(faults) => {
                 shared.memory.set_faults(faults);
-                answer_json(StatusCode::OK, &shared.memory.faults())
+                json_response(StatusCode::OK, &shared.memory.faults())
             }
             Err(status) => answer_status(status),
         },
@@ -124,7 +124,7 @@
         Method::GET => &shared.reads,
         _ => &shared.writes,
     };
-    let taken = limit.lock().take(Instant::now());
+    let taken = limit.lock().admit(Instant::now());
     if let Err(wait) = taken {
         return Ok(answer_busy(wait));
     }
@@ -140,7 +140,7 @@
         (Method::DELETE, Some(_)) => {
             let expected = read_revision(memory, &query, "revision");
             let deleted = memory.delete(path, expected).await;
-            deleted.map(|()| answer_json(StatusCode::OK, &Value::Null))
+            deleted.map(|()| json_response(StatusCode::OK, &Value::Null))
         }
         (Method::POST, None) => match read_json(request.into_body(), MAX_BODY).await {
             Ok(item) => create(memory, path, item).await,
@@ -167,7 +167,7 @@
 ) -> Result<Response<Body>, store::Error> {
     let object = memory.get(&format!("{kind}/{leaf}")).await?;
     let object = object.ok_or(store::Error::NotFound)?;
-    Ok(answer_json(StatusCode::OK, &make_item(object)))
+    Ok(json_response(StatusCode::OK, &make_item(object)))
 }
 
 async fn read_list(
@@ -184,7 +184,7 @@
         has_more: list.has_more,
         revision: list.revision.number,
     };
-    Ok(answer_json(StatusCode::OK, &page))
+    Ok(json_response(StatusCode::OK, &page))
 }
 
 async fn create(
@@ -195,7 +195,7 @@
     let name = format!("{kind}/{}", item.metadata.name);
     let revision = memory.create(&name, &item.spec).await?;
     let written = Item::new(&item.metadata.name, Some(revision), item.spec);
-    Ok(answer_json(StatusCode::CREATED, &written))
+    Ok(json_response(StatusCode::CREATED, &written))
 }
 
 /// Replaces an object, or answers with it as it stands when it is another than expected.
@@ -235,7 +235,7 @@
         Err(error) => return Err(error),
     };
     let object = memory.get(name).await?.ok_or(store::Error::NotFound)?;
-    Ok(answer_json(status, &make_item(object)))
+    Ok(json_response(status, &make_item(object)))
 }
 
 /// Time in which the changes that lie ready come one by one, in this process.
@@ -274,7 +274,7 @@
         changes.revision = event.revision().number;
         changes.events.extend(make_change(event));
     }
-    Ok(answer_json(StatusCode::OK, &changes))
+    Ok(json_response(StatusCode::OK, &changes))
 }
 
 fn make_item(object: Object) -> Item {
@@ -329,7 +329,7 @@
 }
 
 fn answer_status(status: StatusCode) -> Response<Body> {
-    answer_json(
+    json_response(
         status,
         &json!({"status": "Failure", "code": status.as_u16()}),
     )
@@ -353,6 +353,6 @@
         Failed::TooLarge => answer_status(StatusCode::PAYLOAD_TOO_LARGE),
         Failed::Busy(wait) => answer_busy(*wait),
         Failed::Invalid(_) => answer_status(StatusCode::BAD_REQUEST),
-        Failed::Unavailable(_) | Failed::Unknown(_) => return Err(Error::NoAnswer),
+        Failed::Unavailable(_) | Failed::Unknown(_) => return Err(Error::NoResponse),
     })
 }
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -4,13 +4,13 @@
 
 /// Refills a bucket of one second's calls; over that, calls are refused.
 #[derive(Debug)]
-pub struct Limit {
+pub struct RateLimiter {
     per_second: f64,
     left: f64,
     refilled: Instant,
 }
 
-impl Limit {
+impl RateLimiter {
     /// Makes a full bucket.
     #[must_use]
     pub fn new(per_second: u32, now: Instant) -> Self {
@@ -26,7 +26,7 @@
     /// # Errors
     ///
     /// The wait.
-    pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
+    pub fn admit(&mut self, now: Instant) -> Result<(), Duration> {
         let gained = now.duration_since(self.refilled).as_secs_f64() * self.per_second;
         self.left = (self.left + gained).min(self.per_second);
         self.refilled = now;
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -52,7 +52,7 @@
 
 /// All runs of a backend server; clones share them.
 #[derive(Debug, Clone)]
-pub struct Record {
+pub struct RunLog {
     entries: Arc<Mutex<Vec<Entry>>>,
     file: Option<Arc<Mutex<File>>>,
     /// Where the time of the farewell is written.
@@ -61,13 +61,13 @@
 
 /// A run that goes on; dropped before its end, it counts as cancelled.
 #[derive(Debug)]
-pub struct Run {
-    record: Record,
+pub struct RunGuard {
+    record: RunLog,
     number: usize,
     ended: bool,
 }
 
-impl Record {
+impl RunLog {
     /// Makes an empty record; with a file, each start and end is also a line there.
     ///
     /// Beside it, in a file with the extension `left`, stands when the first node
@@ -87,7 +87,7 @@
     }
 
     /// Notes that a node has answered the farewell; only the first time counts.
-    pub fn note_farewell(&self) {
+    pub fn record_leave_acknowledged(&self) {
         let Some(left) = self.left.as_deref().filter(|left| !left.exists()) else {
             return;
         };
@@ -98,14 +98,14 @@
 
     /// Notes that a run begins; `entry.run` and its times are set here.
     #[must_use]
-    pub fn start(&self, mut entry: Entry) -> Run {
+    pub fn start(&self, mut entry: Entry) -> RunGuard {
         let mut entries = self.entries.lock();
         let run = entries.len();
         entry.run = run;
         entry.start_us = now_us();
         self.write(&entry);
         entries.push(entry);
-        Run {
+        RunGuard {
             record: self.clone(),
             number: run,
             ended: false,
@@ -136,7 +136,7 @@
     }
 }
 
-impl Run {
+impl RunGuard {
     /// Gives the run's number.
     #[must_use]
     pub fn number(&self) -> usize {
@@ -150,7 +150,7 @@
     }
 }
 
-impl Drop for Run {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         if !self.ended {
             self.record.end(self.number, Outcome::Cancelled);
--- a/crates/standin/tests/backend_server.rs
+++ b/crates/standin/tests/backend_server.rs
@@ -7,8 +7,8 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 use serde_json::{Value, json};
-use standin::backend::{Backend, Deadly, Mark, Plan, fingerprint};
-use standin::record::{Outcome, Record};
+use standin::backend::{Backend, Behavior, CrashTrigger, RequestPattern, fingerprint};
+use standin::record::{Outcome, RunLog};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -16,21 +16,21 @@
 
 type Caller = Client<HttpConnector, Full<Bytes>>;
 
-const PLAN: Plan = Plan {
+const BEHAVIOR: Behavior = Behavior {
     slots: 1,
     queue: 1,
     work: Duration::from_millis(1),
     long_percent: 0,
     long_work: Duration::ZERO,
-    cold: Duration::ZERO,
-    deadly: None,
+    warm_up: Duration::ZERO,
+    crash_trigger: None,
 };
 
-async fn open() -> (SocketAddr, Record, Backend, Caller) {
+async fn open() -> (SocketAddr, RunLog, Backend, Caller) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let record = Record::open(None).unwrap();
-    let backend = Backend::spawn(listener, PLAN, record.clone(), 1);
+    let record = RunLog::open(None).unwrap();
+    let backend = Backend::spawn(listener, BEHAVIOR, record.clone(), 1);
     let caller = Client::builder(TokioExecutor::new()).build_http();
     (address, record, backend, caller)
 }
@@ -149,21 +149,26 @@
 
 /// A deadly request must end the server with all that it runs, and no other request may.
 #[yare::parameterized(
-    path = { Mark::Path("deadly".to_owned()), "/deadly", None, "" },
-    header = { Mark::Header("x-deadly".to_owned()), "/a", Some(("x-deadly", "1")), "" },
-    body = { Mark::Body("deadly".to_owned()), "/a", None, "a deadly one" },
+    path = { RequestPattern::Path("deadly".to_owned()), "/deadly", None, "" },
+    header = { RequestPattern::Header("x-deadly".to_owned()), "/a", Some(("x-deadly", "1")), "" },
+    body = { RequestPattern::Body("deadly".to_owned()), "/a", None, "a deadly one" },
 )]
 #[test_macro(tokio::test)]
-async fn deadly_request(mark: Mark, path: &str, header: Option<(&str, &str)>, body: &str) {
+async fn deadly_request(
+    pattern: RequestPattern,
+    path: &str,
+    header: Option<(&str, &str)>,
+    body: &str,
+) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let record = Record::open(None).unwrap();
-    let after = Duration::from_millis(5);
-    let plan = Plan {
-        deadly: Some(Deadly { mark, after }),
-        ..PLAN
+    let record = RunLog::open(None).unwrap();
+    let delay = Duration::from_millis(5);
+    let behavior = Behavior {
+        crash_trigger: Some(CrashTrigger { pattern, delay }),
+        ..BEHAVIOR
     };
-    let backend = Backend::spawn(listener, plan, record.clone(), 1);
+    let backend = Backend::spawn(listener, behavior, record.clone(), 1);
     let caller = Client::builder(TokioExecutor::new()).build_http();
     let (status, _) = post(&caller, address, "/a", &[], "harmless").await;
     assert_eq!(status, StatusCode::OK);
--- a/crates/standin/tests/object_api.rs
+++ b/crates/standin/tests/object_api.rs
@@ -4,7 +4,7 @@
 use platform::client::Limits;
 use serde_json::{Value, json};
 use standin::forward::Forwarder;
-use standin::platform::{Rates, serve};
+use standin::platform::{RateLimits, serve};
 use std::time::Duration;
 use store::follow::JournalUpdate;
 use store::memory::Faults;
@@ -15,10 +15,10 @@
 const QUICK: Limits = Limits {
     call: Duration::from_millis(300),
     watch: Duration::from_millis(300),
-    settle: Duration::from_millis(100),
+    batch_delay: Duration::from_millis(100),
 };
 
-async fn open(rates: Rates, limits: Limits) -> (MemoryStore, Client) {
+async fn open(rates: RateLimits, limits: Limits) -> (MemoryStore, Client) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let memory = MemoryStore::new();
@@ -28,7 +28,7 @@
 
 #[tokio::test]
 async fn conditional_writes() {
-    let (_, client) = open(Rates::default(), Limits::default()).await;
+    let (_, client) = open(RateLimits::default(), Limits::default()).await;
     let first = client.create("things/a", &json!(1)).await.unwrap();
     assert_eq!(
         client.create("things/a", &json!(2)).await,
@@ -56,7 +56,7 @@
 
 #[tokio::test]
 async fn pages_of_a_list() {
-    let (_, client) = open(Rates::default(), Limits::default()).await;
+    let (_, client) = open(RateLimits::default(), Limits::default()).await;
     for name in ["a/1", "a/2", "a/3", "b/1"] {
         client.create(name, &json!(name)).await.unwrap();
     }
@@ -81,7 +81,7 @@
 
 #[tokio::test]
 async fn watch_from_a_revision() {
-    let (memory, client) = open(Rates::default(), Limits::default()).await;
+    let (memory, client) = open(RateLimits::default(), Limits::default()).await;
     let first = client.create("a/1", &json!(1)).await.unwrap();
     client.create("b/1", &json!(1)).await.unwrap();
     let mut watch = client.watch("a/", first).await.unwrap();
@@ -103,7 +103,7 @@
 // watch asked anew as soon as it was answered.
 #[tokio::test]
 async fn quick_succession() {
-    let (memory, client) = open(Rates::default(), QUICK).await;
+    let (memory, client) = open(RateLimits::default(), QUICK).await;
     let mut last = client.create("a/1", &json!(0)).await.unwrap();
     let mut watch = client.watch("a/", last).await.unwrap();
     for value in 1..=30 {
@@ -120,7 +120,7 @@
 // lies between forgot the connections; only the missing answers show it.
 #[tokio::test]
 async fn silent_watch() {
-    let (memory, client) = open(Rates::default(), QUICK).await;
+    let (memory, client) = open(RateLimits::default(), QUICK).await;
     let first = client.create("a/1", &json!(1)).await.unwrap();
     let mut watch = client.watch("a/", first).await.unwrap();
     memory.set_faults(Faults {
@@ -136,7 +136,7 @@
 // not be told that it surely failed.
 #[tokio::test]
 async fn lost_answer() {
-    let (memory, client) = open(Rates::default(), QUICK).await;
+    let (memory, client) = open(RateLimits::default(), QUICK).await;
     memory.set_faults(Faults {
         lose_next: 1,
         ..Faults::default()
@@ -155,7 +155,7 @@
     let forwarder = Forwarder::spawn(listener.local_addr().unwrap())
         .await
         .unwrap();
-    tokio::spawn(serve(listener, MemoryStore::new(), Rates::default()));
+    tokio::spawn(serve(listener, MemoryStore::new(), RateLimits::default()));
     let client = Client::open(forwarder.address(), QUICK);
     let one = json!(1);
     let (first, second, third) = tokio::join!(
@@ -169,7 +169,7 @@
             .and(third)
             .is_ok_and(|revision| revision.number > 0)
     );
-    forwarder.lose();
+    forwarder.stall_connections();
     let silent = client.create("a/4", &json!(2)).await;
     assert!(silent.is_err_and(|error| error.may_have_taken_effect()));
     for name in ["a/1", "a/2", "a/3"] {
@@ -182,7 +182,7 @@
 // must get through.
 #[tokio::test]
 async fn slow_for_long() {
-    let (memory, client) = open(Rates::default(), QUICK).await;
+    let (memory, client) = open(RateLimits::default(), QUICK).await;
     memory.set_faults(Faults {
         slow_ms: 700,
         ..Faults::default()
@@ -216,7 +216,7 @@
     let forwarder = Forwarder::spawn(listener.local_addr().unwrap())
         .await
         .unwrap();
-    tokio::spawn(serve(listener, MemoryStore::new(), Rates::default()));
+    tokio::spawn(serve(listener, MemoryStore::new(), RateLimits::default()));
     let client = Client::open(forwarder.address(), QUICK);
     let journal = Journal::open(client, clock::System, "numbers");
     let mut follower = Follower::open(journal.clone(), Some(0));
@@ -232,13 +232,13 @@
             matches!(&next, Ok(JournalUpdate::Record(record)) if record.number == number),
             "{next:?}"
         );
-        forwarder.lose();
+        forwarder.stall_connections();
     }
 }
 
 #[tokio::test]
 async fn over_the_rate() {
-    let rates = Rates {
+    let rates = RateLimits {
         writes: 2,
         reads: 1,
     };
@@ -253,7 +253,7 @@
 
 #[tokio::test]
 async fn too_large() {
-    let (_, client) = open(Rates::default(), Limits::default()).await;
+    let (_, client) = open(RateLimits::default(), Limits::default()).await;
     let value = Value::String("x".repeat(1 << 20));
     assert_eq!(client.create("a/1", &value).await, Err(Error::TooLarge));
     let fitting = Value::String("x".repeat((1 << 20) - 2));
@@ -326,7 +326,7 @@
 /// A client must notice by any answer that the store came back from a copy, and drop what it knew.
 #[tokio::test]
 async fn another_era() {
-    let (memory, client) = open(Rates::default(), QUICK).await;
+    let (memory, client) = open(RateLimits::default(), QUICK).await;
     client.create("things/a", &json!(1)).await.unwrap();
     let mut eras = client.watch_era();
     assert_eq!(*eras.borrow_and_update(), Some(0));
@@ -362,7 +362,7 @@
 /// A report must change an object's status alone, and only as it was read.
 #[tokio::test]
 async fn reports() {
-    let (_, client) = open(Rates::default(), Limits::default()).await;
+    let (_, client) = open(RateLimits::default(), Limits::default()).await;
     let first = client.create("things/a", &json!(1)).await.unwrap();
     let status = json!({"state": "done"});
     let second = client.update_status("things/a", &status, first).await;
