--- a/crates/standin/src/announce.rs
+++ b/crates/standin/src/announce.rs
@@ -1,4 +1,4 @@
-//! How a backend server announces itself to the node on its VM.
+//! Client for announcing a backend server to the node on its VM.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -12,50 +12,50 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Path of announcements at the node.
+/// Path of the node's API for announcements.
 const PATH: &str = "/v1/announce";
 
-/// Time between two heartbeats.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+/// Interval between announcements, which also serve as heartbeats.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest wait for the node's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for the node's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between two looks at what is still in flight.
-const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between requests to the node while the backend server leaves.
+const LEAVE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a backend server tells of itself.
+/// An announcement of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Service that it belongs to.
+    /// Service of the backend server.
     pub service: SmolStr,
-    /// Where it takes calls.
+    /// Address at which it accepts calls.
     pub address: SocketAddr,
-    /// Calls that it runs at once.
+    /// Maximum number of concurrent calls.
     pub slots: u16,
-    /// Number of its process.
+    /// Identifies the process of the backend server.
     pub incarnation: u64,
-    /// Grows with each announcement, by which the node tells a late one.
+    /// Increases with each announcement, so that the node detects delayed ones.
     pub sequence: u64,
 }
 
-/// What it says when it leaves.
+/// A request to receive no more calls, sent when the backend server leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaveRequest {
-    /// Number of its process.
+    /// Identifies the process of the backend server.
     pub incarnation: u64,
 }
 
-/// What the node tells of the backend server's calls.
+/// The node's view of the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Calls that the node has given to the backend server and not seen ended.
+    /// Calls that the node has sent to the backend server and that have not ended.
     pub in_flight: usize,
-    /// Whether the node knows that it is leaving.
+    /// Whether the node knows that the backend server is leaving.
     pub leaving: bool,
 }
 
-/// The node on the same VM.
+/// Client for the node on the same VM.
 #[derive(Debug, Clone)]
 pub struct NodeClient {
     address: SocketAddr,
@@ -63,7 +63,7 @@
 }
 
 impl NodeClient {
-    /// Names the node whose listener for the backend server is at `address`.
+    /// Creates a client for the node whose listener for its backend server is at `address`.
     #[must_use]
     pub fn open(address: SocketAddr) -> Self {
         let client = legacy::Client::builder(TokioExecutor::new())
@@ -72,42 +72,42 @@
         Self { address, client }
     }
 
-    /// Announces again and again, for as long as the task lives.
+    /// Sends an announcement every second; never returns.
     pub async fn announce(&self, mut announcement: Announcement) {
         loop {
-            // A node that is not there yet hears the next heartbeat.
+            // Errors are ignored: a node that isn't running yet gets the next announcement.
             drop(self.call(Method::PUT, encode(&announcement)).await);
             announcement.sequence += 1;
-            sleep(HEARTBEAT).await;
+            sleep(ANNOUNCE_INTERVAL).await;
         }
     }
 
-    /// Tells that no new work is wanted, and waits until the node has none in flight.
+    /// Sends a leave request and waits until the node has no calls in flight, at most `limit`.
     ///
-    /// The node may be killed once it knows; the next one says that nobody leaves,
-    /// and is told again.
+    /// The node may be killed after it has acknowledged the request. Its successor then reports
+    /// that the backend server is not leaving, and the request is sent again.
     ///
-    /// `told_at` hears each time that a node has answered the farewell.
-    pub async fn leave<F>(&self, farewell: LeaveRequest, limit: Duration, mut told_at: F)
+    /// `on_acknowledged` is called each time that a node acknowledges the request.
+    pub async fn leave<F>(&self, request: LeaveRequest, limit: Duration, mut on_acknowledged: F)
     where
         F: FnMut(),
     {
         let end = Instant::now() + limit;
-        let mut told = false;
+        let mut acknowledged = false;
         while Instant::now() < end {
-            if told {
+            if acknowledged {
                 match self.read_status().await {
                     Some(status) if is_done(status) => return,
-                    Some(status) => told = status.leaving,
+                    Some(status) => acknowledged = status.leaving,
                     None => {}
                 }
             } else {
-                told = self.call(Method::DELETE, encode(&farewell)).await.is_some();
-                if told {
-                    told_at();
+                acknowledged = self.call(Method::DELETE, encode(&request)).await.is_some();
+                if acknowledged {
+                    on_acknowledged();
                 }
             }
-            sleep(DRAIN_INTERVAL).await;
+            sleep(LEAVE_POLL_INTERVAL).await;
         }
     }
 
@@ -123,21 +123,21 @@
             .header(http::header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
             .ok()?;
-        let answer = async {
+        let response = async {
             let response = self.client.request(request).await.ok()?;
             let success = response.status().is_success();
             let body = response.into_body().collect().await.ok()?;
             success.then(|| body.to_bytes())
         };
-        timeout(ANSWER_TIMEOUT, answer).await.ok()?
+        timeout(RESPONSE_TIMEOUT, response).await.ok()?
     }
 }
 
-fn encode<T>(word: &T) -> Bytes
+fn encode<T>(value: &T) -> Bytes
 where
     T: Serialize,
 {
-    serde_json::to_vec(word).unwrap_or_default().into()
+    serde_json::to_vec(value).unwrap_or_default().into()
 }
 
 fn is_done(status: Status) -> bool {
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,10 +1,11 @@
-//! A backend server: slots, cold start, shedding, drain, and reports that lie.
+//! A simulated backend server with slots, slow start, load shedding, draining, and health and
+//! load reports that can be made false.
 //!
-//! Every path is a call, but for `/health`, `/load`, `/record` and `/fault`.
-//! An answer tells of its request, so that a checker sees whose it is. Of a
-//! request's headers, `x-work-ms` sets the work, `x-answer-bytes` lengthens
-//! the answer, and [`TIMEOUT`] ends the work early. A request that the plan
-//! calls deadly ends the process, or what stands for it in a test.
+//! All paths except `/health`, `/load`, `/record` and `/fault` are calls. A response describes
+//! its request, so that a test can check that the two belong together. The request header
+//! `x-work-ms` sets the duration of the work, `x-answer-bytes` pads the response, and
+//! [`TIMEOUT_HEADER`] limits the work. A request that matches [`Behavior::crash_trigger`] crashes
+//! the process, or in a test the simulated server.
 
 use crate::http::{Body, Error, bytes_response, json_response, read_json};
 use crate::record::{Entry, Outcome, RunLog};
@@ -30,51 +31,51 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::{sleep, timeout};
 
-/// Header with the time left for a call, in milliseconds.
-pub const TIMEOUT: &str = "bluebellpick-timeout-ms";
+/// Header with the remaining time of a call in milliseconds.
+pub const TIMEOUT_HEADER: &str = "bluebellpick-timeout-ms";
 
-/// Longest body of a command.
-const MAX_COMMAND: usize = 64 << 10;
+/// Maximum body size of a fault injection request.
+const MAX_FAULT_BODY: usize = 64 << 10;
 
-/// How much slower a cold backend server is.
-const COLD_FACTOR: u32 = 4;
+/// Factor by which work takes longer during warm-up.
+const WARM_UP_FACTOR: u32 = 4;
 
-/// How a backend server works.
+/// Simulated behavior of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Behavior {
-    /// Calls that it runs at once.
+    /// Maximum number of concurrent calls.
     pub slots: u16,
-    /// Calls that may wait for a slot; over that it sheds with 503.
+    /// Maximum number of calls that wait for a slot; further ones are shed with status 503.
     pub queue: usize,
-    /// Mean work of a call; drawn from half to one and a half times as much.
+    /// Mean duration of a call's work; sampled uniformly between 0.5 and 1.5 times this value.
     pub work: Duration,
-    /// Share of long calls, in per cent.
+    /// Percentage of long calls.
     pub long_percent: u8,
-    /// Work of a long call.
+    /// Duration of a long call's work.
     pub long_work: Duration,
-    /// Time after the start in which work takes [`COLD_FACTOR`] times as long.
+    /// Time after the start during which work takes [`WARM_UP_FACTOR`] times as long.
     pub warm_up: Duration,
-    /// Requests that end the process, if there are any.
+    /// Requests that crash the process, if any.
     pub crash_trigger: Option<CrashTrigger>,
 }
 
-/// Which requests end the process that runs them.
+/// Requests that crash the process that executes them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashTrigger {
-    /// Part of a request that makes it deadly.
+    /// Requests that cause the crash.
     pub pattern: RequestPattern,
-    /// Time from the start of the work to the end of the process.
+    /// Time from the start of the work to the crash.
     pub delay: Duration,
 }
 
-/// Part of a request that makes it deadly.
+/// Property by which a request is matched.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestPattern {
-    /// The path contains this.
+    /// The path contains this text.
     Path(String),
-    /// There is a header of this name.
+    /// A header has this name.
     Header(String),
-    /// The body contains this.
+    /// The body contains this text.
     Body(String),
 }
 
@@ -90,19 +91,19 @@
     }
 }
 
-/// Faults that are in force.
+/// Faults that are currently injected.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Work takes that many times as long.
+    /// Factor by which work takes longer.
     pub slow_factor: u32,
-    /// Share of calls that fail at once with 500, in per cent.
+    /// Percentage of calls that fail immediately with status 500.
     pub fail_percent: u8,
-    /// `/health` says so, whatever is true.
+    /// Overrides the state that `/health` reports.
     pub health: Option<bool>,
-    /// `/load` says so, whatever is true.
+    /// Overrides the number of calls in flight that `/load` reports.
     pub load: Option<usize>,
-    /// `/load` tells how it was up to that long ago, in milliseconds.
+    /// Maximum age in milliseconds of the load that `/load` reports.
     pub load_lag_ms: u64,
 }
 
@@ -125,7 +126,7 @@
 #[derive(Debug)]
 struct Shared {
     behavior: Behavior,
-    record: RunLog,
+    run_log: RunLog,
     started: Instant,
     slots: Semaphore,
     in_flight: AtomicUsize,
@@ -133,16 +134,16 @@
     faults: Mutex<Faults>,
     load: Mutex<(Instant, usize)>,
     rng: Mutex<SmallRng>,
-    stage: watch::Sender<Stage>,
+    stage: watch::Sender<LifecycleStage>,
 }
 
-/// How far a backend server has come in leaving.
+/// Lifecycle stage of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum LifecycleStage {
     Serving,
     Draining,
     Drained,
-    /// The listener and all connections are gone.
+    /// The listener and all connections are closed.
     Crashed,
 }
 
@@ -163,67 +164,68 @@
 }
 
 impl Backend {
-    /// Starts to serve on `listener`.
+    /// Starts serving on `listener`.
     #[must_use]
-    pub fn spawn(listener: TcpListener, behavior: Behavior, record: RunLog, seed: u64) -> Self {
+    pub fn spawn(listener: TcpListener, behavior: Behavior, run_log: RunLog, seed: u64) -> Self {
         let now = Instant::now();
         let backend = Self(Arc::new(Shared {
             slots: Semaphore::new(behavior.slots.into()),
             behavior,
-            record,
+            run_log,
             started: now,
             in_flight: AtomicUsize::new(0),
             shed: AtomicUsize::new(0),
             faults: Mutex::default(),
             load: Mutex::new((now, 0)),
             rng: Mutex::new(SmallRng::seed_from_u64(seed)),
-            stage: watch::Sender::new(Stage::Serving),
+            stage: watch::Sender::new(LifecycleStage::Serving),
         }));
         tokio::spawn(accept(listener, backend.clone()));
         backend
     }
 
-    /// Takes no more connections, and waits until all answers are written.
+    /// Stops accepting connections and waits until all responses are written.
     pub async fn drain(&self) {
-        self.0.stage.send_replace(Stage::Draining);
-        self.wait_stage(Stage::Drained).await;
+        self.0.stage.send_replace(LifecycleStage::Draining);
+        self.wait_stage(LifecycleStage::Drained).await;
     }
 
-    /// Waits until a deadly request has been run.
+    /// Waits until a request has crashed the backend server.
     pub async fn crashed(&self) {
-        self.wait_stage(Stage::Crashed).await;
+        self.wait_stage(LifecycleStage::Crashed).await;
     }
 
-    async fn wait_stage(&self, wanted: Stage) {
+    async fn wait_stage(&self, expected: LifecycleStage) {
         let mut stages = self.0.stage.subscribe();
-        // The sender lives as long as this does.
-        drop(stages.wait_for(|stage| *stage == wanted).await);
+        // The wait can't fail, because `self` keeps the sender alive.
+        drop(stages.wait_for(|stage| *stage == expected).await);
     }
 
-    /// Tells how many calls are waiting or running.
+    /// Returns the number of calls that are waiting or running.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.0.in_flight.load(Ordering::Relaxed)
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Result<Response<Body>, Error> {
+    async fn handle_request(self, request: Request<Incoming>) -> Result<Response<Body>, Error> {
         let path = request.uri().path();
         Ok(match (request.method(), path) {
-            (&Method::GET, "/health") => self.answer_health(),
-            (&Method::GET, "/load") => self.answer_load(),
-            (&Method::GET, "/record") => json_response(StatusCode::OK, &self.0.record.entries()),
-            (&Method::POST, "/fault") => match read_json(request.into_body(), MAX_COMMAND).await {
+            (&Method::GET, "/health") => self.health_response(),
+            (&Method::GET, "/load") => self.load_response(),
+            (&Method::GET, "/record") => json_response(StatusCode::OK, &self.0.run_log.entries()),
+            (&Method::POST, "/fault") => match read_json(request.into_body(), MAX_FAULT_BODY).await
+            {
                 Ok(faults) => {
                     *self.0.faults.lock() = faults;
                     json_response(StatusCode::OK, &json!({}))
                 }
                 Err(status) => bytes_response(status, Bytes::new()),
             },
-            _ => return self.answer_call(request).await,
+            _ => return self.handle_call(request).await,
         })
     }
 
-    fn answer_health(&self) -> Response<Body> {
+    fn health_response(&self) -> Response<Body> {
         let healthy = self.0.faults.lock().health.unwrap_or(true);
         if healthy {
             json_response(StatusCode::OK, &json!({"status": "ok"}))
@@ -235,8 +237,8 @@
         }
     }
 
-    fn answer_load(&self) -> Response<Body> {
-        let (lie, lag) = {
+    fn load_response(&self) -> Response<Body> {
+        let (reported_load, lag) = {
             let faults = self.0.faults.lock();
             (faults.load, Duration::from_millis(faults.load_lag_ms))
         };
@@ -244,7 +246,7 @@
         if load.0.elapsed() >= lag {
             *load = (Instant::now(), self.in_flight());
         }
-        let in_flight = lie.unwrap_or(load.1);
+        let in_flight = reported_load.unwrap_or(load.1);
         let shed = self.0.shed.load(Ordering::Relaxed);
         let slots = self.0.behavior.slots;
         json_response(
@@ -253,7 +255,7 @@
         )
     }
 
-    async fn answer_call(&self, request: Request<Incoming>) -> Result<Response<Body>, Error> {
+    async fn handle_call(&self, request: Request<Incoming>) -> Result<Response<Body>, Error> {
         let shared = &*self.0;
         let _in_flight = InFlight::enter(&shared.in_flight);
         if self.in_flight() > usize::from(shared.behavior.slots) + shared.behavior.queue {
@@ -271,40 +273,41 @@
         let Ok(_slot) = shared.slots.acquire().await else {
             return Err(Error::NoResponse);
         };
-        let run = shared.record.start(entry_of(&head));
+        let run = shared.run_log.start(make_entry(&head));
         if let Some(trigger) = &shared.behavior.crash_trigger
             && trigger.pattern.matches(&head, &body)
         {
             sleep(trigger.delay).await;
             run.end(Outcome::Crashed);
-            shared.stage.send_replace(Stage::Crashed);
+            shared.stage.send_replace(LifecycleStage::Crashed);
             return Err(Error::NoResponse);
         }
-        if self.draw_failure() {
+        if self.sample_failure() {
             run.end(Outcome::Failed);
             return Ok(bytes_response(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 Bytes::new(),
             ));
         }
-        let work = self.draw_work(&head.headers);
-        let limit = number_of(&head.headers, TIMEOUT).map_or(Duration::MAX, Duration::from_millis);
-        // A timer takes up to a millisecond even for nothing.
+        let work = self.sample_work(&head.headers);
+        let limit = header_number(&head.headers, TIMEOUT_HEADER)
+            .map_or(Duration::MAX, Duration::from_millis);
+        // Even a timer of zero length takes up to a millisecond.
         if !work.is_zero() && timeout(limit, sleep(work)).await.is_err() {
             run.end(Outcome::Expired);
             return Ok(bytes_response(StatusCode::GATEWAY_TIMEOUT, Bytes::new()));
         }
-        let answer = describe(&head, &body, run.number());
+        let response = describe_request(&head, &body, run.number());
         run.end(Outcome::Completed);
-        Ok(answer)
+        Ok(response)
     }
 
-    fn draw_failure(&self) -> bool {
+    fn sample_failure(&self) -> bool {
         let percent = self.0.faults.lock().fail_percent;
         self.0.rng.lock().random_range(0..100) < percent
     }
 
-    fn draw_planned_work(&self) -> Duration {
+    fn sample_configured_work(&self) -> Duration {
         let behavior = &self.0.behavior;
         let mut rng = self.0.rng.lock();
         if rng.random_range(0..100) < behavior.long_percent {
@@ -314,17 +317,17 @@
         }
     }
 
-    fn draw_work(&self, headers: &HeaderMap) -> Duration {
-        let asked = number_of(headers, "x-work-ms").map(Duration::from_millis);
-        let mut work = asked.unwrap_or_else(|| self.draw_planned_work());
+    fn sample_work(&self, headers: &HeaderMap) -> Duration {
+        let requested = header_number(headers, "x-work-ms").map(Duration::from_millis);
+        let mut work = requested.unwrap_or_else(|| self.sample_configured_work());
         if self.0.started.elapsed() < self.0.behavior.warm_up {
-            work *= COLD_FACTOR;
+            work *= WARM_UP_FACTOR;
         }
         work * self.0.faults.lock().slow_factor
     }
 }
 
-/// Takes connections until the drain, then waits until each has written its answer.
+/// Accepts connections until the server drains, then waits until all responses are written.
 async fn accept(listener: TcpListener, backend: Backend) {
     let connections = GracefulShutdown::new();
     let stage = &backend.0.stage;
@@ -332,18 +335,18 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = stages.wait_for(|stage| *stage != Stage::Serving) => break,
+            _ = stages.wait_for(|stage| *stage != LifecycleStage::Serving) => break,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of descriptors: those in use must end first.
+            // Out of file descriptors: wait until some are closed.
             sleep(Duration::from_millis(10)).await;
             continue;
         };
         drop(stream.set_nodelay(true));
         let serving = backend.clone();
-        let service = service_fn(move |request| serving.clone().answer(request));
-        // The connection drops the call when the other side closes, which
-        // stops the work: that is how a cancellation arrives.
+        let service = service_fn(move |request| serving.clone().handle_request(request));
+        // Cancellation: when the peer closes the connection, hyper drops the future of the call,
+        // which stops the work.
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .serve_connection(TokioIo::new(stream), service);
@@ -359,31 +362,31 @@
             }
         });
     }
-    if *stage.borrow() == Stage::Draining {
+    if *stage.borrow() == LifecycleStage::Draining {
         connections.shutdown().await;
-        stage.send_replace(Stage::Drained);
+        stage.send_replace(LifecycleStage::Drained);
     }
 }
 
-fn text_of<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default()
 }
 
-fn number_of(headers: &HeaderMap, name: &str) -> Option<u64> {
-    text_of(headers, name).parse().ok()
+fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
+    header_text(headers, name).parse().ok()
 }
 
 fn path_of(head: &http::request::Parts) -> &str {
     head.uri.path_and_query().map_or("", |path| path.as_str())
 }
 
-fn entry_of(head: &http::request::Parts) -> Entry {
+fn make_entry(head: &http::request::Parts) -> Entry {
     Entry {
         run: 0,
-        key: text_of(&head.headers, "idempotency-key").into(),
-        request: text_of(&head.headers, "x-request").into(),
-        call: text_of(&head.headers, "bluebellpick-call").into(),
+        key: header_text(&head.headers, "idempotency-key").into(),
+        request: header_text(&head.headers, "x-request").into(),
+        call: header_text(&head.headers, "bluebellpick-call").into(),
         method: head.method.as_str().into(),
         path: path_of(head).into(),
         start_us: 0,
@@ -392,31 +395,32 @@
     }
 }
 
-/// Gives the fingerprint of a body, as the answers tell it.
+/// Returns the fingerprint of a body, which responses report.
 #[must_use]
 pub fn fingerprint(body: &[u8]) -> String {
     let digest = Sha256::digest(body);
-    let cut = digest.first_chunk().copied().unwrap_or_default();
-    format!("{:016x}", u64::from_be_bytes(cut))
+    let prefix = digest.first_chunk().copied().unwrap_or_default();
+    format!("{:016x}", u64::from_be_bytes(prefix))
 }
 
-/// Answers with what the request was; spaces after it make up the length asked for.
-fn describe(head: &http::request::Parts, body: &[u8], run: usize) -> Response<Body> {
-    let told = json!({
+/// Creates a response that describes the request, padded with spaces to the requested length.
+fn describe_request(head: &http::request::Parts, body: &[u8], run: usize) -> Response<Body> {
+    let description = json!({
         "method": head.method.as_str(),
         "path": path_of(head),
-        "request": text_of(&head.headers, "x-request"),
+        "request": header_text(&head.headers, "x-request"),
         "body_bytes": body.len(),
         "body_fingerprint": fingerprint(body),
         "run": run,
     });
-    let mut bytes = serde_json::to_vec(&told).unwrap_or_default();
-    let length = number_of(&head.headers, "x-answer-bytes").and_then(|n| usize::try_from(n).ok());
+    let mut bytes = serde_json::to_vec(&description).unwrap_or_default();
+    let length =
+        header_number(&head.headers, "x-answer-bytes").and_then(|n| usize::try_from(n).ok());
     bytes.resize(bytes.len().max(length.unwrap_or(0)), b' ');
-    let mut answer = bytes_response(StatusCode::OK, bytes.into());
-    let kind = http::HeaderValue::from_static("application/json");
-    answer
+    let mut response = bytes_response(StatusCode::OK, bytes.into());
+    let content_type = http::HeaderValue::from_static("application/json");
+    response
         .headers_mut()
-        .insert(http::header::CONTENT_TYPE, kind);
-    answer
+        .insert(http::header::CONTENT_TYPE, content_type);
+    response
 }
--- a/crates/standin/src/forward.rs
+++ b/crates/standin/src/forward.rs
@@ -1,4 +1,4 @@
-//! A forwarder that loses track of its connections, while new ones work.
+//! TCP forwarder that can stall its existing connections while new ones work.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,8 +9,8 @@
 #[derive(Debug, Clone)]
 pub struct Forwarder {
     address: SocketAddr,
-    /// Counts the times that it lost track; a connection made before swallows all.
-    lost: Arc<watch::Sender<u64>>,
+    /// Incremented to stall all existing connections.
+    stalls: Arc<watch::Sender<u64>>,
 }
 
 impl Forwarder {
@@ -18,45 +18,45 @@
     ///
     /// # Errors
     ///
-    /// When there is no free port.
+    /// If no port is free.
     pub async fn spawn(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let lost = Arc::new(watch::Sender::new(0));
-        tokio::spawn(accept(listener, target, Arc::clone(&lost)));
-        Ok(Self { address, lost })
+        let stalls = Arc::new(watch::Sender::new(0));
+        tokio::spawn(accept(listener, target, Arc::clone(&stalls)));
+        Ok(Self { address, stalls })
     }
 
-    /// Gives the address to connect to.
+    /// Returns the address to connect to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Loses track of all connections: they stay open at both ends and carry nothing any more.
+    /// Stalls all existing connections: they stay open at both ends but carry no more data.
     pub fn stall_connections(&self) {
-        self.lost.send_modify(|count| *count += 1);
+        self.stalls.send_modify(|generation| *generation += 1);
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, lost: Arc<watch::Sender<u64>>) {
-    while let Ok((near, _)) = listener.accept().await {
-        tokio::spawn(forward(near, target, lost.subscribe()));
+async fn accept(listener: TcpListener, target: SocketAddr, stalls: Arc<watch::Sender<u64>>) {
+    while let Ok((client, _)) = listener.accept().await {
+        tokio::spawn(forward(client, target, stalls.subscribe()));
     }
 }
 
-async fn forward(mut near: TcpStream, target: SocketAddr, mut lost: watch::Receiver<u64>) {
-    let Ok(mut far) = TcpStream::connect(target).await else {
+async fn forward(mut client: TcpStream, target: SocketAddr, mut stalls: watch::Receiver<u64>) {
+    let Ok(mut server) = TcpStream::connect(target).await else {
         return;
     };
-    drop(near.set_nodelay(true));
-    drop(far.set_nodelay(true));
+    drop(client.set_nodelay(true));
+    drop(server.set_nodelay(true));
     let copied = tokio::select! {
-        copied = tokio::io::copy_bidirectional(&mut near, &mut far) => Some(copied),
-        _ = lost.changed() => None,
+        copied = tokio::io::copy_bidirectional(&mut client, &mut server) => Some(copied),
+        _ = stalls.changed() => None,
     };
     if copied.is_none() {
-        // Neither end is told: the sockets are kept open and left alone.
+        // Keeps both sockets open without reading or writing, so that neither end is notified.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! What both stand-ins need of HTTP.
+//! HTTP helpers shared by both stand-ins.
 
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
@@ -12,58 +12,58 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = BoxBody<Bytes, Infallible>;
 
 quick_error! {
-    /// Ends a connection without an answer.
+    /// Error that closes a connection without a response.
     #[derive(Debug)]
     pub enum Error {
-        /// The stand-in was told to give no answer.
+        /// The request gets no response.
         NoResponse {
-            display("told to give no answer")
+            display("no response is sent for this request")
         }
     }
 }
 
-/// Opens a listener and tells its address on the standard output, in one line.
+/// Opens a listener and prints a line with its address to the standard output.
 ///
 /// # Errors
 ///
-/// When the address is taken or not this machine's.
+/// If the address is in use or not local.
 pub async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let listener = TcpListener::bind(address).await?;
     println!("listening on {}", listener.local_addr()?);
     Ok(listener)
 }
 
-/// Makes an answer with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json_response<T>(status: StatusCode, value: &T) -> Response<Body>
 where
     T: Serialize,
 {
     let json = serde_json::to_vec(value).unwrap_or_default();
-    let mut answer = bytes_response(status, json.into());
-    let kind = http::HeaderValue::from_static("application/json");
-    answer
+    let mut response = bytes_response(status, json.into());
+    let content_type = http::HeaderValue::from_static("application/json");
+    response
         .headers_mut()
-        .insert(http::header::CONTENT_TYPE, kind);
-    answer
+        .insert(http::header::CONTENT_TYPE, content_type);
+    response
 }
 
-/// Makes an answer with that body.
+/// Creates a response with the given body.
 #[must_use]
 pub fn bytes_response(status: StatusCode, bytes: Bytes) -> Response<Body> {
-    let mut answer = Response::new(Full::new(bytes).boxed());
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Full::new(bytes).boxed());
+    *response.status_mut() = status;
+    response
 }
 
 /// Reads a JSON body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// The status to answer with.
+/// The status code for the response.
 pub async fn read_json<T>(body: Incoming, limit: usize) -> Result<T, StatusCode>
 where
     T: DeserializeOwned,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform and of a backend server, for tests and trials.
+//! Stand-ins for the platform and for a backend server, used by tests and benchmarks.
 
 pub mod announce;
 pub mod backend;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as one program.
+//! Command-line program that runs a stand-in.
 
 use bpaf::{Parser, construct, long};
 use smol_str::SmolStr;
@@ -13,10 +13,10 @@
 use store::MemoryStore;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit status of a backend server that a request has crashed.
+/// Exit code of a backend server that was crashed by a request.
 const CRASHED: i32 = 70;
 
-/// What to stand in for.
+/// The stand-in to run.
 #[derive(Debug, Clone)]
 enum Command {
     Platform {
@@ -37,14 +37,14 @@
 
 fn parse_listen() -> impl Parser<SocketAddr> {
     long("listen")
-        .help("Address to listen on; with port 0 a free one is taken and told")
+        .help("Address to listen on; port 0 selects a free port, and the address is printed")
         .argument("ADDRESS")
         .fallback(SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
 fn parse_seed() -> impl Parser<u64> {
     long("seed")
-        .help("Seed of all that is drawn")
+        .help("Seed of the random number generator")
         .argument("SEED")
         .fallback(0)
 }
@@ -60,11 +60,11 @@
 fn parse_platform() -> impl Parser<Command> {
     let listen = parse_listen();
     let writes = long("writes")
-        .help("Writes a second that the platform takes")
+        .help("Maximum number of writes per second")
         .argument("RATE")
         .fallback(RateLimits::default().writes);
     let reads = long("reads")
-        .help("Reads and watches a second that the platform takes")
+        .help("Maximum number of reads and watches per second")
         .argument("RATE")
         .fallback(RateLimits::default().reads);
     let rates = construct!(RateLimits { writes, reads });
@@ -120,7 +120,7 @@
     let pattern = construct!([path, header, body]).optional();
     let delay = parse_ms(
         "deadly-after-ms",
-        "Time from the start of a deadly request to the end",
+        "Time from the start of a deadly request to the end of the process",
         30,
     );
     construct!(pattern, delay)
@@ -159,7 +159,7 @@
 fn parse_command() -> impl Parser<Command> {
     let platform = parse_platform()
         .to_options()
-        .descr("The platform's object API, with faults by command")
+        .descr("The platform's object API, with injected faults")
         .command("platform");
     let backend = parse_backend()
         .to_options()
@@ -201,7 +201,7 @@
             seed,
         } => {
             let mut stop = signal(SignalKind::terminate())?;
-            let record = RunLog::open(record.as_deref())?;
+            let run_log = RunLog::open(record.as_deref())?;
             let listener = standin::http::bind(listen).await?;
             let announcement = Announcement {
                 service,
@@ -210,11 +210,11 @@
                 incarnation: rand::random(),
                 sequence: 1,
             };
-            let backend = Backend::spawn(listener, behavior, record.clone(), seed);
+            let backend = Backend::spawn(listener, behavior, run_log.clone(), seed);
             let announcer = Announcer {
                 node: announce.map(NodeClient::open),
                 announcement,
-                record,
+                run_log,
             };
             tokio::select! {
                 () = serve_backend(&backend, announcer, &mut stop, drain_timeout) => {}
@@ -225,16 +225,16 @@
     Ok(())
 }
 
-/// What announces a backend server, and where.
+/// Announces a backend server to its node.
 struct Announcer {
     /// The node on the same VM, if there is one.
     node: Option<NodeClient>,
     announcement: Announcement,
-    /// Where it is noted that the node has answered the farewell.
-    record: RunLog,
+    /// Log that records when the node acknowledges the leave request.
+    run_log: RunLog,
 }
 
-/// Serves until SIGTERM, then until nothing is in flight here or at the node.
+/// Serves until SIGTERM, then waits until no calls are in flight here or at the node.
 async fn serve_backend(
     backend: &Backend,
     announcer: Announcer,
@@ -244,9 +244,9 @@
     let Announcer {
         node,
         announcement,
-        record,
+        run_log,
     } = announcer;
-    let farewell = LeaveRequest {
+    let leave_request = LeaveRequest {
         incarnation: announcement.incarnation,
     };
     let heartbeat = async {
@@ -260,8 +260,9 @@
         _ = stop.recv() => {}
     }
     if let Some(node) = &node {
-        let told_at = || record.record_leave_acknowledged();
-        node.leave(farewell, drain_timeout, told_at).await;
+        let on_acknowledged = || run_log.record_leave_acknowledged();
+        node.leave(leave_request, drain_timeout, on_acknowledged)
+            .await;
     }
     if tokio::time::timeout(drain_timeout, backend.drain())
         .await
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,8 +1,8 @@
-//! The platform: its object API over HTTP, its rates, and faults by command.
+//! A simulated platform: its object API over HTTP, with rate limits and injected faults.
 //!
-//! Besides the object API it answers `GET /counts`, and `GET` and `POST
-//! /fault` with [`store::memory::Faults`] as JSON. `POST /copy` keeps a copy of all objects, and
-//! `POST /restore` comes back from it.
+//! Besides the object API it serves `GET /counts`, and `GET` and `POST /fault` with
+//! [`store::memory::Faults`] as JSON. `POST /copy` takes a backup of all objects, and `POST
+//! /restore` restores it.
 
 use crate::http::{Body, Error, json_response, read_json};
 use crate::rate::RateLimiter;
@@ -20,13 +20,13 @@
 use store::{Event, MAX_VALUE_BYTES, MemoryStore, Object, Revision, Store};
 use tokio::net::TcpListener;
 
-/// Room for an object's JSON around the value.
+/// Maximum body size of a request: a value and the JSON around it.
 const MAX_BODY: usize = MAX_VALUE_BYTES + (64 << 10);
 
-/// Objects of a page, as the platform has it.
-const PAGE: usize = 500;
+/// Number of objects per page, as on the platform.
+const PAGE_SIZE: usize = 500;
 
-/// RateLimits that the platform takes, in calls a second.
+/// Rate limits of the platform, in calls per second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RateLimits {
     /// Creations, updates and deletions.
@@ -36,7 +36,7 @@
 }
 
 impl Default for RateLimits {
-    /// Several hundred writes and about two thousand reads.
+    /// The order of the platform's limits: several hundred writes and about two thousand reads.
     fn default() -> Self {
         Self {
             writes: 400,
@@ -49,11 +49,11 @@
     memory: MemoryStore,
     writes: Mutex<RateLimiter>,
     reads: Mutex<RateLimiter>,
-    /// What `POST /restore` comes back from.
+    /// Backup that `POST /restore` restores.
     copy: Mutex<Option<store::memory::Backup>>,
 }
 
-/// Serves `memory` on `listener` for as long as the process lives.
+/// Serves `memory` on `listener`; never returns.
 pub async fn serve(listener: TcpListener, memory: MemoryStore, rates: RateLimits) {
     let now = Instant::now();
     let shared = Arc::new(Shared {
@@ -64,13 +64,13 @@
     });
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors: those in use must end first.
+            // Out of file descriptors: wait until some are closed.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
         drop(stream.set_nodelay(true));
         let shared = Arc::clone(&shared);
-        let service = service_fn(move |request| answer(Arc::clone(&shared), request));
+        let service = service_fn(move |request| handle_request(Arc::clone(&shared), request));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .serve_connection(TokioIo::new(stream), service);
@@ -82,13 +82,16 @@
     }
 }
 
-async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Result<Response<Body>, Error> {
+async fn handle_request(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Error> {
     let path = request.uri().path().to_owned();
     if let Some(name) = path.strip_prefix(OBJECTS_PATH) {
-        let mut answer = answer_object(&shared, name, request).await?;
-        let era = era_of(&shared.memory).into();
-        answer.headers_mut().insert(ERA_HEADER, era);
-        return Ok(answer);
+        let mut response = handle_object_request(&shared, name, request).await?;
+        let era = current_era(&shared.memory).into();
+        response.headers_mut().insert(ERA_HEADER, era);
+        return Ok(response);
     }
     Ok(match (request.method(), path.as_str()) {
         (&Method::GET, "/counts") => json_response(StatusCode::OK, &shared.memory.counts()),
@@ -99,9 +102,9 @@
         (&Method::POST, "/restore") => match shared.copy.lock().clone() {
             Some(copy) => {
                 shared.memory.restore(copy);
-                json_response(StatusCode::OK, &era_of(&shared.memory))
+                json_response(StatusCode::OK, &current_era(&shared.memory))
             }
-            None => answer_status(StatusCode::CONFLICT),
+            None => status_response(StatusCode::CONFLICT),
         },
         (&Method::GET, "/fault") => json_response(StatusCode::OK, &shared.memory.faults()),
         (&Method::POST, "/fault") => match read_json(request.into_body(), MAX_BODY).await {
@@ -109,24 +112,24 @@
                 shared.memory.set_faults(faults);
                 json_response(StatusCode::OK, &shared.memory.faults())
             }
-            Err(status) => answer_status(status),
+            Err(status) => status_response(status),
         },
-        _ => answer_status(StatusCode::NOT_FOUND),
+        _ => status_response(StatusCode::NOT_FOUND),
     })
 }
 
-async fn answer_object(
+async fn handle_object_request(
     shared: &Shared,
     path: &str,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Error> {
-    let limit = match *request.method() {
+    let limiter = match *request.method() {
         Method::GET => &shared.reads,
         _ => &shared.writes,
     };
-    let taken = limit.lock().admit(Instant::now());
-    if let Err(wait) = taken {
-        return Ok(answer_busy(wait));
+    let admitted = limiter.lock().admit(Instant::now());
+    if let Err(wait) = admitted {
+        return Ok(rate_limited_response(wait));
     }
     let query = request.uri().query().unwrap_or_default().to_owned();
     let query = parse_query(&query);
@@ -144,20 +147,20 @@
         }
         (Method::POST, None) => match read_json(request.into_body(), MAX_BODY).await {
             Ok(item) => create(memory, path, item).await,
-            Err(status) => Ok(answer_status(status)),
+            Err(status) => Ok(status_response(status)),
         },
         (Method::PUT, Some((kind, leaf))) => {
             match read_json::<Item>(request.into_body(), MAX_BODY).await {
                 Ok(item) => match leaf.strip_suffix("/status") {
-                    Some(leaf) => report(memory, kind, leaf, item).await,
+                    Some(leaf) => replace_status(memory, kind, leaf, item).await,
                     None => replace(memory, kind, leaf, item).await,
                 },
-                Err(status) => Ok(answer_status(status)),
+                Err(status) => Ok(status_response(status)),
             }
         }
-        _ => Ok(answer_status(StatusCode::METHOD_NOT_ALLOWED)),
+        _ => Ok(status_response(StatusCode::METHOD_NOT_ALLOWED)),
     };
-    outcome.or_else(|error| answer_error(&error))
+    outcome.or_else(|error| error_response(&error))
 }
 
 async fn read_object(
@@ -177,7 +180,7 @@
 ) -> Result<Response<Body>, store::Error> {
     let after = query.get("after").map(|leaf| format!("{kind}/{leaf}"));
     let list = memory
-        .list(&format!("{kind}/"), &after.unwrap_or_default(), PAGE)
+        .list(&format!("{kind}/"), &after.unwrap_or_default(), PAGE_SIZE)
         .await?;
     let page = Page {
         items: list.items.into_iter().map(make_item).collect(),
@@ -198,7 +201,7 @@
     Ok(json_response(StatusCode::CREATED, &written))
 }
 
-/// Replaces an object, or answers with it as it stands when it is another than expected.
+/// Replaces an object; if its revision isn't the expected one, responds with the current object.
 async fn replace(
     memory: &MemoryStore,
     kind: &str,
@@ -206,25 +209,26 @@
     item: Item,
 ) -> Result<Response<Body>, store::Error> {
     let name = format!("{kind}/{leaf}");
-    let expected = now_at(memory, item.metadata.revision.unwrap_or_default());
+    let expected = current_era_revision(memory, item.metadata.revision.unwrap_or_default());
     let replaced = memory.update(&name, &item.spec, expected).await;
-    answer_written(memory, &name, replaced).await
+    write_response(memory, &name, replaced).await
 }
 
-/// Reports on an object, or answers with it as it stands when it is another than expected.
-async fn report(
+/// Replaces the status of an object; if its revision isn't the expected one, responds with the
+/// current object.
+async fn replace_status(
     memory: &MemoryStore,
     kind: &str,
     leaf: &str,
     item: Item,
 ) -> Result<Response<Body>, store::Error> {
     let name = format!("{kind}/{leaf}");
-    let expected = now_at(memory, item.metadata.revision.unwrap_or_default());
-    let reported = memory.update_status(&name, &item.status, expected).await;
-    answer_written(memory, &name, reported).await
+    let expected = current_era_revision(memory, item.metadata.revision.unwrap_or_default());
+    let replaced = memory.update_status(&name, &item.status, expected).await;
+    write_response(memory, &name, replaced).await
 }
 
-async fn answer_written(
+async fn write_response(
     memory: &MemoryStore,
     name: &str,
     written: Result<Revision, store::Error>,
@@ -238,10 +242,11 @@
     Ok(json_response(status, &make_item(object)))
 }
 
-/// Time in which the changes that lie ready come one by one, in this process.
-const GATHER: Duration = Duration::from_millis(1);
+/// Time to wait for a further change. The store is in this process, so that changes that are
+/// already pending arrive faster.
+const BATCH_WAIT: Duration = Duration::from_millis(1);
 
-/// Waits until something of a kind has changed, or the time that the reader gave is up.
+/// Waits until an object of a kind changes or the wait time of the request expires.
 async fn wait_changes(
     memory: &MemoryStore,
     kind: &str,
@@ -252,7 +257,7 @@
     let wait = Duration::from_millis(wait.unwrap_or(MAX_WAIT_MS).min(MAX_WAIT_MS));
     let until = tokio::time::Instant::now() + wait;
     if memory.faults().silent_watches {
-        // The connection stays open, and no answer will come.
+        // The connection stays open without a response.
         std::future::pending::<()>().await;
     }
     let mut watch = memory.watch(&format!("{kind}/"), from).await?;
@@ -268,8 +273,8 @@
         changes.revision = event.revision().number;
         changes.events.extend(make_change(event));
     }
-    // What has happened by then goes along.
-    while let Ok(event) = tokio::time::timeout(GATHER, watch.next()).await {
+    // Adds the changes that have occurred in the meantime.
+    while let Ok(event) = tokio::time::timeout(BATCH_WAIT, watch.next()).await {
         let event = event?;
         changes.revision = event.revision().number;
         changes.events.extend(make_change(event));
@@ -304,14 +309,14 @@
     }
 }
 
-fn era_of(memory: &MemoryStore) -> u64 {
+fn current_era(memory: &MemoryStore) -> u64 {
     memory.watch_era().borrow().unwrap_or_default()
 }
 
-/// Gives the place of a write of the era that holds now.
-fn now_at(memory: &MemoryStore, number: u64) -> Revision {
+/// Returns the revision `number` of the current era.
+fn current_era_revision(memory: &MemoryStore, number: u64) -> Revision {
     Revision {
-        era: era_of(memory),
+        era: current_era(memory),
         number,
     }
 }
@@ -325,34 +330,34 @@
 
 fn read_revision(memory: &MemoryStore, query: &HashMap<&str, &str>, key: &str) -> Option<Revision> {
     let number = query.get(key)?.parse().ok()?;
-    Some(now_at(memory, number))
+    Some(current_era_revision(memory, number))
 }
 
-fn answer_status(status: StatusCode) -> Response<Body> {
+fn status_response(status: StatusCode) -> Response<Body> {
     json_response(
         status,
         &json!({"status": "Failure", "code": status.as_u16()}),
     )
 }
 
-fn answer_busy(wait: Duration) -> Response<Body> {
-    let mut answer = answer_status(StatusCode::TOO_MANY_REQUESTS);
+fn rate_limited_response(wait: Duration) -> Response<Body> {
+    let mut response = status_response(StatusCode::TOO_MANY_REQUESTS);
     let seconds = wait.as_secs() + 1;
-    answer
+    response
         .headers_mut()
         .insert(http::header::RETRY_AFTER, seconds.into());
-    answer
+    response
 }
 
-fn answer_error(error: &store::Error) -> Result<Response<Body>, Error> {
-    use store::Error as Failed;
+fn error_response(error: &store::Error) -> Result<Response<Body>, Error> {
+    use store::Error as StoreError;
     Ok(match error {
-        Failed::Conflict => answer_status(StatusCode::CONFLICT),
-        Failed::NotFound => answer_status(StatusCode::NOT_FOUND),
-        Failed::Gone => answer_status(StatusCode::GONE),
-        Failed::TooLarge => answer_status(StatusCode::PAYLOAD_TOO_LARGE),
-        Failed::Busy(wait) => answer_busy(*wait),
-        Failed::Invalid(_) => answer_status(StatusCode::BAD_REQUEST),
-        Failed::Unavailable(_) | Failed::Unknown(_) => return Err(Error::NoResponse),
+        StoreError::Conflict => status_response(StatusCode::CONFLICT),
+        StoreError::NotFound => status_response(StatusCode::NOT_FOUND),
+        StoreError::Gone => status_response(StatusCode::GONE),
+        StoreError::TooLarge => status_response(StatusCode::PAYLOAD_TOO_LARGE),
+        StoreError::Busy(wait) => rate_limited_response(*wait),
+        StoreError::Invalid(_) => status_response(StatusCode::BAD_REQUEST),
+        StoreError::Unavailable(_) | StoreError::Unknown(_) => return Err(Error::NoResponse),
     })
 }
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -1,40 +1,40 @@
-//! A limit on calls a second.
+//! Rate limiter for calls.
 
 use std::time::{Duration, Instant};
 
-/// Refills a bucket of one second's calls; over that, calls are refused.
+/// Token bucket with a capacity of one second's calls.
 #[derive(Debug)]
 pub struct RateLimiter {
     per_second: f64,
-    left: f64,
+    tokens: f64,
     refilled: Instant,
 }
 
 impl RateLimiter {
-    /// Makes a full bucket.
+    /// Creates a full bucket.
     #[must_use]
     pub fn new(per_second: u32, now: Instant) -> Self {
         Self {
             per_second: per_second.into(),
-            left: per_second.into(),
+            tokens: per_second.into(),
             refilled: now,
         }
     }
 
-    /// Takes one call, or tells how long until there is room for one.
+    /// Takes a token for a call.
     ///
     /// # Errors
     ///
-    /// The wait.
+    /// The time until a token is available, if there is none.
     pub fn admit(&mut self, now: Instant) -> Result<(), Duration> {
-        let gained = now.duration_since(self.refilled).as_secs_f64() * self.per_second;
-        self.left = (self.left + gained).min(self.per_second);
+        let added = now.duration_since(self.refilled).as_secs_f64() * self.per_second;
+        self.tokens = (self.tokens + added).min(self.per_second);
         self.refilled = now;
-        if self.left < 1.0 {
-            let missing = (1.0 - self.left) / self.per_second.max(f64::MIN_POSITIVE);
+        if self.tokens < 1.0 {
+            let missing = (1.0 - self.tokens) / self.per_second.max(f64::MIN_POSITIVE);
             return Err(Duration::try_from_secs_f64(missing).unwrap_or(Duration::MAX));
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         Ok(())
     }
 }
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,4 +1,4 @@
-//! What a backend server ran, for the check of histories.
+//! Log of the calls that a backend server executed, against which tests check histories.
 
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -9,94 +9,94 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It has not ended yet, or the process was killed before.
+    /// The run has not ended, or the process was killed during the run.
     Running,
-    /// It went to its end.
+    /// The run finished its work.
     Completed,
-    /// The other side went away, and the work was stopped.
+    /// The peer closed the connection, which stopped the work.
     Cancelled,
-    /// Its time was over, and the work was stopped.
+    /// The deadline passed, which stopped the work.
     Expired,
-    /// It failed as the stand-in was told to.
+    /// The run failed because of an injected fault.
     Failed,
-    /// It ended the process.
+    /// The run crashed the process.
     Crashed,
 }
 
-/// A call that was run.
+/// Log entry of a run: one execution of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Number of the run at this backend server.
+    /// Number of the run, counted per backend server.
     pub run: usize,
-    /// The `idempotency-key` header, or empty.
+    /// Value of the header `idempotency-key`; may be empty.
     pub key: SmolStr,
-    /// The `x-request` header, or empty.
+    /// Value of the header `x-request`; may be empty.
     pub request: SmolStr,
-    /// The `bluebellpick-call` header, or empty.
+    /// Value of the header `bluebellpick-call`; may be empty.
     pub call: SmolStr,
     /// HTTP method.
     pub method: SmolStr,
     /// Path and query.
     pub path: SmolStr,
-    /// When the work began, in microseconds of the Unix epoch.
+    /// Start of the work, in microseconds since the Unix epoch.
     pub start_us: u64,
-    /// When it ended, in microseconds of the Unix epoch.
+    /// End of the work, in microseconds since the Unix epoch.
     pub end_us: Option<u64>,
-    /// How it ended.
+    /// Outcome of the run.
     pub outcome: Outcome,
 }
 
-/// All runs of a backend server; clones share them.
+/// Log of all runs of a backend server; clones share it.
 #[derive(Debug, Clone)]
 pub struct RunLog {
     entries: Arc<Mutex<Vec<Entry>>>,
     file: Option<Arc<Mutex<File>>>,
-    /// Where the time of the farewell is written.
-    left: Option<Arc<PathBuf>>,
+    /// File for the time at which the leave request was acknowledged.
+    left_path: Option<Arc<PathBuf>>,
 }
 
-/// A run that goes on; dropped before its end, it counts as cancelled.
+/// A run in progress; recorded as cancelled if dropped before [`RunGuard::end`].
 #[derive(Debug)]
 pub struct RunGuard {
-    record: RunLog,
+    log: RunLog,
     number: usize,
     ended: bool,
 }
 
 impl RunLog {
-    /// Makes an empty record; with a file, each start and end is also a line there.
+    /// Creates an empty log; if a file is given, each start and end of a run appends a line to it.
     ///
-    /// Beside it, in a file with the extension `left`, stands when the first node
-    /// answered the farewell.
+    /// A second file, with the extension `left`, receives the time at which the first node
+    /// acknowledged the leave request.
     ///
     /// # Errors
     ///
-    /// When the file can't be made.
+    /// If the file can't be created.
     pub fn open(file: Option<&Path>) -> std::io::Result<Self> {
-        let left = file.map(|file| Arc::new(file.with_extension("left")));
+        let left_path = file.map(|file| Arc::new(file.with_extension("left")));
         let file = file.map(File::create).transpose()?;
         Ok(Self {
             entries: Arc::default(),
             file: file.map(|file| Arc::new(Mutex::new(file))),
-            left,
+            left_path,
         })
     }
 
-    /// Notes that a node has answered the farewell; only the first time counts.
+    /// Records that a node has acknowledged the leave request; later calls have no effect.
     pub fn record_leave_acknowledged(&self) {
-        let Some(left) = self.left.as_deref().filter(|left| !left.exists()) else {
+        let Some(path) = self.left_path.as_deref().filter(|path| !path.exists()) else {
             return;
         };
-        if let Err(error) = std::fs::write(left, now_us().to_string()) {
+        if let Err(error) = std::fs::write(path, now_us().to_string()) {
             log::error!(error:%; "record_failed");
         }
     }
 
-    /// Notes that a run begins; `entry.run` and its times are set here.
+    /// Records the start of a run; sets `entry.run` and `entry.start_us`.
     #[must_use]
     pub fn start(&self, mut entry: Entry) -> RunGuard {
         let mut entries = self.entries.lock();
@@ -106,13 +106,13 @@
         self.write(&entry);
         entries.push(entry);
         RunGuard {
-            record: self.clone(),
+            log: self.clone(),
             number: run,
             ended: false,
         }
     }
 
-    /// Gives all runs so far.
+    /// Returns the entries of all runs so far.
     #[must_use]
     pub fn entries(&self) -> Vec<Entry> {
         self.entries.lock().clone()
@@ -125,7 +125,7 @@
         self.write(&entries[run]);
     }
 
-    /// A process that is killed keeps what it has written to a file.
+    /// Writes a line to the file without buffering, so that it survives a kill of the process.
     fn write(&self, entry: &Entry) {
         let Some(file) = &self.file else { return };
         let mut line = serde_json::to_vec(entry).unwrap_or_default();
@@ -137,30 +137,30 @@
 }
 
 impl RunGuard {
-    /// Gives the run's number.
+    /// Returns the number of the run.
     #[must_use]
     pub fn number(&self) -> usize {
         self.number
     }
 
-    /// Notes how the run ended.
+    /// Records the end of the run.
     pub fn end(mut self, outcome: Outcome) {
         self.ended = true;
-        self.record.end(self.number, outcome);
+        self.log.end(self.number, outcome);
     }
 }
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
         if !self.ended {
-            self.record.end(self.number, Outcome::Cancelled);
+            self.log.end(self.number, Outcome::Cancelled);
         }
     }
 }
 
 fn now_us() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| {
-        u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| {
+        u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX)
     })
 }
