--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -50,7 +50,7 @@
     writes: Mutex<RateLimiter>,
     reads: Mutex<RateLimiter>,
     /// Backup that `POST /restore` restores.
-    copy: Mutex<Option<store::memory::Backup>>,
+    backup: Mutex<Option<store::memory::Backup>>,
 }
 
 /// Serves `memory` on `listener`; never returns.
@@ -60,7 +60,7 @@
         memory,
         writes: Mutex::new(RateLimiter::new(rates.writes, now)),
         reads: Mutex::new(RateLimiter::new(rates.reads, now)),
-        copy: Mutex::default(),
+        backup: Mutex::default(),
     });
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -96,12 +96,12 @@
     Ok(match (request.method(), path.as_str()) {
         (&Method::GET, "/counts") => json_response(StatusCode::OK, &shared.memory.counts()),
         (&Method::POST, "/copy") => {
-            *shared.copy.lock() = Some(shared.memory.backup());
+            *shared.backup.lock() = Some(shared.memory.backup());
             json_response(StatusCode::OK, &Value::Null)
         }
-        (&Method::POST, "/restore") => match shared.copy.lock().clone() {
-            Some(copy) => {
-                shared.memory.restore(copy);
+        (&Method::POST, "/restore") => match shared.backup.lock().clone() {
+            Some(backup) => {
+                shared.memory.restore(backup);
                 json_response(StatusCode::OK, &current_era(&shared.memory))
             }
             None => status_response(StatusCode::CONFLICT),
--- a/crates/standin/tests/object_api.rs
+++ b/crates/standin/tests/object_api.rs
@@ -329,10 +329,10 @@
     client.create("things/a", &json!(1)).await.unwrap();
     let mut eras = client.watch_era();
     assert_eq!(*eras.borrow_and_update(), Some(0));
-    let copy = memory.backup();
+    let backup = memory.backup();
     let lost = client.create("things/b", &json!("lost")).await.unwrap();
     let mut watch = client.watch("things", lost).await.unwrap();
-    memory.restore(copy);
+    memory.restore(backup);
     memory.create("things/b", &json!("other")).await.unwrap();
     let gone = async {
         loop {
