--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -1,4 +1,4 @@
-//! The outbound proxy: takes calls of callers over HTTP and sends them where they run.
+//! The outbound proxy: accepts calls over HTTP and forwards them to backend servers.
 
 pub(crate) mod attempt;
 pub(crate) mod hedge;
@@ -43,46 +43,48 @@
 /// Name of this listener in settings and metrics.
 const LISTENER: &str = "callers";
 
-/// Largest head of a request, in bytes, as with most servers.
-const MAX_HEAD: usize = 64 << 10;
+/// Maximum size of a request head, in bytes. Most HTTP servers use the same limit.
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// How long a leaving node goes on taking calls on the connections that it has.
+/// How long a leaving node keeps accepting calls on existing connections.
 ///
-/// A connection that is closed while idle may cross a request, and its caller
-/// then can't tell whether that ran. Callers in steady use send within this
-/// time, and are told in the answer that the connection ends.
-const LAME_DUCK: Duration = Duration::from_secs(1);
+/// Closing an idle connection can race with a request that is already on the
+/// way, and the caller then can't tell whether the request ran. Callers that
+/// send regularly do so within this time, and the response tells them that the
+/// connection closes.
+const LAME_DUCK_DURATION: Duration = Duration::from_secs(1);
 
-/// How long a closing node waits for the first request of a connection: many
-/// round trips of the farthest callers, who are 8 ms away.
+/// How long a closing node waits for the first request on a connection: many
+/// round trips even to the farthest callers, which are 8 ms away.
 ///
-/// A connection that was taken a moment ago mostly has its request on the way;
-/// closed at once, its caller can't tell whether that ran.
-const FIRST_REQUEST: Duration = Duration::from_millis(250);
+/// The first request of a connection that was just accepted is usually already
+/// on the way. If the connection is closed at once, the caller can't tell
+/// whether that request ran.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest time for which a caller may take nothing of its answer.
+/// Maximum time for which a caller may read nothing of its response.
 ///
-/// Guards against a caller that stands still in the midst of an answer: the slot
-/// of the backend server on the same VM was held for as long as its connection
-/// lived. Five seconds, as for the readers of answers at other nodes.
-const CALLER_STALL: Duration = Duration::from_secs(5);
+/// Without it, a caller that stopped reading in the middle of a response held
+/// the slot of the local backend server for as long as the connection lived.
+/// Five seconds is also the limit for nodes that read responses over a link.
+const CALLER_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time between two looks for the first routes: short beside the start of a process.
-const ROUTES_POLL: Duration = Duration::from_millis(10);
+/// Polling interval while waiting for the first routes. Short compared to the start of a process.
+const ROUTES_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Connections that the system takes before they are accepted, as in tokio.
-const BACKLOG: u32 = 1_024;
+/// Length of the kernel's accept queue, the same as tokio's default.
+const LISTEN_BACKLOG: u32 = 1_024;
 
-/// Pause after a failed accept, so that running out of sockets does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, to avoid a busy loop when the process is out of sockets.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Gives how long a node that has `timeout` to leave goes on taking calls of its callers.
+/// Returns how long a node that has `timeout` to leave keeps accepting calls.
 #[must_use]
 pub fn lame_duck_duration(timeout: Duration) -> Duration {
-    LAME_DUCK.min(timeout / 2)
+    LAME_DUCK_DURATION.min(timeout / 2)
 }
 
-/// The outbound proxy.
+/// Handle to the outbound proxy.
 #[derive(Debug)]
 pub struct Handle<C>
 where
@@ -103,15 +105,15 @@
     pub(crate) services: ServiceClients,
     pub(crate) locality: Locality,
     pub(crate) reserve: reserve::Handle<C>,
-    connections: Arc<Semaphore>,
-    /// A permit is out for each keyed call that runs, be its caller there or not.
-    keyed: Arc<Semaphore>,
+    connection_permits: Arc<Semaphore>,
+    /// One permit per running call with an idempotency key, whether its caller is still connected or not.
+    keyed_permits: Arc<Semaphore>,
     stage: watch::Sender<Stage>,
 }
 
-/// A keyed call that runs, as long as it is held.
+/// Counts a running call with an idempotency key until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Keyed<C>
+pub(crate) struct KeyedCall<C>
 where
     C: Clock,
 {
@@ -119,23 +121,23 @@
     _counted: CountGuard<C>,
 }
 
-/// How far the proxy has come in leaving.
+/// Shutdown stage of the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     Serving,
-    /// Answers end their connections.
+    /// Each response closes its connection.
     LameDuck,
-    /// Nothing new is taken.
+    /// No new connections or requests are accepted.
     Closing,
     /// The listener is closed.
     Closed,
 }
 
-/// Starts to serve callers on `listener`.
+/// Starts serving callers on `listener`.
 ///
 /// # Errors
 ///
-/// When the listener has no address.
+/// Returns an error if the listener's address can't be read.
 pub fn spawn<C>(
     listener: TcpListener,
     shared: Arc<Shared<C>>,
@@ -145,7 +147,7 @@
 where
     C: Clock,
 {
-    let handle = build(listener.local_addr()?, shared, inbound, reserve);
+    let handle = new_handle(listener.local_addr()?, shared, inbound, reserve);
     let inner = Arc::clone(&handle.inner);
     tokio::spawn(async move {
         accept(listener, &inner).await;
@@ -154,17 +156,17 @@
     Ok(handle)
 }
 
-/// Starts to serve callers on the address that `socket` is bound to, once there are routes.
+/// Starts serving callers on the address that `socket` is bound to as soon as routes are known.
 ///
-/// Guards against a node that is restarted under load: its callers come back
-/// with the first connection that it takes, and before the configuration has
-/// come it could only send them away. A connection that is refused tells them
-/// that nothing was sent, so they go to another node. A node that gets no
-/// configuration takes them after `[limits] routes_wait` and says so.
+/// When a node restarts under load, its callers return with the first accepted
+/// connection. Before the configuration has arrived, the node could only refuse
+/// their calls. A refused connection tells them that nothing was sent, so they
+/// go to another node. A node that gets no configuration starts accepting after
+/// `[limits] routes_wait` and refuses calls with the reason `no-routes-yet`.
 ///
 /// # Errors
 ///
-/// When the socket has no address.
+/// Returns an error if the socket's address can't be read.
 pub fn spawn_after_routes<C>(
     socket: TcpSocket,
     shared: Arc<Shared<C>>,
@@ -174,7 +176,7 @@
 where
     C: Clock,
 {
-    let handle = build(socket.local_addr()?, shared, inbound, reserve);
+    let handle = new_handle(socket.local_addr()?, shared, inbound, reserve);
     let inner = Arc::clone(&handle.inner);
     tokio::spawn(async move {
         accept_after_routes(socket, &inner).await;
@@ -189,10 +191,10 @@
 {
     let mut stage = inner.stage.subscribe();
     tokio::select! {
-        () = wait_routes(&inner.shared) => {}
-        () = wait_closing(&mut stage) => return,
+        () = wait_for_routes(&inner.shared) => {}
+        () = wait_for_closing(&mut stage) => return,
     }
-    match socket.listen(BACKLOG) {
+    match socket.listen(LISTEN_BACKLOG) {
         Ok(listener) => {
             inner.shared.listening.store(true, Ordering::Release);
             accept(listener, inner).await;
@@ -201,20 +203,20 @@
     }
 }
 
-async fn wait_routes<C>(shared: &Shared<C>)
+async fn wait_for_routes<C>(shared: &Shared<C>)
 where
     C: Clock,
 {
     let arrived = async {
         while shared.view.load().version() == Version::ZERO {
-            tokio::time::sleep(ROUTES_POLL).await;
+            tokio::time::sleep(ROUTES_POLL_INTERVAL).await;
         }
     };
-    // Without routes in time, callers are told so.
+    // After the timeout, calls are accepted and refused with the reason `no-routes-yet`.
     drop(tokio::time::timeout(shared.settings.routes_wait, arrived).await);
 }
 
-fn build<C>(
+fn new_handle<C>(
     address: SocketAddr,
     shared: Arc<Shared<C>>,
     inbound: inbound::Handle<C>,
@@ -244,8 +246,8 @@
         inbound,
         links: LinkPool::spawn(hello),
         reserve,
-        connections: Arc::new(Semaphore::new(connections)),
-        keyed: Arc::new(Semaphore::new(connections)),
+        connection_permits: Arc::new(Semaphore::new(connections)),
+        keyed_permits: Arc::new(Semaphore::new(connections)),
         stage: watch::Sender::new(Stage::Serving),
     });
     Handle { inner, address }
@@ -255,28 +257,34 @@
 where
     C: Clock,
 {
-    /// Gives the address that callers connect to.
+    /// Returns the address that callers connect to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Ends the connections of callers as their answers end, and gives how many are left at `timeout`.
+    /// Closes callers' connections as their responses end. Returns how many are open at `timeout`.
     pub async fn drain(&self, timeout: Duration) -> usize {
         self.inner.advance(Stage::LameDuck);
-        let all = u32::from(self.inner.shared.settings.connections);
+        let max_connections = u32::from(self.inner.shared.settings.connections);
         let ended = async {
             tokio::time::sleep(lame_duck_duration(timeout)).await;
             self.inner.advance(Stage::Closing);
-            // Waiting for all permits keeps every further one from the listener.
+            // A pending request for all permits would starve the accept loop, so the
+            // listener must be closed first.
             let mut stage = self.inner.stage.subscribe();
             drop(stage.wait_for(|stage| *stage == Stage::Closed).await);
-            drop(self.inner.connections.acquire_many(all).await);
-            drop(self.inner.keyed.acquire_many(all).await);
+            drop(
+                self.inner
+                    .connection_permits
+                    .acquire_many(max_connections)
+                    .await,
+            );
+            drop(self.inner.keyed_permits.acquire_many(max_connections).await);
         };
         match tokio::time::timeout(timeout, ended).await {
             Ok(()) => 0,
-            Err(_) => self.inner.count_open(),
+            Err(_) => self.inner.open_count(),
         }
     }
 }
@@ -285,11 +293,11 @@
 where
     C: Clock,
 {
-    /// Counts a keyed call until the permit is dropped; none is given while too many run.
-    pub(crate) fn count_keyed(&self) -> Option<Keyed<C>> {
-        let permit = Arc::clone(&self.keyed).try_acquire_owned().ok()?;
+    /// Counts a call with an idempotency key until the guard is dropped. Returns `None` at the limit.
+    pub(crate) fn begin_keyed(&self) -> Option<KeyedCall<C>> {
+        let permit = Arc::clone(&self.keyed_permits).try_acquire_owned().ok()?;
         let counted = self.shared.count(|shared| &shared.keyed_calls);
-        Some(Keyed {
+        Some(KeyedCall {
             _permit: permit,
             _counted: counted,
         })
@@ -299,17 +307,17 @@
         self.stage.send_modify(|now| *now = stage.max(*now));
     }
 
-    fn count_open(&self) -> usize {
+    fn open_count(&self) -> usize {
         let callers = *self.shared.caller_connections.borrow();
         callers.max(*self.shared.keyed_calls.borrow()).max(1)
     }
 }
 
-/// Takes connections until the node closes, and then those that the system has taken already.
+/// Accepts connections until the proxy closes, including those already in the accept queue.
 ///
-/// Guards against a listener that is closed over connections which wait in the
-/// system's queue: these are reset, and a caller who has sent its request on
-/// one can't tell whether it ran.
+/// Closing the listener resets the connections that wait in the kernel's accept
+/// queue. A caller that has already sent its request on one of them can't tell
+/// whether it ran.
 async fn accept<C>(listener: TcpListener, inner: &Arc<Inner<C>>)
 where
     C: Clock,
@@ -318,8 +326,8 @@
     loop {
         let permit = tokio::select! {
             biased;
-            permit = Arc::clone(&inner.connections).acquire_owned() => permit,
-            () = wait_closing(&mut stage) => return,
+            permit = Arc::clone(&inner.connection_permits).acquire_owned() => permit,
+            () = wait_for_closing(&mut stage) => return,
         };
         let Ok(permit) = permit else {
             return;
@@ -327,7 +335,7 @@
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = wait_closing(&mut stage) => return,
+            () = wait_for_closing(&mut stage) => return,
         };
         match accepted {
             Ok((stream, peer)) => {
@@ -340,7 +348,7 @@
             }
             Err(error) => {
                 log::warn!(error:%; "accept_failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -354,22 +362,22 @@
         return;
     }
     let mut stream = TimeoutStream::new(stream);
-    stream.set_write_timeout(Some(CALLER_STALL));
+    stream.set_write_timeout(Some(CALLER_WRITE_TIMEOUT));
     let head_timeout = inner.shared.settings.head_timeout;
     let bad_requests = inner.shared.metrics.bad_requests(LISTENER);
     let mut stage = inner.stage.subscribe();
-    let asked = Arc::new(AtomicBool::new(false));
-    let asks = Arc::clone(&asked);
+    let request_seen = Arc::new(AtomicBool::new(false));
+    let seen = Arc::clone(&request_seen);
     let service = service_fn(move |request| {
-        asks.store(true, Ordering::Relaxed);
+        seen.store(true, Ordering::Relaxed);
         let inner = Arc::clone(&inner);
         async move {
             let mut response = serve::serve(&inner, request, peer).await;
             if inner.shared.uses_platform_interface() {
-                tell_wait(&mut response);
+                set_platform_retry_after(&mut response);
             }
             if *inner.stage.borrow() >= Stage::LameDuck {
-                end_connection(&mut response);
+                set_connection_close(&mut response);
             }
             Ok::<_, Infallible>(response)
         }
@@ -377,17 +385,17 @@
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(head_timeout)
-        .max_buf_size(MAX_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(Box::pin(stream)), service);
-    let mut early = tokio::select! {
+    let mut finished = tokio::select! {
         ended = &mut connection => Some(ended),
-        () = wait_closing(&mut stage) => None,
+        () = wait_for_closing(&mut stage) => None,
     };
-    if early.is_none() && !asked.load(Ordering::Relaxed) {
-        let first = tokio::time::timeout(FIRST_REQUEST, &mut connection);
-        early = first.await.ok();
+    if finished.is_none() && !request_seen.load(Ordering::Relaxed) {
+        let first = tokio::time::timeout(FIRST_REQUEST_TIMEOUT, &mut connection);
+        finished = first.await.ok();
     }
-    let ended = if let Some(ended) = early {
+    let ended = if let Some(ended) = finished {
         ended
     } else {
         Pin::new(&mut connection).graceful_shutdown();
@@ -400,24 +408,24 @@
     }
 }
 
-async fn wait_closing(stage: &mut watch::Receiver<Stage>) {
-    // The sender lives as long as the proxy.
+async fn wait_for_closing(stage: &mut watch::Receiver<Stage>) {
+    // The sender is dropped only with the proxy.
     drop(stage.wait_for(|stage| *stage >= Stage::Closing).await);
 }
 
-/// Tells when to come back in the platform's way, which has fractions of a second.
-fn tell_wait<C>(response: &mut http::Response<Body<C>>)
+/// Adds the platform's retry-after header, which has a resolution below one second.
+fn set_platform_retry_after<C>(response: &mut http::Response<Body<C>>)
 where
     C: Clock,
 {
-    let own = response.headers().get(&RETRY_AFTER_HEADER);
-    let wait = own.and_then(|value| value.to_str().ok()?.parse().ok());
+    let header = response.headers().get(&RETRY_AFTER_HEADER);
+    let wait = header.and_then(|value| value.to_str().ok()?.parse().ok());
     if let Some(wait) = wait {
         platform::header::set_retry_after(response.headers_mut(), Duration::from_millis(wait));
     }
 }
 
-fn end_connection<C>(response: &mut http::Response<Body<C>>)
+fn set_connection_close<C>(response: &mut http::Response<Body<C>>)
 where
     C: Clock,
 {
@@ -427,18 +435,18 @@
         .insert(http::header::CONNECTION, close);
 }
 
-/// Picks a route's service by its shares.
+/// Picks one of a route's services at random, weighted by their percentages.
 pub(crate) fn pick_target(targets: &[(ServiceKey, u8)]) -> ServiceKey {
-    let mut draw = if targets.len() > 1 {
+    let mut point = if targets.len() > 1 {
         rand::rng().random_range(0..100)
     } else {
         0
     };
     for (service, percent) in targets {
-        if draw < *percent {
+        if point < *percent {
             return *service;
         }
-        draw -= percent;
+        point -= percent;
     }
     targets[0].0
 }
--- a/crates/node/src/outbound/attempt.rs
+++ b/crates/node/src/outbound/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a call over a link, as the outbound proxy sees it.
+//! State that the outbound proxy keeps for one attempt of a call over a link.
 
 use crate::link::Sender;
 use crate::link::wake;
@@ -10,58 +10,59 @@
 use std::task::{Context, Poll, Waker};
 use wire::call::{Answer, Frame, INITIAL_WINDOW, Reason, Refusal};
 
-/// One try of a call that was sent over a link and is not over yet.
+/// An attempt that was sent over a link and has not finished.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) id: Id,
-    /// Whether the call may run again, so that nothing need be asked after a silence.
+    /// Whether the call may run more than once. If so, the peer isn't asked for the outcome
+    /// after the link is lost.
     pub(crate) repeatable: bool,
-    /// Number of the link that the request went over.
+    /// Number of the link over which the request was sent.
     pub(crate) link_number: u64,
     state: Mutex<State>,
 }
 
 #[derive(Debug)]
 struct State {
-    /// The link that it goes over now.
+    /// The current link.
     link: Arc<Sender>,
-    /// Length of the link up to the end of the request's head.
-    end: u64,
+    /// Position in the link's byte stream at which the request's head ends.
+    head_end: u64,
     head: Option<Answer>,
-    head_seen: bool,
+    head_received: bool,
     parts: VecDeque<Bytes>,
-    /// Bytes of the answer's body that have come.
+    /// Bytes of the response body received so far.
     received: u64,
-    /// Bytes that the caller has taken since the last credit.
-    taken: usize,
+    /// Bytes that the caller has read since the last credit was sent.
+    consumed: usize,
     ended: bool,
     refusal: Option<Refusal>,
-    /// Bytes of the request's body that may still be sent.
+    /// Bytes of the request body that may still be sent.
     credit: usize,
     abandoned: bool,
-    reader: Option<Waker>,
-    writer: Option<Waker>,
+    response_waker: Option<Waker>,
+    request_waker: Option<Waker>,
 }
 
-/// What a try has come to so far.
+/// How much of the response an attempt has received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ReceiveProgress {
-    /// Whether the head of the answer has come.
+    /// Whether the response head has been received.
     pub(crate) head_received: bool,
-    /// Bytes of the answer's body that have come.
+    /// Bytes of the response body received so far.
     pub(crate) received: u64,
-    /// Further bytes that may come.
+    /// Further bytes that the peer may send.
     pub(crate) window: usize,
 }
 
 impl State {
-    fn held(&self) -> usize {
+    fn buffered(&self) -> usize {
         self.parts.iter().map(Bytes::len).sum()
     }
 }
 
 impl Attempt {
-    /// Makes a try whose request has a body of which so many bytes may go unasked.
+    /// Creates an attempt that may send `credit` bytes of the request body before the peer grants more.
     pub(crate) fn new(
         id: Id,
         repeatable: bool,
@@ -75,69 +76,72 @@
             link_number,
             state: Mutex::new(State {
                 link,
-                end: 0,
+                head_end: 0,
                 head: None,
-                head_seen: false,
+                head_received: false,
                 parts: VecDeque::new(),
                 received: 0,
-                taken: 0,
+                consumed: 0,
                 ended: false,
                 refusal: None,
                 credit,
                 abandoned: false,
-                reader: None,
-                writer: None,
+                response_waker: None,
+                request_waker: None,
             }),
         })
     }
 
-    /// Notes where on its link the request's head ends.
+    /// Records the position in the link's byte stream at which the request's head ends.
     pub(crate) fn set_head_end(&self, end: u64) {
-        self.state.lock().end = end;
+        self.state.lock().head_end = end;
     }
 
-    /// Tells whether the link's socket has taken the request's head whole.
+    /// Returns whether the request's head was written completely to the link's socket.
     ///
-    /// A peer can't decode part of a frame, so a head that was not taken whole
-    /// before its link closed has surely not arrived.
+    /// A peer can't decode part of a frame. If the link closed before the whole
+    /// head was written, the peer has certainly not received the request.
     pub(crate) fn was_written(&self) -> bool {
         let state = self.state.lock();
-        state.link.bytes_written() >= state.end
+        state.link.bytes_written() >= state.head_end
     }
 
-    /// Moves the try to a new link of the same peer.
+    /// Moves the attempt to a new link to the same peer.
     pub(crate) fn move_to(&self, link: Arc<Sender>) -> ReceiveProgress {
         let mut state = self.state.lock();
         state.link = link;
-        // Only a head that was written whole is ever moved.
-        state.end = 0;
-        state.taken = 0;
+        // Only attempts whose head was written completely are moved.
+        state.head_end = 0;
+        state.consumed = 0;
         ReceiveProgress {
-            head_received: state.head_seen,
+            head_received: state.head_received,
             received: state.received,
-            window: INITIAL_WINDOW - state.held(),
+            window: INITIAL_WINDOW - state.buffered(),
         }
     }
 
-    /// Tells whether nobody waits for it any more.
+    /// Returns whether nothing waits for the response any more.
     pub(crate) fn is_abandoned(&self) -> bool {
         self.state.lock().abandoned
     }
 
-    /// Takes a frame of the answer; gives false when it breaks the protocol.
+    /// Handles a frame from the peer. Returns false if the frame violates the protocol.
     pub(crate) fn handle_frame(&self, frame: Frame) -> bool {
         let mut state = self.state.lock();
         match frame {
             Frame::Answer(answer) => {
-                if state.head_seen {
+                if state.head_received {
                     return false;
                 }
                 state.ended = answer.end;
-                state.head_seen = true;
+                state.head_received = true;
                 state.head = Some(answer);
             }
             Frame::Body { bytes, end, .. } => {
-                if !state.head_seen || state.ended || state.held() + bytes.len() > INITIAL_WINDOW {
+                if !state.head_received
+                    || state.ended
+                    || state.buffered() + bytes.len() > INITIAL_WINDOW
+                {
                     return false;
                 }
                 state.received += bytes.len() as u64;
@@ -149,28 +153,28 @@
             Frame::Refusal(refusal) => state.refusal = Some(refusal),
             Frame::Credit { bytes, .. } => {
                 state.credit += bytes as usize;
-                wake(&mut state.writer);
+                wake(&mut state.request_waker);
                 return true;
             }
             _ => return false,
         }
-        wake(&mut state.reader);
+        wake(&mut state.response_waker);
         true
     }
 
-    /// Tells whether nothing more can come.
+    /// Returns whether the response is complete or refused, so that no more frames are expected.
     pub(crate) fn is_finished(&self) -> bool {
         let state = self.state.lock();
         state.ended || state.refusal.is_some()
     }
 
-    /// Tells whether the whole answer has been taken.
+    /// Returns whether the whole response has been read.
     pub(crate) fn is_consumed(&self) -> bool {
         let state = self.state.lock();
         state.ended && state.parts.is_empty()
     }
 
-    /// Ends the try without an answer.
+    /// Finishes the attempt without a response.
     pub(crate) fn fail(&self, verdict: Verdict, reason: Reason) {
         let mut state = self.state.lock();
         if !state.ended && state.refusal.is_none() {
@@ -181,11 +185,11 @@
                 retry_after_ms: 0,
             });
         }
-        wake(&mut state.reader);
-        wake(&mut state.writer);
+        wake(&mut state.response_waker);
+        wake(&mut state.request_waker);
     }
 
-    /// Waits for the head of the answer.
+    /// Polls for the response head.
     pub(crate) fn poll_head(&self, cx: &mut Context<'_>) -> Poll<Result<Answer, Refusal>> {
         let mut state = self.state.lock();
         if let Some(head) = state.head.take() {
@@ -194,20 +198,20 @@
         if let Some(refusal) = state.refusal.clone() {
             return Poll::Ready(Err(refusal));
         }
-        state.reader = Some(cx.waker().clone());
+        state.response_waker = Some(cx.waker().clone());
         Poll::Pending
     }
 
-    /// Waits for the next part of the answer's body; `None` ends it.
+    /// Polls for the next part of the response body; `None` is its end.
     pub(crate) fn poll_part(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Refusal>>> {
         let mut state = self.state.lock();
         if let Some(part) = state.parts.pop_front() {
-            state.taken += part.len();
-            if state.taken >= INITIAL_WINDOW / 2 && !state.ended {
-                let bytes = u32::try_from(state.taken).unwrap_or(u32::MAX);
-                state.taken = 0;
+            state.consumed += part.len();
+            if state.consumed >= INITIAL_WINDOW / 2 && !state.ended {
+                let bytes = u32::try_from(state.consumed).unwrap_or(u32::MAX);
+                state.consumed = 0;
                 let credit = Frame::Credit { id: self.id, bytes };
-                // A closed link settles the try by itself.
+                // If the link is closed, its end resolves the attempt.
                 drop(state.link.send([credit]));
             }
             return Poll::Ready(Some(Ok(part)));
@@ -218,11 +222,11 @@
         if let Some(refusal) = state.refusal.clone() {
             return Poll::Ready(Some(Err(refusal)));
         }
-        state.reader = Some(cx.waker().clone());
+        state.response_waker = Some(cx.waker().clone());
         Poll::Pending
     }
 
-    /// Waits until some of the request's body may be sent; `None` when the try is over.
+    /// Polls for credit to send more of the request body; `None` if the attempt has finished.
     pub(crate) fn poll_credit(&self, cx: &mut Context<'_>) -> Poll<Option<usize>> {
         let mut state = self.state.lock();
         if state.ended || state.refusal.is_some() {
@@ -231,26 +235,26 @@
         if state.credit > 0 {
             return Poll::Ready(Some(state.credit));
         }
-        state.writer = Some(cx.waker().clone());
+        state.request_waker = Some(cx.waker().clone());
         Poll::Pending
     }
 
-    /// Counts a part of the request's body that went with its head.
+    /// Consumes credit for body bytes that were sent along with the request's head.
     pub(crate) fn use_credit(&self, bytes: usize) {
         let mut state = self.state.lock();
         state.credit = state.credit.saturating_sub(bytes);
     }
 
-    /// Sends a part of the request's body, which must fit the credit.
+    /// Sends a part of the request body. It must not exceed the credit.
     pub(crate) fn send_part(&self, bytes: Bytes, end: bool) {
         let mut state = self.state.lock();
         state.credit = state.credit.saturating_sub(bytes.len());
         let id = self.id;
-        // A closed link settles the try by itself.
+        // If the link is closed, its end resolves the attempt.
         drop(state.link.send([Frame::Body { id, bytes, end }]));
     }
 
-    /// Tells the inbound proxy that nobody waits any more, unless all has come.
+    /// Cancels the call at the inbound proxy, unless the attempt has already finished.
     pub(crate) fn abandon(&self) {
         let mut state = self.state.lock();
         state.abandoned = true;
--- a/crates/node/src/outbound/hedge.rs
+++ b/crates/node/src/outbound/hedge.rs
@@ -1,11 +1,12 @@
-//! A second copy of a call whose first try is late: runs `policy::hedge`.
+//! Hedging: sends a call to a second backend server if the first attempt is slow.
+//! Runs `policy::hedge`.
 
 use crate::outbound::Inner;
 use crate::outbound::pick::pick_without_probes;
 use crate::outbound::plan::Plan;
 use crate::outbound::remote_attempt;
-use crate::outbound::send::{History, Tried, try_once};
-use crate::outbound::serve::{cause_of, refused_outcome};
+use crate::outbound::send::{AttemptHistory, AttemptResult, send_attempt};
+use crate::outbound::serve::{cause_of, outcome_of_cause};
 use crate::outbound::service::PickedEndpoint;
 use crate::outbound::tried::TriedEndpoints;
 use call::Verdict;
@@ -16,8 +17,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Where a copy goes, and its body.
-struct Second<C>
+/// The endpoint picked for a hedge, and the request body to send.
+struct Hedge<C>
 where
     C: Clock,
 {
@@ -25,130 +26,133 @@
     body: remote_attempt::RequestBody,
 }
 
-/// Tries a call for the first time; once it is late, a copy of it elsewhere as well.
+/// Sends the first attempt of a call, and a hedge to another endpoint if the first is slow.
 ///
-/// Gives the try that counts and where it went. `visited` gets the copy's
-/// backend server.
-pub(crate) async fn try_first<C>(
+/// Returns the result that counts and the endpoint that it is from. The hedge's
+/// backend server is added to `visited`.
+pub(crate) async fn send_with_hedge<C>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     head: &request::Parts,
     body: remote_attempt::RequestBody,
     first: PickedEndpoint<C>,
     visited: &mut TriedEndpoints,
-    history: History,
-) -> (Tried<C>, PickedEndpoint<C>)
+    history: AttemptHistory,
+) -> (AttemptResult<C>, PickedEndpoint<C>)
 where
     C: Clock,
 {
     let started = first.started;
-    // Only a body that is held whole can be sent twice. A copy of a request that crashes
-    // backend servers takes one more down.
-    let may = plan.may_hedge() && body.rest.is_none() && !history.is_suspect;
-    let copy = remote_attempt::RequestBody {
+    // Only a body that is completely in memory can be sent twice. Hedging a request that
+    // crashes backend servers would take down one more.
+    let may_hedge = plan.may_hedge() && body.rest.is_none() && !history.is_suspect;
+    let hedge_body = remote_attempt::RequestBody {
         prefix: body.prefix.clone(),
         rest: None,
     };
     let endpoint = first.endpoint.clone();
-    let mut one = pin!(try_once(inner, plan, head, body, &endpoint, history));
-    if let Some(wait) = plan.client.hedge_delay(started, may) {
-        match tokio::time::timeout(wait, one.as_mut()).await {
-            Ok(result) => return (note(inner, plan, started, result), first),
-            Err(_late) => {
-                if let Some(picked) = pick_copy(inner, plan, visited) {
-                    let second = Second { picked, body: copy };
-                    return race(inner, plan, head, one, first, second, visited).await;
+    let mut first_attempt = pin!(send_attempt(inner, plan, head, body, &endpoint, history));
+    if let Some(wait) = plan.client.hedge_delay(started, may_hedge) {
+        match tokio::time::timeout(wait, first_attempt.as_mut()).await {
+            Ok(result) => return (record_first(inner, plan, started, result), first),
+            Err(_elapsed) => {
+                if let Some(picked) = pick_hedge(inner, plan, visited) {
+                    let hedge = Hedge {
+                        picked,
+                        body: hedge_body,
+                    };
+                    return race(inner, plan, head, first_attempt, first, hedge, visited).await;
                 }
             }
         }
     }
-    let result = one.await;
-    (note(inner, plan, started, result), first)
+    let result = first_attempt.await;
+    (record_first(inner, plan, started, result), first)
 }
 
-/// Runs the copy beside the first try; the first answer counts.
+/// Runs the hedge concurrently with the first attempt. The first response counts.
 async fn race<C, F>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     head: &request::Parts,
-    mut one: Pin<&mut F>,
+    mut first_attempt: Pin<&mut F>,
     mut first: PickedEndpoint<C>,
-    second: Second<C>,
+    hedge: Hedge<C>,
     visited: &mut TriedEndpoints,
-) -> (Tried<C>, PickedEndpoint<C>)
+) -> (AttemptResult<C>, PickedEndpoint<C>)
 where
     C: Clock,
-    F: Future<Output = Tried<C>>,
+    F: Future<Output = AttemptResult<C>>,
 {
     let started = first.started;
-    let Second {
-        picked: mut second,
+    let Hedge {
+        picked: mut hedge,
         body,
-    } = second;
-    let endpoint = second.endpoint.clone();
-    let copy = History {
-        reached: 1,
-        ..History::default()
+    } = hedge;
+    let endpoint = hedge.endpoint.clone();
+    let history = AttemptHistory {
+        dispatched: 1,
+        ..AttemptHistory::default()
     };
-    let mut two = pin!(try_once(inner, plan, head, body, &endpoint, copy));
+    let mut hedge_attempt = pin!(send_attempt(inner, plan, head, body, &endpoint, history));
     tokio::select! {
-        result = one.as_mut() => {
-            let result = note(inner, plan, started, result);
-            if matches!(result, Tried::Answered(..)) {
+        result = first_attempt.as_mut() => {
+            let result = record_first(inner, plan, started, result);
+            if matches!(result, AttemptResult::Answered(..)) {
                 plan.client.record_hedge_result(false);
                 return (result, first);
             }
-            first.outcome = outcome_of(&result);
-            (pick_final(result, two.await), second)
+            first.outcome = outcome_of_result(&result);
+            (combine_results(result, hedge_attempt.await), hedge)
         }
-        result = two.as_mut() => {
-            if matches!(result, Tried::Answered(..)) {
+        result = hedge_attempt.as_mut() => {
+            if matches!(result, AttemptResult::Answered(..)) {
                 plan.client.record_hedge_result(true);
                 plan.client.record_first_latency(elapsed(inner, started));
                 first.outcome = Outcome::HedgeWon;
-                return (result, second);
+                return (result, hedge);
             }
-            second.outcome = outcome_of(&result);
-            if second.outcome == Outcome::Full {
-                visited.mark_full(second.key);
+            hedge.outcome = outcome_of_result(&result);
+            if hedge.outcome == Outcome::Full {
+                visited.mark_full(hedge.key);
             }
-            drop(second);
-            let last = note(inner, plan, started, one.await);
-            (pick_final(result, last), first)
+            drop(hedge);
+            let last = record_first(inner, plan, started, first_attempt.await);
+            (combine_results(result, last), first)
         }
     }
 }
 
-/// Gives what counts of a refused try and the one that ended after it.
+/// Combines the result of a refused attempt with that of the attempt that ended after it.
 ///
-/// The caller may be told "not run" only if neither may have run.
-fn pick_final<C>(refused: Tried<C>, last: Tried<C>) -> Tried<C>
+/// The caller may be told "not run" only if neither attempt may have run.
+fn combine_results<C>(refused: AttemptResult<C>, last: AttemptResult<C>) -> AttemptResult<C>
 where
     C: Clock,
 {
-    let ran = |tried: &Tried<C>| match tried {
-        Tried::Answered(..) | Tried::Late(_) => true,
-        Tried::Refused(refused, _) => refused.verdict != Verdict::NotRun,
+    let may_have_run = |result: &AttemptResult<C>| match result {
+        AttemptResult::Answered(..) | AttemptResult::TimedOut(_) => true,
+        AttemptResult::Refused(refused, _) => refused.verdict != Verdict::NotRun,
     };
-    if ran(&refused) && !matches!(last, Tried::Answered(..)) {
+    if may_have_run(&refused) && !matches!(last, AttemptResult::Answered(..)) {
         refused
     } else {
         last
     }
 }
 
-fn outcome_of<C>(tried: &Tried<C>) -> Outcome
+fn outcome_of_result<C>(result: &AttemptResult<C>) -> Outcome
 where
     C: Clock,
 {
-    match tried {
-        Tried::Answered(_, told) => Outcome::Answered(*told),
-        Tried::Refused(refused, _) => refused_outcome(cause_of(*refused)),
-        Tried::Late(_) => Outcome::Failed,
+    match result {
+        AttemptResult::Answered(_, report) => Outcome::Answered(*report),
+        AttemptResult::Refused(refused, _) => outcome_of_cause(cause_of(*refused)),
+        AttemptResult::TimedOut(_) => Outcome::Failed,
     }
 }
 
-fn pick_copy<C>(
+fn pick_hedge<C>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     visited: &mut TriedEndpoints,
@@ -156,22 +160,29 @@
 where
     C: Clock,
 {
-    let second = pick_without_probes(inner, plan, visited.keys(), &[])?;
+    let hedge = pick_without_probes(inner, plan, visited.keys(), &[])?;
     if !plan.client.spend(inner.shared.clock.now()) {
         return None;
     }
-    visited.add(second.key);
-    Some(second)
+    visited.add(hedge.key);
+    Some(hedge)
 }
 
-/// Tells the hedge how the first try went.
-fn note<C>(inner: &Inner<C>, plan: &Plan, started: Instant, result: Tried<C>) -> Tried<C>
+/// Reports the result of the first attempt to the hedge policy.
+fn record_first<C>(
+    inner: &Inner<C>,
+    plan: &Plan,
+    started: Instant,
+    result: AttemptResult<C>,
+) -> AttemptResult<C>
 where
     C: Clock,
 {
     match &result {
-        Tried::Answered(..) => plan.client.record_first_latency(elapsed(inner, started)),
-        Tried::Refused(..) | Tried::Late(_) => plan.client.pause_hedge(inner.shared.clock.now()),
+        AttemptResult::Answered(..) => plan.client.record_first_latency(elapsed(inner, started)),
+        AttemptResult::Refused(..) | AttemptResult::TimedOut(_) => {
+            plan.client.pause_hedge(inner.shared.clock.now());
+        }
     }
     result
 }
--- a/crates/node/src/outbound/keyed.rs
+++ b/crates/node/src/outbound/keyed.rs
@@ -1,13 +1,14 @@
-//! Calls with an `Idempotency-Key`: reserved before they run, answered again from what is kept.
+//! Calls with an `Idempotency-Key`: the key is reserved before the call runs, and repeats get the
+//! stored response.
 
 use crate::inbound::run::{MAX_COMMIT_OVERRUN, Refused};
 use crate::metrics::Ending;
 use crate::outbound::Inner;
 use crate::outbound::plan::{Plan, time_left};
 use crate::outbound::remote_attempt;
-use crate::outbound::response::{Body, VERDICT_HEADER, tell};
-use crate::outbound::send::Late;
-use crate::outbound::serve::{Served, serve_plan};
+use crate::outbound::response::{Body, VERDICT_HEADER, respond};
+use crate::outbound::send::PendingAttempt;
+use crate::outbound::serve::{ServedCall, serve_plan};
 use crate::reserve::{ClaimResult, Grant};
 use bytes::{Bytes, BytesMut};
 use call::Verdict;
@@ -19,76 +20,82 @@
 use tokio::sync::oneshot;
 use wire::call::Reason;
 
-/// Header of an answer that was given before.
+/// Header that marks a stored response to a repeated call.
 const REPLAYED_HEADER: HeaderName = HeaderName::from_static("idempotent-replayed");
 
-/// When to ask again about a key that another call holds, in milliseconds: most calls have ended by then.
+/// Retry delay for a key that another call holds, in milliseconds. Most calls end within this time.
 const IN_USE_RETRY_MS: u32 = 1_000;
 
-/// Serves a call under its key.
+/// Serves a call with an idempotency key.
 ///
-/// It goes on when its caller goes away: a caller whose connection broke asks
-/// again under the same key, and then gets the answer of this run, where a run
-/// broken off half way would leave it with "may have run".
+/// The call continues if its caller disconnects. A caller whose connection
+/// broke repeats the call with the same key and then gets the response of this
+/// run. If the run were aborted, the repeat could only be told "may have run".
 pub(crate) async fn serve_keyed<C>(
     inner: &Arc<Inner<C>>,
     plan: &Arc<Plan>,
     key: Key,
     head: request::Parts,
     body: remote_attempt::RequestBody,
-) -> Served<C>
+) -> ServedCall<C>
 where
     C: Clock,
 {
     let (inner, plan) = (Arc::clone(inner), Arc::clone(plan));
-    let counted = inner.count_keyed();
-    let (tell, told) = oneshot::channel();
+    let counted = inner.begin_keyed();
+    let (sender, receiver) = oneshot::channel();
     tokio::spawn(async move {
-        let (served, open) = claim_and_run(&inner, &plan, key, &head, body).await;
-        // A caller who has gone away repeats, and is answered from the key.
-        drop(tell.send(served));
+        let (served, unresolved) = claim_and_run(&inner, &plan, key, &head, body).await;
+        // A caller that has disconnected gets the stored response when it repeats the call.
+        drop(sender.send(served));
         drop(counted);
-        if let Some((grant, late)) = open {
-            settle_late(&inner, grant, late).await;
+        if let Some((grant, pending)) = unresolved {
+            resolve_pending(&inner, grant, pending).await;
         }
     });
-    // The task has no way to end early but a panic, which is a bug.
-    told.await.expect("a keyed call runs to its end")
+    // The task sends the response unless it panics, which would be a bug.
+    receiver
+        .await
+        .expect("the task of a call with a key sends its response")
 }
 
-/// Learns what became of a call after its deadline, for the repeats under its key.
+/// Waits past the deadline for the outcome of a call, so that repeats with its key get it.
 ///
-/// A node that was stopped for seconds knows the outcome once it goes on.
-/// Without the question, every repeat would be told "may have run" for good.
-async fn settle_late<C>(inner: &Inner<C>, grant: Grant, late: Late<C>)
+/// A node that was stopped for seconds knows the outcome once it resumes.
+/// Without waiting for it, every repeat would be told "may have run" forever.
+async fn resolve_pending<C>(inner: &Inner<C>, grant: Grant, pending: PendingAttempt<C>)
 where
     C: Clock,
 {
-    match tokio::time::timeout(MAX_COMMIT_OVERRUN, late.settle()).await {
-        Ok(Ok(response)) => drop(settle(inner, grant, response).await),
+    match tokio::time::timeout(MAX_COMMIT_OVERRUN, pending.wait()).await {
+        Ok(Ok(response)) => drop(update_reservation(inner, grant, response).await),
         Ok(Err(refused)) if refused.verdict == Verdict::NotRun => inner.reserve.release(grant),
         Ok(Err(_)) | Err(_) => {}
     }
 }
 
-/// Says what an answer tells of the key.
-async fn settle<C>(inner: &Inner<C>, grant: Grant, response: Response<Body<C>>) -> Response<Body<C>>
+/// Updates the reservation of the key according to the response.
+async fn update_reservation<C>(
+    inner: &Inner<C>,
+    grant: Grant,
+    response: Response<Body<C>>,
+) -> Response<Body<C>>
 where
     C: Clock,
 {
     match verdict_of(&response) {
-        Some(Verdict::Ran) => keep_answer(inner, grant, response).await,
+        Some(Verdict::Ran) => store_response(inner, grant, response).await,
         Some(Verdict::NotRun) => {
             inner.reserve.release(grant);
             response
         }
-        // Nobody knows, and the key says so from now on.
+        // The outcome is unknown, and the reservation keeps saying so.
         Some(Verdict::MayHaveRun) | None => response,
     }
 }
 
-/// A key that is granted, and the try whose outcome is open.
-type Open<C> = (Grant, Late<C>);
+/// A granted reservation, and the attempt whose outcome is unknown.
+type Unresolved<C> = (Grant, PendingAttempt<C>);
 
 async fn claim_and_run<C>(
     inner: &Arc<Inner<C>>,
@@ -96,7 +103,7 @@
     key: Key,
     head: &request::Parts,
     body: remote_attempt::RequestBody,
-) -> (Served<C>, Option<Open<C>>)
+) -> (ServedCall<C>, Option<Unresolved<C>>)
 where
     C: Clock,
 {
@@ -105,27 +112,27 @@
     let id = inner.links.next_id();
     let limit = time_left(inner, plan.deadline);
     match inner.reserve.claim(key, fingerprint, id, limit).await {
-        ClaimResult::Granted(grant) => run(inner, plan, grant, head, body).await,
-        ClaimResult::NotGranted(reply) => (answer_told(reply), None),
+        ClaimResult::Granted(grant) => run_claimed(inner, plan, grant, head, body).await,
+        ClaimResult::NotGranted(reply) => (respond_to_claim(reply), None),
     }
 }
 
-/// Runs a call that holds its key, and says what became of it.
-async fn run<C>(
+/// Runs a call whose key was granted, and updates the reservation with the outcome.
+async fn run_claimed<C>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     grant: Grant,
     head: &request::Parts,
     body: remote_attempt::RequestBody,
-) -> (Served<C>, Option<Open<C>>)
+) -> (ServedCall<C>, Option<Unresolved<C>>)
 where
     C: Clock,
 {
     let mut served = serve_plan(inner, plan, head, body).await;
-    if let Some(late) = served.late.take() {
-        return (served, Some((grant, late)));
+    if let Some(pending) = served.pending.take() {
+        return (served, Some((grant, pending)));
     }
-    served.response = settle(inner, grant, served.response).await;
+    served.response = update_reservation(inner, grant, served.response).await;
     (served, None)
 }
 
@@ -138,8 +145,8 @@
     all.into_iter().find(|verdict| value == verdict.as_str())
 }
 
-/// Keeps an answer for repeats, if it is short and comes whole.
-async fn keep_answer<C>(
+/// Stores a response for repeats of the call, if it is complete and not too large.
+async fn store_response<C>(
     inner: &Inner<C>,
     grant: Grant,
     response: Response<Body<C>>,
@@ -148,56 +155,57 @@
     C: Clock,
 {
     let (parts, mut body) = response.into_parts();
-    let mut whole = BytesMut::new();
-    let mut ended = false;
-    while whole.len() <= MAX_ANSWER_BYTES {
+    let mut collected = BytesMut::new();
+    let mut is_complete = false;
+    while collected.len() <= MAX_ANSWER_BYTES {
         match body.frame().await {
-            Some(Ok(frame)) => whole.extend_from_slice(&frame.into_data().unwrap_or_default()),
+            Some(Ok(frame)) => collected.extend_from_slice(&frame.into_data().unwrap_or_default()),
             Some(Err(_)) => break,
             None => {
-                ended = true;
+                is_complete = true;
                 break;
             }
         }
     }
-    let whole = whole.freeze();
-    let answer = ended.then(|| Answer {
+    let collected = collected.freeze();
+    let answer = is_complete.then(|| Answer {
         status: parts.status.as_u16(),
         headers: crate::header::collect_end_to_end(&parts.headers),
-        body: whole.clone(),
+        body: collected.clone(),
     });
     inner.reserve.complete(grant, answer);
-    let body = if ended {
-        Body::Whole((!whole.is_empty()).then_some(whole))
+    let body = if is_complete {
+        Body::Full((!collected.is_empty()).then_some(collected))
     } else {
-        Body::Started(Some(whole), Box::new(body))
+        Body::Prefixed(Some(collected), Box::new(body))
     };
     Response::from_parts(parts, body)
 }
 
-/// Answers a call whose key another one holds, or that could not be reserved.
-fn answer_told<C>(reply: Reply) -> Served<C>
+/// Responds to a call that was not granted its key: another call holds the key or has used it, or
+/// the key could not be reserved.
+fn respond_to_claim<C>(reply: Reply) -> ServedCall<C>
 where
     C: Clock,
 {
     match reply {
-        Reply::Known(answer) => answer_again(&answer).into(),
-        Reply::Ran => Served {
-            response: tell(StatusCode::CONFLICT, Verdict::Ran, "answer-not-kept", 0),
+        Reply::Known(answer) => replay(&answer).into(),
+        Reply::Ran => ServedCall {
+            response: respond(StatusCode::CONFLICT, Verdict::Ran, "answer-not-kept", 0),
             ending: Ending::Refused(Verdict::Ran),
-            late: None,
+            pending: None,
         },
-        Reply::Granted | Reply::Unsettled => Served {
-            response: tell(
+        Reply::Granted | Reply::Unsettled => ServedCall {
+            response: respond(
                 StatusCode::CONFLICT,
                 Verdict::MayHaveRun,
                 "key-in-use",
                 IN_USE_RETRY_MS,
             ),
             ending: Ending::Refused(Verdict::MayHaveRun),
-            late: None,
+            pending: None,
         },
-        Reply::Mismatch => tell(
+        Reply::Mismatch => respond(
             StatusCode::UNPROCESSABLE_ENTITY,
             Verdict::NotRun,
             "key-of-another-request",
@@ -210,12 +218,12 @@
     }
 }
 
-fn answer_again<C>(answer: &Answer) -> Response<Body<C>>
+fn replay<C>(answer: &Answer) -> Response<Body<C>>
 where
     C: Clock,
 {
     let body: Bytes = answer.body.clone();
-    let mut response = Response::new(Body::Whole((!body.is_empty()).then_some(body)));
+    let mut response = Response::new(Body::Full((!body.is_empty()).then_some(body)));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
     crate::header::append_headers(answer.headers.clone(), headers);
--- a/crates/node/src/outbound/remote_attempt.rs
+++ b/crates/node/src/outbound/remote_attempt.rs
@@ -1,4 +1,4 @@
-//! A try that was sent, and the caller's body that follows it.
+//! An attempt that was sent over a link, and the request body that is streamed after it.
 
 use crate::inbound::response_stream::MAX_CHUNK;
 use crate::outbound::attempt::Attempt;
@@ -12,30 +12,30 @@
 use std::task::{Context, Poll};
 use wire::call::{Answer, Reason, Refusal};
 
-/// A try that was sent; dropping it tells the inbound proxy that nobody waits any more.
+/// An attempt that was sent over a link. Dropping it cancels the call at the inbound proxy.
 #[derive(Debug)]
 pub(crate) struct RemoteAttempt {
-    one: Arc<Attempt>,
+    attempt: Arc<Attempt>,
     link: Arc<Link>,
-    /// What is left of the caller's body.
+    /// The part of the request body that has not been sent.
     pub(crate) body: RequestBody,
-    /// Whether some of the body's rest is used up, so that it can't be sent again.
-    pub(crate) used: bool,
-    /// Whether the request has gone out to its end.
-    done: bool,
+    /// Whether any of the body's rest has been read. If so, the body can't be sent again.
+    pub(crate) rest_read: bool,
+    /// Whether the whole request has been sent, or sending has stopped.
+    sending_done: bool,
 }
 
-/// A request's body, of which the start is held so that another try can send it again.
+/// A request body. Its start is kept in memory so that another attempt can send it again.
 #[derive(Debug, Default)]
 pub(crate) struct RequestBody {
-    /// The start.
+    /// The bytes kept in memory.
     pub(crate) prefix: Bytes,
-    /// Where the rest comes from, if there is any.
+    /// The caller's stream with the rest of the body, if there is any.
     pub(crate) rest: Option<Incoming>,
 }
 
 impl RequestBody {
-    /// Gives its length, as far as it is known: all of it, or what is held.
+    /// Returns the body's length if it is known, otherwise a lower bound.
     pub(crate) fn length(&self) -> u64 {
         let rest = self
             .rest
@@ -46,84 +46,84 @@
 }
 
 impl RemoteAttempt {
-    /// Follows a try whose request went out with the first `gone` bytes of `body.prefix`.
+    /// Wraps an attempt whose request was sent with the first `sent` bytes of `body.prefix`.
     pub(crate) fn new(
-        one: Arc<Attempt>,
+        attempt: Arc<Attempt>,
         link: Arc<Link>,
         mut body: RequestBody,
-        gone: usize,
+        sent: usize,
     ) -> Self {
-        body.prefix = body.prefix.split_off(gone);
-        one.use_credit(gone);
-        let done = body.prefix.is_empty() && body.rest.is_none();
+        body.prefix = body.prefix.split_off(sent);
+        attempt.use_credit(sent);
+        let sending_done = body.prefix.is_empty() && body.rest.is_none();
         Self {
-            one,
+            attempt,
             link,
             body,
-            used: false,
-            done,
+            rest_read: false,
+            sending_done,
         }
     }
 
-    /// Gives the body back for another try, from its start `ready` on, if none of its rest is used up.
-    pub(crate) fn take_back(&mut self, ready: Bytes) -> Option<RequestBody> {
-        (!self.used).then(|| RequestBody {
-            prefix: ready,
+    /// Returns the body, with `prefix` as its start, for another attempt, if none of the rest has been read.
+    pub(crate) fn take_back(&mut self, prefix: Bytes) -> Option<RequestBody> {
+        (!self.rest_read).then(|| RequestBody {
+            prefix,
             rest: self.body.rest.take(),
         })
     }
 
-    /// Waits for the head of the answer, and sends on the body meanwhile.
+    /// Polls for the response head, and sends more of the request body meanwhile.
     pub(crate) fn poll_head(&mut self, cx: &mut Context<'_>) -> Poll<Result<Answer, Refusal>> {
-        self.send_on(cx);
-        self.one.poll_head(cx)
+        self.send_body(cx);
+        self.attempt.poll_head(cx)
     }
 
-    /// Waits for the next part of the answer's body, and sends on the request's meanwhile.
+    /// Polls for the next part of the response body, and sends more of the request body meanwhile.
     pub(crate) fn poll_part(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Refusal>>> {
-        self.send_on(cx);
-        self.one.poll_part(cx)
+        self.send_body(cx);
+        self.attempt.poll_part(cx)
     }
 
-    /// Tells whether the answer has ended.
+    /// Returns whether the whole response has been read.
     pub(crate) fn is_end(&self) -> bool {
-        self.one.is_consumed()
+        self.attempt.is_consumed()
     }
 
-    fn send_on(&mut self, cx: &mut Context<'_>) {
-        while !self.done {
+    fn send_body(&mut self, cx: &mut Context<'_>) {
+        while !self.sending_done {
             if self.body.prefix.is_empty() && self.body.rest.is_some() {
                 if !self.poll_rest(cx) {
                     return;
                 }
                 continue;
             }
-            let mut room = 0;
-            // The end alone needs no room.
+            let mut credit = 0;
+            // An empty part that only marks the end needs no credit.
             if !self.body.prefix.is_empty() {
-                match self.one.poll_credit(cx) {
-                    Poll::Ready(Some(credit)) => room = credit.min(MAX_CHUNK),
-                    Poll::Ready(None) => self.done = true,
+                match self.attempt.poll_credit(cx) {
+                    Poll::Ready(Some(available)) => credit = available.min(MAX_CHUNK),
+                    Poll::Ready(None) => self.sending_done = true,
                     Poll::Pending => return,
                 }
             }
-            if !self.done {
-                self.send_part(room);
+            if !self.sending_done {
+                self.send_part(credit);
             }
         }
     }
 
-    fn send_part(&mut self, room: usize) {
-        let length = self.body.prefix.len().min(room);
+    fn send_part(&mut self, credit: usize) {
+        let length = self.body.prefix.len().min(credit);
         let part = self.body.prefix.split_to(length);
-        self.done = self.body.prefix.is_empty() && self.body.rest.is_none();
-        self.one.send_part(part, self.done);
+        self.sending_done = self.body.prefix.is_empty() && self.body.rest.is_none();
+        self.attempt.send_part(part, self.sending_done);
     }
 
-    /// Takes more of the caller's body; false when there is none now.
+    /// Polls the caller's stream for more of the body. Returns false if nothing is available now.
     fn poll_rest(&mut self, cx: &mut Context<'_>) -> bool {
         let Some(rest) = &mut self.body.rest else {
             return false;
@@ -131,15 +131,15 @@
         let Poll::Ready(next) = Pin::new(&mut *rest).poll_frame(cx) else {
             return false;
         };
-        self.used = true;
+        self.rest_read = true;
         let ended = next.is_none() || rest.is_end_stream();
         match next {
             Some(Ok(frame)) => self.body.prefix = frame.into_data().unwrap_or_default(),
-            // Half a body must not pass for the whole: no end is sent.
+            // A truncated body must not look complete, so no end is sent.
             Some(Err(_)) => {
-                self.done = true;
-                self.one.abandon();
-                self.one.fail(Verdict::MayHaveRun, Reason::Cancelled);
+                self.sending_done = true;
+                self.attempt.abandon();
+                self.attempt.fail(Verdict::MayHaveRun, Reason::Cancelled);
             }
             None => {}
         }
@@ -152,7 +152,7 @@
 
 impl Drop for RemoteAttempt {
     fn drop(&mut self) {
-        self.one.abandon();
-        self.link.forget(self.one.id);
+        self.attempt.abandon();
+        self.link.forget(self.attempt.id);
     }
 }
--- a/crates/node/src/outbound/resolve.rs
+++ b/crates/node/src/outbound/resolve.rs
@@ -1,4 +1,4 @@
-//! What became of the tries of a link that ended.
+//! Determines the outcome of attempts whose link ended.
 
 use crate::outbound::attempt::Attempt;
 use crate::outbound::link::LinkPool;
@@ -10,13 +10,13 @@
 use tokio::sync::mpsc;
 use wire::call::Reason;
 
-/// First pause before another try to reach a peer that owes outcomes; doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Initial delay between attempts to reconnect to the peer; doubles each time.
+const INITIAL_RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest pause between tries to reach a peer that owes outcomes.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// Maximum delay between attempts to reconnect to the peer.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(800);
 
-/// A link that ended, with the tries whose outcome must be asked for.
+/// A link that ended, with the attempts whose outcome only the peer knows.
 #[derive(Debug)]
 pub(crate) struct EndedLink {
     pub(crate) peer: Arc<Peer>,
@@ -24,66 +24,67 @@
     pub(crate) unresolved: Vec<Arc<Attempt>>,
 }
 
-/// Settles the tries of each link that ends.
+/// Resolves the attempts of each link that ends.
 pub(crate) async fn resolve_all(
     links: Weak<LinkPool>,
     mut ended: mpsc::UnboundedReceiver<EndedLink>,
 ) {
-    while let Some(one) = ended.recv().await {
+    while let Some(link) = ended.recv().await {
         let Some(links) = links.upgrade() else {
             return;
         };
-        tokio::spawn(resolve(links, one));
+        tokio::spawn(resolve(links, link));
     }
 }
 
-/// Ends the tries whose outcome needs no asking and gives the others.
-pub(crate) fn resolve_known(tries: Vec<Arc<Attempt>>) -> Vec<Arc<Attempt>> {
+/// Finishes the attempts whose outcome is known without the peer, and returns the others.
+pub(crate) fn resolve_known(attempts: Vec<Arc<Attempt>>) -> Vec<Arc<Attempt>> {
     let mut unresolved = Vec::new();
-    for one in tries {
-        if !one.was_written() {
-            one.fail(Verdict::NotRun, Reason::Backend);
-        } else if one.repeatable {
-            one.fail(Verdict::MayHaveRun, Reason::Backend);
+    for attempt in attempts {
+        if !attempt.was_written() {
+            attempt.fail(Verdict::NotRun, Reason::Backend);
+        } else if attempt.repeatable {
+            attempt.fail(Verdict::MayHaveRun, Reason::Backend);
         } else {
-            unresolved.push(one);
+            unresolved.push(attempt);
         }
     }
     unresolved
 }
 
-/// Asks the peer, over a new link, what became of the tries of one that ended.
+/// Asks the peer, over a new link, for the outcome of the attempts of the ended link.
 ///
-/// A link that goes silent may have delivered its requests or lost them. The
-/// peer's table of calls knows, but only in the process that got them: after
-/// a restart nobody can say that a call has not run.
+/// A link that stopped responding may have delivered its requests or lost them.
+/// The peer's call table has the answer, but only within the process that
+/// received the requests. After a restart it is impossible to say that a call
+/// has not run.
 async fn resolve(links: Arc<LinkPool>, ended: EndedLink) {
     let EndedLink {
         peer,
         incarnation,
         mut unresolved,
     } = ended;
-    let mut pause = FIRST_PAUSE;
+    let mut delay = INITIAL_RECONNECT_DELAY;
     loop {
-        unresolved.retain(|one| !one.is_abandoned());
+        unresolved.retain(|attempt| !attempt.is_abandoned());
         if unresolved.is_empty() {
             return;
         }
         match links.connect(&peer).await {
             Ok(link) if link.incarnation == incarnation => {
-                for one in &unresolved {
-                    link.query_outcome(one);
+                for attempt in &unresolved {
+                    link.query_outcome(attempt);
                 }
                 return;
             }
             Err(wire::Error::Io(error)) if error.kind() == io::ErrorKind::TimedOut => {}
-            // The process that got them is gone, and its table of calls with it.
+            // The process that received the requests has ended, and its call table is lost.
             Ok(_) | Err(_) => break,
         }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(delay).await;
+        delay = (delay * 2).min(MAX_RECONNECT_DELAY);
     }
-    for one in unresolved {
-        one.fail(Verdict::MayHaveRun, Reason::Backend);
+    for attempt in unresolved {
+        attempt.fail(Verdict::MayHaveRun, Reason::Backend);
     }
 }
--- a/crates/node/src/outbound/response.rs
+++ b/crates/node/src/outbound/response.rs
@@ -1,4 +1,4 @@
-//! What callers get: answers, and refusals with their verdict.
+//! Responses to callers: those of backend servers, and refusals with their verdict.
 
 use crate::backend;
 use crate::inbound::run::{BackendResponse, Refused};
@@ -16,48 +16,49 @@
 use std::time::Duration;
 use wire::call::{Reason, Refusal};
 
-/// Header with the verdict.
+/// Header with the [`Verdict`] on a call.
 pub const VERDICT_HEADER: HeaderName = HeaderName::from_static(Verdict::HEADER);
 
-/// Header beside `Retry-After`, which knows only whole seconds, in milliseconds.
+/// Retry delay in milliseconds, sent along with `Retry-After`, which has a resolution of one second.
 pub const RETRY_AFTER_HEADER: HeaderName = HeaderName::from_static("bluebellpick-retry-after-ms");
 
-/// Least wait that a caller is told when nobody knows a better one: a list of
-/// endpoints follows a change, and a node its restart, within a second.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Minimum retry delay for callers when no better estimate is known. Within a second, endpoint
+/// lists reflect a change and a restarted node is back.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 quick_error! {
-    /// Why an answer broke off.
+    /// Why a response body ended early.
     #[derive(Debug)]
     pub enum Error {
-        /// It can't come whole; the connection to the caller is closed, so that it sees no end.
-        BrokenOff {
-            display("the answer broke off")
+        /// The rest of the body is unavailable. The caller's connection is closed without an
+        /// end of the body, so that the caller doesn't take the response for complete.
+        Truncated {
+            display("the response body ended before it was complete")
         }
     }
 }
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 #[derive(Debug)]
 pub enum Body<C>
 where
     C: Clock,
 {
-    /// This node's own words.
-    Whole(Option<Bytes>),
-    /// From the backend server of another node.
+    /// A complete body that is held in memory.
+    Full(Option<Bytes>),
+    /// A body that another node's backend server sends.
     Remote(Remote),
-    /// One of the others, of which the start has been taken already.
-    Started(Option<Bytes>, Box<Body<C>>),
-    /// From the backend server on the same VM.
+    /// A body whose start has already been read.
+    Prefixed(Option<Bytes>, Box<Body<C>>),
+    /// A body that the backend server on the same VM sends.
     Local(Local<C>),
 }
 
-/// The body of an answer that comes over a link.
+/// The body of a response that is received over a link.
 #[derive(Debug)]
 pub struct Remote(pub(crate) RemoteAttempt);
 
-/// The body of an answer from the backend server on the same VM.
+/// The body of a response from the backend server on the same VM.
 #[derive(Debug)]
 pub struct Local<C>(pub(crate) BackendResponse<C>)
 where
@@ -75,18 +76,18 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
-            Self::Started(first, rest) => match first.take() {
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
+            Self::Prefixed(first, rest) => match first.take() {
                 Some(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
                 None => Pin::new(&mut **rest).poll_frame(cx),
             },
-            Self::Remote(Remote(sent)) => sent.poll_part(cx).map(|part| {
-                part.map(|got| got.map(Frame::data).map_err(|_refusal| Error::BrokenOff))
+            Self::Remote(Remote(attempt)) => attempt.poll_part(cx).map(|part| {
+                part.map(|result| result.map(Frame::data).map_err(|_refusal| Error::Truncated))
             }),
             Self::Local(Local(running)) => running.poll_part(cx).map(|part| {
-                part.map(|got| match got {
+                part.map(|result| match result {
                     Ok(bytes) => Ok(Frame::data(bytes)),
-                    Err(backend::Error::Connect | backend::Error::Broken) => Err(Error::BrokenOff),
+                    Err(backend::Error::Connect | backend::Error::Broken) => Err(Error::Truncated),
                 })
             }),
         }
@@ -94,17 +95,17 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_none(),
-            Self::Started(first, rest) => first.is_none() && rest.is_end_stream(),
-            Self::Remote(Remote(sent)) => sent.is_end(),
+            Self::Full(bytes) => bytes.is_none(),
+            Self::Prefixed(first, rest) => first.is_none() && rest.is_end_stream(),
+            Self::Remote(Remote(attempt)) => attempt.is_end(),
             Self::Local(Local(running)) => running.is_end(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
-            Self::Started(..) | Self::Remote(_) | Self::Local(_) => SizeHint::default(),
+            Self::Full(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
+            Self::Prefixed(..) | Self::Remote(_) | Self::Local(_) => SizeHint::default(),
         }
     }
 }
@@ -120,13 +121,14 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Words<'a> {
+struct ErrorBody<'a> {
     verdict: &'a str,
     reason: &'a str,
     retry_after_ms: u32,
 }
 
-/// Tells a caller that a call got no answer, whether it may have run and when to come back.
+/// Creates the response to a call that no backend server answered: the verdict, the reason and
+/// when to retry.
 pub(crate) fn refuse<C>(refused: Refused) -> Response<Body<C>>
 where
     C: Clock,
@@ -137,28 +139,28 @@
         _ => StatusCode::BAD_GATEWAY,
     };
     let wait = match (refused.verdict, refused.retry_after_ms) {
-        (Verdict::NotRun, 0) => draw_wait(),
+        (Verdict::NotRun, 0) => jittered_retry_after(),
         (_, wait) => wait,
     };
-    tell(status, refused.verdict, reason_name(refused.reason), wait)
+    respond(status, refused.verdict, reason_name(refused.reason), wait)
 }
 
-/// Draws a wait, so that those who were refused together don't come back together.
-fn draw_wait() -> u32 {
-    let wait = policy::backoff::add_jitter(RETRY_AFTER, &mut rand::rng());
+/// Returns a random retry delay, so that callers refused at the same time don't retry together.
+fn jittered_retry_after() -> u32 {
+    let wait = policy::backoff::add_jitter(MIN_RETRY_AFTER, &mut rand::rng());
     whole_ms(wait)
 }
 
-/// Answers a call that was not tried, with the fault that the caller can mend.
+/// Creates the response to a call that was not attempted, for a reason that the caller can fix.
 pub(crate) fn reject<C>(status: StatusCode, reason: &str) -> Response<Body<C>>
 where
     C: Clock,
 {
-    tell(status, Verdict::NotRun, reason, 0)
+    respond(status, Verdict::NotRun, reason, 0)
 }
 
-/// Answers in this node's own words.
-pub(crate) fn tell<C>(
+/// Creates a response generated by this node, with a JSON body.
+pub(crate) fn respond<C>(
     status: StatusCode,
     verdict: Verdict,
     reason: &str,
@@ -167,14 +169,14 @@
 where
     C: Clock,
 {
-    let words = Words {
+    let body = ErrorBody {
         verdict: verdict.as_str(),
         reason,
         retry_after_ms,
     };
-    let mut json = serde_json::to_vec(&words).unwrap_or_default();
+    let mut json = serde_json::to_vec(&body).unwrap_or_default();
     json.push(b'\n');
-    let mut response = Response::new(Body::Whole(Some(json.into())));
+    let mut response = Response::new(Body::Full(Some(json.into())));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(
@@ -190,6 +192,7 @@
     response
 }
 
+/// Returns a reason's name in responses, log lines and metrics.
 pub(crate) fn reason_name(reason: Reason) -> &'static str {
     match reason {
         Reason::Leaving => "leaving",
--- a/crates/node/src/outbound/serve.rs
+++ b/crates/node/src/outbound/serve.rs
@@ -1,15 +1,15 @@
-//! How the outbound proxy serves one call of a caller.
+//! Serves one call: plans it, sends attempts and responds to the caller.
 
 use crate::inbound::run::Refused;
 use crate::metrics::Ending;
 use crate::outbound::Inner;
-use crate::outbound::hedge::try_first;
+use crate::outbound::hedge::send_with_hedge;
 use crate::outbound::keyed::serve_keyed;
 use crate::outbound::pick::{pick, pick_owner, pick_trial};
 use crate::outbound::plan::{Plan, digest_of, host_of, make_plan, read_body_start, time_left};
 use crate::outbound::remote_attempt;
 use crate::outbound::response::{Body, refuse, reject};
-use crate::outbound::send::{History, Late, Tried, try_once};
+use crate::outbound::send::{AttemptHistory, AttemptResult, PendingAttempt, send_attempt};
 use crate::outbound::service::{BodySize, PickedEndpoint};
 use crate::outbound::tell::{
     AnsweredCall, log_answer, log_failed_attempt, log_refused_call, log_unrouted_call,
@@ -28,19 +28,20 @@
 use std::time::{Duration, Instant};
 use wire::call::{MAX_EAGER_BODY, Reason};
 
-/// A call's answer, and how it counts.
-pub(crate) struct Served<C>
+/// The response to a call, and its outcome for the statistics.
+pub(crate) struct ServedCall<C>
 where
     C: Clock,
 {
     pub(crate) response: Response<Body<C>>,
     pub(crate) ending: Ending,
-    /// What was sent and came to nothing by the deadline.
-    pub(crate) late: Option<Late<C>>,
+    /// An attempt without a result by the deadline.
+    pub(crate) pending: Option<PendingAttempt<C>>,
 }
 
-/// Counts a call for the report on burn; one that is dropped was cancelled.
-struct Count<'a, C>
+/// Records a call in the error-budget report when dropped. The call counts as cancelled unless
+/// `ending` has been set.
+struct CallRecord<'a, C>
 where
     C: Clock,
 {
@@ -51,7 +52,7 @@
     ending: Ending,
 }
 
-impl<C> Drop for Count<'_, C>
+impl<C> Drop for CallRecord<'_, C>
 where
     C: Clock,
 {
@@ -63,12 +64,13 @@
     }
 }
 
-/// Refuses a call whose path has no route, or one whose service has no endpoint, which burns.
+/// Refuses a call without a route, or one to a service without endpoints. The latter counts against
+/// the error budget.
 fn refuse_unrouted<C>(inner: &Inner<C>, view: &View, head: &request::Parts) -> Response<Body<C>>
 where
     C: Clock,
 {
-    // A node that has just started knows no routes yet; that is not the caller's fault.
+    // A node that has just started has no routes yet, so the caller's path may well be right.
     let (host, path) = (host_of(head), head.uri.path());
     if view.version() == Version::ZERO {
         log_unrouted_call(inner, head, "no-version");
@@ -79,7 +81,7 @@
         return reject(StatusCode::NOT_FOUND, "no-route");
     };
     log_unrouted_call(inner, head, "no-endpoint");
-    drop(Count {
+    drop(CallRecord {
         inner,
         service: &withheld.service,
         objective: withheld.objective,
@@ -89,7 +91,7 @@
     refuse(Refused::not_run(Reason::NoService, 0))
 }
 
-/// Serves one call.
+/// Serves one call and returns the response for the caller.
 pub(crate) async fn serve<C>(
     inner: &Arc<Inner<C>>,
     request: Request<Incoming>,
@@ -106,15 +108,16 @@
     };
     drop(view);
     let service = plan.service.clone();
-    let mut count = Count {
+    let mut record = CallRecord {
         inner,
         service: &service,
         objective,
         started,
         ending: Ending::Cancelled,
     };
-    let taken = tokio::time::timeout(time_left(inner, plan.deadline), read_body_start(body)).await;
-    let body = match taken {
+    let received =
+        tokio::time::timeout(time_left(inner, plan.deadline), read_body_start(body)).await;
+    let body = match received {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => return reject(StatusCode::BAD_REQUEST, "body-cut-off"),
         Err(_) => return reject(StatusCode::REQUEST_TIMEOUT, "body-late"),
@@ -123,11 +126,11 @@
         plan.body_size = BodySize::Large;
     }
     plan.digest = digest_of(&plan, &head, &body);
-    if let RequestStatus::Held { wait } = judge(inner, &plan) {
+    if let RequestStatus::Held { wait } = request_status(inner, &plan) {
         let refused = Refused::held(wait);
         inner.shared.metrics.quarantine.count_refused();
         log_refused_call(inner, &plan, refused, started, 0);
-        count.ending = Ending::Refused(Verdict::NotRun);
+        record.ending = Ending::Refused(Verdict::NotRun);
         return refuse(refused);
     }
     let plan = Arc::new(plan);
@@ -135,11 +138,11 @@
         Some(key) => serve_keyed(inner, &plan, key, head, body).await,
         None => serve_plan(inner, &plan, &head, body).await,
     };
-    count.ending = served.ending;
+    record.ending = served.ending;
     served.response
 }
 
-impl<C> From<Refused> for Served<C>
+impl<C> From<Refused> for ServedCall<C>
 where
     C: Clock,
 {
@@ -147,12 +150,12 @@
         Self {
             response: refuse(refused),
             ending: Ending::Refused(refused.verdict),
-            late: None,
+            pending: None,
         }
     }
 }
 
-impl<C> From<Response<Body<C>>> for Served<C>
+impl<C> From<Response<Body<C>>> for ServedCall<C>
 where
     C: Clock,
 {
@@ -160,95 +163,96 @@
         Self {
             ending: Ending::Answered(response.status().as_u16()),
             response,
-            late: None,
+            pending: None,
         }
     }
 }
 
-/// Tries a call until it is answered or its final refusal is known.
+/// Sends attempts of a call until one is answered or no further attempt is allowed.
 pub(crate) async fn serve_plan<C>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     head: &request::Parts,
     mut body: remote_attempt::RequestBody,
-) -> Served<C>
+) -> ServedCall<C>
 where
     C: Clock,
 {
     let started = inner.shared.clock.now();
     let mut visited = TriedEndpoints::default();
-    let mut history = History::default();
-    let mut last = None;
-    // What the caller is told in the end.
-    let mut told = Refused::not_run(Reason::NoService, 0);
-    for tries in 1.. {
-        let mut picked = match pick_next(inner, plan, &mut visited, last, &mut history).await {
+    let mut history = AttemptHistory::default();
+    let mut last_cause = None;
+    // The refusal for the caller if no attempt is answered.
+    let mut final_refusal = Refused::not_run(Reason::NoService, 0);
+    for attempts in 1.. {
+        let mut picked = match pick_next(inner, plan, &mut visited, last_cause, &mut history).await
+        {
             Ok(Some(picked)) => picked,
             Ok(None) => break,
             Err(refused) => {
-                told = weigh(told, refused);
+                final_refusal = combine_refusals(final_refusal, refused);
                 break;
             }
         };
         visited.add(picked.key);
-        let tried_once = if tries == 1 {
-            let (result, winner) =
-                try_first(inner, plan, head, body, picked, &mut visited, history).await;
+        let result = if attempts == 1 {
+            let (first_result, winner) =
+                send_with_hedge(inner, plan, head, body, picked, &mut visited, history).await;
             picked = winner;
-            result
+            first_result
         } else {
-            try_once(inner, plan, head, body, &picked.endpoint, history).await
+            send_attempt(inner, plan, head, body, &picked.endpoint, history).await
         };
-        count_try(inner, plan, &picked, &tried_once);
-        let (refused, back) = match tried_once {
-            Tried::Answered(response, told) => {
-                picked.outcome = answered(response.status(), told);
-                let waited = told.map_or(Duration::ZERO, |told| told.queue_wait);
+        record_for_rollout(inner, plan, &picked, &result);
+        let (refused, returned) = match result {
+            AttemptResult::Answered(response, report) => {
+                picked.outcome = outcome_of_status(response.status(), report);
+                let queue_wait = report.map_or(Duration::ZERO, |report| report.queue_wait);
                 let answer = AnsweredCall {
                     node: &picked.endpoint.node,
                     status: response.status(),
-                    queue_wait: waited,
+                    queue_wait,
                     started,
-                    attempts: tries,
+                    attempts,
                 };
                 log_answer(inner, plan, &answer);
-                if tries == 1 {
+                if attempts == 1 {
                     plan.client.record_success(plan.retry_rule.as_ref());
                 }
                 return response.into();
             }
-            Tried::Refused(refused, back) => (refused, back),
-            Tried::Late(late) => {
+            AttemptResult::Refused(refused, returned) => (refused, returned),
+            AttemptResult::TimedOut(pending) => {
                 picked.outcome = Outcome::Failed;
                 let refused = Refused::may_have_run(Reason::Deadline);
-                log_failed_attempt(inner, plan, &picked.endpoint.node, refused, tries);
-                return Served {
-                    late: Some(late),
+                log_failed_attempt(inner, plan, &picked.endpoint.node, refused, attempts);
+                return ServedCall {
+                    pending: Some(pending),
                     ..Refused::may_have_run(Reason::Deadline).into()
                 };
             }
         };
         let cause = cause_of(refused);
-        history.note(refused, cause);
-        picked.outcome = refused_outcome(cause);
-        log_failed_attempt(inner, plan, &picked.endpoint.node, refused, tries);
+        history.record_failure(refused, cause);
+        picked.outcome = outcome_of_cause(cause);
+        log_failed_attempt(inner, plan, &picked.endpoint.node, refused, attempts);
         if cause == Cause::Full {
             visited.mark_full(picked.key);
         }
-        last = Some(cause);
+        last_cause = Some(cause);
         drop(picked);
-        told = weigh(told, refused);
-        let Some(back) = back else {
+        final_refusal = combine_refusals(final_refusal, refused);
+        let Some(returned) = returned else {
             break;
         };
-        body = back;
+        body = returned;
         let now = inner.shared.clock.now();
         let failed = retry::FailedAttempt {
             verdict: refused.verdict,
             cause,
             repeatable: plan.may_repeat(),
-            attempts: tries,
-            dispatched: history.reached,
+            attempts,
+            dispatched: history.dispatched,
             crashes: history.crashes,
             max_attempts: plan.max_attempts(),
             retried_by_caller: plan.retried_by_caller,
@@ -264,46 +268,57 @@
             Decision::GiveUp(_) => break,
         }
     }
-    log_refused_call(inner, plan, told, started, visited.count());
-    told.into()
+    log_refused_call(inner, plan, final_refusal, started, visited.count());
+    final_refusal.into()
 }
 
-/// Tells a roll-out of the service, if there is one, what a try came to.
+/// Records the result of an attempt for a roll-out of the service, if there is one.
 ///
-/// What speaks of links, VMs or load is left out: it tells nothing of a version.
-fn count_try<C>(inner: &Inner<C>, plan: &Plan, picked: &PickedEndpoint<C>, tried: &Tried<C>)
-where
+/// Failures of links or VMs and refusals due to load are left out, because they
+/// say nothing about the version of the backend server.
+fn record_for_rollout<C>(
+    inner: &Inner<C>,
+    plan: &Plan,
+    picked: &PickedEndpoint<C>,
+    result: &AttemptResult<C>,
+) where
     C: Clock,
 {
     let now = inner.shared.clock.now();
-    match tried {
-        Tried::Answered(response, told) => {
+    match result {
+        AttemptResult::Answered(response, report) => {
             let took = now.saturating_duration_since(picked.started);
-            let waited = told.map_or(Duration::ZERO, |told| told.queue_wait);
+            let queue_wait = report.map_or(Duration::ZERO, |report| report.queue_wait);
             let has_failed = response.status().is_server_error();
-            picked.record_rollout_result(plan.kind, has_failed, Some(took.saturating_sub(waited)));
+            picked.record_rollout_result(
+                plan.kind,
+                has_failed,
+                Some(took.saturating_sub(queue_wait)),
+            );
+        }
+        AttemptResult::Refused(refused, _) if refused.verdict != Verdict::NotRun => {
+            match refused.reason {
+                Reason::Deadline => picked.record_rollout_result(plan.kind, false, None),
+                Reason::Backend => picked.record_rollout_result(plan.kind, true, None),
+                _ => {}
+            }
         }
-        Tried::Refused(refused, _) if refused.verdict != Verdict::NotRun => match refused.reason {
-            Reason::Deadline => picked.record_rollout_result(plan.kind, false, None),
-            Reason::Backend => picked.record_rollout_result(plan.kind, true, None),
-            _ => {}
-        },
-        Tried::Refused(..) | Tried::Late(_) => {}
+        AttemptResult::Refused(..) | AttemptResult::TimedOut(_) => {}
     }
 }
 
-impl History {
-    /// Takes in a try that came to nothing.
-    fn note(&mut self, refused: Refused, cause: Cause) {
-        self.reached += u8::from(matches!(cause, Cause::Shed | Cause::Failed));
+impl AttemptHistory {
+    /// Records a failed attempt.
+    fn record_failure(&mut self, refused: Refused, cause: Cause) {
+        self.dispatched += u8::from(matches!(cause, Cause::Shed | Cause::Failed));
         let has_crashed = refused.reason == Reason::Crashed;
         self.crashes += u8::from(has_crashed);
         self.is_suspect |= has_crashed;
     }
 }
 
-/// Tells how the request of a call stands.
-fn judge<C>(inner: &Inner<C>, plan: &Plan) -> RequestStatus
+/// Returns the quarantine status of a call's request.
+fn request_status<C>(inner: &Inner<C>, plan: &Plan) -> RequestStatus
 where
     C: Clock,
 {
@@ -311,28 +326,29 @@
     shared.quarantine.status(shared.clock.now(), plan.digest)
 }
 
-/// Gives what a caller is told of two tries: one that may have run weighs more.
-fn weigh(told: Refused, refused: Refused) -> Refused {
-    match told.verdict {
-        Verdict::NotRun => refused,
-        _ => told,
+/// Combines the refusals of two attempts for the caller. One that may have run takes precedence.
+fn combine_refusals(earlier: Refused, later: Refused) -> Refused {
+    match earlier.verdict {
+        Verdict::NotRun => later,
+        _ => earlier,
     }
 }
 
-/// Picks where a call goes next; after a try that failed, also one that had no room before.
+/// Picks the endpoint for the next attempt. After a failed attempt, endpoints that were full before
+/// are considered again.
 ///
-/// Fails for a request that is held by now.
+/// Returns an error if the request has been quarantined in the meantime.
 async fn pick_next<C>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     visited: &mut TriedEndpoints,
-    last: Option<Cause>,
-    history: &mut History,
+    last_cause: Option<Cause>,
+    history: &mut AttemptHistory,
 ) -> Result<Option<PickedEndpoint<C>>, Refused>
 where
     C: Clock,
 {
-    match judge(inner, plan) {
+    match request_status(inner, plan) {
         RequestStatus::Clear => {}
         RequestStatus::Suspect => history.is_suspect = true,
         RequestStatus::Held { wait } => return Err(Refused::held(wait)),
@@ -340,23 +356,23 @@
     if history.is_suspect {
         return Ok(pick_owner(inner, plan, visited.keys()));
     }
-    if last.is_none()
+    if last_cause.is_none()
         && let Some(picked) = pick_trial(inner, plan)
     {
         return Ok(Some(picked));
     }
-    let fresh = pick(inner, plan, visited.keys()).await;
-    if fresh.is_none() && last != Some(Cause::Full) && visited.readmit_full() {
+    let picked = pick(inner, plan, visited.keys()).await;
+    if picked.is_none() && last_cause != Some(Cause::Full) && visited.readmit_full() {
         return Ok(pick(inner, plan, visited.keys()).await);
     }
-    Ok(fresh)
+    Ok(picked)
 }
 
-fn answered(status: StatusCode, told: Option<LoadReport>) -> Outcome {
+fn outcome_of_status(status: StatusCode, report: Option<LoadReport>) -> Outcome {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Outcome::Full,
         status if status.is_server_error() => Outcome::Failed,
-        _ => Outcome::Answered(told),
+        _ => Outcome::Answered(report),
     }
 }
 
@@ -371,13 +387,13 @@
     }
 }
 
-pub(crate) fn refused_outcome(cause: Cause) -> Outcome {
+pub(crate) fn outcome_of_cause(cause: Cause) -> Outcome {
     match cause {
         Cause::Leaving => Outcome::Leaving,
         Cause::Full => Outcome::Full,
         Cause::Shed => Outcome::Shed,
         Cause::Unreached | Cause::Failed => Outcome::Failed,
-        // It says nothing of the backend server.
+        // The refusal says nothing about the backend server.
         Cause::Held => Outcome::Cancelled,
     }
 }
--- a/crates/node/tests/calls/forward.rs
+++ b/crates/node/tests/calls/forward.rs
@@ -1,4 +1,4 @@
-//! A forwarder that loses track of connections, one way, while new ones work.
+//! A TCP forwarder that can drop or hold the bytes of existing connections, per direction.
 
 use crate::mesh::bind;
 use std::net::SocketAddr;
@@ -9,39 +9,39 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::watch;
 
-/// What happens to bytes that go one way.
+/// What happens to the bytes of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// They arrive.
+    /// They are forwarded.
     Pass,
-    /// They are lost, and nobody is told.
+    /// They are discarded, and the connection stays open.
     Drop,
-    /// They wait.
+    /// They are held back until the mode changes.
     Hold,
 }
 
-/// One way of one connection.
-type Way = watch::Sender<Mode>;
+/// One direction of a connection.
+type Direction = watch::Sender<Mode>;
 
-/// A forwarder of connections to one address; clones share them.
+/// Forwards connections to a target address. Clones share the connections.
 #[derive(Debug, Clone)]
 pub struct Forwarder {
     pub address: SocketAddr,
     target: Arc<Mutex<SocketAddr>>,
-    lines: Arc<Mutex<Vec<(Way, Way)>>>,
+    connections: Arc<Mutex<Vec<(Direction, Direction)>>>,
 }
 
 impl Forwarder {
-    /// Forwards connections to `target`.
+    /// Starts forwarding connections to `target`.
     pub async fn spawn(target: SocketAddr) -> Self {
         let (listener, address) = bind().await;
-        let lines = Arc::<Mutex<Vec<(Way, Way)>>>::default();
-        let kept = Arc::clone(&lines);
+        let connections = Arc::<Mutex<Vec<(Direction, Direction)>>>::default();
+        let accepted = Arc::clone(&connections);
         let target = Arc::new(Mutex::new(target));
-        let aimed = Arc::clone(&target);
+        let current_target = Arc::clone(&target);
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
-                let target = *aimed.lock().unwrap();
+                let target = *current_target.lock().unwrap();
                 let Ok(far) = TcpStream::connect(target).await else {
                     continue;
                 };
@@ -49,25 +49,25 @@
                 far.set_nodelay(true).unwrap();
                 let (near_read, near_write) = near.into_split();
                 let (far_read, far_write) = far.into_split();
-                let up = Way::new(Mode::Pass);
-                let down = Way::new(Mode::Pass);
+                let up = Direction::new(Mode::Pass);
+                let down = Direction::new(Mode::Pass);
                 tokio::spawn(copy(near_read, far_write, up.subscribe()));
                 tokio::spawn(copy(far_read, near_write, down.subscribe()));
-                kept.lock().unwrap().push((up, down));
+                accepted.lock().unwrap().push((up, down));
             }
         });
         Self {
             address,
             target,
-            lines,
+            connections,
         }
     }
 
-    /// Sets what happens on the connections that are there now, towards the target and back.
+    /// Sets the modes of all existing connections, towards the target and back.
     pub fn set(&self, up: Mode, down: Mode) {
-        for line in self.lines.lock().unwrap().iter() {
-            line.0.send_replace(up);
-            line.1.send_replace(down);
+        for connection in self.connections.lock().unwrap().iter() {
+            connection.0.send_replace(up);
+            connection.1.send_replace(down);
         }
     }
 
@@ -76,9 +76,9 @@
         *self.target.lock().unwrap() = target;
     }
 
-    /// Gives how many connections there have been.
+    /// Returns the total number of connections so far.
     pub fn count(&self) -> usize {
-        self.lines.lock().unwrap().len()
+        self.connections.lock().unwrap().len()
     }
 }
 
@@ -96,7 +96,7 @@
         if now == Mode::Drop && count > 0 {
             continue;
         }
-        // The end of a lost connection is lost as well.
+        // In this mode, the end of the connection is discarded as well.
         if now == Mode::Drop {
             std::future::pending::<()>().await;
         }
--- a/crates/node/tests/calls/hedge.rs
+++ b/crates/node/tests/calls/hedge.rs
@@ -1,7 +1,4 @@
-// A fitter looks up a teardown history; the connection to the first backend
-// server's node is held up on the way. The look-up may be repeated and its rule
-// allows hedges, so a copy goes to the other one and is answered. Without the
-// copy the fitter waits until the silence of the link is noticed.
+//! Hedges of calls to a backend server that does not respond.
 
 use crate::forward::{Forwarder, Mode};
 use crate::mesh::{Node, call, spawn_node, spawn_server};
@@ -12,14 +9,14 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Calls from which the node learns what is late.
-const WARM_UP: usize = 120;
+/// Calls from which the node learns the usual latency.
+const WARM_UP_CALLS: usize = 120;
 
-/// Calls while the first backend server is held up.
-const HELD: usize = 8;
+/// Calls while the connection to the first backend server is held.
+const HELD_CALLS: usize = 8;
 
-/// Work of the call that takes the second one's slot: longer than a look-up
-/// waits at a gate (0.3 s), shorter than a silent link goes unnoticed (1 s).
+/// Duration of the call that occupies the second backend server's slot: longer than a look-up
+/// waits for a slot (0.3 s), shorter than the time to detect a silent link (1 s).
 const OCCUPIED_MS: &str = "500";
 
 fn hedged_mesh() -> Mesh {
@@ -48,8 +45,12 @@
     mesh
 }
 
+// The connection to the first backend server's node is held. The call may be
+// repeated and its rule allows hedges, so a hedge to the other backend server
+// answers it. Without the hedge, the caller waits until the silent link is
+// detected.
 #[tokio::test(flavor = "multi_thread")]
-async fn copy_answers() {
+async fn hedge_answers() {
     let (caller, first, second) = tokio::join!(
         spawn_node("caller"),
         spawn_node("first"),
@@ -70,15 +71,15 @@
     caller.shared.view.store(Arc::new(view));
     let entry = caller.outbound.address();
     let look_up = || call(entry, Method::GET, "/desk/history", &[], Bytes::new());
-    for _ in 0..WARM_UP {
+    for _ in 0..WARM_UP_CALLS {
         assert_eq!(look_up().await.unwrap().status, StatusCode::OK);
     }
     let before = records[1].entries().len();
     forwarder.set(Mode::Hold, Mode::Hold);
     let start = Instant::now();
-    // Side by side, so that some go to the first one.
+    // Concurrent, so that some go to the first backend server.
     let mut held = JoinSet::new();
-    for _ in 0..HELD {
+    for _ in 0..HELD_CALLS {
         held.spawn(look_up());
     }
     for answer in held.join_all().await {
@@ -86,16 +87,16 @@
         assert_eq!(answer.status, StatusCode::OK, "{:?}", answer.body);
     }
     assert!(start.elapsed() < Duration::from_millis(500));
-    // The second one answered all, those that went to the first one included.
-    assert_eq!(records[1].entries().len() - before, HELD);
+    // The second backend server answered all calls, including those first sent to the other one.
+    assert_eq!(records[1].entries().len() - before, HELD_CALLS);
 }
 
-// A fitter looks up a teardown history; the link to the first backend server
-// has gone silent, and the copy finds the second one's only slot taken. By the
-// time the silence is noticed that slot is free, and the fitter must get an
-// answer. Cause: a door that was full once counted as a try that was used up.
+// The link to the first backend server has gone silent, and the hedge is
+// refused because the second one's only slot is occupied. By the time the
+// silence is detected, that slot is free again, and the call must be answered.
+// It failed when the refusal by the full backend server counted as a used attempt.
 #[tokio::test(flavor = "multi_thread")]
-async fn copy_turned_away() {
+async fn hedge_refused() {
     let (caller, first, second) = tokio::join!(
         spawn_node("caller"),
         spawn_node("first"),
@@ -124,7 +125,7 @@
                 .unwrap()
         }
     };
-    for _ in 0..WARM_UP {
+    for _ in 0..WARM_UP_CALLS {
         assert_eq!(look_up(&caller, "0").await.status, StatusCode::OK);
     }
     let occupant = tokio::spawn(look_up(&second, OCCUPIED_MS));
--- a/crates/node/tests/calls/keyed.rs
+++ b/crates/node/tests/calls/keyed.rs
@@ -1,4 +1,4 @@
-//! Calls with an idempotency key, repeated by their callers at other nodes.
+//! Calls with an idempotency key that their callers repeat at other nodes.
 
 use crate::forward::{Forwarder, Mode};
 use crate::mesh::{
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Two nodes for callers, and one whose backend server runs what is booked.
+/// Two nodes for callers, and one whose backend server runs the bookings.
 struct Mesh {
     one: Node,
     two: Node,
@@ -60,41 +60,41 @@
         .unwrap()
 }
 
-// A clerk's browser sends a booking again at another node, a minute later by
-// the clerk's watch. It gets the first one's answer, and nothing runs again.
+// A completed call is repeated at another node. The repeat gets the stored
+// response, and nothing runs again.
 #[tokio::test]
-async fn answered_again() {
+async fn repeat_replayed() {
     let mesh = spawn_mesh().await;
     let first = book(mesh.one.outbound.address(), "k1", "r1", "0").await;
     assert_eq!((first.status, first.verdict()), (StatusCode::OK, "ran"));
-    let again = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
-    assert_eq!((again.status, again.verdict()), (StatusCode::OK, "ran"));
-    assert_eq!(again.headers["idempotent-replayed"], "true");
-    assert_eq!(again.body, first.body);
+    let repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
+    assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
+    assert_eq!(repeat.headers["idempotent-replayed"], "true");
+    assert_eq!(repeat.body, first.body);
     assert_eq!(mesh.record.entries().len(), 1);
 }
 
-// The repeat comes while the first one still runs: it is told that the job may
-// have run, at once, and doesn't run it.
+// A repeat arrives while the first call still runs. It is told "may have run"
+// at once, and nothing runs again.
 #[tokio::test]
-async fn first_still_runs() {
+async fn repeat_while_running() {
     let mesh = spawn_mesh().await;
     let address = mesh.one.outbound.address();
     let first = tokio::spawn(async move { book(address, "k1", "r1", "400").await });
     wait_recorded(&mesh.record, |entry| entry.request == "r1").await;
-    let again = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
+    let repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
     assert_eq!(
-        (again.status, again.verdict()),
+        (repeat.status, repeat.verdict()),
         (StatusCode::CONFLICT, "may-have-run")
     );
     assert_eq!(first.await.unwrap().status, StatusCode::OK);
     assert_eq!(mesh.record.entries().len(), 1);
 }
 
-// The clerk's connection breaks while the job is booked. The booking goes on,
-// so that the repeat gets its answer rather than "may have run".
+// The caller's connection breaks while the call runs. The call continues, so
+// that the repeat gets its response rather than "may have run".
 #[tokio::test]
-async fn caller_gone() {
+async fn caller_disconnected() {
     let mesh = spawn_mesh().await;
     let mut caller = TcpStream::connect(mesh.one.outbound.address())
         .await
@@ -105,25 +105,25 @@
     drop(caller);
     wait_recorded(&mesh.record, |entry| entry.end_us.is_some()).await;
     let address = mesh.two.outbound.address();
-    let mut again = book(address, "k1", "r2", "0").await;
-    // The answer reaches the record of the key a moment after its end.
+    let mut repeat = book(address, "k1", "r2", "0").await;
+    // The response is stored under the key shortly after the call has ended.
     for _ in 0..200 {
-        if again.status == StatusCode::OK {
+        if repeat.status == StatusCode::OK {
             break;
         }
-        assert_eq!(again.verdict(), "may-have-run");
-        again = book(address, "k1", "r2", "0").await;
+        assert_eq!(repeat.verdict(), "may-have-run");
+        repeat = book(address, "k1", "r2", "0").await;
     }
-    assert_eq!(again.status, StatusCode::OK);
-    let told: serde_json::Value = serde_json::from_slice(&again.body).unwrap();
-    assert_eq!(told["request"], "r1");
+    assert_eq!(repeat.status, StatusCode::OK);
+    let stored: serde_json::Value = serde_json::from_slice(&repeat.body).unwrap();
+    assert_eq!(stored["request"], "r1");
     assert_eq!(mesh.record.entries().len(), 1);
 }
 
-// A booking is refused as "not run", for its backend server leaves. The key is
-// free again, and the repeat books the job.
+// A call is refused as "not run" because its backend server is leaving. The key
+// is released, and the repeat runs.
 #[tokio::test]
-async fn refused_then_run() {
+async fn repeat_after_refusal() {
     let mesh = spawn_mesh().await;
     mesh.far.shared.leaving.send_replace(true);
     let refused = book(mesh.one.outbound.address(), "k1", "r1", "0").await;
@@ -139,22 +139,22 @@
         Repeat::Never,
         &[other.endpoint("jobs", other.nodes_address)],
     );
-    let mut again = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
+    let mut repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
     for _ in 0..200 {
-        if again.status == StatusCode::OK {
+        if repeat.status == StatusCode::OK {
             break;
         }
-        again = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
+        repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
     }
-    assert_eq!((again.status, again.verdict()), (StatusCode::OK, "ran"));
+    assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
     assert_eq!(
         (mesh.record.entries().len(), record.entries().len()),
         (0, 1)
     );
 }
 
-// The platform is down. A booking that needs its key reserved is refused at
-// once with a time to come back, and a call without a key goes on.
+// The platform is down. A call that needs its key reserved is refused at once
+// with a retry delay, and a call without a key runs.
 #[tokio::test]
 async fn platform_down() {
     let mesh = spawn_mesh().await;
@@ -179,10 +179,10 @@
     assert_eq!(mesh.record.entries().len(), 1);
 }
 
-// Two families take the same key by mistake: the second is told, and not
-// answered with the other's booking.
+// Two different requests use the same key by mistake. The second is rejected
+// and does not get the response to the first.
 #[tokio::test]
-async fn other_request() {
+async fn key_of_another_request() {
     let mesh = spawn_mesh().await;
     let first = book(mesh.one.outbound.address(), "k1", "r1", "0").await;
     assert_eq!(first.status, StatusCode::OK);
@@ -203,10 +203,11 @@
     assert_eq!(mesh.record.entries().len(), 1);
 }
 
-// The link goes silent for good while a booking runs, and its node is gone:
-// nobody knows. The key says "may have run" from then on, to every repeat.
+// The link goes silent while a call runs, and the node that runs it is replaced
+// by a new process, so the outcome stays unknown. Every repeat with the key is
+// told "may have run".
 #[tokio::test]
-async fn nobody_knows() {
+async fn outcome_unknown() {
     let mesh = spawn_mesh().await;
     let forwarder = Forwarder::spawn(mesh.far.nodes_address).await;
     let far = mesh.far.endpoint("jobs", forwarder.address);
@@ -217,20 +218,21 @@
     forwarder.set_target(spawn_node("far").await.nodes_address);
     forwarder.set(Mode::Drop, Mode::Drop);
     assert_eq!(first.await.unwrap().verdict(), "may-have-run");
-    let again = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
+    let repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
     assert_eq!(
-        (again.status, again.verdict()),
+        (repeat.status, repeat.verdict()),
         (StatusCode::CONFLICT, "may-have-run")
     );
     assert_eq!(mesh.record.entries().len(), 1);
 }
 
-// The node in front of the backend server is stopped for some seconds, longer
-// than the clerk waits. The clerk is told "may have run" at the deadline. Once
-// the node goes on, the repeat gets the booking's answer, and runs nothing.
-// Without it, the key said "may have run" for good, though the node knew.
+// Responses from the backend server's node are held beyond the deadline, as if
+// the node were stopped for some seconds. The caller is told "may have run".
+// Once the node resumes, the repeat gets the response, and nothing runs again.
+// Otherwise the repeats are told "may have run" forever, although the node
+// knows the outcome.
 #[tokio::test]
-async fn settled_late() {
+async fn resolved_after_deadline() {
     let mesh = spawn_mesh().await;
     let forwarder = Forwarder::spawn(mesh.far.nodes_address).await;
     let far = mesh.far.endpoint("jobs", forwarder.address);
@@ -249,36 +251,37 @@
         tokio::spawn(async move { call(address, Method::POST, "/jobs/1", &headers, body).await });
     wait_recorded(&mesh.record, |entry| entry.request == "r1").await;
     forwarder.set(Mode::Pass, Mode::Hold);
-    let told = first.await.unwrap().unwrap();
+    let response = first.await.unwrap().unwrap();
     assert_eq!(
-        (told.status, told.verdict()),
+        (response.status, response.verdict()),
         (StatusCode::GATEWAY_TIMEOUT, "may-have-run")
     );
     forwarder.set(Mode::Pass, Mode::Pass);
     let address = mesh.two.outbound.address();
-    let mut again = book(address, "k1", "r2", "0").await;
+    let mut repeat = book(address, "k1", "r2", "0").await;
     for _ in 0..500 {
-        if again.status == StatusCode::OK {
+        if repeat.status == StatusCode::OK {
             break;
         }
-        assert_eq!(again.verdict(), "may-have-run");
-        again = book(address, "k1", "r2", "0").await;
+        assert_eq!(repeat.verdict(), "may-have-run");
+        repeat = book(address, "k1", "r2", "0").await;
     }
-    assert_eq!((again.status, again.verdict()), (StatusCode::OK, "ran"));
+    assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
     assert_eq!(mesh.record.entries().len(), 2);
 }
 
-/// A backend server that answers its first call only when told to.
-async fn spawn_stopped(go_on: Arc<Notify>) -> (SocketAddr, Arc<Notify>) {
+/// Spawns a backend server that responds to its first call when `resume` is notified. The returned
+/// `Notify` signals that it has received the call.
+async fn spawn_paused_server(resume: Arc<Notify>) -> (SocketAddr, Arc<Notify>) {
     let (listener, address) = bind().await;
     let reached = Arc::new(Notify::new());
-    let reach = Arc::clone(&reached);
+    let notify = Arc::clone(&reached);
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut head = [0; 2_048];
         let _head = stream.read(&mut head).await.unwrap();
-        reach.notify_one();
-        go_on.notified().await;
+        notify.notify_one();
+        resume.notified().await;
         let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nbooked";
         stream.write_all(answer).await.unwrap();
         std::future::pending::<()>().await;
@@ -286,15 +289,15 @@
     (address, reached)
 }
 
-// The backend server is stopped in the middle of a booking and goes on after
-// the clerk's deadline. The clerk's repeat is answered by that booking, whether
-// the call came in on the backend server's own VM or on another.
+// The backend server is stopped during a call and resumes after the deadline.
+// The repeat gets the response of that call, whether the call entered on the
+// backend server's own VM or on another.
 #[yare::parameterized(remote = { false }, local = { true })]
 #[test_macro(tokio::test)]
 async fn server_stopped(local: bool) {
     let mesh = spawn_mesh().await;
-    let go_on = Arc::new(Notify::new());
-    let (server, reached) = spawn_stopped(Arc::clone(&go_on)).await;
+    let resume = Arc::new(Notify::new());
+    let (server, reached) = spawn_paused_server(Arc::clone(&resume)).await;
     mesh.far.announce("jobs", server, 2);
     let node = if local { &mesh.far } else { &mesh.one };
     for node in [&mesh.one, &mesh.two, &mesh.far] {
@@ -312,34 +315,34 @@
     ];
     let body = Bytes::from_static(b"bay 3");
     let first = call(address, Method::POST, "/jobs/1", &headers, body.clone());
-    let (told, ()) = tokio::join!(first, reached.notified());
-    let told = told.unwrap();
+    let (response, ()) = tokio::join!(first, reached.notified());
+    let response = response.unwrap();
     assert_eq!(
-        (told.status, told.verdict()),
+        (response.status, response.verdict()),
         (StatusCode::GATEWAY_TIMEOUT, "may-have-run")
     );
-    go_on.notify_one();
+    resume.notify_one();
     let address = mesh.two.outbound.address();
-    let mut again = book(address, "k1", "r2", "0").await;
+    let mut repeat = book(address, "k1", "r2", "0").await;
     for _ in 0..500 {
-        if again.status == StatusCode::OK {
+        if repeat.status == StatusCode::OK {
             break;
         }
-        assert_eq!(again.verdict(), "may-have-run");
-        again = book(address, "k1", "r2", "0").await;
+        assert_eq!(repeat.verdict(), "may-have-run");
+        repeat = book(address, "k1", "r2", "0").await;
     }
     assert_eq!(
-        (again.status, &*again.body),
+        (repeat.status, &*repeat.body),
         (StatusCode::OK, &b"booked"[..])
     );
 }
 
-// The owner of a clerk's key has heard of it and is reserving it when its
-// answers begin to be lost. The clerk is told "not run" in the end, and the
-// reservation stands. The repeat must book the job, and not hear "may have
-// run" of a call that nobody runs.
+// The node that owns the key has received the request and is reserving the key
+// when its replies begin to be lost. The caller is told "not run" in the end,
+// but the reservation stands. The repeat must run, rather than be told "may
+// have run" because of a call that never runs.
 #[tokio::test]
-async fn reservation_lost() {
+async fn reservation_reply_lost() {
     let mesh = spawn_mesh().await;
     let front = Forwarder::spawn(mesh.far.nodes_address).await;
     let far = mesh.far.endpoint("jobs", front.address);
@@ -363,13 +366,13 @@
     );
     mesh.store.set_faults(Faults::default());
     let address = mesh.two.outbound.address();
-    let mut again = book(address, "k1", "r2", "0").await;
+    let mut repeat = book(address, "k1", "r2", "0").await;
     for _ in 0..500 {
-        if again.status == StatusCode::OK {
+        if repeat.status == StatusCode::OK {
             break;
         }
-        again = book(address, "k1", "r2", "0").await;
+        repeat = book(address, "k1", "r2", "0").await;
     }
-    assert_eq!((again.status, again.verdict()), (StatusCode::OK, "ran"));
+    assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
     assert_eq!(mesh.record.entries().len(), 2);
 }
--- a/crates/node/tests/calls/reuse.rs
+++ b/crates/node/tests/calls/reuse.rs
@@ -1,4 +1,4 @@
-//! Connections to the own backend server are used again.
+//! Connections to the local backend server are reused.
 
 use crate::mesh::{bind, call, spawn_node, spawn_server};
 use bytes::Bytes;
@@ -25,31 +25,31 @@
     (address, count)
 }
 
-// Look-ups that enter at the backend server's own VM take twice as long as
-// direct ones, and the backend server sees a new connection for each. The
-// caller's side stops reading an answer of known length at its last byte and
-// never asks for the end, so that the connection was dropped, not kept.
+// Calls that entered on the backend server's own VM took twice as long as direct
+// ones, because each one opened a new connection to the backend server. The
+// caller's side stops reading a response of known length at its last byte and
+// never polls for the end, so the connection was dropped instead of reused.
 #[yare::parameterized(
     no_body = { "0" },
     short_body = { "100" },
     long_body = { "200000" },
 )]
 #[test_macro(tokio::test)]
-async fn local(length: &str) {
+async fn local_connection_reused(length: &str) {
     let (server, _record) = spawn_server(6).await;
     let (address, count) = spawn_counter(server).await;
-    let own = spawn_node("own").await;
-    own.announce("jobs", address, 6);
-    own.set_route(
+    let node = spawn_node("own").await;
+    node.announce("jobs", address, 6);
+    node.set_route(
         "jobs",
         Repeat::Never,
-        &[own.endpoint("jobs", own.nodes_address)],
+        &[node.endpoint("jobs", node.nodes_address)],
     );
     for _ in 0..5 {
         let headers = [("x-answer-bytes", length)];
-        let at = own.outbound.address();
-        let got = call(at, Method::GET, "/jobs/1", &headers, Bytes::new()).await;
-        assert_eq!(got.unwrap().status, StatusCode::OK);
+        let entry = node.outbound.address();
+        let answer = call(entry, Method::GET, "/jobs/1", &headers, Bytes::new()).await;
+        assert_eq!(answer.unwrap().status, StatusCode::OK);
     }
     assert_eq!(count.load(Ordering::Relaxed), 1);
 }
