--- a/crates/burn/src/counts.rs
+++ b/crates/burn/src/counts.rs
@@ -24,7 +24,7 @@
     ///
     /// 429 is a want of room, so the service's fault; every other 4xx is the caller's.
     #[must_use]
-    pub fn of_status(status: u16, slow: bool) -> Self {
+    pub fn from_status(status: u16, slow: bool) -> Self {
         match status {
             429 | 500.. => Self::Failed,
             400..=499 => Self::CallerFault,
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -25,4 +25,4 @@
 
 pub use counts::{Counts, Outcome, Tally, Window};
 pub use history::History;
-pub use report::{Alert, Level, Node, Report, Service, judge, merge};
+pub use report::{Alert, BudgetStatus, NodeCounts, ServiceCounts, ServiceReport, evaluate, merge};
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -30,7 +30,7 @@
 
 /// What a node reports of one service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Service {
+pub struct ServiceCounts {
     /// What the service promises, by the node's configuration.
     pub objective: Option<Objective>,
     /// The counts of each window.
@@ -39,7 +39,7 @@
 
 /// What a node reports of all services that it called.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Node {
+pub struct NodeCounts {
     /// Name of the node.
     pub node: SmolStr,
     /// Version that its objectives are of.
@@ -47,7 +47,7 @@
     /// How long it has counted, in seconds; a new process starts from nothing.
     pub counted_s: u64,
     /// The services by name.
-    pub services: BTreeMap<SmolStr, Service>,
+    pub services: BTreeMap<SmolStr, ServiceCounts>,
 }
 
 /// Who is to be called.
@@ -65,7 +65,7 @@
 
 /// How one objective stands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Level {
+pub struct BudgetStatus {
     /// Share of the budget of three days that is left; below zero when overspent.
     pub budget_left: f64,
     /// How many times faster than allowed the budget is spent, per window.
@@ -76,7 +76,7 @@
 
 /// How a service stands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct ServiceReport {
     /// Name of the service.
     pub service: SmolStr,
     /// What it promises, if anything.
@@ -84,17 +84,17 @@
     /// Calls of the last three days that count.
     pub calls: u64,
     /// How the promise of answers stands.
-    pub availability: Option<Level>,
+    pub availability: Option<BudgetStatus>,
     /// How the promise of quick answers stands.
-    pub latency: Option<Level>,
+    pub latency: Option<BudgetStatus>,
 }
 
 /// Adds up what nodes report; of objectives, the one of the highest version counts.
 #[must_use]
-pub fn merge(nodes: &[Node]) -> BTreeMap<SmolStr, Service> {
+pub fn merge(nodes: &[NodeCounts]) -> BTreeMap<SmolStr, ServiceCounts> {
     let mut by_version = nodes.iter().collect::<Vec<_>>();
     by_version.sort_by_key(|node| node.version);
-    let mut merged = BTreeMap::<SmolStr, Service>::new();
+    let mut merged = BTreeMap::<SmolStr, ServiceCounts>::new();
     for node in by_version {
         for (name, service) in &node.services {
             let sum = merged.entry(name.clone()).or_default();
@@ -107,20 +107,20 @@
 
 /// Judges the counts of a service.
 #[must_use]
-pub fn judge(name: &SmolStr, service: &Service) -> Report {
+pub fn evaluate(name: &SmolStr, service: &ServiceCounts) -> ServiceReport {
     let windows = &service.windows;
     let availability = |objective: Objective| {
-        judge_level(windows, objective.availability_ppm, |counts| {
+        evaluate_level(windows, objective.availability_ppm, |counts| {
             (counts.failed, counts.calls)
         })
     };
     // A failed call is no slow answer: it has burnt the other budget already.
     let latency = |objective: Objective| {
-        judge_level(windows, objective.latency_ppm, |counts| {
+        evaluate_level(windows, objective.latency_ppm, |counts| {
             (counts.slow, counts.calls - counts.failed)
         })
     };
-    Report {
+    ServiceReport {
         service: name.clone(),
         objective: service.objective,
         calls: windows.counts(Window::ThreeDays).calls,
@@ -129,7 +129,7 @@
     }
 }
 
-fn judge_level<F>(windows: &Tally, promised_ppm: u32, split: F) -> Level
+fn evaluate_level<F>(windows: &Tally, promised_ppm: u32, split: F) -> BudgetStatus
 where
     F: Fn(Counts) -> (u64, u64),
 {
@@ -147,7 +147,7 @@
         .map(|(.., alert)| *alert)
         .max()
         .unwrap_or_default();
-    Level {
+    BudgetStatus {
         budget_left: 1.0 - burn[&Window::ThreeDays],
         burn,
         alert,
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -1,6 +1,6 @@
 //! Burn of error budgets on known sequences of counts.
 
-use burn::{Alert, Counts, History, Node, Outcome, Service, Window, judge, merge};
+use burn::{Alert, Counts, History, NodeCounts, Outcome, ServiceCounts, Window, evaluate, merge};
 use config::{Objective, Version};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,12 +29,12 @@
     }
 }
 
-fn judge_at(history: &History, minute: u32) -> burn::Report {
-    let service = Service {
+fn judge_at(history: &History, minute: u32) -> burn::ServiceReport {
+    let service = ServiceCounts {
         objective: Some(OBJECTIVE),
         windows: history.tally(MINUTE * minute),
     };
-    judge(&"records".into(), &service)
+    evaluate(&"records".into(), &service)
 }
 
 #[test]
@@ -137,15 +137,15 @@
     refused = { 503, Outcome::Failed },
 )]
 fn by_status(status: u16, outcome: Outcome) {
-    assert_eq!(Outcome::of_status(status, true), outcome);
+    assert_eq!(Outcome::from_status(status, true), outcome);
 }
 
 #[test]
 fn two_nodes() {
     let node = |version, objective, calls| {
-        let mut service = Service {
+        let mut service = ServiceCounts {
             objective,
-            ..Service::default()
+            ..ServiceCounts::default()
         };
         let counts = Counts {
             calls,
@@ -153,7 +153,7 @@
             slow: 0,
         };
         service.windows.add(Window::Hour, counts);
-        Node {
+        NodeCounts {
             node: "a".into(),
             version: Version(version),
             counted_s: 60,
@@ -162,7 +162,7 @@
     };
     let nodes = [node(3, Some(OBJECTIVE), 10), node(2, None, 5)];
     let json = serde_json::to_string(&nodes).unwrap();
-    let nodes = serde_json::from_str::<Vec<Node>>(&json).unwrap();
+    let nodes = serde_json::from_str::<Vec<NodeCounts>>(&json).unwrap();
     let merged = &merge(&nodes)["records"];
     assert_eq!(merged.objective, Some(OBJECTIVE));
     assert_eq!(merged.windows.counts(Window::Hour).calls, 15);
--- a/crates/cli/src/burn_report.rs
+++ b/crates/cli/src/burn_report.rs
@@ -4,13 +4,13 @@
 use crate::exit::Exit;
 use crate::session::{Session, Unreachable, report_unreachable, split_replies};
 use crate::table::render_table;
-use burn::{Alert, Level, Node, Window, judge, merge};
+use burn::{Alert, BudgetStatus, NodeCounts, Window, evaluate, merge};
 use serde::Serialize;
 
 /// What `burn --json` writes.
 #[derive(Debug, Serialize)]
 struct Report {
-    services: Vec<burn::Report>,
+    services: Vec<burn::ServiceReport>,
     /// Nodes whose counts are in the report.
     nodes: usize,
     /// How long the node that has counted longest has done so, in seconds.
@@ -19,7 +19,7 @@
 }
 
 pub(crate) async fn report_burn(session: &Session) -> Result<Exit, Error> {
-    let replies = session.ask_nodes::<Node>("/v1/burn").await?;
+    let replies = session.ask_nodes::<NodeCounts>("/v1/burn").await?;
     let (answers, unreachable) = split_replies(replies);
     let nodes = answers
         .into_iter()
@@ -27,7 +27,7 @@
         .collect::<Vec<_>>();
     let services = merge(&nodes)
         .iter()
-        .map(|(name, service)| judge(name, service))
+        .map(|(name, service)| evaluate(name, service))
         .collect();
     let counted_s = nodes.iter().map(|node| node.counted_s).max();
     let report = Report {
@@ -88,7 +88,7 @@
     print!("{}", render_table(&rows));
 }
 
-fn make_row(service: &str, promise: &str, calls: &str, level: &Level) -> [String; 10] {
+fn make_row(service: &str, promise: &str, calls: &str, level: &BudgetStatus) -> [String; 10] {
     let [m5, m30, h1, h6, d3] = Window::ALL.map(|window| format!("{:.1}", level.burn[&window]));
     let alert = match level.alert {
         Alert::None => "-",
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -51,7 +51,7 @@
             let task = tokio::spawn(watch::run(Arc::clone(&shared), store));
             (None, task)
         }
-        Distribution::Tree | Distribution::Whole => {
+        Distribution::Tree | Distribution::Full => {
             let (sender, receiver) = mpsc::channel(INBOX_CAPACITY);
             let run = tree::run(Arc::clone(&shared), store, sender.clone(), receiver);
             (Some(sender), tokio::spawn(run))
--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -282,7 +282,12 @@
     fn lease(&mut self, slot: u8) -> &mut Lease<S, C> {
         let name = self.lease_name(slot);
         let settings = &self.shared.settings;
-        let holder = format!("{} {} {}", settings.name, settings.zone, settings.address());
+        let holder = format!(
+            "{} {} {}",
+            settings.name,
+            settings.zone,
+            settings.advertised_address()
+        );
         let (store, clock) = (self.store.clone(), self.shared.clock.clone());
         self.leases.entry(slot).or_insert_with(|| {
             Lease::open(store, clock, &name, &holder, fleet::lease::LEASE_DURATION)
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -141,14 +141,14 @@
             local: Peer {
                 node: node_settings.name.clone(),
                 zone: node_settings.zone.clone(),
-                address: node_settings.address(),
+                address: node_settings.advertised_address(),
             },
             region: node_settings.region.clone(),
             incarnation: shared.incarnation,
             started_ms: u64::try_from(started).unwrap_or_default(),
             seeds: node_settings.seeds.clone(),
             follows_rollouts: node_settings.canary_share.is_some(),
-            sends_full: node_settings.distribution == Distribution::Whole,
+            sends_full: node_settings.distribution == Distribution::Full,
         };
         let node = Node::new(settings, rand::random(), now);
         Self {
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -220,7 +220,7 @@
         version: backend.version,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        address: settings.address(),
+        address: settings.advertised_address(),
         slots: backend.slots,
         cold_ms: backend.cold_ms,
         state: if is_leaving {
--- a/crates/node/src/inbound.rs
+++ b/crates/node/src/inbound.rs
@@ -30,7 +30,7 @@
 use parking_lot::Mutex;
 use policy::in_flight;
 use policy::load_probe::Estimate;
-use settings::node::Rate;
+use settings::node::LinkRate;
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Weak};
@@ -87,7 +87,7 @@
 where
     C: Clock,
 {
-    let rate = shared.settings.link_mbps.map(Rate::bytes_per_second);
+    let rate = shared.settings.link_mbps.map(LinkRate::bytes_per_second);
     let max_held = u64::from(shared.settings.body_kb) << 10;
     let inner = Arc::new(Inner {
         pool: ConnectionPool::new(shared.clock.clone()),
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -88,7 +88,7 @@
     /// Whether the node or its backend server is leaving.
     pub leaving: bool,
     /// What a graceful stop waits for, or would wait for if it started now.
-    pub waits: status::Waits,
+    pub waits: status::StopWaits,
     /// Memory and CPU time of the process.
     pub process: crate::process::Usage,
 }
@@ -286,7 +286,7 @@
 
     /// Returns the call counts of each service that this node's callers have called.
     #[must_use]
-    pub fn tallies(&self, now: Instant) -> BTreeMap<SmolStr, burn::Service> {
+    pub fn tallies(&self, now: Instant) -> BTreeMap<SmolStr, burn::ServiceCounts> {
         let services = self.services.read();
         services
             .iter()
--- a/crates/node/src/metrics/service.rs
+++ b/crates/node/src/metrics/service.rs
@@ -44,7 +44,7 @@
 impl Ending {
     fn counter_index(self) -> CounterIndex {
         match self {
-            Self::Answered(status) => match Outcome::of_status(status, false) {
+            Self::Answered(status) => match Outcome::from_status(status, false) {
                 Outcome::Served { .. } => CounterIndex::Served,
                 Outcome::Failed => CounterIndex::Failed,
                 Outcome::CallerFault => CounterIndex::CallerFault,
@@ -58,7 +58,7 @@
 
     fn outcome(self, slow: bool) -> Outcome {
         match self {
-            Self::Answered(status) => Outcome::of_status(status, slow),
+            Self::Answered(status) => Outcome::from_status(status, slow),
             Self::Refused(_) => Outcome::Failed,
             Self::Cancelled => Outcome::CallerFault,
         }
@@ -123,10 +123,10 @@
 
     /// Returns the counts of all windows that end at `now`.
     #[must_use]
-    pub fn tally(&self, now: Instant) -> burn::Service {
+    pub fn tally(&self, now: Instant) -> burn::ServiceCounts {
         let since_start = now.saturating_duration_since(self.start);
         let windows = self.windows.lock();
-        burn::Service {
+        burn::ServiceCounts {
             objective: windows.objective,
             windows: windows.history.tally(since_start),
         }
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -194,7 +194,7 @@
     }
 }
 
-fn read_burn<C>(shared: &Shared<C>) -> burn::Node
+fn read_burn<C>(shared: &Shared<C>) -> burn::NodeCounts
 where
     C: Clock,
 {
@@ -206,7 +206,7 @@
             service.objective = view.service(key).service.objective;
         }
     }
-    burn::Node {
+    burn::NodeCounts {
         node: shared.settings.name.clone(),
         version: view.version(),
         counted_s: shared.metrics.elapsed(now).as_secs(),
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -3,7 +3,7 @@
 use crate::shared::Shared;
 use clock::Clock;
 use log::info;
-use status::Waits;
+use status::StopWaits;
 use std::convert::Infallible;
 use std::time::{Duration, Instant};
 
@@ -72,13 +72,13 @@
 }
 
 /// Counts what a stop waits for, or would wait for if it started now.
-pub(crate) fn read_waits<C>(shared: &Shared<C>) -> Waits
+pub(crate) fn read_waits<C>(shared: &Shared<C>) -> StopWaits
 where
     C: Clock,
 {
     let step = *shared.stop_step.lock();
     let is_at = |one: Step| usize::from(step == Some(one));
-    Waits {
+    StopWaits {
         callers: *shared.caller_connections.borrow(),
         calls: *shared.in_flight.borrow(),
         answers: *shared.unread_answers.borrow(),
--- a/crates/node/tests/operate.rs
+++ b/crates/node/tests/operate.rs
@@ -109,8 +109,8 @@
     }
     let handle = operate::spawn(bind().await, Arc::clone(&shared)).unwrap();
     let (_, text) = request(handle.address(), "GET /v1/burn", "").await;
-    let node = serde_json::from_str::<burn::Node>(&text).unwrap();
-    let report = burn::judge(&"jobs".into(), &node.services["jobs"]);
+    let node = serde_json::from_str::<burn::NodeCounts>(&text).unwrap();
+    let report = burn::evaluate(&"jobs".into(), &node.services["jobs"]);
     assert_eq!(report.calls, 10);
     assert_eq!(report.availability.unwrap().alert, burn::Alert::Page);
 }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,8 +1,8 @@
 //! An INI text as entries that know their lines, with the faults found so far.
 
-use crate::error::{Error, Fault};
+use crate::error::{Diagnostic, Error};
 use crate::table::Key;
-use crate::value::{Rejection, Value};
+use crate::value::{ParseError, Value};
 use ini::{Ini, ParseOption};
 use std::path::Path;
 
@@ -20,7 +20,7 @@
 pub struct Document {
     entries: Vec<Entry>,
     headers: Vec<(String, usize)>,
-    faults: Vec<Fault>,
+    diagnostics: Vec<Diagnostic>,
     last_line: usize,
 }
 
@@ -31,7 +31,7 @@
         let mut document = Self {
             entries: Vec::new(),
             headers: Vec::new(),
-            faults: Vec::new(),
+            diagnostics: Vec::new(),
             last_line: text.lines().count().max(1),
         };
         for (index, line) in text.lines().enumerate() {
@@ -49,7 +49,7 @@
         };
         let Ok(parsed) = Ini::load_from_str_opt(text, option) else {
             let message = "neither a [section], a key = value nor a # comment on its own line";
-            self.add_fault(line, message.to_owned());
+            self.add_diagnostic(line, message.to_owned());
             return;
         };
         for (section, properties) in &parsed {
@@ -66,29 +66,29 @@
         self.headers.push((name.to_owned(), line));
         if !keys.iter().any(|key| key.section == name) {
             let known = list_unique(keys.iter().map(|key| key.section));
-            self.add_fault(line, format!("[{name}]: unknown section; known: {known}"));
+            self.add_diagnostic(line, format!("[{name}]: unknown section; known: {known}"));
         }
     }
 
     fn add_entry(&mut self, line: usize, key: &str, value: &str, keys: &[Key]) {
         let Some((section, _)) = self.headers.last().cloned() else {
-            self.add_fault(line, format!("{key}: stands before the first [section]"));
+            self.add_diagnostic(line, format!("{key}: stands before the first [section]"));
             return;
         };
         if !keys.iter().any(|known| known.section == section) {
             return;
         }
-        if !keys.iter().any(|known| known.is(&section, key)) {
+        if !keys.iter().any(|known| known.matches(&section, key)) {
             let of_section = keys.iter().filter(|known| known.section == section);
             let known = list_unique(of_section.map(|known| known.name));
             let message = format!("[{section}] {key}: unknown key; known here: {known}");
-            self.add_fault(line, message);
+            self.add_diagnostic(line, message);
             return;
         }
         let first = self.find(&section, key).map(|entry| entry.line);
         if let Some(first) = first {
             let message = format!("[{section}] {key}: already set on line {first}; keep one");
-            self.add_fault(line, message);
+            self.add_diagnostic(line, message);
             return;
         }
         self.entries.push(Entry {
@@ -107,25 +107,25 @@
         let label = format!("[{}] {}", key.section, key.name);
         let Some(entry) = self.find(key.section, key.name) else {
             let Some(default) = key.default else {
-                let message = format!("{label}: missing; add {} = {}", key.name, T::FORM);
-                self.add_fault(self.line_of_section(key.section), message);
+                let message = format!("{label}: missing; add {} = {}", key.name, T::EXPECTED);
+                self.add_diagnostic(self.line_of_section(key.section), message);
                 return None;
             };
-            return T::read(default).ok();
+            return T::parse(default).ok();
         };
         let (line, value) = (entry.line, &entry.value);
-        let problem = match T::read(value) {
+        let problem = match T::parse(value) {
             Ok(value) => return Some(value),
-            Err(Rejection::Form) if key.secret => format!("{label}: want {}", T::FORM),
-            Err(Rejection::Form) => format!("{label}: \"{value}\" is not {}", T::FORM),
-            Err(Rejection::Zero) => {
+            Err(ParseError::Malformed) if key.secret => format!("{label}: want {}", T::EXPECTED),
+            Err(ParseError::Malformed) => format!("{label}: \"{value}\" is not {}", T::EXPECTED),
+            Err(ParseError::Zero) => {
                 format!(
                     "{label}: \"{value}\" is zero, which would stop all work; want {}",
-                    T::FORM
+                    T::EXPECTED
                 )
             }
         };
-        self.add_fault(line, problem);
+        self.add_diagnostic(line, problem);
         None
     }
 
@@ -137,8 +137,8 @@
     }
 
     /// Notes a fault.
-    pub fn add_fault(&mut self, line: usize, message: String) {
-        self.faults.push(Fault { line, message });
+    pub fn add_diagnostic(&mut self, line: usize, message: String) {
+        self.diagnostics.push(Diagnostic { line, message });
     }
 
     /// Gives the settings when nothing is wrong with them; `file` names the text in errors.
@@ -147,10 +147,10 @@
     ///
     /// Lists all faults, by line.
     pub fn finish<T>(mut self, settings: Option<T>, file: &str) -> Result<T, Error> {
-        self.faults.sort_by_key(|fault| fault.line);
+        self.diagnostics.sort_by_key(|fault| fault.line);
         match settings {
-            Some(settings) if self.faults.is_empty() => Ok(settings),
-            _ => Err(Error::Faulty(file.to_owned(), self.faults)),
+            Some(settings) if self.diagnostics.is_empty() => Ok(settings),
+            _ => Err(Error::Invalid(file.to_owned(), self.diagnostics)),
         }
     }
 
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -6,7 +6,7 @@
 
 /// One thing that is wrong, and where.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Line of the file, from 1.
     pub line: usize,
     /// What is wrong, and what would be right.
@@ -23,14 +23,14 @@
             source(source)
         }
         /// The file says something wrong; all of it is listed.
-        Faulty(file: String, faults: Vec<Fault>) {
-            display("{}", Listing(file, faults))
+        Invalid(file: String, diagnostics: Vec<Diagnostic>) {
+            display("{}", Listing(file, diagnostics))
         }
     }
 }
 
 /// Faults as compilers print them, one a line.
-struct Listing<'a>(&'a str, &'a [Fault]);
+struct Listing<'a>(&'a str, &'a [Diagnostic]);
 
 impl fmt::Display for Listing<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -18,6 +18,6 @@
 mod value;
 
 pub use document::Document;
-pub use error::{Error, Fault};
+pub use error::{Diagnostic, Error};
 pub use table::{Key, find_default};
-pub use value::{Rejection, Token, Value};
+pub use value::{ParseError, Token, Value};
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,6 +1,6 @@
 //! Settings of `bluebellpick-node`.
 
-pub use crate::value::{Distribution, Interface, Quota, Rate, Share, Token};
+pub use crate::value::{Distribution, Interface, LinkRate, Quota, Share, Token};
 
 use crate::document::{Document, read_file};
 use crate::error::Error;
@@ -59,7 +59,7 @@
         /// Share of a service's calls that may reach a version under trial which turns out to be bad; empty for a node that follows no roll-outs.
         [limits] canary_share: Option<Share> = "";
         /// What the VM's link carries, in Mbit/s; bodies of requests come in no faster, so that small calls find it free. Empty for what is seen of it.
-        [limits] link_mbps: Option<Rate> = "";
+        [limits] link_mbps: Option<LinkRate> = "";
         /// Bytes of requests' bodies that are held at once for calls which wait for a slot, in kilobytes; further ones are not asked for.
         [limits] body_kb: u32 = "8192";
         /// Threads that serve calls, beside the one that distributes; one is enough for some thousand calls a second.
@@ -100,7 +100,7 @@
 
     /// Gives the address that other nodes are told to connect to.
     #[must_use]
-    pub fn address(&self) -> SocketAddr {
+    pub fn advertised_address(&self) -> SocketAddr {
         self.advertised.unwrap_or(self.nodes)
     }
 
@@ -131,7 +131,7 @@
                 "[limits] threads: {} is more than {MAX_THREADS}; want about half the VM's cores",
                 self.threads
             );
-            document.add_fault(line, message);
+            document.add_diagnostic(line, message);
         }
     }
 
@@ -144,14 +144,14 @@
                     let message = format!(
                         "[listen] {name}: {address} is also the address of {other}; give each listener its own port"
                     );
-                    document.add_fault(line, message);
+                    document.add_diagnostic(line, message);
                 }
             }
         }
         if self.interface == Interface::Platform && self.service.is_none() {
             let line = document.line_of("node", "service");
             let message = "[node] service: missing, and interface = platform needs it".to_owned();
-            document.add_fault(line, message);
+            document.add_diagnostic(line, message);
         }
         if !self.backend.ip().is_loopback() && self.backend.ip() != self.nodes.ip() {
             let line = document.line_of("listen", "backend");
@@ -159,7 +159,7 @@
                 "[listen] backend: {} is not on loopback, nor on the VM's own address of nodes; want one such as 127.0.0.1:7002",
                 self.backend
             );
-            document.add_fault(line, message);
+            document.add_diagnostic(line, message);
         }
         let (key, told) = match self.advertised {
             Some(advertised) => ("advertised", advertised),
@@ -170,7 +170,7 @@
             let message = format!(
                 "[listen] {key}: other nodes can't connect to {told}; want the VM's own IP address"
             );
-            document.add_fault(line, message);
+            document.add_diagnostic(line, message);
         }
     }
 }
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -8,7 +8,7 @@
     /// Its name.
     pub name: &'static str,
     /// What a right value looks like.
-    pub form: &'static str,
+    pub expected: &'static str,
     /// Value when the file has none; without one the key must be set.
     pub default: Option<&'static str>,
     /// What it is for.
@@ -20,7 +20,7 @@
 impl Key {
     /// Tells whether this is the key `name` of `section`.
     #[must_use]
-    pub fn is(&self, section: &str, name: &str) -> bool {
+    pub fn matches(&self, section: &str, name: &str) -> bool {
         self.section == section && self.name == name
     }
 }
@@ -65,7 +65,7 @@
                 $($crate::Key {
                     section: stringify!($section),
                     name: stringify!($field),
-                    form: <$type as $crate::Value>::FORM,
+                    expected: <$type as $crate::Value>::EXPECTED,
                     default: $crate::find_default(&[$($default)?]),
                     doc: concat!($($doc),+),
                     secret: !matches!(stringify!($($secret)?).as_bytes(), b""),
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -17,9 +17,9 @@
 
 /// Why a text is not a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rejection {
+pub enum ParseError {
     /// The text has another form.
-    Form,
+    Malformed,
     /// The value is a limit of zero, which would stop all work.
     Zero,
 }
@@ -27,14 +27,14 @@
 /// A type that a setting can have.
 pub trait Value: Sized {
     /// What a right text looks like, with an example.
-    const FORM: &str;
+    const EXPECTED: &str;
 
     /// Reads a value.
     ///
     /// # Errors
     ///
     /// Says in which way the text is not a value.
-    fn read(text: &str) -> Result<Self, Rejection>;
+    fn parse(text: &str) -> Result<Self, ParseError>;
 }
 
 /// A secret that is never shown, or none where nobody is to have it.
@@ -51,42 +51,42 @@
 }
 
 impl Value for SmolStr {
-    const FORM: &str = "a name of 1 to 63 letters, digits, '-', '_' or '.', such as records-1";
+    const EXPECTED: &str = "a name of 1 to 63 letters, digits, '-', '_' or '.', such as records-1";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
+    fn parse(text: &str) -> Result<Self, ParseError> {
         let is_plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
         let fits = (1..=MAX_NAME).contains(&text.len()) && text.chars().all(is_plain);
         if fits {
             Ok(text.into())
         } else {
-            Err(Rejection::Form)
+            Err(ParseError::Malformed)
         }
     }
 }
 
 impl Value for SocketAddr {
-    const FORM: &str =
+    const EXPECTED: &str =
         "an IP address with a port, such as 127.0.0.1:7001 (names are not looked up)";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
-        let address = text.parse::<Self>().ok().ok_or(Rejection::Form)?;
+    fn parse(text: &str) -> Result<Self, ParseError> {
+        let address = text.parse::<Self>().ok().ok_or(ParseError::Malformed)?;
         if address.port() == 0 {
-            return Err(Rejection::Zero);
+            return Err(ParseError::Zero);
         }
         Ok(address)
     }
 }
 
 impl Value for Vec<SocketAddr> {
-    const FORM: &str =
+    const EXPECTED: &str =
         "IP addresses with ports, parted by commas, such as 127.0.0.1:7001, 127.0.0.1:7002";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
+    fn parse(text: &str) -> Result<Self, ParseError> {
         if text.is_empty() {
             return Ok(Self::new());
         }
         text.split(',')
-            .map(|part| SocketAddr::read(part.trim()))
+            .map(|part| SocketAddr::parse(part.trim()))
             .collect()
     }
 }
@@ -97,20 +97,20 @@
     /// Through its zone's tree of relays.
     Tree,
     /// As `Tree`, but every version whole in place of its patch: a baseline of measurements.
-    Whole,
+    Full,
     /// From the platform, which every node then watches: a baseline of measurements.
     Watch,
 }
 
 impl Value for Distribution {
-    const FORM: &str = "tree, whole or watch";
+    const EXPECTED: &str = "tree, whole or watch";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
+    fn parse(text: &str) -> Result<Self, ParseError> {
         match text {
             "tree" => Ok(Self::Tree),
-            "whole" => Ok(Self::Whole),
+            "whole" => Ok(Self::Full),
             "watch" => Ok(Self::Watch),
-            _ => Err(Rejection::Form),
+            _ => Err(ParseError::Malformed),
         }
     }
 }
@@ -125,13 +125,13 @@
 }
 
 impl Value for Interface {
-    const FORM: &str = "own or platform";
+    const EXPECTED: &str = "own or platform";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
+    fn parse(text: &str) -> Result<Self, ParseError> {
         match text {
             "own" => Ok(Self::Own),
             "platform" => Ok(Self::Platform),
-            _ => Err(Rejection::Form),
+            _ => Err(ParseError::Malformed),
         }
     }
 }
@@ -140,22 +140,22 @@
 where
     T: Value,
 {
-    const FORM: &str = T::FORM;
+    const EXPECTED: &str = T::EXPECTED;
 
-    fn read(text: &str) -> Result<Self, Rejection> {
+    fn parse(text: &str) -> Result<Self, ParseError> {
         if text.is_empty() {
             return Ok(None);
         }
-        T::read(text).map(Some)
+        T::parse(text).map(Some)
     }
 }
 
 impl Value for PathBuf {
-    const FORM: &str = "the path of a file, such as /run/secrets/token";
+    const EXPECTED: &str = "the path of a file, such as /run/secrets/token";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
+    fn parse(text: &str) -> Result<Self, ParseError> {
         if text.is_empty() {
-            Err(Rejection::Form)
+            Err(ParseError::Malformed)
         } else {
             Ok(text.into())
         }
@@ -163,16 +163,16 @@
 }
 
 impl Value for Duration {
-    const FORM: &str = "a number above zero with a unit (ms, s, min or h), such as 30 s";
+    const EXPECTED: &str = "a number above zero with a unit (ms, s, min or h), such as 30 s";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
+    fn parse(text: &str) -> Result<Self, ParseError> {
         let (digits, factor) = UNITS
             .iter()
             .find_map(|(unit, factor)| Some((text.strip_suffix(unit)?.trim_end(), factor)))
-            .ok_or(Rejection::Form)?;
-        let nanos = read_fraction(digits, factor * NANOS_PER_MS)?;
+            .ok_or(ParseError::Malformed)?;
+        let nanos = parse_fraction(digits, factor * NANOS_PER_MS)?;
         if nanos == 0 {
-            return Err(Rejection::Zero);
+            return Err(ParseError::Zero);
         }
         Ok(Self::from_nanos(nanos))
     }
@@ -191,12 +191,12 @@
 }
 
 impl Value for Share {
-    const FORM: &str = "a share from 0 to 1, such as 0.2";
+    const EXPECTED: &str = "a share from 0 to 1, such as 0.2";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
-        let millionths = read_fraction(text, MILLION)?;
+    fn parse(text: &str) -> Result<Self, ParseError> {
+        let millionths = parse_fraction(text, MILLION)?;
         if millionths > MILLION {
-            return Err(Rejection::Form);
+            return Err(ParseError::Malformed);
         }
         Ok(Self(millionths))
     }
@@ -217,18 +217,18 @@
 }
 
 impl Value for Quota {
-    const FORM: &str = "a number from 0, such as 50 or 30.7";
+    const EXPECTED: &str = "a number from 0, such as 50 or 30.7";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
-        read_fraction(text, MILLION).map(Self)
+    fn parse(text: &str) -> Result<Self, ParseError> {
+        parse_fraction(text, MILLION).map(Self)
     }
 }
 
 /// A rate of a link, in kilobits a second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rate(u64);
+pub struct LinkRate(u64);
 
-impl Rate {
+impl LinkRate {
     /// Gives the rate in bytes a second.
     #[must_use]
     pub fn bytes_per_second(self) -> f64 {
@@ -244,23 +244,23 @@
 /// Fastest link that settings can tell: a terabit a second.
 const MOST_KILOBITS: u64 = 1_000_000_000;
 
-impl Value for Rate {
-    const FORM: &str = "megabits a second above zero, at most 1000000, such as 1000 or 8.4";
+impl Value for LinkRate {
+    const EXPECTED: &str = "megabits a second above zero, at most 1000000, such as 1000 or 8.4";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
-        match read_fraction(text, KILO)? {
-            0 => Err(Rejection::Zero),
-            kilobits if kilobits > MOST_KILOBITS => Err(Rejection::Form),
+    fn parse(text: &str) -> Result<Self, ParseError> {
+        match parse_fraction(text, KILO)? {
+            0 => Err(ParseError::Zero),
+            kilobits if kilobits > MOST_KILOBITS => Err(ParseError::Malformed),
             kilobits => Ok(Self(kilobits)),
         }
     }
 }
 
 impl Value for Token {
-    const FORM: &str =
+    const EXPECTED: &str =
         "a secret of at least 16 characters without spaces, or none to refuse operators' writes";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
+    fn parse(text: &str) -> Result<Self, ParseError> {
         if text == NO_TOKEN {
             return Ok(Self(None));
         }
@@ -268,46 +268,46 @@
         if fits {
             Ok(Self(Some(text.to_owned())))
         } else {
-            Err(Rejection::Form)
+            Err(ParseError::Malformed)
         }
     }
 }
 
 impl Value for u64 {
-    const FORM: &str = "a whole number above zero, such as 64";
+    const EXPECTED: &str = "a whole number above zero, such as 64";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
-        read_count(text)
+    fn parse(text: &str) -> Result<Self, ParseError> {
+        parse_count(text)
     }
 }
 
 impl Value for u32 {
-    const FORM: &str = u64::FORM;
+    const EXPECTED: &str = u64::EXPECTED;
 
-    fn read(text: &str) -> Result<Self, Rejection> {
-        Self::try_from(read_count(text)?)
+    fn parse(text: &str) -> Result<Self, ParseError> {
+        Self::try_from(parse_count(text)?)
             .ok()
-            .ok_or(Rejection::Form)
+            .ok_or(ParseError::Malformed)
     }
 }
 
 impl Value for u16 {
-    const FORM: &str = "a whole number from 1 to 65535, such as 64";
+    const EXPECTED: &str = "a whole number from 1 to 65535, such as 64";
 
-    fn read(text: &str) -> Result<Self, Rejection> {
-        Self::try_from(read_count(text)?)
+    fn parse(text: &str) -> Result<Self, ParseError> {
+        Self::try_from(parse_count(text)?)
             .ok()
-            .ok_or(Rejection::Form)
+            .ok_or(ParseError::Malformed)
     }
 }
 
 impl Value for usize {
-    const FORM: &str = u64::FORM;
+    const EXPECTED: &str = u64::EXPECTED;
 
-    fn read(text: &str) -> Result<Self, Rejection> {
-        Self::try_from(read_count(text)?)
+    fn parse(text: &str) -> Result<Self, ParseError> {
+        Self::try_from(parse_count(text)?)
             .ok()
-            .ok_or(Rejection::Form)
+            .ok_or(ParseError::Malformed)
     }
 }
 
@@ -321,22 +321,22 @@
 ///
 /// What is finer than a part is rounded down, as these numbers are limits, but not to nothing:
 /// a little that is allowed must not come to none at all.
-fn read_fraction(text: &str, parts: u64) -> Result<u64, Rejection> {
-    if let Ok(count) = read_count(text) {
-        return count.checked_mul(parts).ok_or(Rejection::Form);
+fn parse_fraction(text: &str, parts: u64) -> Result<u64, ParseError> {
+    if let Ok(count) = parse_count(text) {
+        return count.checked_mul(parts).ok_or(ParseError::Malformed);
     }
     let is_number = |c: char| c.is_ascii_digit() || matches!(c, '.' | 'e' | 'E' | '-' | '+');
     if !text.starts_with(|c: char| c.is_ascii_digit()) || !text.chars().all(is_number) {
-        return Err(Rejection::Form);
+        return Err(ParseError::Malformed);
     }
-    let number = text.parse::<f64>().ok().ok_or(Rejection::Form)?;
+    let number = text.parse::<f64>().ok().ok_or(ParseError::Malformed)?;
     #[expect(
         clippy::cast_precision_loss,
         reason = "parts are round and far below 2^53"
     )]
     let scaled = number * parts as f64;
     if scaled >= MOST_PARTS {
-        return Err(Rejection::Form);
+        return Err(ParseError::Malformed);
     }
     #[expect(
         clippy::cast_possible_truncation,
@@ -357,13 +357,13 @@
 }
 
 /// Reads a count of digits alone; every count in settings is a limit, so zero is refused.
-fn read_count(text: &str) -> Result<u64, Rejection> {
+fn parse_count(text: &str) -> Result<u64, ParseError> {
     if text.is_empty() || !text.chars().all(|c| c.is_ascii_digit()) {
-        return Err(Rejection::Form);
+        return Err(ParseError::Malformed);
     }
     match text.parse() {
-        Ok(0) => Err(Rejection::Zero),
+        Ok(0) => Err(ParseError::Zero),
         Ok(count) => Ok(count),
-        Err(_) => Err(Rejection::Form),
+        Err(_) => Err(ParseError::Malformed),
     }
 }
--- a/crates/settings/tests/node.rs
+++ b/crates/settings/tests/node.rs
@@ -187,7 +187,7 @@
 #[test]
 fn key_docs() {
     for key in Settings::KEYS {
-        assert!(!key.doc.trim().is_empty() && !key.form.is_empty());
+        assert!(!key.doc.trim().is_empty() && !key.expected.is_empty());
     }
     let secret = |key: &&settings::Key| key.secret;
     let secrets = Settings::KEYS.iter().filter(secret).map(|key| key.name);
--- a/crates/settings/tests/property.rs
+++ b/crates/settings/tests/property.rs
@@ -29,14 +29,14 @@
         return Ok(());
     };
     let message = error.to_string();
-    let settings::Error::Faulty(_, faults) = error else {
+    let settings::Error::Invalid(_, diagnostics) = error else {
         return Err(TestCaseError::fail("a text can be read"));
     };
-    prop_assert!(!faults.is_empty());
+    prop_assert!(!diagnostics.is_empty());
     prop_assert!(message.starts_with("node.ini:"));
     let last = text.lines().count().max(1);
-    for fault in faults {
-        prop_assert!((1..=last).contains(&fault.line), "{message}");
+    for diagnostic in diagnostics {
+        prop_assert!((1..=last).contains(&diagnostic.line), "{message}");
     }
     Ok(())
 }
--- a/crates/status/src/lib.rs
+++ b/crates/status/src/lib.rs
@@ -79,7 +79,7 @@
 
 /// What a node's stop waits for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Waits {
+pub struct StopWaits {
     /// Connections of callers.
     pub callers: usize,
     /// Calls that wait for the own backend server or run on it.
@@ -96,7 +96,7 @@
     pub listeners: usize,
 }
 
-impl Waits {
+impl StopWaits {
     /// Gives each count with its name in metrics and logs.
     #[must_use]
     pub fn kinds(&self) -> [(&'static str, usize); 7] {
@@ -135,7 +135,7 @@
     pub in_flight: usize,
     /// What its stop waits for, or would if it came now.
     #[serde(default)]
-    pub waits: Waits,
+    pub waits: StopWaits,
     /// The own backend server, once announced.
     pub backend: Option<Backend>,
     /// Endpoints that take new work, by service.
