--- a/crates/burn/src/counts.rs
+++ b/crates/burn/src/counts.rs
@@ -1,28 +1,29 @@
-//! What is counted, and over which windows.
+//! Outcomes of calls, their counts and the time windows of the counts.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 use std::time::Duration;
 
-/// What a caller received.
+/// The outcome of a call for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// An answer of the service.
+    /// The service answered.
     Served {
-        /// Whether it came later than the objective's latency.
+        /// Whether the answer took longer than the objective's latency.
         slow: bool,
     },
-    /// No answer, an error of the service, or a refusal for want of room.
+    /// No answer, an error of the service, or a refusal for lack of capacity.
     Failed,
-    /// A refusal for a fault of the caller's own; it counts for nothing.
+    /// A refusal because of an error of the caller; it is not counted.
     CallerFault,
 }
 
 impl Outcome {
-    /// Judges an answer by its HTTP status.
+    /// Classifies an answer by its HTTP status.
     ///
-    /// 429 is a want of room, so the service's fault; every other 4xx is the caller's.
+    /// 429 means a lack of capacity, so it counts against the service; every other 4xx is the
+    /// caller's error.
     #[must_use]
     pub fn from_status(status: u16, slow: bool) -> Self {
         match status {
@@ -33,14 +34,14 @@
     }
 }
 
-/// Calls of one service over some time.
+/// Call counts of one service in a period.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Calls that count: served or failed.
+    /// Calls that were served or failed.
     pub calls: u64,
-    /// Those that failed.
+    /// Calls that failed.
     pub failed: u64,
-    /// Those that were served later than the objective's latency.
+    /// Calls that were served, but took longer than the objective's latency.
     pub slow: u64,
 }
 
@@ -68,7 +69,7 @@
     }
 }
 
-/// The windows of the workbook's table 5-8, shortest first.
+/// The windows in table 5-8 of the Site Reliability Workbook, shortest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Window {
     /// Five minutes.
@@ -89,7 +90,7 @@
 }
 
 impl Window {
-    /// All of them, shortest first.
+    /// All windows, shortest first.
     pub const ALL: [Self; 5] = [
         Self::FiveMinutes,
         Self::HalfHour,
@@ -98,7 +99,7 @@
         Self::ThreeDays,
     ];
 
-    /// Gives its length.
+    /// Returns the length of the window.
     #[must_use]
     pub const fn length(self) -> Duration {
         let minutes = match self {
@@ -111,7 +112,7 @@
         Duration::from_secs(minutes * 60)
     }
 
-    /// Gives its short name.
+    /// Returns the short name of the window.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -130,7 +131,7 @@
 pub struct Tally(BTreeMap<Window, Counts>);
 
 impl Tally {
-    /// Gives the counts of a window.
+    /// Returns the counts of a window.
     #[must_use]
     pub fn counts(&self, window: Window) -> Counts {
         self.0.get(&window).copied().unwrap_or_default()
--- a/crates/burn/src/history.rs
+++ b/crates/burn/src/history.rs
@@ -1,23 +1,23 @@
-//! Counts of the last three days in bounded memory.
+//! Call counts of the last three days in bounded memory.
 
 use crate::counts::{Counts, Outcome, Tally, Window};
 use std::time::Duration;
 
-/// Width of the buckets behind the windows up to an hour: a fifth of the shortest window.
-const FINE: Duration = Duration::from_mins(1);
+/// Bucket width for the windows up to an hour: a fifth of the shortest window.
+const SHORT_BUCKET: Duration = Duration::from_mins(1);
 
-/// Width of the buckets behind the windows of hours: a twelfth of six hours.
-const COARSE: Duration = Duration::from_mins(30);
+/// Bucket width for the windows of several hours: a twelfth of six hours.
+const LONG_BUCKET: Duration = Duration::from_mins(30);
 
-/// Counts of one stretch of time.
+/// Call counts of one time slot.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
-    /// Number of the stretch since the start; tells a stale bucket from the current one.
+    /// Number of the time slot since the start; distinguishes a stale bucket from a current one.
     slot: u64,
     counts: Counts,
 }
 
-/// Buckets of one width, used in turn.
+/// Ring buffer of buckets of one width.
 #[derive(Debug)]
 struct Ring {
     width: Duration,
@@ -50,8 +50,8 @@
         bucket.counts.record(outcome);
     }
 
-    /// Adds the buckets of the window up; the current one is part full, so the sum spans
-    /// up to one bucket less than the window.
+    /// Returns the sum of the buckets in the window. The current bucket is still filling, so the
+    /// sum covers up to one bucket less than the window.
     fn sum(&self, now: Duration, window: Window) -> Counts {
         let slot = self.slot(now);
         let first = (slot + 1).saturating_sub(window.length().as_secs() / self.width.as_secs());
@@ -65,7 +65,7 @@
     }
 }
 
-/// What the callers of one service received in the last three days: about 6 kB.
+/// Outcomes of the calls to one service in the last three days, in about 6 kB.
 #[derive(Debug)]
 pub struct History {
     fine: Ring,
@@ -75,20 +75,20 @@
 impl Default for History {
     fn default() -> Self {
         Self {
-            fine: Ring::new(FINE, Window::Hour),
-            coarse: Ring::new(COARSE, Window::ThreeDays),
+            fine: Ring::new(SHORT_BUCKET, Window::Hour),
+            coarse: Ring::new(LONG_BUCKET, Window::ThreeDays),
         }
     }
 }
 
 impl History {
-    /// Counts a call that ended at `now`, given as the time since any fixed start.
+    /// Counts a call that ended at `now`, the time since any fixed start.
     pub fn record(&mut self, now: Duration, outcome: Outcome) {
         self.fine.record(now, outcome);
         self.coarse.record(now, outcome);
     }
 
-    /// Gives the counts of all windows that end at `now`.
+    /// Returns the counts of all windows that end at `now`.
     #[must_use]
     pub fn tally(&self, now: Duration) -> Tally {
         let mut tally = Tally::default();
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,8 +1,8 @@
-//! How fast services use up their error budgets.
+//! Burn rates: how fast services use up their error budgets.
 //!
-//! Each node keeps a [`History`] of what its callers received per service;
-//! the command line adds the nodes' [`Tally`]s up and judges them against the
-//! objectives of the configuration. Windows and thresholds are those of
+//! Each node keeps a [`History`] of the outcomes of its callers' calls per service;
+//! the command line adds up the [`Tally`]s of all nodes and compares them with the
+//! objectives in the configuration. Windows and thresholds are those of
 //! "multiwindow, multi-burn-rate alerts" in Google's *Site Reliability
 //! Workbook*, chapter 5.
 //!
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -1,4 +1,4 @@
-//! What the counts say about the objectives.
+//! Compares call counts with the objectives: burn rates, remaining budget and alerts.
 
 use crate::counts::{Counts, Tally, Window};
 use config::{Objective, Version};
@@ -6,90 +6,90 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// A million: objectives are in parts of it.
+/// Objectives are in parts per million.
 const MILLION: u32 = 1_000_000;
 
-/// Pairs of windows that must both burn so fast, and what follows.
+/// Alert rules: a short window, a long window, the burn rate that both must reach, and the alert.
 ///
 /// From table 5-8 of the workbook: 14.4 spends 2 % of a budget of 30 days in
 /// an hour, 6 spends 5 % in six hours, 1 spends 10 % in three days. The short
-/// window ends the alert soon after the trouble ends.
-const RULES: [(Window, Window, f64, Alert); 3] = [
+/// window ends the alert soon after the errors end.
+const ALERT_RULES: [(Window, Window, f64, Alert); 3] = [
     (Window::FiveMinutes, Window::Hour, 14.4, Alert::Page),
     (Window::HalfHour, Window::SixHours, 6.0, Alert::Page),
     (Window::SixHours, Window::ThreeDays, 1.0, Alert::Ticket),
 ];
 
-/// Bad calls in the long window below which nobody is called.
+/// Minimum number of bad calls in the long window for an alert.
 ///
-/// Load pattern: a service with three calls an hour at night, one of which
-/// fails. Without this bound it burns hundreds of times too fast, and somebody
-/// is woken by a single call. With fewer than five, one more or less moves the
-/// burn by over a fifth, so that it says nothing yet.
-const LEAST_BAD: u64 = 5;
+/// Guards against a page because of a single call: if a service receives three calls an hour at
+/// night and one of them fails, its burn rate is hundreds of times too high. With fewer than five
+/// bad calls, one more or less changes the burn rate by more than a fifth, so it is not yet
+/// significant.
+const MIN_BAD_CALLS: u64 = 5;
 
-/// What a node reports of one service.
+/// What a node reports about one service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCounts {
-    /// What the service promises, by the node's configuration.
+    /// Objective of the service in the node's configuration.
     pub objective: Option<Objective>,
-    /// The counts of each window.
+    /// Call counts in each window.
     pub windows: Tally,
 }
 
-/// What a node reports of all services that it called.
+/// What a node reports about all services that its callers called.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeCounts {
     /// Name of the node.
     pub node: SmolStr,
-    /// Version that its objectives are of.
+    /// Configuration version of the objectives.
     pub version: Version,
-    /// How long it has counted, in seconds; a new process starts from nothing.
+    /// How long the node has counted, in seconds; a new process starts from zero.
     pub counted_s: u64,
-    /// The services by name.
+    /// Counts of the services, by name.
     pub services: BTreeMap<SmolStr, ServiceCounts>,
 }
 
-/// Who is to be called.
+/// Urgency of an alert.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Alert {
-    /// Nobody.
+    /// No alert.
     #[default]
     None,
-    /// Somebody, within days.
+    /// Needs attention within days.
     Ticket,
-    /// Somebody, now.
+    /// Needs attention at once.
     Page,
 }
 
-/// How one objective stands.
+/// State of the error budget of one objective.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BudgetStatus {
-    /// Share of the budget of three days that is left; below zero when overspent.
+    /// Remaining share of the budget of three days; below zero if overspent.
     pub budget_left: f64,
-    /// How many times faster than allowed the budget is spent, per window.
+    /// Burn rate per window: how many times faster than allowed the budget is spent.
     pub burn: BTreeMap<Window, f64>,
-    /// Who is to be called.
+    /// The most urgent alert whose rule applies.
     pub alert: Alert,
 }
 
-/// How a service stands.
+/// Burn rates of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceReport {
     /// Name of the service.
     pub service: SmolStr,
-    /// What it promises, if anything.
+    /// Objective of the service, if it has one.
     pub objective: Option<Objective>,
-    /// Calls of the last three days that count.
+    /// Calls in the last three days that were served or failed.
     pub calls: u64,
-    /// How the promise of answers stands.
+    /// Error budget of the availability objective.
     pub availability: Option<BudgetStatus>,
-    /// How the promise of quick answers stands.
+    /// Error budget of the latency objective.
     pub latency: Option<BudgetStatus>,
 }
 
-/// Adds up what nodes report; of objectives, the one of the highest version counts.
+/// Adds up the counts of all nodes; the objective is that of the highest configuration version.
 #[must_use]
 pub fn merge(nodes: &[NodeCounts]) -> BTreeMap<SmolStr, ServiceCounts> {
     let mut by_version = nodes.iter().collect::<Vec<_>>();
@@ -105,18 +105,18 @@
     merged
 }
 
-/// Judges the counts of a service.
+/// Compares the counts of a service with its objective.
 #[must_use]
 pub fn evaluate(name: &SmolStr, service: &ServiceCounts) -> ServiceReport {
     let windows = &service.windows;
     let availability = |objective: Objective| {
-        evaluate_level(windows, objective.availability_ppm, |counts| {
+        evaluate_objective(windows, objective.availability_ppm, |counts| {
             (counts.failed, counts.calls)
         })
     };
-    // A failed call is no slow answer: it has burnt the other budget already.
+    // Failed calls are left out, as they are already charged to the availability budget.
     let latency = |objective: Objective| {
-        evaluate_level(windows, objective.latency_ppm, |counts| {
+        evaluate_objective(windows, objective.latency_ppm, |counts| {
             (counts.slow, counts.calls - counts.failed)
         })
     };
@@ -129,21 +129,21 @@
     }
 }
 
-fn evaluate_level<F>(windows: &Tally, promised_ppm: u32, split: F) -> BudgetStatus
+fn evaluate_objective<F>(windows: &Tally, objective_ppm: u32, split: F) -> BudgetStatus
 where
     F: Fn(Counts) -> (u64, u64),
 {
     let burn = Window::ALL
         .map(|window| {
             let (bad, all) = split(windows.counts(window));
-            (window, compute_burn(bad, all, promised_ppm))
+            (window, burn_rate(bad, all, objective_ppm))
         })
         .into_iter()
         .collect::<BTreeMap<_, _>>();
-    let alert = RULES
+    let alert = ALERT_RULES
         .iter()
         .filter(|(short, long, limit, _)| burn[short] >= *limit && burn[long] >= *limit)
-        .filter(|(_, long, ..)| split(windows.counts(*long)).0 >= LEAST_BAD)
+        .filter(|(_, long, ..)| split(windows.counts(*long)).0 >= MIN_BAD_CALLS)
         .map(|(.., alert)| *alert)
         .max()
         .unwrap_or_default();
@@ -154,18 +154,18 @@
     }
 }
 
-/// Gives the share of bad calls over the allowed share.
+/// Returns the ratio of the share of bad calls to the allowed share.
 ///
-/// A promise of all calls leaves no budget to divide by; it counts as one of
-/// all but one in a million.
+/// An objective of 100 % would leave no budget to divide by; it counts as all but one call in a
+/// million.
 #[expect(
     clippy::cast_precision_loss,
     reason = "counts stay far below 2^52, and a ratio needs no more digits"
 )]
-fn compute_burn(bad: u64, all: u64, promised_ppm: u32) -> f64 {
+fn burn_rate(bad: u64, all: u64, objective_ppm: u32) -> f64 {
     if all == 0 {
         return 0.0;
     }
-    let allowed = f64::from(MILLION.saturating_sub(promised_ppm).max(1)) / f64::from(MILLION);
+    let allowed = f64::from(MILLION.saturating_sub(objective_ppm).max(1)) / f64::from(MILLION);
     bad as f64 / all as f64 / allowed
 }
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Burn of error budgets on known sequences of counts.
+//! Burn rates of known sequences of counts.
 
 use burn::{Alert, Counts, History, NodeCounts, Outcome, ServiceCounts, Window, evaluate, merge};
 use config::{Objective, Version};
@@ -15,7 +15,7 @@
 const MINUTE: Duration = Duration::from_mins(1);
 const SERVED: Outcome = Outcome::Served { slow: false };
 
-/// Records each minute of `minutes`: 1,000 calls, of which so many fail.
+/// Records 1,000 calls in each minute of `minutes`, of which `failed` fail.
 fn record_minutes(history: &mut History, minutes: std::ops::Range<u32>, failed: u32) {
     for minute in minutes {
         for call in 0..1_000 {
@@ -29,7 +29,7 @@
     }
 }
 
-fn judge_at(history: &History, minute: u32) -> burn::ServiceReport {
+fn evaluate_at(history: &History, minute: u32) -> burn::ServiceReport {
     let service = ServiceCounts {
         objective: Some(OBJECTIVE),
         windows: history.tally(MINUTE * minute),
@@ -42,14 +42,14 @@
     let mut history = History::default();
     record_minutes(&mut history, 0..55, 0);
     record_minutes(&mut history, 55..60, 144);
-    let level = judge_at(&history, 59).availability.unwrap();
-    // 5 minutes: 144 in 1,000 failed of 1 in 1,000 allowed. An hour: a twelfth of it.
-    let close = |window: Window, expected: f64| (level.burn[&window] - expected).abs() < 1e-9;
-    assert!(close(Window::FiveMinutes, 144.0), "{level:?}");
-    assert!(close(Window::Hour, 12.0), "{level:?}");
-    assert!((level.budget_left + 11.0).abs() < 1e-9, "{level:?}");
-    // The hour stands below 14.4, half an hour (24) and six hours (12) above 6.
-    assert_eq!(level.alert, Alert::Page);
+    let budget = evaluate_at(&history, 59).availability.unwrap();
+    // 5 minutes: 144 in 1,000 failed, where 1 in 1,000 is allowed. An hour: a twelfth of that.
+    let close = |window: Window, expected: f64| (budget.burn[&window] - expected).abs() < 1e-9;
+    assert!(close(Window::FiveMinutes, 144.0), "{budget:?}");
+    assert!(close(Window::Hour, 12.0), "{budget:?}");
+    assert!((budget.budget_left + 11.0).abs() < 1e-9, "{budget:?}");
+    // The hour is below 14.4; half an hour (24) and six hours (12) are above 6.
+    assert_eq!(budget.alert, Alert::Page);
 }
 
 #[parameterized(
@@ -61,29 +61,29 @@
 fn steady(failed: u32, alert: Alert) {
     let mut history = History::default();
     record_minutes(&mut history, 0..4 * 24 * 60, failed);
-    let report = judge_at(&history, 4 * 24 * 60 - 1);
-    let level = report.availability.unwrap();
-    assert!((level.burn[&Window::ThreeDays] - f64::from(failed)).abs() < 1e-9);
-    assert_eq!(level.alert, alert);
+    let report = evaluate_at(&history, 4 * 24 * 60 - 1);
+    let budget = report.availability.unwrap();
+    assert!((budget.burn[&Window::ThreeDays] - f64::from(failed)).abs() < 1e-9);
+    assert_eq!(budget.alert, alert);
     assert_eq!(report.latency.unwrap().alert, Alert::None);
 }
 
 #[test]
-fn trouble_over() {
+fn errors_over() {
     let mut history = History::default();
     record_minutes(&mut history, 0..60, 500);
     assert_eq!(
-        judge_at(&history, 59).availability.unwrap().alert,
+        evaluate_at(&history, 59).availability.unwrap().alert,
         Alert::Page
     );
     record_minutes(&mut history, 60..90, 0);
-    let level = judge_at(&history, 89).availability.unwrap();
-    assert!(level.burn[&Window::FiveMinutes] == 0.0 && level.burn[&Window::Hour] > 14.4);
-    assert_eq!(level.alert, Alert::Ticket);
+    let budget = evaluate_at(&history, 89).availability.unwrap();
+    assert!(budget.burn[&Window::FiveMinutes] == 0.0 && budget.burn[&Window::Hour] > 14.4);
+    assert_eq!(budget.alert, Alert::Ticket);
 }
 
 #[test]
-fn quiet_service() {
+fn counts_expire() {
     let mut history = History::default();
     record_minutes(&mut history, 0..1, 1_000);
     let tally = history.tally(MINUTE * (3 * 24 * 60 + 30));
@@ -92,14 +92,14 @@
     }
 }
 
-// Somebody is woken at three in the morning by one failed call. Cause: it was
-// one of three in that hour, and a share of three is no share.
+// Guards against a page because of one failed call at night: it is one of three calls in that
+// hour, too few for a meaningful share.
 #[parameterized(
     one_of_three = { 2, 1, Alert::None },
     four = { 1, 4, Alert::None },
     five = { 1, 5, Alert::Page },
 )]
-fn quiet_night(served: u32, failed: u32, alert: Alert) {
+fn few_calls(served: u32, failed: u32, alert: Alert) {
     let mut history = History::default();
     for _ in 0..served {
         history.record(MINUTE, SERVED);
@@ -107,9 +107,9 @@
     for _ in 0..failed {
         history.record(MINUTE, Outcome::Failed);
     }
-    let level = judge_at(&history, 1).availability.unwrap();
-    assert!(level.burn[&Window::FiveMinutes] > 14.4);
-    assert_eq!(level.alert, alert);
+    let budget = evaluate_at(&history, 1).availability.unwrap();
+    assert!(budget.burn[&Window::FiveMinutes] > 14.4);
+    assert_eq!(budget.alert, alert);
 }
 
 #[test]
@@ -120,20 +120,20 @@
         history.record(MINUTE, Outcome::Served { slow });
     }
     history.record(MINUTE, Outcome::Failed);
-    let level = judge_at(&history, 1).latency.unwrap();
+    let budget = evaluate_at(&history, 1).latency.unwrap();
     assert!(
-        (level.burn[&Window::FiveMinutes] - 30.0).abs() < 1e-9,
-        "{level:?}"
+        (budget.burn[&Window::FiveMinutes] - 30.0).abs() < 1e-9,
+        "{budget:?}"
     );
 }
 
 #[parameterized(
     fine = { 200, Outcome::Served { slow: true } },
     redirect = { 304, Outcome::Served { slow: true } },
-    callers_mistake = { 404, Outcome::CallerFault },
-    callers_cancel = { 499, Outcome::CallerFault },
-    no_room = { 429, Outcome::Failed },
-    broken = { 500, Outcome::Failed },
+    caller_error = { 404, Outcome::CallerFault },
+    caller_cancel = { 499, Outcome::CallerFault },
+    no_capacity = { 429, Outcome::Failed },
+    server_error = { 500, Outcome::Failed },
     refused = { 503, Outcome::Failed },
 )]
 fn by_status(status: u16, outcome: Outcome) {
--- a/crates/cli/src/burn_report.rs
+++ b/crates/cli/src/burn_report.rs
@@ -70,11 +70,11 @@
         ];
         let kept = promises
             .iter()
-            .filter_map(|(name, level)| Some((name, level.as_ref()?)));
+            .filter_map(|(name, budget)| Some((name, budget.as_ref()?)));
         let mut is_promised = false;
-        for (name, level) in kept {
+        for (name, budget) in kept {
             is_promised = true;
-            rows.push(make_row(&service.service, name, &calls, level));
+            rows.push(make_row(&service.service, name, &calls, budget));
         }
         if !is_promised {
             let texts = [service.service.as_str(), "none", calls.as_str()];
@@ -88,9 +88,9 @@
     print!("{}", render_table(&rows));
 }
 
-fn make_row(service: &str, promise: &str, calls: &str, level: &BudgetStatus) -> [String; 10] {
-    let [m5, m30, h1, h6, d3] = Window::ALL.map(|window| format!("{:.1}", level.burn[&window]));
-    let alert = match level.alert {
+fn make_row(service: &str, promise: &str, calls: &str, budget: &BudgetStatus) -> [String; 10] {
+    let [m5, m30, h1, h6, d3] = Window::ALL.map(|window| format!("{:.1}", budget.burn[&window]));
+    let alert = match budget.alert {
         Alert::None => "-",
         Alert::Ticket => "ticket",
         Alert::Page => "PAGE",
@@ -99,7 +99,7 @@
         service.to_owned(),
         promise.to_owned(),
         calls.to_owned(),
-        format!("{:.1} %", level.budget_left * 100.0),
+        format!("{:.1} %", budget.budget_left * 100.0),
         m5,
         m30,
         h1,
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,5 @@
-//! The clock as an interface: the system's own, and one that tests turn by hand.
+//! A clock trait with two implementations: the operating system's clock, and one that tests
+//! advance manually.
 //!
 //! ```
 //! use clock::{Clock, Manual};
@@ -15,10 +16,10 @@
 
 /// A source of time.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// Gives the monotonic time, for deadlines and measured durations.
+    /// Returns the monotonic time, for deadlines and measured durations.
     fn now(&self) -> Instant;
 
-    /// Gives the time of day, for records that people read.
+    /// Returns the wall-clock time, for records that people read.
     fn wall(&self) -> SystemTime;
 }
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// A clock that stands still until it is advanced; clones share one time.
+/// A clock that only moves when it is advanced; clones share one time.
 #[derive(Debug, Clone)]
 pub struct Manual {
     start: Instant,
@@ -44,7 +45,7 @@
 }
 
 impl Manual {
-    /// Makes a clock that starts at the Unix epoch.
+    /// Creates a clock whose wall-clock time starts at the Unix epoch.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Moves the time forward by `step`.
+    /// Advances the time by `step`.
     pub fn advance(&self, step: Duration) {
         *self.elapsed.lock().unwrap_or_else(PoisonError::into_inner) += step;
     }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! An INI text as entries that know their lines, with the faults found so far.
+//! A parsed INI text: entries with line numbers, and the errors found in it.
 
 use crate::error::{Diagnostic, Error};
 use crate::table::Key;
@@ -15,7 +15,7 @@
     value: String,
 }
 
-/// An INI text, with the faults found in it so far.
+/// A parsed INI text and the diagnostics collected for it.
 #[derive(Debug)]
 pub struct Document {
     entries: Vec<Entry>,
@@ -25,7 +25,7 @@
 }
 
 impl Document {
-    /// Reads `text` against the keys of a program.
+    /// Parses `text` and checks its sections and keys against the settings table `keys`.
     #[must_use]
     pub fn new(text: &str, keys: &[Key]) -> Self {
         let mut document = Self {
@@ -40,7 +40,8 @@
         document
     }
 
-    /// Takes one line; each goes through the INI library alone, which keeps no line numbers.
+    /// Parses one line. Lines go through the INI library one at a time, because the library does
+    /// not keep line numbers.
     fn add_line(&mut self, line: usize, text: &str, keys: &[Key]) {
         let option = ParseOption {
             enabled_quote: false,
@@ -65,7 +66,7 @@
     fn add_section(&mut self, line: usize, name: &str, keys: &[Key]) {
         self.headers.push((name.to_owned(), line));
         if !keys.iter().any(|key| key.section == name) {
-            let known = list_unique(keys.iter().map(|key| key.section));
+            let known = join_unique(keys.iter().map(|key| key.section));
             self.add_diagnostic(line, format!("[{name}]: unknown section; known: {known}"));
         }
     }
@@ -80,14 +81,14 @@
         }
         if !keys.iter().any(|known| known.matches(&section, key)) {
             let of_section = keys.iter().filter(|known| known.section == section);
-            let known = list_unique(of_section.map(|known| known.name));
+            let known = join_unique(of_section.map(|known| known.name));
             let message = format!("[{section}] {key}: unknown key; known here: {known}");
             self.add_diagnostic(line, message);
             return;
         }
-        let first = self.find(&section, key).map(|entry| entry.line);
-        if let Some(first) = first {
-            let message = format!("[{section}] {key}: already set on line {first}; keep one");
+        let first_line = self.find(&section, key).map(|entry| entry.line);
+        if let Some(first_line) = first_line {
+            let message = format!("[{section}] {key}: already set on line {first_line}; keep one");
             self.add_diagnostic(line, message);
             return;
         }
@@ -99,7 +100,8 @@
         });
     }
 
-    /// Reads the value of a key, or its default; a fault is noted and gives `None`.
+    /// Parses the value of a key, or its default; an invalid or missing value adds a diagnostic
+    /// and returns `None`.
     pub fn read<T>(&mut self, key: &Key) -> Option<T>
     where
         T: Value,
@@ -114,7 +116,7 @@
             return T::parse(default).ok();
         };
         let (line, value) = (entry.line, &entry.value);
-        let problem = match T::parse(value) {
+        let message = match T::parse(value) {
             Ok(value) => return Some(value),
             Err(ParseError::Malformed) if key.secret => format!("{label}: want {}", T::EXPECTED),
             Err(ParseError::Malformed) => format!("{label}: \"{value}\" is not {}", T::EXPECTED),
@@ -125,29 +127,29 @@
                 )
             }
         };
-        self.add_diagnostic(line, problem);
+        self.add_diagnostic(line, message);
         None
     }
 
-    /// Gives the line of a key, or of its section when it is not set.
+    /// Returns the line of a key, or that of its section if the key is not set.
     #[must_use]
     pub fn line_of(&self, section: &str, key: &str) -> usize {
         self.find(section, key)
             .map_or_else(|| self.line_of_section(section), |entry| entry.line)
     }
 
-    /// Notes a fault.
+    /// Adds a diagnostic.
     pub fn add_diagnostic(&mut self, line: usize, message: String) {
         self.diagnostics.push(Diagnostic { line, message });
     }
 
-    /// Gives the settings when nothing is wrong with them; `file` names the text in errors.
+    /// Returns the settings if there are no diagnostics; `file` names the text in errors.
     ///
     /// # Errors
     ///
-    /// Lists all faults, by line.
+    /// Lists all diagnostics, sorted by line.
     pub fn finish<T>(mut self, settings: Option<T>, file: &str) -> Result<T, Error> {
-        self.diagnostics.sort_by_key(|fault| fault.line);
+        self.diagnostics.sort_by_key(|diagnostic| diagnostic.line);
         match settings {
             Some(settings) if self.diagnostics.is_empty() => Ok(settings),
             _ => Err(Error::Invalid(file.to_owned(), self.diagnostics)),
@@ -168,8 +170,8 @@
     }
 }
 
-/// Lists names in their first order, each once.
-fn list_unique<'a, I>(names: I) -> String
+/// Joins the names with commas, in order of first occurrence and without duplicates.
+fn join_unique<'a, I>(names: I) -> String
 where
     I: Iterator<Item = &'a str>,
 {
@@ -182,7 +184,7 @@
     unique.join(", ")
 }
 
-/// Reads a file's text, and its name for errors.
+/// Reads a file; returns its text and its name for errors.
 pub(crate) fn read_file(path: &Path) -> Result<(String, String), Error> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,42 +1,46 @@
-//! What is wrong with a settings file.
+//! Errors in settings files.
 
 use quick_error::quick_error;
 use std::fmt;
 use std::io;
 
-/// One thing that is wrong, and where.
+/// One error in a settings file and its line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Line of the file, from 1.
+    /// Line number in the file, starting at 1.
     pub line: usize,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and what a valid value looks like.
     pub message: String,
 }
 
 quick_error! {
-    /// Why settings can't be used.
+    /// Why settings could not be loaded.
     #[derive(Debug)]
     pub enum Error {
-        /// The file can't be read.
+        /// The file could not be read.
         Unreadable(file: String, source: io::Error) {
             display("{}: can't be read: {}", file, source)
             source(source)
         }
-        /// The file says something wrong; all of it is listed.
+        /// The file has errors; all of them are listed.
         Invalid(file: String, diagnostics: Vec<Diagnostic>) {
-            display("{}", Listing(file, diagnostics))
+            display("{}", DiagnosticList(file, diagnostics))
         }
     }
 }
 
-/// Faults as compilers print them, one a line.
-struct Listing<'a>(&'a str, &'a [Diagnostic]);
+/// Formats diagnostics as compilers do: `file:line: message`, one per line.
+struct DiagnosticList<'a>(&'a str, &'a [Diagnostic]);
 
-impl fmt::Display for Listing<'_> {
+impl fmt::Display for DiagnosticList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, fault) in self.1.iter().enumerate() {
+        for (index, diagnostic) in self.1.iter().enumerate() {
             let newline = if index == 0 { "" } else { "\n" };
-            write!(f, "{newline}{}:{}: {}", self.0, fault.line, fault.message)?;
+            write!(
+                f,
+                "{newline}{}:{}: {}",
+                self.0, diagnostic.line, diagnostic.message
+            )?;
         }
         Ok(())
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! INI settings of the programs, checked whole before start.
+//! INI settings of the programs, fully checked before a program starts.
 //!
-//! A program's settings are one [`table!`]: each key stands there once, with
-//! its section, type, default and doc line. Reading a file lists every fault
-//! at once, each with its line and what would be right.
+//! A program's settings are one [`table!`]: each key is declared there once, with
+//! its section, type, default and documentation. Parsing a file reports all errors
+//! at once, each with its line and a description of a valid value.
 //!
 //! ```
 //! let error = settings::node::Settings::parse("[node]\nname = a b\n", "node.ini").unwrap_err();
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -18,7 +18,7 @@
         [node] zone: SmolStr;
         /// Region of the availability zone.
         [node] region: SmolStr;
-        /// Service of the backend server on this VM, which other backend servers are told as the origin of its calls; needed with `interface = platform`.
+        /// Service of the backend server on this VM; other backend servers receive it as the origin of its calls. Required with `interface = platform`.
         [node] service: Option<SmolStr> = "";
         /// Where callers connect.
         [listen] callers: SocketAddr;
@@ -26,7 +26,7 @@
         [listen] backend: SocketAddr;
         /// Where other nodes connect; they are told this address, so it can't be 0.0.0.0.
         [listen] nodes: SocketAddr;
-        /// Where other nodes are told to connect, when something forwards it to `nodes`; empty for `nodes` itself.
+        /// Address that other nodes are told to connect to, if connections to it are forwarded to `nodes`; empty for `nodes` itself.
         [listen] advertised: Option<SocketAddr> = "";
         /// Where operators connect.
         [listen] operators: SocketAddr;
@@ -34,21 +34,21 @@
         [fleet] platform: SocketAddr;
         /// Other nodes to ask when the platform does not answer.
         [fleet] seeds: Vec<SocketAddr> = "";
-        /// How versions and endpoints come: `tree` through the zone's relays; the baselines are `whole`, which sends whole configurations, and `watch`, from the platform to each node.
+        /// How versions and endpoints reach the node: `tree` relays patches from node to node in each zone. Two baselines for measurements: `whole` relays full configurations in place of patches, and with `watch` every node watches the platform.
         [fleet] distribution: Distribution = "tree";
-        /// Whose words callers, backend servers and configurations are in: the product's `own`, or those of the `platform`.
+        /// Interface to callers, backend servers and configurations (headers, announcements, stored objects): the product's `own`, or that of the `platform`.
         [fleet] interface: Interface = "own";
         /// Longest wait for calls in flight at a graceful stop.
         [limits] drain_timeout: Duration = "30 s";
-        /// How long after SIGTERM the node works on as before while it tells that it is not ready, so that whoever watches that sends callers elsewhere first; at most half of the time to stop in. Empty for not at all.
+        /// How long after SIGTERM the node keeps serving while it reports that it is not ready, so that a load balancer sends callers elsewhere before the stop begins; at most half of the time in which the node has to stop. Empty for no such wait.
         [limits] handover: Option<Duration> = "";
-        /// Time after SIGTERM at which the process is killed by whoever runs it; the node has ended before. Empty when nobody does.
+        /// Time after SIGTERM at which the supervisor of the process kills it; the node ends before that. Empty if nothing kills it.
         [limits] kill_timeout: Option<Duration> = "";
-        /// Connections of callers at once, some 20 kB each at rest; more wait in the system's queue.
+        /// Maximum number of callers' connections, some 20 kB each when idle; further ones wait in the system's accept queue.
         [limits] connections: u16 = "4096";
         /// Longest wait for the head of a caller's request, against callers that never end theirs.
         [limits] head_timeout: Duration = "30 s";
-        /// How long a new process takes no connections of callers while it has no routes yet, so that they go to other nodes; then it tells them to come back.
+        /// How long a new process accepts no connections of callers while it has no routes yet, so that callers go to other nodes; after that it accepts them and tells callers to come back later.
         [limits] routes_wait: Duration = "5 s";
         /// Repeats of all nodes together that may reach a service in `repeat_window`, as a share of callers' requests for it; empty for no bound on the fleet.
         [limits] repeat_share: Option<Share> = "";
@@ -58,11 +58,11 @@
         [limits] repeat_window: Duration = "10 s";
         /// Share of a service's calls that may reach a version under trial which turns out to be bad; empty for a node that follows no roll-outs.
         [limits] canary_share: Option<Share> = "";
-        /// What the VM's link carries, in Mbit/s; bodies of requests come in no faster, so that small calls find it free. Empty for what is seen of it.
+        /// Capacity of the VM's network link, in Mbit/s; request bodies are received no faster, so that small calls are not held up. Empty for an estimate from observed traffic.
         [limits] link_mbps: Option<LinkRate> = "";
-        /// Bytes of requests' bodies that are held at once for calls which wait for a slot, in kilobytes; further ones are not asked for.
+        /// Memory for the request bodies of calls that wait for a slot, in kilobytes; no further bytes are requested from the sending nodes.
         [limits] body_kb: u32 = "8192";
-        /// Threads that serve calls, beside the one that distributes; one is enough for some thousand calls a second.
+        /// Threads that serve calls, in addition to the one for configuration distribution; one is enough for some thousand calls a second.
         [limits] threads: u16 = "1";
         /// Token that operators' writes must carry.
         [operators] token: Token, secret;
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// Lists everything that is wrong with the file, by line.
+    /// Lists all errors in the file, sorted by line.
     pub fn open<P>(path: P) -> Result<Self, Error>
     where
         P: AsRef<Path>,
@@ -83,11 +83,11 @@
         Self::parse(&text, &file)
     }
 
-    /// Reads settings from `text`; `file` names it in errors.
+    /// Parses settings from `text`; `file` names it in errors.
     ///
     /// # Errors
     ///
-    /// Lists everything that is wrong with the text, by line.
+    /// Lists all errors in the text, sorted by line.
     pub fn parse(text: &str, file: &str) -> Result<Self, Error> {
         let mut document = Document::new(text, Self::KEYS);
         let settings = Self::read(&mut document);
@@ -98,22 +98,23 @@
         document.finish(settings, file)
     }
 
-    /// Gives the address that other nodes are told to connect to.
+    /// Returns the address that other nodes are told to connect to.
     #[must_use]
     pub fn advertised_address(&self) -> SocketAddr {
         self.advertised.unwrap_or(self.nodes)
     }
 
-    /// Gives the longest wait for calls in flight at a graceful stop, which ends before a kill would.
+    /// Returns the longest wait for calls in flight at a graceful stop; it ends before
+    /// `kill_timeout`.
     #[must_use]
     pub fn stop_limit(&self) -> Duration {
-        let before = self
+        let before_kill = self
             .kill_timeout
             .map(|kill| kill.saturating_sub(STOP_MARGIN).max(kill / 2));
-        before.map_or(self.drain_timeout, |before| before.min(self.drain_timeout))
+        before_kill.map_or(self.drain_timeout, |limit| limit.min(self.drain_timeout))
     }
 
-    /// Gives the four listeners by the names of their keys.
+    /// Returns the addresses of the four listeners with the names of their keys.
     #[must_use]
     pub fn listeners(&self) -> [(&'static str, SocketAddr); 4] {
         [
@@ -139,7 +140,7 @@
         let listeners = self.listeners();
         for (index, (name, address)) in listeners.iter().enumerate() {
             for (other, taken) in &listeners[..index] {
-                if is_shared(*address, *taken) {
+                if overlaps(*address, *taken) {
                     let line = document.line_of("listen", name);
                     let message = format!(
                         "[listen] {name}: {address} is also the address of {other}; give each listener its own port"
@@ -161,30 +162,30 @@
             );
             document.add_diagnostic(line, message);
         }
-        let (key, told) = match self.advertised {
+        let (key, address) = match self.advertised {
             Some(advertised) => ("advertised", advertised),
             None => ("nodes", self.nodes),
         };
-        if told.ip().is_unspecified() {
+        if address.ip().is_unspecified() {
             let line = document.line_of("listen", key);
             let message = format!(
-                "[listen] {key}: other nodes can't connect to {told}; want the VM's own IP address"
+                "[listen] {key}: other nodes can't connect to {address}; want the VM's own IP address"
             );
             document.add_diagnostic(line, message);
         }
     }
 }
 
-/// Time kept back before a kill: the last frames must be out, and a VM with a
-/// fifth of a core wakes late.
+/// Time reserved before `kill_timeout`: the last frames must be sent by then, and a VM with a
+/// fifth of a core wakes up late.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 
-/// Most threads of a node: more than the cores of any VM that it is meant for.
+/// Maximum number of threads of a node: more than the cores of any VM that it is meant for.
 const MAX_THREADS: u16 = 64;
 
-/// Tells whether two listeners would take each other's connections.
-fn is_shared(one: SocketAddr, other: SocketAddr) -> bool {
-    let overlap =
+/// Returns whether two listeners would receive each other's connections.
+fn overlaps(one: SocketAddr, other: SocketAddr) -> bool {
+    let same_ip =
         one.ip() == other.ip() || one.ip().is_unspecified() || other.ip().is_unspecified();
-    one.port() == other.port() && overlap
+    one.port() == other.port() && same_ip
 }
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 crate::table! {
-    /// Settings of the command line; its flags go before them.
+    /// Settings of the command line; its flags override them.
     pub struct Settings {
         /// Address of the platform's object API.
         [operator] platform: Option<SocketAddr> = "";
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     ///
-    /// Lists everything that is wrong with the file, by line.
+    /// Lists all errors in the file, sorted by line.
     pub fn open<P>(path: P) -> Result<Self, Error>
     where
         P: AsRef<Path>,
@@ -34,11 +34,11 @@
         Self::parse(&text, &file)
     }
 
-    /// Reads settings from `text`; `file` names it in errors.
+    /// Parses settings from `text`; `file` names it in errors.
     ///
     /// # Errors
     ///
-    /// Lists everything that is wrong with the text, by line.
+    /// Lists all errors in the text, sorted by line.
     pub fn parse(text: &str, file: &str) -> Result<Self, Error> {
         let mut document = Document::new(text, Self::KEYS);
         let settings = Self::read(&mut document);
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -1,31 +1,31 @@
-//! The table of a program's settings: one place a key.
+//! The table that declares a program's settings, each key in one place.
 
-/// One key of a settings file, as the docs and the checks see it.
+/// One key of a settings file, for checks and documentation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Key {
-    /// Section that it stands in.
+    /// Section that the key belongs to.
     pub section: &'static str,
-    /// Its name.
+    /// Name of the key.
     pub name: &'static str,
-    /// What a right value looks like.
+    /// Description of a valid value, with an example.
     pub expected: &'static str,
-    /// Value when the file has none; without one the key must be set.
+    /// Value if the file does not set the key; `None` if it must be set.
     pub default: Option<&'static str>,
-    /// What it is for.
+    /// Documentation of the key.
     pub doc: &'static str,
-    /// Whether its value must not be shown.
+    /// Whether the value must be kept out of messages.
     pub secret: bool,
 }
 
 impl Key {
-    /// Tells whether this is the key `name` of `section`.
+    /// Returns whether this is the key `name` of `section`.
     #[must_use]
     pub fn matches(&self, section: &str, name: &str) -> bool {
         self.section == section && self.name == name
     }
 }
 
-/// Takes the default out of a table's `= ...` part.
+/// Returns the default from the optional `= "default"` part of a table row.
 #[must_use]
 pub const fn find_default(parts: &[&'static str]) -> Option<&'static str> {
     match parts {
@@ -34,11 +34,11 @@
     }
 }
 
-/// Defines a settings struct, its table of keys and its reader.
+/// Defines a settings struct, its table of keys and the function that parses it.
 ///
-/// Each line is `/// doc`, the section in brackets, the field (which names the
-/// key), its type, and `= "default"` unless the key must be set. The mark
-/// `secret` keeps a value out of messages.
+/// Each row is `/// doc`, the section in brackets, the field (which is also the
+/// name of the key), its type, and `= "default"` unless the key must be set.
+/// `, secret` at the end keeps the value out of messages.
 #[macro_export]
 macro_rules! table {
     (
@@ -60,7 +60,7 @@
         }
 
         impl $table {
-            /// Every key, in the order of the docs.
+            /// All keys, in the order in which they are documented.
             pub const KEYS: &[$crate::Key] = &[
                 $($crate::Key {
                     section: stringify!($section),
@@ -72,7 +72,7 @@
                 },)+
             ];
 
-            /// Reads all keys, so that every fault is found in one pass.
+            /// Parses all keys, even after an error, so that one pass reports every error.
             fn read(document: &mut $crate::Document) -> Option<Self> {
                 let mut keys = Self::KEYS.iter();
                 $(let $field = keys.next().and_then(|key| document.read::<$type>(key));)+
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,4 +1,4 @@
-//! Types that a setting can have, and their text forms.
+//! The types of settings and how their values are written.
 
 use smol_str::SmolStr;
 use std::fmt;
@@ -6,42 +6,43 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Longest name of a node, availability zone or region: that of a DNS label.
-const MAX_NAME: usize = 63;
+/// Maximum length of the name of a node, availability zone or region: that of a DNS label.
+const MAX_NAME_LEN: usize = 63;
 
-/// Shortest token: 16 characters of hexadecimal digits are 64 bits.
-const MIN_TOKEN: usize = 16;
+/// Minimum length of a token: 16 hexadecimal digits are 64 bits.
+const MIN_TOKEN_LEN: usize = 16;
 
-/// Units of time, longest suffix first, so that `ms` is not taken for `s`.
-const UNITS: [(&str, u64); 4] = [("ms", 1), ("min", 60_000), ("s", 1_000), ("h", 3_600_000)];
+/// Units of time and their length in milliseconds. `ms` comes before `s`, because the suffix `s`
+/// also matches it.
+const TIME_UNITS: [(&str, u64); 4] = [("ms", 1), ("min", 60_000), ("s", 1_000), ("h", 3_600_000)];
 
-/// Why a text is not a value.
+/// Why a text is not a valid value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ParseError {
-    /// The text has another form.
+    /// The text does not have the expected form.
     Malformed,
-    /// The value is a limit of zero, which would stop all work.
+    /// The value is zero, which as a limit would stop all work.
     Zero,
 }
 
 /// A type that a setting can have.
 pub trait Value: Sized {
-    /// What a right text looks like, with an example.
+    /// Description of a valid text, with an example.
     const EXPECTED: &str;
 
-    /// Reads a value.
+    /// Parses a value.
     ///
     /// # Errors
     ///
-    /// Says in which way the text is not a value.
+    /// When the text is not a valid value.
     fn parse(text: &str) -> Result<Self, ParseError>;
 }
 
-/// A secret that is never shown, or none where nobody is to have it.
+/// A secret that `Debug` does not show; `None` refuses every operator's write.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Token(pub Option<String>);
 
-/// Word that stands for no secret.
+/// Text of a setting without a secret.
 const NO_TOKEN: &str = "none";
 
 impl fmt::Debug for Token {
@@ -55,7 +56,7 @@
 
     fn parse(text: &str) -> Result<Self, ParseError> {
         let is_plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        let fits = (1..=MAX_NAME).contains(&text.len()) && text.chars().all(is_plain);
+        let fits = (1..=MAX_NAME_LEN).contains(&text.len()) && text.chars().all(is_plain);
         if fits {
             Ok(text.into())
         } else {
@@ -91,14 +92,15 @@
     }
 }
 
-/// How versions and endpoints reach a node.
+/// How configuration versions and endpoints reach a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Distribution {
-    /// Through its zone's tree of relays.
+    /// Through the distribution tree of its availability zone.
     Tree,
-    /// As `Tree`, but every version whole in place of its patch: a baseline of measurements.
+    /// As `Tree`, but with a full configuration in place of each patch: a baseline for
+    /// measurements.
     Full,
-    /// From the platform, which every node then watches: a baseline of measurements.
+    /// From the platform, which every node watches directly: a baseline for measurements.
     Watch,
 }
 
@@ -115,12 +117,13 @@
     }
 }
 
-/// Whose words callers, backend servers and operators' configurations are in.
+/// The interface that callers, backend servers and operators' configurations use: headers,
+/// announcements and stored objects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Interface {
     /// The product's own.
     Own,
-    /// Those of the platform that the VMs run on.
+    /// That of the platform that the VMs run on.
     Platform,
 }
 
@@ -166,7 +169,7 @@
     const EXPECTED: &str = "a number above zero with a unit (ms, s, min or h), such as 30 s";
 
     fn parse(text: &str) -> Result<Self, ParseError> {
-        let (digits, factor) = UNITS
+        let (digits, factor) = TIME_UNITS
             .iter()
             .find_map(|(unit, factor)| Some((text.strip_suffix(unit)?.trim_end(), factor)))
             .ok_or(ParseError::Malformed)?;
@@ -178,12 +181,12 @@
     }
 }
 
-/// A share, in millionths.
+/// A share from 0 to 1, in millionths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Share(u64);
 
 impl Share {
-    /// Gives the share as a fraction.
+    /// Returns the share as a fraction.
     #[must_use]
     pub fn get(self) -> f64 {
         millionths_to_f64(self.0)
@@ -202,14 +205,15 @@
     }
 }
 
-/// A number of things that a part of a fleet may do, in millionths.
+/// A number of events that a fleet, or a part of it, is allowed, in millionths.
 ///
-/// A part of a fleet has a part of its budget, which mostly is no whole number.
+/// Part of a fleet gets the corresponding part of the fleet's budget, which is rarely a whole
+/// number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quota(u64);
 
 impl Quota {
-    /// Gives the number.
+    /// Returns the number.
     #[must_use]
     pub fn get(self) -> f64 {
         millionths_to_f64(self.0)
@@ -224,12 +228,12 @@
     }
 }
 
-/// A rate of a link, in kilobits a second.
+/// Capacity of a network link, in kilobits per second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkRate(u64);
 
 impl LinkRate {
-    /// Gives the rate in bytes a second.
+    /// Returns the capacity in bytes per second.
     #[must_use]
     pub fn bytes_per_second(self) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "far below 2^53")]
@@ -239,18 +243,18 @@
 }
 
 /// Kilobits in a megabit.
-const KILO: u64 = 1_000;
+const KILOBITS_PER_MEGABIT: u64 = 1_000;
 
-/// Fastest link that settings can tell: a terabit a second.
-const MOST_KILOBITS: u64 = 1_000_000_000;
+/// Maximum capacity that can be set: a terabit per second.
+const MAX_KILOBITS: u64 = 1_000_000_000;
 
 impl Value for LinkRate {
     const EXPECTED: &str = "megabits a second above zero, at most 1000000, such as 1000 or 8.4";
 
     fn parse(text: &str) -> Result<Self, ParseError> {
-        match parse_fraction(text, KILO)? {
+        match parse_fraction(text, KILOBITS_PER_MEGABIT)? {
             0 => Err(ParseError::Zero),
-            kilobits if kilobits > MOST_KILOBITS => Err(ParseError::Malformed),
+            kilobits if kilobits > MAX_KILOBITS => Err(ParseError::Malformed),
             kilobits => Ok(Self(kilobits)),
         }
     }
@@ -264,7 +268,7 @@
         if text == NO_TOKEN {
             return Ok(Self(None));
         }
-        let fits = text.len() >= MIN_TOKEN && text.chars().all(|c| c.is_ascii_graphic());
+        let fits = text.len() >= MIN_TOKEN_LEN && text.chars().all(|c| c.is_ascii_graphic());
         if fits {
             Ok(Self(Some(text.to_owned())))
         } else {
@@ -314,13 +318,13 @@
 /// Millionths in one.
 const MILLION: u64 = 1_000_000;
 
-/// Nanoseconds in a millisecond, the unit that [`UNITS`] are told in.
+/// Nanoseconds in a millisecond, the unit of [`TIME_UNITS`].
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// Reads a number that may have a fraction, in parts of which one has so many.
+/// Parses a number that may have a fraction, as a multiple of 1 / `parts`.
 ///
-/// What is finer than a part is rounded down, as these numbers are limits, but not to nothing:
-/// a little that is allowed must not come to none at all.
+/// Rounds down, as these numbers are limits, but a number above zero gives at least 1: a small
+/// allowance must not become none.
 fn parse_fraction(text: &str, parts: u64) -> Result<u64, ParseError> {
     if let Ok(count) = parse_count(text) {
         return count.checked_mul(parts).ok_or(ParseError::Malformed);
@@ -335,7 +339,7 @@
         reason = "parts are round and far below 2^53"
     )]
     let scaled = number * parts as f64;
-    if scaled >= MOST_PARTS {
+    if scaled >= PARTS_LIMIT {
         return Err(ParseError::Malformed);
     }
     #[expect(
@@ -347,8 +351,8 @@
     Ok(if number > 0.0 { whole.max(1) } else { 0 })
 }
 
-/// Number of parts, 2^63, from which on a number is refused as too large.
-const MOST_PARTS: f64 = 9_223_372_036_854_775_808.0;
+/// Smallest number of parts, 2^63, that is refused as too large.
+const PARTS_LIMIT: f64 = 9_223_372_036_854_775_808.0;
 
 fn millionths_to_f64(millionths: u64) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "a limit needs no more digits")]
@@ -356,7 +360,7 @@
     millionths / 1e6
 }
 
-/// Reads a count of digits alone; every count in settings is a limit, so zero is refused.
+/// Parses a count, which is digits only; every count in settings is a limit, so zero is refused.
 fn parse_count(text: &str) -> Result<u64, ParseError> {
     if text.is_empty() || !text.chars().all(|c| c.is_ascii_digit()) {
         return Err(ParseError::Malformed);
--- a/crates/settings/tests/node.rs
+++ b/crates/settings/tests/node.rs
@@ -1,10 +1,10 @@
-//! Settings of a node: every fault is named with its line and what would be right.
+//! Settings of a node: every error is reported with its line and a description of a valid value.
 
 use settings::node::{Settings, Share};
 use std::time::Duration;
 use yare::parameterized;
 
-const RIGHT: &str = "\
+const VALID: &str = "\
 # A node.
 [node]
 name = records-1
@@ -22,8 +22,8 @@
 ";
 
 #[test]
-fn right_file() {
-    let settings = Settings::parse(RIGHT, "node.ini").unwrap();
+fn valid_file() {
+    let settings = Settings::parse(VALID, "node.ini").unwrap();
     assert_eq!(settings.name, "records-1");
     assert_eq!(settings.nodes, "127.0.0.1:7003".parse().unwrap());
     assert_eq!(settings.seeds, []);
@@ -33,23 +33,23 @@
 
 #[parameterized(
     soon = { "6 s", 5_500 },
-    at_once = { "600ms", 300 },
+    very_soon = { "600ms", 300 },
     late = { "2 min", 30_000 },
 )]
 fn stop_before_kill(kill: &str, limit_ms: u64) {
-    let text = format!("{RIGHT}[limits]\nkill_timeout = {kill}\n");
+    let text = format!("{VALID}[limits]\nkill_timeout = {kill}\n");
     let settings = Settings::parse(&text, "node.ini").unwrap();
     assert_eq!(settings.stop_limit(), Duration::from_millis(limit_ms));
 }
 
-// A deployment was set up at a fourteenth of its size, and no node started: the platform
-// wrote the part of a budget that is left to it as 30.714285714285715, and the key took
-// whole numbers alone. One figure written another way than usual stopped a whole fleet.
+// Guards against a fleet in which no node starts because of the format of one number: in a
+// deployment scaled down to a fourteenth of its size, the platform wrote the remaining part of a
+// budget as 30.714285714285715, while the key only accepted whole numbers.
 #[parameterized(
     part_of_budget = { "repeat_extra = 30.714285714285715", 30.714_285, 0.0 },
     small_budget = { "repeat_extra = 0.0000001", 0.000_001, 0.0 },
-    no_budget = { "repeat_extra = 0", 0.0, 0.0 },
-    no_budget_in_full = { "repeat_extra = 0.0", 0.0, 0.0 },
+    zero_budget = { "repeat_extra = 0", 0.0, 0.0 },
+    zero_budget_fraction = { "repeat_extra = 0.0", 0.0, 0.0 },
     large_budget = { "repeat_extra = 4300000000", 4.3e9, 0.0 },
     budget_with_exponent = { "repeat_extra = 1.5e3", 1_500.0, 0.0 },
     whole_share = { "repeat_share = 1", 50.0, 1.0 },
@@ -57,8 +57,8 @@
     smallest_share = { "repeat_share = 1e-05", 50.0, 0.000_01 },
     fine_share = { "repeat_share = 0.0142857142857", 50.0, 0.014_285 },
 )]
-fn written_budgets(line: &str, extra: f64, share: f64) {
-    let text = format!("{RIGHT}[limits]\n{line}\n");
+fn budget_formats(line: &str, extra: f64, share: f64) {
+    let text = format!("{VALID}[limits]\n{line}\n");
     let settings = Settings::parse(&text, "node.ini").unwrap();
     assert!((settings.repeat_extra.get() - extra).abs() < 1e-9);
     let found = settings.repeat_share.map_or(0.0, Share::get);
@@ -73,9 +73,9 @@
     below_ns = { "1e-9ms", 1 },
     long = { "1e5 s", 100_000_000_000_000 },
 )]
-fn written_times(time: &str, nanos: u64) {
+fn duration_formats(time: &str, nanos: u64) {
     for key in ["kill_timeout", "repeat_window", "routes_wait", "handover"] {
-        let text = format!("{RIGHT}[limits]\n{key} = {time}\n");
+        let text = format!("{VALID}[limits]\n{key} = {time}\n");
         let settings = Settings::parse(&text, "node.ini").unwrap();
         let found = match key {
             "kill_timeout" => settings.kill_timeout.unwrap(),
@@ -93,8 +93,8 @@
     part_of_link = { "0.7142857142857143", 89_250.0 },
     below_kilobit = { "0.0001", 125.0 },
 )]
-fn written_links(link: &str, bytes: f64) {
-    let text = format!("{RIGHT}[limits]\nlink_mbps = {link}\n");
+fn link_rate_formats(link: &str, bytes: f64) {
+    let text = format!("{VALID}[limits]\nlink_mbps = {link}\n");
     let settings = Settings::parse(&text, "node.ini").unwrap();
     let found = settings.link_mbps.unwrap().bytes_per_second();
     assert!((found - bytes).abs() < 1e-6, "{found}");
@@ -102,17 +102,17 @@
 
 #[parameterized(
     negative_budget = { "repeat_extra = -1", "\"-1\" is not a number from 0" },
-    no_number = { "repeat_extra = NaN", "\"NaN\" is not a number from 0" },
-    endless = { "repeat_extra = inf", "\"inf\" is not a number from 0" },
-    beyond_all = { "repeat_extra = 1e300", "\"1e300\" is not a number from 0" },
+    not_a_number = { "repeat_extra = NaN", "\"NaN\" is not a number from 0" },
+    infinite = { "repeat_extra = inf", "\"inf\" is not a number from 0" },
+    too_large = { "repeat_extra = 1e300", "\"1e300\" is not a number from 0" },
     two_numbers = { "repeat_extra = 1-2", "\"1-2\" is not a number from 0" },
-    more_than_all = { "repeat_share = 1.5", "\"1.5\" is not a share from 0 to 1" },
-    no_time = { "kill_timeout = 0.0s", "\"0.0s\" is zero" },
-    no_link = { "link_mbps = 0.0", "\"0.0\" is zero" },
-    time_beyond_all = { "kill_timeout = 1e300 s", "\"1e300 s\" is not a number above zero" },
+    share_above_one = { "repeat_share = 1.5", "\"1.5\" is not a share from 0 to 1" },
+    zero_time = { "kill_timeout = 0.0s", "\"0.0s\" is zero" },
+    zero_link = { "link_mbps = 0.0", "\"0.0\" is zero" },
+    time_too_large = { "kill_timeout = 1e300 s", "\"1e300 s\" is not a number above zero" },
 )]
-fn bad_numbers(line: &str, message: &str) {
-    let text = format!("{RIGHT}[limits]\n{line}\n");
+fn invalid_numbers(line: &str, message: &str) {
+    let text = format!("{VALID}[limits]\n{line}\n");
     let error = Settings::parse(&text, "node.ini").unwrap_err().to_string();
     assert!(error.starts_with("node.ini:16: [limits]"), "{error}");
     assert!(error.contains(message), "{error}");
@@ -122,7 +122,7 @@
     unknown_section = { "[fleet]", "[flet]", 11, "[flet]: unknown section; known: node, listen, fleet" },
     unknown_key = { "zone =", "zoon =", 4, "[node] zoon: unknown key; known here: name, zone, region, service" },
     wrong_type = { "127.0.0.1:7001", "7001", 7, "[listen] callers: \"7001\" is not an IP address with a port" },
-    looked_up_name = { "127.0.0.1:7100", "localhost:7100", 12, "is not an IP address with a port" },
+    host_name = { "127.0.0.1:7100", "localhost:7100", 12, "is not an IP address with a port" },
     missing_address = { "nodes = 127.0.0.1:7003\n", "", 6, "[listen] nodes: missing; add nodes = an IP address" },
     missing_zone = { "zone = kl-a\n", "", 2, "[node] zone: missing" },
     missing_section = { "[operators]\ntoken = 0123456789abcdef\n", "", 12, "[operators] token: missing" },
@@ -146,9 +146,9 @@
     comment_after_value = { "zone = kl-a", "zone = kl-a # home", 4, "is not a name" },
     bad_seed = { "[operators]", "seeds = 127.0.0.1:1, x\n[operators]", 13, "\"127.0.0.1:1, x\" is not IP addresses" },
 )]
-fn one_fault(right: &str, wrong: &str, line: usize, message: &str) {
-    assert!(RIGHT.contains(right));
-    let text = RIGHT.replace(right, wrong);
+fn single_error(valid: &str, invalid: &str, line: usize, message: &str) {
+    assert!(VALID.contains(valid));
+    let text = VALID.replace(valid, invalid);
     let error = Settings::parse(&text, "node.ini").unwrap_err().to_string();
     let expected = format!("node.ini:{line}: ");
     let found = error
@@ -158,8 +158,8 @@
 }
 
 #[test]
-fn all_faults() {
-    let text = RIGHT
+fn all_errors() {
+    let text = VALID
         .replace("zone =", "zoon =")
         .replace("127.0.0.1:7100", "platform");
     let error = Settings::parse(&text, "node.ini").unwrap_err().to_string();
@@ -171,8 +171,8 @@
 }
 
 #[test]
-fn secret_unsaid() {
-    let text = RIGHT.replace("0123456789abcdef", "hunter two");
+fn secret_not_shown() {
+    let text = VALID.replace("0123456789abcdef", "hunter two");
     let error = Settings::parse(&text, "node.ini").unwrap_err().to_string();
     assert!(error.contains("[operators] token: want a secret"));
     assert!(!error.contains("hunter"));
--- a/crates/settings/tests/property.rs
+++ b/crates/settings/tests/property.rs
@@ -1,10 +1,10 @@
-//! Properties of the settings' reader, on texts drawn from pinned seeds.
+//! Properties of the settings parser, on texts generated from a fixed seed.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use settings::node::Settings;
 
-/// Texts a property is tried on.
+/// Number of texts that each property is checked with.
 const CASES: u32 = 500;
 
 fn run<S, F>(strategy: &S, test: F)
@@ -23,8 +23,8 @@
         .unwrap();
 }
 
-/// Gives the lines of the faults, each of which must be a line of the text.
-fn check_faults(text: &str) -> Result<(), TestCaseError> {
+/// Checks that every diagnostic refers to a line of the text.
+fn check_diagnostics(text: &str) -> Result<(), TestCaseError> {
     let Err(error) = Settings::parse(text, "node.ini") else {
         return Ok(());
     };
@@ -43,18 +43,18 @@
 
 #[test]
 fn any_text() {
-    run(&any::<String>(), |text| check_faults(&text));
+    run(&any::<String>(), |text| check_diagnostics(&text));
 }
 
 #[test]
 fn ini_like_text() {
     let line = "(\\[(node|listen|fleet|limits|operators|x)\\])|((name|zone|callers|seeds|token|drain_timeout) *[=:] *[ -~]{0,30})|[ -~]{0,20}|[#;][ -~]{0,9}";
     let text = proptest::collection::vec(line, 0..30).prop_map(|lines| lines.join("\n"));
-    run(&text, |text| check_faults(&text));
+    run(&text, |text| check_diagnostics(&text));
 }
 
 #[test]
-fn written_and_read() {
+fn round_trip() {
     let names = ("[a-z][a-z0-9-]{0,20}", "[a-z][a-z0-9-]{0,20}");
     let figures = (1_u16..65_000, 1_u32..100_000, "[!-~]{16,64}");
     run(
--- a/crates/status/src/lib.rs
+++ b/crates/status/src/lib.rs
@@ -1,4 +1,4 @@
-//! How a node stands, as operators see it.
+//! The status that nodes report to operators.
 
 use config::Version;
 use serde::{Deserialize, Serialize};
@@ -6,25 +6,25 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The own backend server, as operators see it.
+/// The node's local backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Service that it belongs to.
+    /// Service that it implements.
     pub service: SmolStr,
-    /// Where it takes calls.
+    /// Address on which it accepts calls.
     pub address: SocketAddr,
-    /// Calls that it says it runs at once.
+    /// Number of concurrent calls that it advertises.
     pub slots: u16,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub leaving: bool,
 }
 
-/// How many nodes hold a version.
+/// The number of nodes that hold a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
     /// The version.
     pub version: Version,
-    /// Nodes that hold it.
+    /// Number of nodes that hold it.
     pub nodes: u32,
 }
 
@@ -35,14 +35,14 @@
     pub node: SmolStr,
     /// The version.
     pub version: Version,
-    /// Why.
+    /// Why the node could not apply it.
     pub reason: SmolStr,
 }
 
-/// What a fleet, or a part of it, holds, in bounded size.
+/// The versions that a fleet, or a part of it, holds; bounded in size.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Nodes per version, lowest first.
+    /// Number of nodes per version, lowest version first.
     pub counts: Vec<Count>,
     /// Some of the nodes that are behind the highest version.
     pub laggards: Vec<SmolStr>,
@@ -50,54 +50,54 @@
     pub refusals: Vec<Refusal>,
 }
 
-/// A node's part in distribution.
+/// A node's part in the distribution of configurations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Distribution {
-    /// Version held, which is served by once the process is ready.
+    /// Version held; calls are served by it once the process is ready.
     pub held: Version,
-    /// Nodes from its root down to it; empty when it is cut off from every root.
+    /// Nodes on the path from its root to this node; empty if it is cut off from every root.
     pub path: Vec<SmolStr>,
-    /// Children that it relays to.
+    /// Number of its children in the distribution tree.
     pub children: usize,
-    /// Roots that it is linked to, if it is one.
+    /// Number of roots that it has links to, if it is a root itself.
     pub roots: usize,
-    /// Versions applied since the process started.
+    /// Number of versions applied since the process started.
     pub versions: u64,
-    /// Versions that could not be applied.
+    /// Number of versions that could not be applied.
     pub refusals: u64,
-    /// Parents taken since the process started.
+    /// Number of parents that it has had since the process started.
     pub parents: u64,
-    /// Nodes that it declared gone.
+    /// Number of nodes that it declared departed.
     pub departures: u64,
-    /// Views made, for configuration or endpoints.
+    /// Number of views built, after changes of the configuration or of endpoints.
     pub views: u64,
-    /// Views that were older than the one before; never above zero.
+    /// Number of views with an older version than the view before; must stay zero.
     pub reverts: u64,
-    /// What the fleet holds.
+    /// The versions that the fleet holds.
     pub fleet: Fleet,
 }
 
-/// What a node's stop waits for.
+/// What a graceful stop of a node waits for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopWaits {
-    /// Connections of callers.
+    /// Open connections of callers.
     pub callers: usize,
-    /// Calls that wait for the own backend server or run on it.
+    /// Calls that are queued for the local backend server or run on it.
     pub calls: usize,
-    /// Calls of other nodes whose answers have not been taken.
+    /// Calls of other nodes whose answers have not been read yet.
     pub answers: usize,
-    /// Calls with a key that run, be their callers there or not.
+    /// Running calls with an idempotency key, whether or not their callers are still connected.
     pub keyed: usize,
-    /// 1 while outcomes of keyed calls go to the platform at last.
+    /// 1 while the last outcomes of keyed calls are written to the platform.
     pub outcomes: usize,
-    /// 1 while other nodes are told that it leaves.
+    /// 1 while the node tells other nodes that it is leaving.
     pub farewell: usize,
-    /// 1 while the listeners for the backend server and operators end.
+    /// 1 while the listeners for the backend server and operators close.
     pub listeners: usize,
 }
 
 impl StopWaits {
-    /// Gives each count with its name in metrics and logs.
+    /// Returns each count with its name in metrics and logs.
     #[must_use]
     pub fn kinds(&self) -> [(&'static str, usize); 7] {
         [
@@ -112,7 +112,7 @@
     }
 }
 
-/// How a node stands.
+/// The status of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Name of the node.
@@ -121,28 +121,28 @@
     pub zone: SmolStr,
     /// Region of the node.
     pub region: SmolStr,
-    /// Random number of its process.
+    /// Random number that identifies the process of the node.
     pub incarnation: u64,
-    /// How long it has run, in seconds.
+    /// How long the process has run, in seconds.
     pub uptime_s: u64,
-    /// Version of the configuration that calls are served by.
+    /// Version of the configuration by which calls are served.
     pub version: Version,
-    /// Why it does not take calls; empty when it does.
+    /// Why the node does not accept calls; empty if it does.
     pub not_ready: Vec<String>,
-    /// Whether the node leaves.
+    /// Whether the node is leaving.
     pub leaving: bool,
-    /// Calls that wait for the own backend server or run on it.
+    /// Calls that are queued for the local backend server or run on it.
     pub in_flight: usize,
-    /// What its stop waits for, or would if it came now.
+    /// What its graceful stop waits for, or would wait for if it started now.
     #[serde(default)]
     pub waits: StopWaits,
-    /// The own backend server, once announced.
+    /// The local backend server, once it is announced.
     pub backend: Option<Backend>,
-    /// Endpoints that take new work, by service.
+    /// Number of endpoints that accept new calls, by service.
     pub endpoints: BTreeMap<SmolStr, usize>,
-    /// Routes withheld until their services are there.
+    /// Routes that are withheld until the services they name exist.
     pub withheld_routes: Vec<SmolStr>,
-    /// Its part in distribution.
+    /// Its part in the distribution of configurations.
     #[serde(default)]
     pub distribution: Distribution,
 }
