--- a/crates/cli/src/burn_report.rs
+++ b/crates/cli/src/burn_report.rs
@@ -1,26 +1,26 @@
-//! `burn`: how fast services use up their error budgets.
+//! `burn`: reports how fast services use up their error budgets.
 
 use crate::error::Error;
 use crate::exit::Exit;
-use crate::session::{Session, Unreachable, report_unreachable, split_replies};
+use crate::session::{Session, Unreachable, partition_replies, print_unreachable};
 use crate::table::render_table;
 use burn::{Alert, BudgetStatus, NodeCounts, Window, evaluate, merge};
 use serde::Serialize;
 
-/// What `burn --json` writes.
+/// Output of `burn --json`.
 #[derive(Debug, Serialize)]
 struct Report {
     services: Vec<burn::ServiceReport>,
-    /// Nodes whose counts are in the report.
+    /// Number of nodes whose counts are in the report.
     nodes: usize,
-    /// How long the node that has counted longest has done so, in seconds.
+    /// Longest time for which one of the nodes has counted, in seconds.
     counted_s: u64,
     unreachable: Vec<Unreachable>,
 }
 
 pub(crate) async fn report_burn(session: &Session) -> Result<Exit, Error> {
-    let replies = session.ask_nodes::<NodeCounts>("/v1/burn").await?;
-    let (answers, unreachable) = split_replies(replies);
+    let replies = session.query_nodes::<NodeCounts>("/v1/burn").await?;
+    let (answers, unreachable) = partition_replies(replies);
     let nodes = answers
         .into_iter()
         .map(|(_, node)| node)
@@ -41,7 +41,7 @@
     } else {
         print_report(&report);
     }
-    Ok(report_unreachable(&report.unreachable))
+    Ok(print_unreachable(&report.unreachable))
 }
 
 fn print_report(report: &Report) {
@@ -64,19 +64,19 @@
     let mut rows = vec![heading.map(str::to_owned)];
     for service in &report.services {
         let calls = service.calls.to_string();
-        let promises = [
+        let objectives = [
             ("availability", &service.availability),
             ("latency", &service.latency),
         ];
-        let kept = promises
+        let present = objectives
             .iter()
             .filter_map(|(name, budget)| Some((name, budget.as_ref()?)));
-        let mut is_promised = false;
-        for (name, budget) in kept {
-            is_promised = true;
+        let mut has_objective = false;
+        for (name, budget) in present {
+            has_objective = true;
             rows.push(make_row(&service.service, name, &calls, budget));
         }
-        if !is_promised {
+        if !has_objective {
             let texts = [service.service.as_str(), "none", calls.as_str()];
             let mut row = [const { String::new() }; 10];
             for (cell, text) in row.iter_mut().zip(texts) {
@@ -88,7 +88,7 @@
     print!("{}", render_table(&rows));
 }
 
-fn make_row(service: &str, promise: &str, calls: &str, budget: &BudgetStatus) -> [String; 10] {
+fn make_row(service: &str, objective: &str, calls: &str, budget: &BudgetStatus) -> [String; 10] {
     let [m5, m30, h1, h6, d3] = Window::ALL.map(|window| format!("{:.1}", budget.burn[&window]));
     let alert = match budget.alert {
         Alert::None => "-",
@@ -97,7 +97,7 @@
     };
     [
         service.to_owned(),
-        promise.to_owned(),
+        objective.to_owned(),
         calls.to_owned(),
         format!("{:.1} %", budget.budget_left * 100.0),
         m5,
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `check`: a patch file, without proposing it.
+//! `check`: validates a patch file without proposing it.
 
 use crate::error::Error;
 use crate::exit::Exit;
@@ -8,11 +8,11 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// What `check --json` writes.
+/// Output of `check --json`.
 #[derive(Debug, Serialize)]
 struct Report {
     changes: usize,
-    /// The version that it was checked against.
+    /// Version against which the patch was checked.
     base: Option<Version>,
 }
 
@@ -44,7 +44,7 @@
     Ok(Exit::Done)
 }
 
-/// Reads a patch file.
+/// Reads and parses a patch file.
 pub(crate) fn read_patch(file: &Path) -> Result<Patch, Error> {
     let name = file.display().to_string();
     match std::fs::read_to_string(file) {
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -3,14 +3,14 @@
 use crate::error::Error;
 use crate::exit::Exit;
 use crate::fetch::{fetch, make_request};
-use crate::session::{Session, split_replies};
+use crate::session::{Session, partition_replies};
 use http::Method;
 use status::Status;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at the calls in flight.
-const POLL: Duration = Duration::from_millis(100);
+/// How often the number of calls in flight is read while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) async fn drain_vm(session: &Session, vm: &str, wait: Duration) -> Result<Exit, Error> {
     let address = find_address(session, vm).await?;
@@ -19,7 +19,7 @@
     let mut status = fetch::<Status>(address, request, session.timeout).await?;
     let deadline = Instant::now() + wait;
     while status.in_flight > 0 && Instant::now() < deadline {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let request = make_request(address, Method::GET, "/v1/status", None)?;
         status = fetch(address, request, session.timeout).await?;
     }
@@ -35,12 +35,13 @@
     Ok(if is_late { Exit::Failed } else { Exit::Done })
 }
 
+/// Returns the address of the node's operators' listener; `vm` is that address or the node's name.
 async fn find_address(session: &Session, vm: &str) -> Result<SocketAddr, Error> {
     if let Ok(address) = vm.parse() {
         return Ok(address);
     }
-    let replies = session.ask_nodes::<Status>("/v1/status").await?;
-    let (answers, _) = split_replies(replies);
+    let replies = session.query_nodes::<Status>("/v1/status").await?;
+    let (answers, _) = partition_replies(replies);
     answers
         .into_iter()
         .find(|(_, status)| status.node == vm)
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a verb can't do its work.
+//! Errors of the verbs.
 
 use crate::exit::Exit;
 use config::Version;
@@ -7,36 +7,36 @@
 use std::net::SocketAddr;
 
 quick_error! {
-    /// Why a verb can't do its work.
+    /// Why a verb failed.
     #[derive(Debug)]
     pub enum Error {
-        /// The settings file is wrong.
+        /// The settings file is invalid.
         Settings(source: settings::Error) {
             from()
             display("{}", source)
             source(source)
         }
-        /// Flags and settings lack something, or contradict each other.
+        /// Flags and settings are incomplete, or contradict each other.
         Usage(what: &'static str) {
             display("{}", what)
         }
-        /// A file can't be read.
+        /// A file could not be read.
         File(name: String, source: io::Error) {
             display("{}: can't be read: {}", name, source)
             source(source)
         }
-        /// A patch breaks a rule.
+        /// A patch is invalid.
         Patch(name: String, source: config::Error) {
             display("{}: {}", name, source)
             source(source)
         }
-        /// The platform did not answer as it should.
+        /// A request to the platform failed.
         Platform(source: store::Error) {
             from()
             display("{}", source)
             source(source)
         }
-        /// There is no such version yet.
+        /// The version does not exist yet.
         NoSuchVersion(version: Version, last: Version) {
             display("there is no version {} yet; the last one is {}", version, last)
         }
@@ -46,13 +46,13 @@
         }
         /// No node of that name answered.
         NoSuchNode(name: String) {
-            display("none of the nodes that answered is named {:?}; name it by the address of its operators' listener, or add that with --node", name)
+            display("none of the nodes that answered is named {:?}; give the address of its operators' listener in place of the name, or add that address with --node", name)
         }
-        /// No line of the logs is about the call.
+        /// No log line mentions the call.
         NoSuchCall(id: String, lines: usize) {
             display("none of the {} lines read is about call {:?}; calls that were answered in time leave no line", lines, id)
         }
-        /// A node did not answer.
+        /// A node did not answer, or refused the request.
         Node(address: SocketAddr, why: String) {
             display("node at {}: {}", address, why)
         }
@@ -60,7 +60,7 @@
 }
 
 impl Error {
-    /// Gives the code that the program ends with.
+    /// Returns the exit code for the error.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,21 +1,21 @@
-//! How the program ends.
+//! Exit codes.
 
 use std::process::ExitCode;
 
-/// How the program ends; the codes never change their meaning.
+/// Exit code of the program. The codes are stable: scripts may rely on them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// Done; a proposal is accepted.
+    /// Success; for a proposal: it is accepted.
     Done = 0,
-    /// The platform or a node did not do what was asked of it.
+    /// A request to the platform or a node failed.
     Failed = 1,
-    /// The command line, a settings file or a patch file is wrong.
+    /// The command line, a settings file or a patch file is invalid.
     Usage = 2,
-    /// The proposal is refused, for good.
+    /// The proposal is refused; this is final.
     Refused = 3,
     /// The proposal is not applied and never will be.
     NeverApplied = 4,
-    /// It is not known yet what becomes of the proposal.
+    /// The outcome of the proposal is not known yet.
     NotKnown = 5,
 }
 
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,8 +1,8 @@
-//! `explain`: the story of one call, from the logs of all nodes.
+//! `explain`: reconstructs what happened to one call from the logs of all nodes.
 
 use crate::error::Error;
 use crate::exit::Exit;
-use crate::log_line::Line;
+use crate::log_line::LogLine;
 use crate::session::Session;
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -10,11 +10,11 @@
 use std::io::{self, BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-/// Name of the node in lines that come from standard input without one.
+/// Node name for lines from standard input that do not contain one.
 const UNNAMED: &str = "node";
 
-/// Events of a node's own life that can be the cause of what became of a call.
-const LIFE: [&str; 9] = [
+/// Events of a node, rather than of a call, that can explain the outcome of a call.
+const NODE_EVENTS: [&str; 9] = [
     "started",
     "stopped",
     "handing_over",
@@ -26,10 +26,10 @@
     "cut_off",
 ];
 
-/// Events of life before the call that are told, for each node on its way.
-const LIFE_BEFORE: usize = 2;
+/// Number of node events before the call that are shown for each node involved.
+const NODE_EVENTS_BEFORE: usize = 2;
 
-/// The story of one call.
+/// What happened to one call, in order of time, and the cause of its outcome.
 #[derive(Debug, PartialEq, Eq, Serialize)]
 struct Story<'a> {
     id: &'a str,
@@ -37,7 +37,7 @@
     steps: Vec<Step>,
 }
 
-/// One line of a story.
+/// One log line of a story.
 #[derive(Debug, PartialEq, Eq, Serialize)]
 struct Step {
     at: String,
@@ -46,7 +46,7 @@
     said: String,
 }
 
-/// Tells the story of the call `id` from the logs in `files`, or from standard input.
+/// Prints the story of the call `id` from the logs in `files`, or from standard input.
 pub(crate) fn explain_call(session: &Session, id: &str, files: &[PathBuf]) -> Result<Exit, Error> {
     let mut lines = Vec::new();
     if files.is_empty() {
@@ -57,51 +57,55 @@
         read_file(file, &mut lines)
             .map_err(|error| Error::File(file.display().to_string(), error))?;
     }
-    // All nodes write the same form of time, which sorts as text; lines of one
-    // instant stay in the order of their files.
+    // All nodes write the same time format, which sorts as text; the sort is stable, so lines of
+    // the same instant stay in the order of their files.
     lines.sort_by(|one, other| one.at.cmp(&other.at));
-    let own: Vec<_> = lines.iter().filter(|line| is_of(line, id)).collect();
+    let own: Vec<_> = lines.iter().filter(|line| belongs_to(line, id)).collect();
     if own.is_empty() {
         return Err(Error::NoSuchCall(id.to_owned(), lines.len()));
     }
     let mut steps = own.clone();
-    steps.extend(find_life(&lines, &own));
+    steps.extend(find_node_events(&lines, &own));
     steps.sort_by(|one, other| one.at.cmp(&other.at));
     let story = Story {
         id,
         cause: find_cause(id, &own),
-        steps: steps.into_iter().map(tell).collect(),
+        steps: steps.into_iter().map(make_step).collect(),
     };
     print_story(session, &story);
     Ok(Exit::Done)
 }
 
-fn read_file(path: &Path, lines: &mut Vec<Line>) -> io::Result<()> {
+fn read_file(path: &Path, lines: &mut Vec<LogLine>) -> io::Result<()> {
     let name = path.file_stem().unwrap_or_default().to_string_lossy();
     read_lines(BufReader::new(File::open(path)?), &name, lines)
 }
 
-fn read_lines<R>(mut reader: R, file: &str, lines: &mut Vec<Line>) -> io::Result<()>
+fn read_lines<R>(mut reader: R, file: &str, lines: &mut Vec<LogLine>) -> io::Result<()>
 where
     R: BufRead,
 {
     let mut text = Vec::new();
     while reader.read_until(b'\n', &mut text)? > 0 {
-        // A log may be cut off in the middle of a character.
-        lines.extend(Line::parse(String::from_utf8_lossy(&text).trim_end(), file));
+        // A log may be truncated in the middle of a character.
+        lines.extend(LogLine::parse(
+            String::from_utf8_lossy(&text).trim_end(),
+            file,
+        ));
         text.clear();
     }
     Ok(())
 }
 
-/// Tells whether a line is about the call, or about one that was made for it.
-fn is_of(line: &Line, id: &str) -> bool {
+/// Returns whether a line belongs to the call, or to a nested call made on its behalf.
+fn belongs_to(line: &LogLine, id: &str) -> bool {
     let rest = line.get("id").strip_prefix(id);
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
 }
 
-/// Finds what the nodes on a call's way went through meanwhile, and last before.
-fn find_life<'a>(lines: &'a [Line], own: &[&Line]) -> Vec<&'a Line> {
+/// Returns the node events of the nodes involved in a call: those during the call and the last
+/// few before it.
+fn find_node_events<'a>(lines: &'a [LogLine], own: &[&LogLine]) -> Vec<&'a LogLine> {
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
         return Vec::new();
     };
@@ -111,19 +115,23 @@
         .collect();
     let mut found = Vec::new();
     for node in nodes {
-        let life = lines.iter().filter(|line| {
-            line.node == node && LIFE.contains(&line.event.as_str()) && line.at <= last.at
+        let events = lines.iter().filter(|line| {
+            line.node == node && NODE_EVENTS.contains(&line.event.as_str()) && line.at <= last.at
         });
-        let life: Vec<_> = life.collect();
-        let before = life.iter().filter(|line| line.at < first.at).count();
-        found.extend(life.into_iter().skip(before.saturating_sub(LIFE_BEFORE)));
+        let events: Vec<_> = events.collect();
+        let before = events.iter().filter(|line| line.at < first.at).count();
+        found.extend(
+            events
+                .into_iter()
+                .skip(before.saturating_sub(NODE_EVENTS_BEFORE)),
+        );
     }
     found
 }
 
-/// Names the cause of what the caller got, from the last word to it.
-fn find_cause(id: &str, own: &[&Line]) -> String {
-    let is_final = |line: &&&Line| line.get("id") == id && line.event.starts_with("call_");
+/// Describes the cause of the call's outcome, from the last log line that tells it.
+fn find_cause(id: &str, own: &[&LogLine]) -> String {
+    let is_final = |line: &&&LogLine| line.get("id") == id && line.event.starts_with("call_");
     let mut finals = own
         .iter()
         .filter(is_final)
@@ -132,21 +140,21 @@
         return "not known: no line tells its end; its node was killed, or left the line out"
             .into();
     };
-    let doors = own
+    let gates = own
         .iter()
         .filter(|line| line.event == "call_turned_away" && line.get("id") == id)
         .count();
-    let tried = own.iter().filter(|line| line.get("id") == id);
-    let last_node = tried
+    let of_call = own.iter().filter(|line| line.get("id") == id);
+    let last_node = of_call
         .filter(|line| line.event == "try_refused" && line.get("reason") == end.get("reason"))
         .map(|line| line.get("node"))
         .next_back()
         .unwrap_or("a node");
     match (end.event.as_str(), end.get("verdict"), end.get("reason")) {
-        ("call_unrouted", _, reason) => name_unrouted(end, reason),
-        ("call_answered", _, _) => name_answer(own, id, end),
+        ("call_unrouted", _, reason) => describe_unrouted(end, reason),
+        ("call_answered", _, _) => describe_answer(own, id, end),
         (_, "not-run", "full" | "deadline") => format!(
-            "no room: the gates of {doors} backend servers turned it away, as it could not begin in time"
+            "no room: the gates of {gates} backend servers turned it away, as it could not begin in time"
         ),
         (_, "not-run", "shed") => {
             format!(
@@ -154,9 +162,9 @@
             )
         }
         (_, "not-run", "unreached") => format!("{last_node} could not be reached"),
-        (_, "not-run", "leaving") => format!("the backend server at {last_node} leaves"),
+        (_, "not-run", "leaving") => format!("the backend server at {last_node} is leaving"),
         (_, "not-run", "no-service") => {
-            "no backend server of the service is known, or takes it".into()
+            "no backend server of the service is known, or none accepts the call".into()
         }
         (_, "not-run", "held") => format!(
             "its request {} has crashed the backend servers that ran it, and is held",
@@ -175,7 +183,7 @@
     }
 }
 
-fn name_unrouted(end: &Line, reason: &str) -> String {
+fn describe_unrouted(end: &LogLine, reason: &str) -> String {
     let (host, path, version) = (end.get("host"), end.get("path"), end.get("version"));
     match reason {
         "no-version" => format!("{} had no configuration yet", end.node),
@@ -186,8 +194,8 @@
     }
 }
 
-/// Names why an answer came late or was a failure.
-fn name_answer(own: &[&Line], id: &str, end: &Line) -> String {
+/// Describes why an answer was late or an error.
+fn describe_answer(own: &[&LogLine], id: &str, end: &LogLine) -> String {
     let status = end.get("status");
     let nested = own.iter().filter(|line| {
         line.get("id") != id && line.event.starts_with("call_") && !line.get("verdict").is_empty()
@@ -205,18 +213,18 @@
         };
     }
     let number = |name: &str| end.get(name).parse::<u64>().unwrap_or_default();
-    let (took, waited, tries) = (number("took_ms"), number("waited_ms"), number("tries"));
-    let longest = if waited * 2 > took {
+    let (took, waited, attempts) = (number("took_ms"), number("waited_ms"), number("tries"));
+    let largest_part = if waited * 2 > took {
         "most of it at the gate: too few slots"
-    } else if tries > 1 {
+    } else if attempts > 1 {
         "some of it on tries that came to nothing"
     } else {
         "most of it at the backend server"
     };
-    format!("answered {status} after {took} ms, {waited} of them at the gate; {longest}")
+    format!("answered {status} after {took} ms, {waited} of them at the gate; {largest_part}")
 }
 
-fn tell(line: &Line) -> Step {
+fn make_step(line: &LogLine) -> Step {
     let said: Vec<_> = line
         .values
         .iter()
--- a/crates/cli/src/fetch.rs
+++ b/crates/cli/src/fetch.rs
@@ -1,4 +1,4 @@
-//! One HTTP call to a node's operators' listener.
+//! HTTP requests to operators' listeners of nodes.
 
 use crate::error::Error;
 use bytes::Bytes;
@@ -12,16 +12,16 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Largest answer, in bytes: counts of a few thousand services.
-const MAX_ANSWER: usize = 8 << 20;
+/// Maximum size of a response, in bytes: enough for the counts of a few thousand services.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// What a node says when it refuses.
+/// Body of an error response.
 #[derive(Debug, Deserialize)]
 struct Refusal {
     error: String,
 }
 
-/// Sends a call, and reads its answer as JSON.
+/// Sends a request and parses the response as JSON.
 pub(crate) async fn fetch<T>(
     address: SocketAddr,
     request: Request<Empty<Bytes>>,
@@ -30,11 +30,11 @@
 where
     T: DeserializeOwned,
 {
-    let answer = match tokio::time::timeout(timeout, send(address, request)).await {
-        Ok(answer) => answer.map_err(|error| Error::Node(address, error.to_string()))?,
+    let response = match tokio::time::timeout(timeout, send(address, request)).await {
+        Ok(response) => response.map_err(|error| Error::Node(address, error.to_string()))?,
         Err(_) => return Err(Error::Node(address, "no answer in time".to_owned())),
     };
-    let (status, body) = answer;
+    let (status, body) = response;
     if status.is_success() {
         return serde_json::from_slice(&body)
             .map_err(|error| Error::Node(address, format!("not understood: {error}")));
@@ -52,15 +52,15 @@
 ) -> Result<(StatusCode, Bytes), Box<dyn std::error::Error + Send + Sync>> {
     let stream = TcpStream::connect(address).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    // Ends with the sender; what goes wrong on it, the sender is told.
+    // The task ends with the sender, which also receives the errors of the connection.
     tokio::spawn(connection);
-    let answer = sender.send_request(request).await?;
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER);
+    let response = sender.send_request(request).await?;
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
     Ok((status, body.collect().await?.to_bytes()))
 }
 
-/// Makes a call without a body; `token` goes with calls that write.
+/// Builds a request without a body; requests that write carry `token`.
 pub(crate) fn make_request(
     address: SocketAddr,
     method: Method,
--- a/crates/cli/src/history.rs
+++ b/crates/cli/src/history.rs
@@ -1,4 +1,4 @@
-//! `show`, `log` and `diff`: what versions say.
+//! `show`, `log` and `diff`: show the contents of versions.
 
 use crate::error::Error;
 use crate::exit::Exit;
@@ -9,9 +9,9 @@
 use store::journal::LoadedJournal;
 use store::version::{State, Step};
 
-/// What `show --json` writes.
+/// Output of `show --json`.
 #[derive(Debug, Serialize)]
-struct Shown {
+struct VersionReport {
     version: Version,
     digest: Digest,
     mesh: Mesh,
@@ -24,7 +24,7 @@
     let state = find_state(&session.versions()?, version).await?;
     let digest = Digest::of(&state.mesh);
     if session.json {
-        session.print_json(&Shown {
+        session.print_json(&VersionReport {
             version: state.version,
             digest,
             mesh: state.mesh,
@@ -81,7 +81,7 @@
     Ok(Exit::Done)
 }
 
-/// Reads the last `limit` steps, or as many as are kept.
+/// Reads the last `limit` steps, or fewer if older records were removed.
 async fn read_steps(versions: &Versions, limit: u64) -> Result<Vec<Step>, Error> {
     let loaded = versions.load().await?;
     let before = loaded.last_number().saturating_sub(limit);
@@ -95,7 +95,7 @@
     Ok(steps)
 }
 
-/// Reads the configuration of a version.
+/// Returns the configuration at a version.
 pub(crate) async fn find_mesh(versions: &Versions, version: Version) -> Result<Mesh, Error> {
     if version == Version::ZERO {
         return Ok(Mesh::default());
@@ -103,9 +103,9 @@
     Ok(find_state(versions, Some(version)).await?.mesh)
 }
 
-/// Reads the state at a version, or the last one.
+/// Returns the state at a version, by default the last one.
 ///
-/// A version before the last snapshot needs all records from the first one.
+/// A version before the last snapshot needs all records from the first one on.
 async fn find_state(versions: &Versions, version: Option<Version>) -> Result<State, Error> {
     let mut loaded = versions.load().await?;
     let last = Version(loaded.last_number());
@@ -115,8 +115,8 @@
     }
     if version.0 < loaded.snapshot_number {
         let oldest = Version(loaded.snapshot_number);
-        let whole = versions.read_after(0).await?;
-        let tail = whole.ok_or(Error::Removed(version, oldest))?;
+        let from_first = versions.read_after(0).await?;
+        let tail = from_first.ok_or(Error::Removed(version, oldest))?;
         loaded = LoadedJournal {
             tail,
             ..LoadedJournal::default()
@@ -127,14 +127,14 @@
     Ok(State::build(&loaded)?)
 }
 
-/// Writes a patch as a patch file holds it.
+/// Prints a patch in the format of a patch file.
 fn print_patch(patch: &Patch) {
     for change in &patch.changes {
         println!("{}", to_json(change));
     }
 }
 
-/// Writes a time of day in UTC, as RFC 3339 does.
+/// Formats a time in UTC according to RFC 3339.
 fn format_time(at_ms: u64) -> String {
     i64::try_from(at_ms)
         .ok()
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,10 +1,9 @@
 //! The operators' command line.
 //!
 //! Configuration verbs (`propose`, `outcome`, `show`, `log`, `diff`, `check`)
-//! speak to the platform, where versions last; fleet verbs (`status`, `burn`,
-//! `drain`) speak to the operators' listeners of nodes; `explain` reads their
-//! logs. Every verb ends with
-//! one of the codes of [`Exit`].
+//! access the platform, which stores the versions; fleet verbs (`status`, `burn`,
+//! `drain`) send requests to the operators' listeners of nodes; `explain` reads
+//! the logs of nodes. Every verb ends with one of the exit codes in [`Exit`].
 
 pub mod options;
 
--- a/crates/cli/src/log_line.rs
+++ b/crates/cli/src/log_line.rs
@@ -1,30 +1,31 @@
-//! Lines of nodes' logs, read back.
+//! Parses lines of nodes' logs.
 
 use std::collections::BTreeMap;
 
-/// Longest line that is read; what a node writes is a tenth of it.
-const MAX_LINE: usize = 16 << 10;
+/// Maximum length of a line, in bytes; longer ones are skipped. Lines of a node are at most a tenth
+/// of it.
+const MAX_LINE_BYTES: usize = 16 << 10;
 
 /// One line of a node's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Line {
-    /// When it was written, by that node's clock.
+pub(crate) struct LogLine {
+    /// Time at which the line was written, by the clock of the node.
     pub(crate) at: String,
     /// Name of the node.
     pub(crate) node: String,
     /// Name of the event.
     pub(crate) event: String,
-    /// What the event tells.
+    /// Keys and values of the event.
     pub(crate) values: BTreeMap<String, String>,
 }
 
-impl Line {
-    /// Reads a line; none when it is not one of a node's.
+impl LogLine {
+    /// Parses a line; returns `None` if it is not a log line of a node.
     ///
-    /// What stands before the bracket is a collector's: its last word names the
-    /// node, else `file` does.
+    /// Text before the bracket comes from a log collector; its last word is the name of the node.
+    /// Without such text the name is `file`.
     pub(crate) fn parse(text: &str, file: &str) -> Option<Self> {
-        if text.len() > MAX_LINE {
+        if text.len() > MAX_LINE_BYTES {
             return None;
         }
         let (before, rest) = text.split_once('[')?;
@@ -40,29 +41,29 @@
             at: at.to_owned(),
             node: node.to_owned(),
             event: event.to_owned(),
-            values: read_values(words),
+            values: parse_values(words),
         })
     }
 
-    /// Gives a value, empty when the line has none of that name.
-    pub(crate) fn get(&self, name: &str) -> &str {
-        self.values.get(name).map_or("", String::as_str)
+    /// Returns the value of a key, or an empty text if the line does not have the key.
+    pub(crate) fn get(&self, key: &str) -> &str {
+        self.values.get(key).map_or("", String::as_str)
     }
 }
 
-/// Reads `name=value` words; a word without a name belongs to the value before it.
-fn read_values<'a, I>(words: I) -> BTreeMap<String, String>
+/// Parses `key=value` words; a word without a key continues the value before it.
+fn parse_values<'a, I>(words: I) -> BTreeMap<String, String>
 where
     I: Iterator<Item = &'a str>,
 {
     let mut values = BTreeMap::<String, String>::new();
-    let mut last = String::new();
+    let mut last_key = String::new();
     for word in words {
-        let named = word.split_once('=').filter(|(name, _)| is_name(name));
-        if let Some((name, value)) = named {
-            name.clone_into(&mut last);
-            values.insert(last.clone(), value.to_owned());
-        } else if let Some(value) = values.get_mut(&last) {
+        let pair = word.split_once('=').filter(|(key, _)| is_key(key));
+        if let Some((key, value)) = pair {
+            key.clone_into(&mut last_key);
+            values.insert(last_key.clone(), value.to_owned());
+        } else if let Some(value) = values.get_mut(&last_key) {
             value.push(' ');
             value.push_str(word);
         }
@@ -70,7 +71,7 @@
     values
 }
 
-fn is_name(text: &str) -> bool {
+fn is_key(text: &str) -> bool {
     !text.is_empty()
         && text
             .bytes()
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line's verbs and flags, with their help.
+//! Verbs and flags of the command line, with their help texts.
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use config::Version;
@@ -7,14 +7,14 @@
 use std::time::Duration;
 use store::version::Id;
 
-/// What is asked for.
+/// The parsed command line.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// The verb with its own flags.
     pub verb: Verb,
-    /// Where to ask.
+    /// The platform and the nodes to access.
     pub target: Target,
-    /// Whether to write JSON.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
@@ -23,53 +23,53 @@
 pub enum Verb {
     /// Proposes a patch.
     Propose(Propose),
-    /// Settles what became of a proposal.
+    /// Finds out and fixes the outcome of a proposal.
     Outcome {
-        /// Who asks.
+        /// Author of a version without changes, if one must be written.
         author: String,
         /// Name of the proposal.
         id: Id,
     },
-    /// Tells how nodes stand.
+    /// Shows the status of nodes.
     Status,
     /// Shows a configuration.
     Show {
-        /// Its version; the last one when none is given.
+        /// Its version; the last one if absent.
         version: Option<Version>,
     },
     /// Lists versions.
     Log {
-        /// How many.
+        /// Number of versions.
         limit: u64,
     },
     /// Shows what changed between two versions.
     Diff {
-        /// The version before.
+        /// The older version.
         old: Version,
-        /// The version after.
+        /// The newer version.
         new: Version,
     },
     /// Takes a VM out of service.
     Drain {
-        /// Longest wait for its calls in flight.
+        /// Maximum wait for its calls in flight.
         wait: Duration,
-        /// Name of its node, or address of the node's operators' listener.
+        /// Name of its node, or the address of the node's operators' listener.
         vm: String,
     },
     /// Checks a patch file.
     Check {
-        /// The version that the patch is against.
+        /// The version that the patch applies to.
         base: Option<Version>,
         /// The patch file.
         file: PathBuf,
     },
-    /// Reports the burn of error budgets.
+    /// Reports the burn rates of error budgets.
     Burn,
-    /// Tells the story of one call from nodes' logs.
+    /// Explains what happened to one call, from the logs of nodes.
     Explain {
-        /// The call's name: its caller's, as the lines have it.
+        /// Id of the call, as its caller chose it and as the log lines have it.
         id: String,
-        /// Logs, one a node; standard input when there are none.
+        /// Log files, one per node; standard input if there are none.
         files: Vec<PathBuf>,
     },
 }
@@ -77,45 +77,45 @@
 /// Flags of `propose`.
 #[derive(Debug, Clone)]
 pub struct Propose {
-    /// The version that the patch is against.
+    /// The version that the patch applies to.
     pub base: Version,
-    /// Random part of the proposal's name, to try one again.
+    /// Name of an earlier proposal, to retry it; a new name is generated if absent.
     pub id: Option<Id>,
-    /// Who proposes.
+    /// Author of the proposal.
     pub author: String,
-    /// Longest time of trying while the platform does not answer.
+    /// Maximum time for retries while the platform does not answer.
     pub wait: Duration,
     /// The patch file.
     pub file: PathBuf,
 }
 
-/// Where to ask; flags that go before the settings file.
+/// The platform and the nodes to access: flags that override the settings file.
 #[derive(Debug, Clone)]
 pub struct Target {
     /// Settings file.
     pub settings: Option<PathBuf>,
     /// Address of the platform.
     pub platform: Option<SocketAddr>,
-    /// Operators' listeners of nodes.
+    /// Addresses of the operators' listeners of nodes.
     pub nodes: Vec<SocketAddr>,
-    /// File that holds the token.
+    /// File that contains the token.
     pub token_file: Option<PathBuf>,
-    /// Longest wait for one answer.
+    /// Maximum wait for one answer.
     pub timeout: Option<Duration>,
 }
 
-/// The codes that the program ends with, for the help.
-const CODES: &str = "Exit codes: 0 done, or accepted; 1 the platform or a node failed; \
+/// Exit codes, for the help texts.
+const EXIT_CODES: &str = "Exit codes: 0 done, or accepted; 1 the platform or a node failed; \
     2 wrong command line, settings or patch; 3 refused; 4 never applied; 5 not known yet.";
 
-/// Longest time of trying a proposal, in seconds: an answer is due within some seconds,
-/// and an operator who waits longer is better told "not known yet".
+/// Default of `propose --wait`, in seconds. The platform should answer within some seconds; after
+/// a longer wait it is better to report "not known yet" to the operator.
 const DEFAULT_WAIT_S: u64 = 10;
 
-/// Versions that `log` lists.
+/// Default number of versions that `log` lists.
 const DEFAULT_LIMIT: u64 = 20;
 
-/// Gives the parser of the whole command line.
+/// Returns the parser of the whole command line.
 #[must_use]
 pub fn parse_options() -> OptionParser<Options> {
     let verbs = construct!([
@@ -140,7 +140,7 @@
              patch came first or breaks a rule, or never applied. `bluebellpick VERB --help` \
              tells more of each verb.",
         )
-        .footer(CODES)
+        .footer(EXIT_CODES)
 }
 
 fn parse_seconds(name: &'static str, help: &'static str) -> impl Parser<Duration> {
@@ -156,7 +156,7 @@
 
 fn parse_target() -> impl Parser<Target> {
     let settings = long("settings")
-        .help("Settings file in INI, section [operator]; flags go before it")
+        .help("Settings file in INI, section [operator]; flags override it")
         .env("BLUEBELLPICK_SETTINGS")
         .argument("FILE")
         .optional();
@@ -209,7 +209,7 @@
         .argument::<u64>("N")
         .map(Version);
     let id = long("id")
-        .help("Name of an earlier try of the same proposal, to try it again; it is never applied twice")
+        .help("Name of an earlier attempt at the same proposal, to retry it; it is never applied twice")
         .argument("ID")
         .optional();
     let author = parse_author();
@@ -235,7 +235,7 @@
              first. The proposal's name is written to standard error before anything is sent: \
              should this program be cut off, `bluebellpick outcome ID` settles what became of it.",
         )
-        .footer(CODES)
+        .footer(EXIT_CODES)
         .command("propose")
         .help("Proposes a patch")
 }
@@ -249,9 +249,9 @@
         .descr("Settles what became of a proposal")
         .header(
             "Where the proposal's number is still free, a version without changes takes it, so \
-             that a write that is still on its way can't be applied later. The answer then stays.",
+             that a write that is still on its way can't be applied later. The answer is final then.",
         )
-        .footer(CODES)
+        .footer(EXIT_CODES)
         .command("outcome")
         .help("Settles what became of a proposal")
 }
@@ -295,7 +295,7 @@
     make_options(verb)
         .to_options()
         .descr("Shows what changed between two versions, as a patch")
-        .header("`diff B A` gives the patch that takes the changes of A to B back.")
+        .header("`diff B A` gives the patch that reverts the changes from A to B.")
         .command("diff")
         .help("Shows what changed between two versions")
 }
@@ -338,8 +338,8 @@
         .to_options()
         .descr("Reports how fast services use up their error budgets")
         .header(
-            "Adds up what the nodes that are asked count; name every node for the whole fleet's \
-             burn. Windows and alerts follow the Site Reliability Workbook, chapter 5.",
+            "Adds up the counts of the nodes that are asked; name every node to cover the whole \
+             fleet. Windows and alerts follow the Site Reliability Workbook, chapter 5.",
         )
         .footer("Ends with 1 when a node that was asked did not answer.")
         .command("burn")
@@ -358,7 +358,7 @@
         .header(
             "Reads the logs that nodes write to standard output, sorts what is said of the call by \
              time, adds what the nodes on its way went through, and names the cause of what its \
-             caller got. Calls that a backend server made for it are told along.",
+             caller got. Calls that backend servers made on its behalf are included.",
         )
         .footer("Ends with 1 when no line is about the call.")
         .command("explain")
--- a/crates/cli/src/propose.rs
+++ b/crates/cli/src/propose.rs
@@ -1,4 +1,4 @@
-//! `propose` and `outcome`: what becomes of a proposal.
+//! `propose` and `outcome`: send a proposal and find out its outcome.
 
 use crate::check::read_patch;
 use crate::error::Error;
@@ -13,22 +13,22 @@
 use store::propose::{Outcome, Proposal, Refusal, propose, resolve};
 use store::version::{Id, Step};
 
-/// First bound of the wait between two tries; each further one doubles it.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Upper bound of the wait before the first retry; it doubles with each further one.
+const BACKOFF_BASE: Duration = Duration::from_millis(100);
 
-/// Highest bound of the wait between two tries.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum upper bound of the wait between two attempts.
+const BACKOFF_CAP: Duration = Duration::from_secs(2);
 
-/// What `--json` writes of a proposal.
+/// Output of `--json` for a proposal.
 #[derive(Debug, Serialize)]
 struct Report {
     outcome: &'static str,
     proposal: Id,
-    /// The version that it became, or that took its place.
+    /// The version that the proposal became, or the one that took its number.
     version: Option<Version>,
-    /// Why, in words.
+    /// Why the proposal has this outcome.
     reason: Option<String>,
-    /// What took its place.
+    /// The step that took the proposal's number.
     holder: Option<Step>,
 }
 
@@ -68,53 +68,55 @@
         patch,
     };
     let versions = session.versions()?;
-    // Before anything is sent: whoever is cut off from here on can still settle it.
+    // Printed before anything is sent, so that an operator whose program is interrupted from here
+    // on can still find out the outcome.
     eprintln!("proposal {id}");
     let is_first = flags.id.is_none();
-    let outcome = try_until(&versions, &proposal, flags.wait, is_first).await;
+    let outcome = propose_with_retries(&versions, &proposal, flags.wait, is_first).await;
     let (report, exit) = describe_outcome(&id, outcome);
     print_report(session, &report);
     Ok(exit)
 }
 
-/// Tries a proposal until its outcome is known or the time is over.
-async fn try_until(
+/// Sends a proposal, with retries, until its outcome is known or the time is over.
+async fn propose_with_retries(
     versions: &Versions,
     proposal: &Proposal,
     wait: Duration,
     is_first: bool,
 ) -> Outcome {
     let deadline = Instant::now() + wait;
-    let mut bound = FIRST_PAUSE;
-    let mut may_stand = !is_first;
+    let mut bound = BACKOFF_BASE;
+    let mut may_be_stored = !is_first;
     loop {
         let outcome = propose(versions, proposal).await;
-        let (error, is_open) = match outcome {
+        let (error, was_sent) = match outcome {
             Outcome::Unknown(error) => (error, true),
             Outcome::NotSent(error) => (error, false),
             known => return known,
         };
-        may_stand |= is_open;
-        // Full jitter: operators that were cut off together must not come back together.
-        let drawn = rand::rng().random_range(Duration::ZERO..bound);
+        may_be_stored |= was_sent;
+        // Full jitter, so that operators that lost the platform at the same time do not retry at the
+        // same time.
+        let jittered = rand::rng().random_range(Duration::ZERO..bound);
         let pause = match error {
-            store::Error::Busy(retry_after) => drawn + retry_after,
-            _ => drawn,
+            store::Error::Busy(retry_after) => jittered + retry_after,
+            _ => jittered,
         };
         let is_over = Instant::now() + pause >= deadline;
         if is_over || !error.is_transient() {
-            return if may_stand {
+            return if may_be_stored {
                 Outcome::Unknown(error)
             } else {
                 Outcome::NotSent(error)
             };
         }
         tokio::time::sleep(pause).await;
-        bound = (bound * 2).min(LONGEST_PAUSE);
+        bound = (bound * 2).min(BACKOFF_CAP);
     }
 }
 
-pub(crate) async fn settle_proposal(
+pub(crate) async fn resolve_proposal(
     session: &Session,
     id: &Id,
     author: &str,
@@ -140,7 +142,8 @@
             let reason = "its number is taken by a version without changes";
             (report.reason(reason), Exit::NeverApplied)
         }
-        // Only the first and only try ends so: nobody else knows the proposal's name.
+        // Only returned if this run chose the proposal's name and none of its attempts was sent:
+        // nobody else knows the name, so the proposal can't be applied.
         Outcome::NotSent(error) => {
             let report = Report::new("never_applied", id);
             let reason = format!("nothing was written: {error}");
--- a/crates/cli/src/session.rs
+++ b/crates/cli/src/session.rs
@@ -1,4 +1,4 @@
-//! One run of the program: where to ask, and what comes of it.
+//! Runs a verb with the addresses and files that flags and settings give.
 
 use crate::error::Error;
 use crate::exit::Exit;
@@ -20,7 +20,7 @@
 /// The journal of versions in the platform.
 pub(crate) type Versions = Journal<Client, System>;
 
-/// Where to ask, and how to answer.
+/// Addresses, files and output format of one run, from flags and settings.
 #[derive(Debug)]
 pub(crate) struct Session {
     platform: Option<SocketAddr>,
@@ -30,21 +30,21 @@
     pub(crate) json: bool,
 }
 
-/// What a node answered, or why it did not.
+/// The answer of a node, or why there is none.
 #[derive(Debug)]
 pub(crate) struct Reply<T> {
     pub(crate) address: SocketAddr,
     pub(crate) result: Result<T, Error>,
 }
 
-/// A node that did not answer, for JSON.
+/// A node that did not answer, in JSON output.
 #[derive(Debug, Serialize)]
 pub(crate) struct Unreachable {
     pub(crate) address: SocketAddr,
     pub(crate) error: String,
 }
 
-/// Does what `options` ask for, and gives the code to end with.
+/// Runs the verb in `options` and returns the exit code.
 pub async fn run(options: Options) -> Exit {
     match run_verb(options).await {
         Ok(exit) => exit,
@@ -59,7 +59,7 @@
     let session = Session::open(&options.target, options.json)?;
     match options.verb {
         Verb::Propose(flags) => propose::propose_file(&session, &flags).await,
-        Verb::Outcome { author, id } => propose::settle_proposal(&session, &id, &author).await,
+        Verb::Outcome { author, id } => propose::resolve_proposal(&session, &id, &author).await,
         Verb::Status => status_report::report_status(&session).await,
         Verb::Show { version } => history::show_version(&session, version).await,
         Verb::Log { limit } => history::list_versions(&session, limit).await,
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Gives the journal of versions.
+    /// Returns the journal of versions.
     pub(crate) fn versions(&self) -> Result<Versions, Error> {
         let address = self.platform.ok_or(Error::Usage(
             "the platform's address is needed: give --platform ADDRESS, or platform in the settings file",
@@ -104,7 +104,7 @@
         Ok(Journal::open(client, System, JOURNAL))
     }
 
-    /// Tells whether the platform's address is known.
+    /// Returns whether the platform's address is known.
     pub(crate) fn has_platform(&self) -> bool {
         self.platform.is_some()
     }
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Reads `path` from every node at once.
-    pub(crate) async fn ask_nodes<T>(&self, path: &'static str) -> Result<Vec<Reply<T>>, Error>
+    /// Sends `GET path` to all nodes concurrently.
+    pub(crate) async fn query_nodes<T>(&self, path: &'static str) -> Result<Vec<Reply<T>>, Error>
     where
         T: DeserializeOwned + Send + 'static,
     {
@@ -130,14 +130,14 @@
                 "nodes to ask are needed: give --node ADDRESS, or nodes in the settings file",
             ));
         }
-        let mut asked = Vec::new();
+        let mut pending = Vec::new();
         for address in self.nodes.clone() {
             let request = make_request(address, Method::GET, path, None)?;
             let reply = fetch::<T>(address, request, self.timeout);
-            asked.push((address, tokio::spawn(reply)));
+            pending.push((address, tokio::spawn(reply)));
         }
         let mut replies = Vec::new();
-        for (address, task) in asked {
+        for (address, task) in pending {
             let result = match task.await {
                 Ok(result) => result,
                 Err(error) => Err(Error::Node(address, error.to_string())),
@@ -147,26 +147,28 @@
         Ok(replies)
     }
 
-    /// Writes a value as JSON on one line.
+    /// Prints a value as JSON on one line.
     pub(crate) fn print_json<T>(&self, value: &T)
     where
         T: Serialize,
     {
-        debug_assert!(self.json, "asked for");
+        debug_assert!(self.json, "JSON output was requested");
         println!("{}", to_json(value));
     }
 }
 
-/// Gives the JSON form of a value.
+/// Serializes a value as JSON.
 pub(crate) fn to_json<T>(value: &T) -> String
 where
     T: Serialize,
 {
-    serde_json::to_string(value).expect("what is written has a JSON form")
+    serde_json::to_string(value).expect("every printed value can be serialized as JSON")
 }
 
-/// Parts answers from failures.
-pub(crate) fn split_replies<T>(replies: Vec<Reply<T>>) -> (Vec<(SocketAddr, T)>, Vec<Unreachable>) {
+/// Separates answers from failures.
+pub(crate) fn partition_replies<T>(
+    replies: Vec<Reply<T>>,
+) -> (Vec<(SocketAddr, T)>, Vec<Unreachable>) {
     let mut answers = Vec::new();
     let mut unreachable = Vec::new();
     for Reply { address, result } in replies {
@@ -181,8 +183,8 @@
     (answers, unreachable)
 }
 
-/// Tells of the nodes that did not answer, and gives the code that follows.
-pub(crate) fn report_unreachable(unreachable: &[Unreachable]) -> Exit {
+/// Prints which nodes did not answer and returns the resulting exit code.
+pub(crate) fn print_unreachable(unreachable: &[Unreachable]) -> Exit {
     for node in unreachable {
         eprintln!("bluebellpick: {}", node.error);
     }
--- a/crates/cli/src/status_report.rs
+++ b/crates/cli/src/status_report.rs
@@ -1,8 +1,8 @@
-//! `status`: the last version, and how nodes stand.
+//! `status`: shows the last version and the status of nodes.
 
 use crate::error::Error;
 use crate::exit::Exit;
-use crate::session::{Session, Unreachable, report_unreachable, split_replies};
+use crate::session::{Session, Unreachable, partition_replies, print_unreachable};
 use crate::table::render_table;
 use config::Version;
 use serde::Serialize;
@@ -10,20 +10,20 @@
 use status::{Fleet, Status};
 use store::version::load;
 
-/// What `status --json` writes.
+/// Output of `status --json`.
 #[derive(Debug, Serialize)]
 struct Report {
-    /// The last accepted version, when the platform's address is known.
+    /// The last accepted version; `None` if the platform's address is unknown or it does not answer.
     accepted: Option<Version>,
-    /// What the whole fleet holds, by the node that was told most.
+    /// Versions that the fleet holds, according to the node that knows of the most nodes.
     fleet: Fleet,
     nodes: Vec<Status>,
     unreachable: Vec<Unreachable>,
 }
 
 pub(crate) async fn report_status(session: &Session) -> Result<Exit, Error> {
-    let replies = session.ask_nodes("/v1/status").await?;
-    let (answers, unreachable) = split_replies(replies);
+    let replies = session.query_nodes("/v1/status").await?;
+    let (answers, unreachable) = partition_replies(replies);
     let accepted = read_accepted(session).await;
     let nodes = answers
         .into_iter()
@@ -31,7 +31,7 @@
         .collect::<Vec<_>>();
     let report = Report {
         accepted,
-        fleet: find_fleet(&nodes),
+        fleet: select_fleet(&nodes),
         nodes,
         unreachable,
     };
@@ -40,10 +40,11 @@
     } else {
         print_report(&report);
     }
-    Ok(report_unreachable(&report.unreachable))
+    Ok(print_unreachable(&report.unreachable))
 }
 
-/// Gives the last accepted version; an outage of the platform must not hide the nodes.
+/// Returns the last accepted version, or `None` on a failure: `status` must also show nodes during an
+/// outage of the platform.
 async fn read_accepted(session: &Session) -> Option<Version> {
     if !session.has_platform() {
         return None;
@@ -58,11 +59,11 @@
     }
 }
 
-/// Gives what the node that knows of most nodes was told of the fleet.
-fn find_fleet(nodes: &[Status]) -> Fleet {
+/// Returns the status of the fleet according to the node that knows of the most nodes.
+fn select_fleet(nodes: &[Status]) -> Fleet {
     let fleets = nodes.iter().map(|node| &node.distribution.fleet);
-    let known = fleets.max_by_key(|fleet| count_nodes(fleet));
-    known.cloned().unwrap_or_default()
+    let largest = fleets.max_by_key(|fleet| count_nodes(fleet));
+    largest.cloned().unwrap_or_default()
 }
 
 fn count_nodes(fleet: &Fleet) -> u32 {
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,11 +1,11 @@
-//! Tables for people.
+//! Plain-text tables.
 
 use std::fmt::Write as _;
 
-/// Room between two columns.
-const GAP: usize = 2;
+/// Spaces between two columns.
+const COLUMN_GAP: usize = 2;
 
-/// Writes rows with their columns aligned; the first row is the heading.
+/// Renders rows with aligned columns; the first row is the heading.
 pub(crate) fn render_table<const N: usize>(rows: &[[String; N]]) -> String {
     let mut widths = [0; N];
     for row in rows {
@@ -17,7 +17,7 @@
     for row in rows {
         let mut line = String::new();
         for (width, cell) in widths.iter().zip(row) {
-            let width = width + GAP;
+            let width = width + COLUMN_GAP;
             // Writing to a string can't fail.
             let _written = write!(line, "{cell:width$}");
         }
--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -1,4 +1,5 @@
-//! The operators' page lists what there is.
+//! Checks that the operators' page lists every setting, metric and verb, and that the manual page
+//! is up to date.
 
 use bpaf::doc::Section;
 use node::metrics::{Ending, GaugeValues, Metrics};
@@ -6,7 +7,7 @@
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-/// Tells whether a table row of the page starts with these cells.
+/// Returns whether a table row of the page starts with these cells.
 fn has_row(cells: &[&str]) -> bool {
     let start = format!("| {} |", cells.join(" | "));
     PAGE.lines().any(|line| line.starts_with(&start))
@@ -48,7 +49,11 @@
     let listed = PAGE
         .lines()
         .filter(|line| line.starts_with("| `bluebellpick_"));
-    assert_eq!(listed.count(), count, "the page lists what is not there");
+    assert_eq!(
+        listed.count(),
+        count,
+        "the page lists metrics that do not exist"
+    );
 }
 
 #[test]
@@ -67,20 +72,22 @@
     assert_eq!(count, 10);
 }
 
-/// Where the manual page stands, and the variable that has it written anew.
-const MANUAL: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/bluebellpick.1");
-const WRITE: &str = "BLUEBELLPICK_WRITE_DOCS";
+/// Path of the manual page.
+const MANUAL_PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/bluebellpick.1");
+
+/// Environment variable that makes the test write the manual page.
+const WRITE_VARIABLE: &str = "BLUEBELLPICK_WRITE_DOCS";
 
 #[test]
 fn manual_page() {
     let options = cli::options::parse_options();
     let page = options.render_manpage("bluebellpick", Section::General, None, None, None);
-    if std::env::var_os(WRITE).is_some() {
-        std::fs::write(MANUAL, &page).unwrap();
+    if std::env::var_os(WRITE_VARIABLE).is_some() {
+        std::fs::write(MANUAL_PATH, &page).unwrap();
     }
-    let committed = std::fs::read_to_string(MANUAL).unwrap();
+    let committed = std::fs::read_to_string(MANUAL_PATH).unwrap();
     assert!(
         committed == page,
-        "write it anew: {WRITE}=1 cargo test -p bluebellpick-cli"
+        "write it anew: {WRITE_VARIABLE}=1 cargo test -p bluebellpick-cli"
     );
 }
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,13 +1,13 @@
-//! The story of a call, from logs alone.
+//! The story of a call, reconstructed from logs alone.
 
 mod support;
 
 use store::MemoryStore;
-use support::{Desk, Ended, run_program};
+use support::{Harness, RunResult, run_program};
 use tokio::runtime::Runtime;
 use yare::parameterized;
 
-/// Lines of four nodes, as they wrote them under load and faults.
+/// Log lines of four nodes, as they were written under load and injected faults.
 const LOGS: [(&str, &str); 4] = [
     ("puchong-2", "\
 [2026-02-17T01:16:40.000Z INFO  node::node] started node=puchong-2 zone=puchong incarnation=1 stop_limit_s=5.5
@@ -39,31 +39,31 @@
 "),
 ];
 
-fn explain(id: &str, flags: &[&str]) -> Ended {
+fn explain(id: &str, flags: &[&str]) -> RunResult {
     let runtime = Runtime::new().unwrap();
-    let desk = runtime.block_on(Desk::open(&MemoryStore::new()));
-    let files = LOGS.map(|(node, text)| desk.write(node, text));
+    let harness = runtime.block_on(Harness::open(&MemoryStore::new()));
+    let files = LOGS.map(|(node, text)| harness.write(node, text));
     let mut arguments = vec!["explain"];
     arguments.extend(flags);
     arguments.push(id);
     arguments.extend(files.iter().map(String::as_str));
-    desk.run(&arguments)
+    harness.run(&arguments)
 }
 
 #[parameterized(
     refused = { "6dbb", "no room: the gates of 2 backend servers turned it away" },
     late = { "77aa", "answered 200 after 940 ms, 612 of them at the gate; most of it at the gate" },
-    silent = { "fedd", "rawang-5 gave no answer before the deadline" },
+    no_answer = { "fedd", "rawang-5 gave no answer before the deadline" },
     may_have_run = { "8584", "the backend server at rawang-5, or to its node, broke after the call was sent" },
     crashed = { "c4a5", "the backend server at rawang-5 ended while it ran the call" },
     held = { "4e1d", "its request ab93c5c1 has crashed the backend servers that ran it, and is held" },
     unrouted = { "90aa", "version 2 has no route for jobs.example/gone/7" },
-    failed_below = { "c0de", "puchong-1 answered 500, after 1 calls of its own had failed" },
+    nested_call_failed = { "c0de", "puchong-1 answered 500, after 1 calls of its own had failed" },
 )]
 fn cause_found(id: &str, cause: &str) {
-    let ended = explain(id, &[]);
-    assert_eq!(ended.code, 0, "{ended:?}");
-    let last = ended.output.lines().last().unwrap();
+    let result = explain(id, &[]);
+    assert_eq!(result.code, 0, "{result:?}");
+    let last = result.output.lines().last().unwrap();
     assert!(
         last.starts_with("cause: ") && last.contains(cause),
         "{last}"
@@ -71,13 +71,13 @@
 }
 
 // An engineer on call has the id of a booking that "may have run", and the logs
-// of all nodes. The story must name the node whose connection broke and what
-// that node went through then.
+// of all nodes. The story must name the node whose connection broke and the
+// events of that node at that time.
 #[test]
-fn whole_story() {
+fn steps_of_lost_call() {
     let story = explain("8584", &["--json"]).json();
     let steps = story["steps"].as_array().unwrap();
-    let told: Vec<_> = steps
+    let events: Vec<_> = steps
         .iter()
         .map(|step| {
             (
@@ -87,7 +87,7 @@
         })
         .collect();
     assert_eq!(
-        told,
+        events,
         [
             ("rawang-5", "link_silent"),
             ("rawang-1", "try_refused"),
@@ -98,11 +98,11 @@
 
 #[test]
 fn unknown_call() {
-    let ended = explain("nobody", &[]);
-    assert_eq!(ended.code, 1);
+    let result = explain("nobody", &[]);
+    assert_eq!(result.code, 1);
     assert!(
-        ended.errors.contains("none of the 19 lines read"),
-        "{ended:?}"
+        result.errors.contains("none of the 19 lines read"),
+        "{result:?}"
     );
     assert_eq!(run_program(&["explain", "x", "/no/such/log"]).code, 2);
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What operators see of nodes, and do to them.
+//! Verbs that access nodes: `status`, `drain` and `burn`.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use store::MemoryStore;
-use support::{Desk, run_program};
+use support::{Harness, run_program};
 use tokio::net::TcpListener;
 
 const TOKEN: &str = "0123456789abcdef";
@@ -54,12 +54,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn status_of_two() {
-    let desk = Desk::open(&MemoryStore::new()).await;
+async fn status_of_two_nodes() {
+    let harness = Harness::open(&MemoryStore::new()).await;
     let (one, two) = (Node::spawn("jobs-1").await, Node::spawn("jobs-2").await);
-    let ended = desk.run(&["status", &one.flag(), &two.flag()]);
-    assert_eq!(ended.code, 0, "{ended:?}");
-    let lines = ended.output.lines().collect::<Vec<_>>();
+    let result = harness.run(&["status", &one.flag(), &two.flag()]);
+    assert_eq!(result.code, 0, "{result:?}");
+    let lines = result.output.lines().collect::<Vec<_>>();
     assert_eq!(
         lines[0],
         "version 0 (last accepted) is in force on 2 of 2 nodes that answered"
@@ -72,75 +72,78 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_node() {
     let node = Node::spawn("jobs-1").await;
-    // Takes connections and never answers.
+    // Accepts connections and never answers.
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let silent = format!("--node={}", silent.local_addr().unwrap());
-    let ended = run_program(&["status", &node.flag(), &silent, "--timeout=1", "--json"]);
-    assert_eq!(ended.code, 1);
-    let json = ended.json();
+    let result = run_program(&["status", &node.flag(), &silent, "--timeout=1", "--json"]);
+    assert_eq!(result.code, 1);
+    let json = result.json();
     assert_eq!(json["nodes"][0]["node"], "jobs-1");
     assert_eq!(json["unreachable"].as_array().unwrap().len(), 1);
-    assert!(ended.errors.contains("no answer in time"));
+    assert!(result.errors.contains("no answer in time"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_by_name() {
-    let desk = Desk::open(&MemoryStore::new()).await;
+    let harness = Harness::open(&MemoryStore::new()).await;
     let (one, two) = (Node::spawn("jobs-1").await, Node::spawn("jobs-2").await);
     let right = format!(
         "--token-file={}",
-        desk.write("right", &format!("{TOKEN}\n"))
+        harness.write("right", &format!("{TOKEN}\n"))
+    );
+    let wrong = format!(
+        "--token-file={}",
+        harness.write("wrong", "fedcba9876543210")
     );
-    let wrong = format!("--token-file={}", desk.write("wrong", "fedcba9876543210"));
     let nodes = [one.flag(), two.flag()];
 
-    let ended = desk.run(&["drain", "jobs-2", &nodes[0], &nodes[1], &wrong]);
-    assert_eq!(ended.code, 1, "{ended:?}");
-    assert!(ended.errors.contains("401"), "{ended:?}");
+    let result = harness.run(&["drain", "jobs-2", &nodes[0], &nodes[1], &wrong]);
+    assert_eq!(result.code, 1, "{result:?}");
+    assert!(result.errors.contains("401"), "{result:?}");
     assert!(!*two.shared.leaving.borrow());
 
-    let ended = desk.run(&["drain", "jobs-2", &nodes[0], &nodes[1], &right]);
-    assert_eq!(ended.output, "jobs-2 takes no new calls; 0 in flight\n");
+    let result = harness.run(&["drain", "jobs-2", &nodes[0], &nodes[1], &right]);
+    assert_eq!(result.output, "jobs-2 takes no new calls; 0 in flight\n");
     assert!(*two.shared.leaving.borrow() && !*one.shared.leaving.borrow());
 
-    let ended = desk.run(&["drain", "jobs-3", &nodes[0], &right]);
-    assert_eq!(ended.code, 1);
+    let result = harness.run(&["drain", "jobs-3", &nodes[0], &right]);
+    assert_eq!(result.code, 1);
     assert!(
-        ended
+        result
             .errors
             .contains("none of the nodes that answered is named \"jobs-3\"")
     );
 
     one.shared.in_flight.send_replace(2);
     let address = one.handle.address().to_string();
-    let ended = desk.run(&["drain", &address, &right, "--wait=1"]);
-    assert_eq!(ended.code, 1, "{ended:?}");
-    assert_eq!(ended.output, "jobs-1 takes no new calls; 2 in flight\n");
+    let result = harness.run(&["drain", &address, &right, "--wait=1"]);
+    assert_eq!(result.code, 1, "{result:?}");
+    assert_eq!(result.output, "jobs-1 takes no new calls; 2 in flight\n");
 
     one.shared.unread_answers.send_replace(1);
-    let ended = desk.run(&["status", &nodes[0]]);
+    let result = harness.run(&["status", &nodes[0]]);
     let waits = "is leaving, waits for 2 calls, 1 answers";
-    assert!(ended.output.contains(waits), "{ended:?}");
+    assert!(result.output.contains(waits), "{result:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn burn_of_two() {
+async fn burn_of_two_nodes() {
     let (one, two) = (Node::spawn("jobs-1").await, Node::spawn("jobs-2").await);
     one.record(Ending::Answered(200), 900);
     two.record(Ending::Answered(201), 80);
     two.record(Ending::Refused(Verdict::NotRun), 20);
-    // The caller's own faults burn nothing.
+    // Errors of the caller are not charged to the error budget.
     two.record(Ending::Answered(404), 500);
     two.record(Ending::Cancelled, 500);
-    let ended = run_program(&["burn", &one.flag(), &two.flag()]);
-    assert_eq!(ended.code, 0, "{ended:?}");
-    let row = ended
+    let result = run_program(&["burn", &one.flag(), &two.flag()]);
+    assert_eq!(result.code, 0, "{result:?}");
+    let row = result
         .output
         .lines()
         .find(|line| line.starts_with("jobs "))
         .unwrap();
     let cells = row.split_whitespace().collect::<Vec<_>>();
-    // 20 of 1,000 failed where 1 may: twenty times too fast.
+    // 20 of 1,000 failed where 1 is allowed: a burn rate of 20.
     assert_eq!(
         cells,
         [
--- a/crates/cli/tests/history.rs
+++ b/crates/cli/tests/history.rs
@@ -1,27 +1,27 @@
-//! Versions as operators read them.
+//! Verbs that show versions: `show`, `log` and `diff`; errors of the command line.
 
 mod support;
 
 use store::MemoryStore;
-use support::{Desk, run_program};
+use support::{Harness, run_program};
 use yare::parameterized;
 
-/// Proposes one service after the other.
-async fn open_with(names: &[&str]) -> Desk {
-    let desk = Desk::open(&MemoryStore::new()).await;
+/// Proposes one service after another, each as a version.
+async fn open_with_services(names: &[&str]) -> Harness {
+    let harness = Harness::open(&MemoryStore::new()).await;
     for (base, name) in names.iter().enumerate() {
         let text = format!(r#"{{"put_service":{{"name":"{name}","service":{{}}}}}}"#);
-        let file = desk.write(name, &text);
-        let ended = desk.run(&["propose", &file, "--base", &base.to_string()]);
-        assert_eq!(ended.code, 0, "{ended:?}");
+        let file = harness.write(name, &text);
+        let result = harness.run(&["propose", &file, "--base", &base.to_string()]);
+        assert_eq!(result.code, 0, "{result:?}");
     }
-    desk
+    harness
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn show_and_diff() {
-    let desk = open_with(&["a", "b", "c"]).await;
-    let shown = desk.run(&["show", "2"]);
+    let harness = open_with_services(&["a", "b", "c"]).await;
+    let shown = harness.run(&["show", "2"]);
     let lines = shown.output.lines().collect::<Vec<_>>();
     assert!(lines[0].starts_with("# version 2, digest "));
     assert_eq!(
@@ -31,44 +31,44 @@
             r#"{"put_service":{"name":"b","service":{"objective":null}}}"#
         ]
     );
-    // What is shown is a patch against version 0.
-    let file = desk.write("shown", &shown.output);
-    assert_eq!(desk.run(&["check", &file, "--base=0"]).code, 0);
+    // The output of `show` is a patch against version 0.
+    let file = harness.write("shown", &shown.output);
+    assert_eq!(harness.run(&["check", &file, "--base=0"]).code, 0);
 
-    let back = desk.run(&["diff", "3", "1"]);
+    let back = harness.run(&["diff", "3", "1"]);
     let removals = "{\"remove_service\":{\"name\":\"b\"}}\n{\"remove_service\":{\"name\":\"c\"}}\n";
     assert_eq!((back.code, back.output.as_str()), (0, removals));
-    let last = desk.run(&["show", "--json"]).json();
+    let last = harness.run(&["show", "--json"]).json();
     assert_eq!(last["version"], 3);
     assert_eq!(last["mesh"]["services"].as_object().unwrap().len(), 3);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn log_lists() {
-    let desk = open_with(&["a", "b", "c"]).await;
-    assert_eq!(desk.run(&["outcome", "3-abc"]).code, 4);
-    let listed = desk.run(&["log", "--limit=2"]);
+    let harness = open_with_services(&["a", "b", "c"]).await;
+    assert_eq!(harness.run(&["outcome", "3-abc"]).code, 4);
+    let listed = harness.run(&["log", "--limit=2"]);
     let lines = listed.output.lines().collect::<Vec<_>>();
     assert!(lines[0].starts_with("VERSION"));
     assert!(lines[1].starts_with("4 ") && lines[1].contains("3-abc"));
     assert!(lines[1].ends_with("never applied"));
     assert!(lines[2].starts_with("3 ") && lines[2].ends_with('1'));
     assert_eq!(lines.len(), 3);
-    let json = desk.run(&["log", "--json"]).json();
+    let json = harness.run(&["log", "--json"]).json();
     assert_eq!(json.as_array().unwrap().len(), 4);
     assert_eq!(json[3]["entry"]["author"], "ann");
 }
 
-// After some hundred versions an operator still asks what an early one said.
-// A snapshot has taken the early records' place as the start for readers.
+// An early version must still be shown after many more: readers now start from a snapshot, so the
+// early records must be read separately.
 #[tokio::test(flavor = "multi_thread")]
 async fn before_snapshot() {
     let names = (0..70).map(|index| format!("s{index}")).collect::<Vec<_>>();
     let names = names.iter().map(String::as_str).collect::<Vec<_>>();
-    let desk = open_with(&names).await;
-    let shown = desk.run(&["show", "2", "--json"]).json();
+    let harness = open_with_services(&names).await;
+    let shown = harness.run(&["show", "2", "--json"]).json();
     assert_eq!(shown["mesh"]["services"].as_object().unwrap().len(), 2);
-    let listed = desk.run(&["log", "--limit=69", "--json"]).json();
+    let listed = harness.run(&["log", "--limit=69", "--json"]).json();
     assert_eq!(listed.as_array().unwrap().len(), 69);
 }
 
@@ -82,10 +82,10 @@
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
 async fn wrong_use(arguments: &[&str], code: i32, message: &str) {
-    let desk = open_with(&["a"]).await;
-    let ended = desk.run(arguments);
-    assert_eq!(ended.code, code, "{ended:?}");
-    assert!(ended.errors.contains(message), "{ended:?}");
+    let harness = open_with_services(&["a"]).await;
+    let result = harness.run(arguments);
+    assert_eq!(result.code, code, "{result:?}");
+    assert!(result.errors.contains(message), "{result:?}");
 }
 
 #[parameterized(
@@ -95,9 +95,9 @@
     no_settings = { &["log", "--settings=no-such-file"], 2, "no-such-file: can't be read" },
 )]
 fn without_addresses(arguments: &[&str], code: i32, message: &str) {
-    let ended = run_program(arguments);
-    assert_eq!(ended.code, code, "{ended:?}");
-    assert!(ended.errors.contains(message), "{ended:?}");
+    let result = run_program(arguments);
+    assert_eq!(result.code, code, "{result:?}");
+    assert!(result.errors.contains(message), "{result:?}");
 }
 
 #[parameterized(
@@ -105,7 +105,7 @@
     log = { "log" }, diff = { "diff" }, drain = { "drain" }, check = { "check" }, burn = { "burn" },
 )]
 fn verb_help(verb: &str) {
-    let ended = run_program(&[verb, "--help"]);
-    assert_eq!(ended.code, 0);
-    assert!(ended.output.contains("--json") && ended.output.contains("Usage: "));
+    let result = run_program(&[verb, "--help"]);
+    assert_eq!(result.code, 0);
+    assert!(result.output.contains("--json") && result.output.contains("Usage: "));
 }
--- a/crates/cli/tests/propose.rs
+++ b/crates/cli/tests/propose.rs
@@ -1,53 +1,56 @@
-//! What operators are told of a proposal: four answers, each with its code.
+//! The four outcomes of a proposal, each with its exit code.
 
 mod support;
 
 use store::MemoryStore;
 use store::memory::Faults;
-use support::Desk;
+use support::Harness;
 use yare::parameterized;
 
 const SERVICE: &str = r#"{"put_service":{"name":"jobs","service":{}}}"#;
 const OTHER: &str = r#"{"put_service":{"name":"claims","service":{}}}"#;
 
-/// Gives the proposal's name, which the program tells before it sends anything.
+/// Returns the proposal's name, which the program prints before it sends anything.
 fn read_id(errors: &str) -> &str {
     let line = errors.lines().next().unwrap();
     line.strip_prefix("proposal ").unwrap()
 }
 
-/// Gives the path of an example file.
-fn find_example(name: &str) -> String {
+/// Returns the path of an example file.
+fn example_path(name: &str) -> String {
     format!("{}/../../examples/{name}", env!("CARGO_MANIFEST_DIR"))
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn accepted() {
     let memory = MemoryStore::new();
-    let desk = Desk::open(&memory).await;
-    let file = desk.write("patch", SERVICE);
-    let ended = desk.run(&["propose", &file, "--base=0"]);
-    let id = read_id(&ended.errors);
-    assert_eq!(ended.code, 0);
+    let harness = Harness::open(&memory).await;
+    let file = harness.write("patch", SERVICE);
+    let result = harness.run(&["propose", &file, "--base=0"]);
+    let id = read_id(&result.errors);
+    assert_eq!(result.code, 0);
     assert_eq!(
-        ended.output,
+        result.output,
         format!("accepted: version 1 (proposal {id})\n")
     );
-    let again = desk.run(&["propose", &file, "--base=0", "--id", id, "--json"]);
+    let again = harness.run(&["propose", &file, "--base=0", "--id", id, "--json"]);
     assert_eq!((again.code, &again.json()["version"]), (0, &1.into()));
-    let settled = desk.run(&["outcome", id]);
-    assert_eq!((settled.code, settled.output), (0, ended.output));
+    let resolved = harness.run(&["outcome", id]);
+    assert_eq!((resolved.code, resolved.output), (0, result.output));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn crossed() {
+async fn lost_race() {
     let memory = MemoryStore::new();
-    let desk = Desk::open(&memory).await;
-    let (first, second) = (desk.write("first", SERVICE), desk.write("second", OTHER));
-    let winner = desk.run(&["propose", &first, "--base=0"]);
-    let ended = desk.run(&["propose", &second, "--base=0", "--json"]);
-    assert_eq!(ended.code, 3);
-    let json = ended.json();
+    let harness = Harness::open(&memory).await;
+    let (first, second) = (
+        harness.write("first", SERVICE),
+        harness.write("second", OTHER),
+    );
+    let winner = harness.run(&["propose", &first, "--base=0"]);
+    let result = harness.run(&["propose", &second, "--base=0", "--json"]);
+    assert_eq!(result.code, 3);
+    let json = result.json();
     assert_eq!(json["outcome"], "refused");
     assert_eq!(json["holder"]["entry"]["proposal"], read_id(&winner.errors));
     assert_eq!(json["holder"]["entry"]["author"], "ann");
@@ -62,88 +65,88 @@
 #[test_macro(tokio::test(flavor = "multi_thread"))]
 async fn wrong_patch(text: &str, base: &str, code: i32, message: &str) {
     let memory = MemoryStore::new();
-    let desk = Desk::open(&memory).await;
-    let file = desk.write("patch", text);
-    let ended = desk.run(&["propose", &file, "--base", base]);
-    assert_eq!(ended.code, code, "{ended:?}");
-    let said = format!("{}{}", ended.output, ended.errors);
+    let harness = Harness::open(&memory).await;
+    let file = harness.write("patch", text);
+    let result = harness.run(&["propose", &file, "--base", base]);
+    assert_eq!(result.code, code, "{result:?}");
+    let said = format!("{}{}", result.output, result.errors);
     assert!(said.contains(message), "{said}");
 }
 
-// The platform is down for the whole time that the operator waits. Nothing was
-// written and nobody else knows the proposal, so it is plainly never applied.
+// The platform is down for the whole time of `--wait`. Nothing was written and
+// nobody else knows the proposal's name, so the outcome is "never applied".
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_down() {
     let memory = MemoryStore::new();
-    let desk = Desk::open(&memory).await;
+    let harness = Harness::open(&memory).await;
     memory.set_faults(Faults {
         down: true,
         ..Faults::default()
     });
-    let file = desk.write("patch", SERVICE);
-    let ended = desk.run(&["propose", &file, "--base=0", "--wait=1"]);
-    assert_eq!(ended.code, 4, "{ended:?}");
+    let file = harness.write("patch", SERVICE);
+    let result = harness.run(&["propose", &file, "--base=0", "--wait=1"]);
+    assert_eq!(result.code, 4, "{result:?}");
     assert!(
-        ended
+        result
             .output
             .starts_with("never applied: nothing was written")
     );
-    // An earlier try may stand: another name's fate is not this try's to tell.
-    let ended = desk.run(&["propose", &file, "--base=0", "--wait=1", "--id=0-abc"]);
-    assert_eq!(ended.code, 5, "{ended:?}");
-    let ended = desk.run(&["outcome", "0-abc"]);
-    assert_eq!(ended.code, 5, "{ended:?}");
+    // With --id, an earlier attempt may have been stored: the outcome is not known.
+    let result = harness.run(&["propose", &file, "--base=0", "--wait=1", "--id=0-abc"]);
+    assert_eq!(result.code, 5, "{result:?}");
+    let result = harness.run(&["outcome", "0-abc"]);
+    assert_eq!(result.code, 5, "{result:?}");
     assert!(
-        ended
+        result
             .output
             .contains("settle it with: bluebellpick outcome 0-abc")
     );
 }
 
-// An operator's proposal is lost on its way, and then the platform is down. She
-// is told that its fate is open, and later that it is never applied; when the
-// lost write arrives after all, that must still be true.
+// The write of a proposal is delayed and the time of `--wait` ends: the outcome is not known yet.
+// `outcome` then reports that it is never applied, which must stay true after the delayed write
+// arrives.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_write() {
     let memory = MemoryStore::new();
-    let desk = Desk::open(&memory).await;
+    let harness = Harness::open(&memory).await;
     memory.set_faults(Faults {
         late_next: 1_000,
         ..Faults::default()
     });
-    let file = desk.write("patch", SERVICE);
-    let ended = desk.run(&["propose", &file, "--base=0", "--wait=1"]);
-    assert_eq!(ended.code, 5, "{ended:?}");
-    let id = read_id(&ended.errors);
+    let file = harness.write("patch", SERVICE);
+    let result = harness.run(&["propose", &file, "--base=0", "--wait=1"]);
+    assert_eq!(result.code, 5, "{result:?}");
+    let id = read_id(&result.errors);
     let advice = format!("settle it with: bluebellpick outcome {id}\n");
-    assert!(ended.output.ends_with(&advice), "{ended:?}");
+    assert!(result.output.ends_with(&advice), "{result:?}");
 
     memory.set_faults(Faults::default());
     for _ in 0..2 {
-        let settled = desk.run(&["outcome", id]);
-        assert_eq!(settled.code, 4, "{settled:?}");
-        assert!(settled.output.starts_with("never applied: "));
+        let resolved = harness.run(&["outcome", id]);
+        assert_eq!(resolved.code, 4, "{resolved:?}");
+        assert!(resolved.output.starts_with("never applied: "));
         memory.deliver_late_writes();
     }
-    let shown = desk.run(&["show"]);
+    let shown = harness.run(&["show"]);
     assert!(shown.output.starts_with("# version 1, digest"));
     assert!(!shown.output.contains("jobs"));
 }
 
-// The platform applies a proposal and its answer is lost. The operator is told
-// that it is accepted, since the second try finds the first one's record.
+// The platform applies a proposal and its answer is lost. The outcome is
+// "accepted", since the second attempt finds the record of the first one.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer() {
     let memory = MemoryStore::new();
-    let desk = Desk::open(&memory).await;
+    let harness = Harness::open(&memory).await;
     memory.set_faults(Faults {
         lose_next: 2,
         ..Faults::default()
     });
-    let file = desk.write("patch", SERVICE);
-    let ended = desk.run(&["propose", &file, "--base=0"]);
-    assert_eq!(ended.code, 0, "{ended:?}");
-    assert!(ended.output.starts_with("accepted: version 1 "));
+    let file = harness.write("patch", SERVICE);
+    let result = harness.run(&["propose", &file, "--base=0"]);
+    assert_eq!(result.code, 0, "{result:?}");
+    assert!(result.output.starts_with("accepted: version 1 "));
 }
 
 #[parameterized(
@@ -153,15 +156,15 @@
 #[test_macro(tokio::test(flavor = "multi_thread"))]
 async fn example_patches(first: &str, second: Option<&str>) {
     let memory = MemoryStore::new();
-    let desk = Desk::open(&memory).await;
-    let file = find_example(first);
-    let checked = desk.run(&["check", &file, "--base=0"]);
+    let harness = Harness::open(&memory).await;
+    let file = example_path(first);
+    let checked = harness.run(&["check", &file, "--base=0"]);
     assert_eq!(checked.code, 0, "{checked:?}");
-    assert_eq!(desk.run(&["propose", &file, "--base=0"]).code, 0);
+    assert_eq!(harness.run(&["propose", &file, "--base=0"]).code, 0);
     if let Some(second) = second {
-        let file = find_example(second);
-        assert_eq!(desk.run(&["check", &file, "--base=0"]).code, 2);
-        assert_eq!(desk.run(&["check", &file, "--base=1"]).code, 0);
-        assert_eq!(desk.run(&["propose", &file, "--base=1"]).code, 0);
+        let file = example_path(second);
+        assert_eq!(harness.run(&["check", &file, "--base=0"]).code, 2);
+        assert_eq!(harness.run(&["check", &file, "--base=1"]).code, 0);
+        assert_eq!(harness.run(&["propose", &file, "--base=1"]).code, 0);
     }
 }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! The program run against a platform in this process.
+//! Runs the program against a platform stand-in in the test process.
 
 use serde_json::Value;
 use standin::platform::{RateLimits, serve};
@@ -9,9 +9,9 @@
 use tempfile::TempDir;
 use tokio::net::TcpListener;
 
-/// How a run of the program ended.
+/// Result of a run of the program.
 #[derive(Debug)]
-pub struct Ended {
+pub struct RunResult {
     /// Exit code.
     pub code: i32,
     /// Standard output.
@@ -20,20 +20,20 @@
     pub errors: String,
 }
 
-impl Ended {
+impl RunResult {
     /// Reads the output as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.output).unwrap_or_else(|error| panic!("{error}: {self:?}"))
     }
 }
 
-/// A desk to operate from.
-pub struct Desk {
+/// A platform stand-in and a folder for the files of a test.
+pub struct Harness {
     platform: SocketAddr,
     folder: TempDir,
 }
 
-impl Desk {
+impl Harness {
     /// Serves `memory` as the platform.
     pub async fn open(memory: &MemoryStore) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Writes a file, and gives its path.
+    /// Writes a file and returns its path.
     pub fn write(&self, name: &str, text: &str) -> String {
         let path = self.folder.path().join(name);
         fs::write(&path, text).unwrap();
@@ -53,21 +53,21 @@
     }
 
     /// Runs the program with the platform's address.
-    pub fn run(&self, arguments: &[&str]) -> Ended {
+    pub fn run(&self, arguments: &[&str]) -> RunResult {
         let platform = format!("--platform={}", self.platform);
         run_program(&[arguments, &[&platform, "--timeout=2"]].concat())
     }
 }
 
 /// Runs the program.
-pub fn run_program(arguments: &[&str]) -> Ended {
+pub fn run_program(arguments: &[&str]) -> RunResult {
     let output = Command::new(env!("CARGO_BIN_EXE_bluebellpick"))
         .args(arguments)
         .env_remove("BLUEBELLPICK_SETTINGS")
         .env("USER", "ann")
         .output()
         .unwrap();
-    Ended {
+    RunResult {
         code: output.status.code().unwrap(),
         output: String::from_utf8(output.stdout).unwrap(),
         errors: String::from_utf8(output.stderr).unwrap(),
