--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -31,13 +31,13 @@
 
 /// What happened to one call, in order of time, and the cause of its outcome.
 #[derive(Debug, PartialEq, Eq, Serialize)]
-struct Story<'a> {
+struct Explanation<'a> {
     id: &'a str,
     cause: String,
     steps: Vec<Step>,
 }
 
-/// One log line of a story.
+/// One log line of an explanation.
 #[derive(Debug, PartialEq, Eq, Serialize)]
 struct Step {
     at: String,
@@ -46,7 +46,7 @@
     said: String,
 }
 
-/// Prints the story of the call `id` from the logs in `files`, or from standard input.
+/// Explains the call `id` from the logs in `files`, or from standard input.
 pub(crate) fn explain_call(session: &Session, id: &str, files: &[PathBuf]) -> Result<Exit, Error> {
     let mut lines = Vec::new();
     if files.is_empty() {
@@ -60,19 +60,19 @@
     // All nodes write the same time format, which sorts as text; the sort is stable, so lines of
     // the same instant stay in the order of their files.
     lines.sort_by(|one, other| one.at.cmp(&other.at));
-    let own: Vec<_> = lines.iter().filter(|line| belongs_to(line, id)).collect();
-    if own.is_empty() {
+    let call_lines: Vec<_> = lines.iter().filter(|line| belongs_to(line, id)).collect();
+    if call_lines.is_empty() {
         return Err(Error::NoSuchCall(id.to_owned(), lines.len()));
     }
-    let mut steps = own.clone();
-    steps.extend(find_node_events(&lines, &own));
+    let mut steps = call_lines.clone();
+    steps.extend(find_node_events(&lines, &call_lines));
     steps.sort_by(|one, other| one.at.cmp(&other.at));
-    let story = Story {
+    let explanation = Explanation {
         id,
-        cause: find_cause(id, &own),
+        cause: find_cause(id, &call_lines),
         steps: steps.into_iter().map(make_step).collect(),
     };
-    print_story(session, &story);
+    print_explanation(session, &explanation);
     Ok(Exit::Done)
 }
 
@@ -105,11 +105,11 @@
 
 /// Returns the node events of the nodes involved in a call: those during the call and the last
 /// few before it.
-fn find_node_events<'a>(lines: &'a [LogLine], own: &[&LogLine]) -> Vec<&'a LogLine> {
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
+fn find_node_events<'a>(lines: &'a [LogLine], call_lines: &[&LogLine]) -> Vec<&'a LogLine> {
+    let (Some(first), Some(last)) = (call_lines.first(), call_lines.last()) else {
         return Vec::new();
     };
-    let nodes: BTreeSet<_> = own
+    let nodes: BTreeSet<_> = call_lines
         .iter()
         .flat_map(|line| [line.node.as_str(), line.get("node")])
         .collect();
@@ -130,9 +130,9 @@
 }
 
 /// Describes the cause of the call's outcome, from the last log line that tells it.
-fn find_cause(id: &str, own: &[&LogLine]) -> String {
+fn find_cause(id: &str, call_lines: &[&LogLine]) -> String {
     let is_final = |line: &&&LogLine| line.get("id") == id && line.event.starts_with("call_");
-    let mut finals = own
+    let mut finals = call_lines
         .iter()
         .filter(is_final)
         .filter(|line| line.event != "call_turned_away");
@@ -140,19 +140,19 @@
         return "not known: no line tells its end; its node was killed, or left the line out"
             .into();
     };
-    let gates = own
+    let gates = call_lines
         .iter()
         .filter(|line| line.event == "call_turned_away" && line.get("id") == id)
         .count();
-    let of_call = own.iter().filter(|line| line.get("id") == id);
-    let last_node = of_call
+    let exact_lines = call_lines.iter().filter(|line| line.get("id") == id);
+    let last_node = exact_lines
         .filter(|line| line.event == "try_refused" && line.get("reason") == end.get("reason"))
         .map(|line| line.get("node"))
         .next_back()
         .unwrap_or("a node");
     match (end.event.as_str(), end.get("verdict"), end.get("reason")) {
         ("call_unrouted", _, reason) => describe_unrouted(end, reason),
-        ("call_answered", _, _) => describe_answer(own, id, end),
+        ("call_answered", _, _) => describe_answer(call_lines, id, end),
         (_, "not-run", "full" | "deadline") => format!(
             "no room: the gates of {gates} backend servers turned it away, as it could not begin in time"
         ),
@@ -195,9 +195,9 @@
 }
 
 /// Describes why an answer was late or an error.
-fn describe_answer(own: &[&LogLine], id: &str, end: &LogLine) -> String {
+fn describe_answer(call_lines: &[&LogLine], id: &str, end: &LogLine) -> String {
     let status = end.get("status");
-    let nested = own.iter().filter(|line| {
+    let nested = call_lines.iter().filter(|line| {
         line.get("id") != id && line.event.starts_with("call_") && !line.get("verdict").is_empty()
     });
     if status.starts_with('5') {
@@ -239,15 +239,15 @@
     }
 }
 
-fn print_story(session: &Session, story: &Story<'_>) {
+fn print_explanation(session: &Session, explanation: &Explanation<'_>) {
     if session.json {
-        session.print_json(story);
+        session.print_json(explanation);
         return;
     }
-    println!("call {}", story.id);
-    let width = story.steps.iter().map(|step| step.node.len()).max();
+    println!("call {}", explanation.id);
+    let width = explanation.steps.iter().map(|step| step.node.len()).max();
     let width = width.unwrap_or_default();
-    for step in &story.steps {
+    for step in &explanation.steps {
         let Step {
             at,
             node,
@@ -256,5 +256,5 @@
         } = step;
         println!("{at} {node:width$} {event}: {said}");
     }
-    println!("cause: {}", story.cause);
+    println!("cause: {}", explanation.cause);
 }
--- a/crates/cli/src/propose.rs
+++ b/crates/cli/src/propose.rs
@@ -103,8 +103,8 @@
             store::Error::Busy(retry_after) => jittered + retry_after,
             _ => jittered,
         };
-        let is_over = Instant::now() + pause >= deadline;
-        if is_over || !error.is_transient() {
+        let out_of_time = Instant::now() + pause >= deadline;
+        if out_of_time || !error.is_transient() {
             return if may_be_stored {
                 Outcome::Unknown(error)
             } else {
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! The story of a call, reconstructed from logs alone.
+//! `explain`: what happened to a call, reconstructed from logs alone.
 
 mod support;
 
@@ -71,12 +71,12 @@
 }
 
 // An engineer on call has the id of a booking that "may have run", and the logs
-// of all nodes. The story must name the node whose connection broke and the
+// of all nodes. The explanation must name the node whose connection broke and the
 // events of that node at that time.
 #[test]
 fn steps_of_lost_call() {
-    let story = explain("8584", &["--json"]).json();
-    let steps = story["steps"].as_array().unwrap();
+    let explanation = explain("8584", &["--json"]).json();
+    let steps = explanation["steps"].as_array().unwrap();
     let events: Vec<_> = steps
         .iter()
         .map(|step| {
--- a/crates/cli/tests/propose.rs
+++ b/crates/cli/tests/propose.rs
@@ -103,7 +103,7 @@
     );
 }
 
-// The write of a proposal is delayed and the time of `--wait` ends: the outcome is not known yet.
+// The write of a proposal is delayed until after the time of `--wait`: the outcome is not known yet.
 // `outcome` then reports that it is never applied, which must stay true after the delayed write
 // arrives.
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -50,11 +50,11 @@
         [limits] head_timeout: Duration = "30 s";
         /// How long a new process accepts no connections of callers while it has no routes yet, so that callers go to other nodes; after that it accepts them and tells callers to come back later.
         [limits] routes_wait: Duration = "5 s";
-        /// Repeats of all nodes together that may reach a service in `repeat_window`, as a share of callers' requests for it; empty for no bound on the fleet.
+        /// Retries by all nodes together that may reach a service in `repeat_window`, as a share of callers' requests for it; empty for no limit on the fleet.
         [limits] repeat_share: Option<Share> = "";
-        /// Repeats on top of `repeat_share`, of all nodes together.
+        /// Retries in addition to `repeat_share`, by all nodes together.
         [limits] repeat_extra: Quota = "50";
-        /// Span in which the repeats of all nodes are counted.
+        /// Time window in which the retries of all nodes are counted.
         [limits] repeat_window: Duration = "10 s";
         /// Share of a service's calls that may reach a version under trial which turns out to be bad; empty for a node that follows no roll-outs.
         [limits] canary_share: Option<Share> = "";
