--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -99,12 +99,12 @@
 
 /// Acceptable queue wait of each tier, as a multiple of the call's expected duration.
 ///
-/// A commit is better delayed than refused; a board (refresh) is read again soon anyway.
-const QUEUE_TARGETS: [f64; TIERS.len()] = [8.0, 8.0, 8.0, 2.0, 1.0, 1.0];
+/// A commit is better delayed than refused; a display (refresh) is read again soon anyway.
+const ACCEPTABLE_WAIT_FACTORS: [f64; TIERS.len()] = [8.0, 8.0, 8.0, 2.0, 1.0, 1.0];
 
-/// Minimum acceptable queue wait in seconds, so that very short calls survive a scheduling
-/// hiccup.
-const MIN_QUEUE_TARGET: f64 = 0.025;
+/// Minimum acceptable queue wait in seconds, so that very short calls are not refused because of
+/// a short scheduling delay.
+const MIN_ACCEPTABLE_WAIT: f64 = 0.025;
 
 /// Factor by which a burst may exceed the acceptable queue wait.
 const BURST_FACTOR: f64 = 2.0;
@@ -126,9 +126,9 @@
 /// time.
 const TARGET_MARGIN: f64 = 1.3;
 
-/// Minimum wait that any call may begin with, as a multiple of its expected duration: a call
-/// with a tight target may still wait for the next slot that becomes free.
-const MIN_SLACK: f64 = 0.25;
+/// Minimum time for which a call may wait, however close its latency target is, as a multiple of
+/// its expected duration: it may still wait for the next slot that becomes free.
+const MIN_SLACK_FACTOR: f64 = 0.25;
 
 /// Share of the slots that long jobs may not take, rounded down: two of six.
 ///
@@ -147,11 +147,11 @@
     /// Recent use of slots by calls about each key, per tier.
     key_usage: [fair_share::UsageSketch; TIERS.len()],
     /// When each lane was last seen empty by an arriving call.
-    last_empty_at: [Instant; queue::LANES],
+    last_empty_at: [Instant; queue::LANE_COUNT],
     deferred_work: [DeferredWork; TIERS.len()],
     speed: SlotSpeed,
     /// Measured service rate of each lane.
-    lane_rates: [LaneRate; queue::LANES],
+    lane_rates: [LaneRate; queue::LANE_COUNT],
     running: u32,
     running_long: u32,
 }
@@ -163,7 +163,7 @@
         let limit = ConcurrencyLimit::new(now, slots);
         Self {
             speed: SlotSpeed::new(now),
-            lane_rates: [LaneRate::new(now, limit.slots()); queue::LANES],
+            lane_rates: [LaneRate::new(now, limit.slots()); queue::LANE_COUNT],
             limit,
             durations: duration::Estimator::new(duration::LOCAL_ROWS),
             queue: Queue::new(),
@@ -171,7 +171,7 @@
                 .map(|salt| fair_share::UsageSketch::new(now, seed.wrapping_add(salt))),
             key_usage: [7, 8, 9, 10, 11, 12]
                 .map(|salt| fair_share::UsageSketch::new(now, seed.wrapping_add(salt))),
-            last_empty_at: [now; queue::LANES],
+            last_empty_at: [now; queue::LANE_COUNT],
             deferred_work: [DeferredWork::new(now); TIERS.len()],
             running: 0,
             running_long: 0,
@@ -366,7 +366,7 @@
         };
         self.limit.record(now, running, outcome, slowdown);
         self.speed.finish(now, started, cost);
-        // Replaces the estimate that was charged at the start by the actual duration.
+        // Replaces the expected duration, charged when the call was accepted, by the actual one.
         self.charge(now, tier, caller, key, took.as_secs_f64() - cost);
     }
 
@@ -474,7 +474,7 @@
     /// Returns the longest predicted wait with which a call is still queued.
     fn max_wait(&mut self, now: Instant, entry: &Entry, has_target: bool) -> f64 {
         let tier = tier_index(entry.tier);
-        let target = queue_target(entry);
+        let acceptable = acceptable_wait(entry);
         let lane = queue::lane_index(entry.tier, entry.long);
         if !self.queue.has_lane(entry.tier, entry.long) {
             self.last_empty_at[lane] = now;
@@ -482,9 +482,9 @@
         let is_standing =
             now.saturating_duration_since(self.last_empty_at[lane]) > STANDING_INTERVAL;
         let bound = if is_standing {
-            target
+            acceptable
         } else {
-            target * BURST_FACTOR
+            acceptable * BURST_FACTOR
         };
         let slack = entry.start_by.saturating_duration_since(now).as_secs_f64();
         let bound = if has_target { slack } else { bound };
@@ -520,14 +520,15 @@
 /// Returns the scheduling tier of a call: that of its class, unless the call is nested or
 /// overdue.
 ///
-/// Nested calls arise where the backend servers of one service call another and both services
-/// are at their limits. If the calls of look-ups queued as look-ups, they would wait behind the
-/// other service's own work. A nested call that is refused fails its parent and wastes the
-/// slot-seconds that the parent has used: a quarter of all runs at 1.3 times the capacity.
-/// Nested calls therefore have tiers of their own, by the class of the parent. The share for
-/// parents that are refreshes equals that of fresh look-ups, so that neither crowds out the
-/// other; for other parents it is three times that. Nested calls have no latency target, as a
-/// late answer is better than a failed parent.
+/// Nested calls arise where the backend servers of one service call another and both
+/// services are at their limits. If a call that a running look-up makes were itself queued
+/// as a look-up, it would wait behind the other service's own work. A nested call that is
+/// refused fails its parent and wastes the slot-seconds that the parent has used: a quarter
+/// of all runs at 1.3 times the capacity. Nested calls therefore have tiers of their own,
+/// by the class of the parent. The share for parents that are refreshes equals that of
+/// fresh look-ups, so that neither crowds out the other; for other parents it is three
+/// times that. Nested calls have no latency target, as a late answer is better than a
+/// failed parent.
 ///
 /// Overdue calls arise in a lasting overload, when refused callers come back after their
 /// target. Without a separate tier, each takes a slot from a fresh call, which is then late as
@@ -536,8 +537,7 @@
 pub(crate) fn tier_of(now: Instant, request: &Request) -> Tier {
     let is_overdue = request.target.is_some_and(|target| target <= now);
     match (request.class, request.nested) {
-        // Commits never sink to the last tier: an overdue commit comes after fresh commits
-        // only.
+        // Commits never sink to the last tier: an overdue commit is scheduled like a look-up.
         (Class::Commit, None) if is_overdue => Tier::Lookup,
         (Class::Commit, _) => Tier::Commit,
         (_, Some(Class::Refresh)) => Tier::NestedRefresh,
@@ -548,7 +548,7 @@
     }
 }
 
-/// Moves the latest start of a call forward so that its answer meets the latency target.
+/// Makes the latest start of a call so early that its answer meets the latency target.
 ///
 /// This matters in a lasting overload of calls whose answers lose most of their value some time
 /// before the deadline. Without it, the queue grows until all calls are answered just before
@@ -564,7 +564,7 @@
         return entry;
     };
     let left = target.saturating_duration_since(now).as_secs_f64();
-    let slack = (left - TARGET_MARGIN * entry.cost).max(MIN_SLACK * entry.cost);
+    let slack = (left - TARGET_MARGIN * entry.cost).max(MIN_SLACK_FACTOR * entry.cost);
     Entry {
         start_by: entry.start_by.min(now + duration_from_secs(slack)),
         ..entry
@@ -572,8 +572,8 @@
 }
 
 /// Returns the acceptable queue wait for a call, in seconds.
-fn queue_target(entry: &Entry) -> f64 {
-    (QUEUE_TARGETS[tier_index(entry.tier)] * entry.cost).max(MIN_QUEUE_TARGET)
+fn acceptable_wait(entry: &Entry) -> f64 {
+    (ACCEPTABLE_WAIT_FACTORS[tier_index(entry.tier)] * entry.cost).max(MIN_ACCEPTABLE_WAIT)
 }
 
 /// Returns the longest time that a call may spend in the queue, even if its deadline is later.
@@ -588,7 +588,7 @@
     } else {
         MAX_WAIT_FACTOR
     };
-    factor * BURST_FACTOR * queue_target(entry)
+    factor * BURST_FACTOR * acceptable_wait(entry)
 }
 
 /// Returns the seconds until the call's deadline.
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -78,7 +78,7 @@
 /// What a pick depends on besides the state of the backend servers.
 #[derive(Debug, Clone, Copy)]
 pub struct PickArgs<'a> {
-    /// Backend servers that have already refused the call.
+    /// Backend servers that the call has been sent to already; they are not picked again.
     pub tried: &'a [Key],
     /// Whether the call may run more than once.
     pub repeatable: bool,
@@ -177,7 +177,7 @@
             server.in_view = true;
             server.update_process(now, &candidate);
             server.distance = candidate.distance;
-            server.arm = candidate.track;
+            server.track = candidate.track;
             server.slots = f64::from(candidate.slots.max(1));
         }
         self.rebuild_tiers();
@@ -256,10 +256,10 @@
         args: &PickArgs<'_>,
         request: Digest,
     ) -> Option<Key> {
-        let open = self
+        let untried = self
             .tier_members()
             .filter(|index| !args.tried.contains(&self.key(*index)));
-        let index = open.max_by_key(|index| {
+        let index = untried.max_by_key(|index| {
             let server = &self.servers[*index as usize];
             let is_active = server.health.state(now) == EjectionState::Active;
             (
@@ -331,7 +331,7 @@
         self.free_if_gone(key.index);
     }
 
-    /// Returns whether a backend server that has not refused the call may have room.
+    /// Returns whether a backend server that is not among those `tried` may have room.
     ///
     /// When the whole service is overloaded, all of them have reported being full within the last
     /// tenths of a second, and another attempt would be wasted.
@@ -348,9 +348,9 @@
     fn add(&mut self, now: Instant, candidate: &Candidate, is_initial: bool) -> u32 {
         let mut server = Server::new(now, candidate, is_initial);
         let index = if let Some(index) = self.free_indices.pop() {
-            let place = &mut self.servers[index as usize];
-            server.generation = place.generation;
-            *place = server;
+            let free = &mut self.servers[index as usize];
+            server.generation = free.generation;
+            *free = server;
             index
         } else {
             self.servers.push(server);
@@ -368,7 +368,7 @@
             if !server.in_view || server.leaving {
                 continue;
             }
-            match server.arm {
+            match server.track {
                 Track::Stable => self.tiers[server.distance as usize].push(index),
                 Track::Trial => self.trial.push(index),
                 Track::Excluded => {}
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Frees the slot of a backend server that left the view, once its last call has ended.
+    /// Frees the index of a backend server that left the view, once its last call has ended.
     fn free_if_gone(&mut self, index: u32) {
         let server = &mut self.servers[index as usize];
         if !server.in_view
--- a/crates/policy/src/body_scheduler.rs
+++ b/crates/policy/src/body_scheduler.rs
@@ -1,17 +1,17 @@
 //! Receiver-driven scheduling of request bodies: which bodies come in over a VM's link, and in
 //! what order.
 //!
-//! Uploads may have more bytes than the link of their backend server's VM carries, while its
-//! slots are idle, beside small calls with short deadlines. If every outbound proxy sends its
-//! bodies at once, megabytes queue in front of the link, small calls wait behind them for
-//! seconds (5 in 100 were answered in time), and the uploads themselves are complete only after
-//! their deadlines.
+//! Uploads may exceed the capacity of the link of their backend server's VM while slots of
+//! the backend server are idle and small calls with short deadlines share the link. If every
+//! outbound proxy sends its bodies at once, megabytes queue in front of the link, small
+//! calls wait behind them for seconds (5 in 100 were answered in time), and the uploads
+//! themselves are complete only after their deadlines.
 //!
 //! Only the receiver knows all of its senders, so it requests bodies chunk by chunk, as in
 //! receiver-driven transports (`pHost`, Gao et al. 2015; `Homa`, Montazeri et al. 2018). The
 //! outstanding credit is kept at a few milliseconds of the link, which bounds the queue in
 //! front of it. A body that could not be complete in time is refused before a byte of it is
-//! sent, as calls are refused at the slots (see [`crate::admission`]).
+//! sent, as calls are refused before they wait for a slot (see [`crate::admission`]).
 
 use crate::admission::{Reason, Refusal, Request, duration_from_secs, tier_of};
 use crate::backoff;
@@ -22,14 +22,14 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Outstanding credit, in seconds of the link: several times a round trip within a region (1
-/// ms) plus the delay of a sender that wakes late (some ms on a tenth of a core), and a twelfth
-/// of the shortest deadlines seen, 250 ms.
+/// Outstanding credit, as seconds of transfer at the rate of the link. This is several times a
+/// round trip within a region (1 ms) plus the delay of a sender that wakes late (some ms on a
+/// tenth of a core), and a twelfth of the shortest deadlines seen, 250 ms.
 const OUTSTANDING_SECONDS: f64 = 0.02;
 
 /// Bounds of the outstanding credit, in bytes: two small chunks, and the window of bodies that
 /// aren't scheduled by their link.
-const OUTSTANDING_BYTES: (f64, f64) = (8_192.0, 262_144.0);
+const OUTSTANDING_BYTES_RANGE: (f64, f64) = (8_192.0, 262_144.0);
 
 /// Chunks that fit into the outstanding credit: each one that arrives makes room for the next.
 const MAX_CHUNKS: u64 = 4;
@@ -43,16 +43,16 @@
 /// further body only makes all of them later.
 const MAX_ACTIVE: usize = 4;
 
-/// Time after which outstanding bytes count as lost: their sender is gone or held up, and would
+/// Time after which outstanding bytes count as lost: their sender is gone or delayed, and would
 /// block the others. A healthy one answers within 20 ms.
 const STALL_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time constant in seconds over which the measured rate is averaged: some dozens of bodies at
 /// most.
-const RATE_DECAY: f64 = 2.0;
+const RATE_DECAY_TIME: f64 = 2.0;
 
 /// Weight of the advertised rate at the start, as seconds of transfer at that rate.
-const RATE_PRIOR: f64 = 0.2;
+const RATE_PRIOR_SECONDS: f64 = 0.2;
 
 /// Share of the advertised rate below which the measured rate is ignored: if all senders are
 /// slow, the link looks slow, and smaller credits would make it so.
@@ -60,10 +60,11 @@
 
 /// Time that must be left after the body has arrived, as a multiple of the expected run time:
 /// until the latency target and until the deadline, as for calls that wait for a slot.
-const MARGINS: (f64, f64) = (1.3, 1.5);
+const TARGET_AND_DEADLINE_MARGINS: (f64, f64) = (1.3, 1.5);
 
-/// Minimum wait that any body may begin with, as a multiple of its transfer and run time.
-const MIN_SLACK: f64 = 0.25;
+/// Minimum time for which a body may wait, however close its latency target is, as a multiple of
+/// its transfer and run time.
+const MIN_SLACK_FACTOR: f64 = 0.25;
 
 /// Bodies of mean length ahead of a new one at which the link counts as full.
 const FULL_BODIES: f64 = 6.0;
@@ -142,8 +143,8 @@
     fn new(advertised: f64) -> Self {
         Self {
             advertised,
-            bytes: advertised * RATE_PRIOR,
-            seconds: RATE_PRIOR,
+            bytes: advertised * RATE_PRIOR_SECONDS,
+            seconds: RATE_PRIOR_SECONDS,
             busy_since: None,
         }
     }
@@ -154,7 +155,7 @@
             return;
         };
         let took = now.saturating_duration_since(since).as_secs_f64();
-        let decay = (-took / RATE_DECAY).exp();
+        let decay = (-took / RATE_DECAY_TIME).exp();
         self.bytes = self.bytes * decay + bytes;
         self.seconds = self.seconds * decay + took;
         self.busy_since = more.then_some(now);
@@ -184,8 +185,8 @@
     /// Creates the scheduler of a link with this rate in bytes per second, if known, for a VM
     /// that holds at most `max_held` bytes of bodies.
     ///
-    /// In a burst of uploads for slots that are taken, unlimited bodies would all arrive long
-    /// before their slots are free, and the node would exceed the memory of its VM.
+    /// Without this limit, all bodies of a burst of uploads would arrive long before slots are
+    /// free to run them, and the node would exceed the memory of its VM.
     #[must_use]
     pub fn new(now: Instant, rate: Option<f64>, max_held: u64) -> Self {
         Self {
@@ -241,7 +242,8 @@
             + to_f64(self.active_bytes()) / self.rate();
         if now + duration_from_secs(ahead) > entry.start_by {
             let left = body_offer.call.deadline.saturating_duration_since(now);
-            let needed = ahead + entry.cost + MARGINS.1 * body_offer.run.as_secs_f64();
+            let needed =
+                ahead + entry.cost + TARGET_AND_DEADLINE_MARGINS.1 * body_offer.run.as_secs_f64();
             let reason = if needed > left.as_secs_f64() {
                 Reason::Deadline
             } else {
@@ -251,9 +253,9 @@
         }
         let key = self.next_key;
         self.next_key += 1;
-        let position = self.queue.push(entry);
+        let queue_key = self.queue.push(entry);
         let length = body_offer.length;
-        self.waiting.insert(position, Waiting { key, length });
+        self.waiting.insert(queue_key, Waiting { key, length });
         Ok(key)
     }
 
@@ -263,9 +265,9 @@
     where
         R: Rng,
     {
-        while let Some((position, entry)) = self.queue.expire(now) {
+        while let Some((queue_key, entry)) = self.queue.expire(now) {
             let refusal = self.refuse(now, &entry, Reason::Deadline, rng);
-            if let Some(body) = self.waiting.remove(&position) {
+            if let Some(body) = self.waiting.remove(&queue_key) {
                 return Some(Next::Refuse(body.key, refusal));
             }
         }
@@ -286,10 +288,10 @@
         };
         body.outstanding = body.outstanding.saturating_sub(bytes);
         body.last_progress = now;
-        let is_whole = body.bytes() == 0;
+        let is_complete = body.bytes() == 0;
         let more = self.active.iter().any(|body| body.outstanding > 0);
         self.rate.record(now, to_f64(bytes), more);
-        if is_whole {
+        if is_complete {
             self.stop_rate_if_idle();
             self.active.retain(|body| body.key != key);
         }
@@ -306,10 +308,10 @@
             let body = self.active.remove(position);
             self.release(body.length);
         }
-        let position = self.waiting.iter().find(|(_, body)| body.key == key);
-        if let Some(position) = position.map(|(position, _)| *position) {
-            self.waiting.remove(&position);
-            self.queue.remove(position);
+        let queue_key = self.waiting.iter().find(|(_, body)| body.key == key);
+        if let Some(queue_key) = queue_key.map(|(queue_key, _)| *queue_key) {
+            self.waiting.remove(&queue_key);
+            self.queue.remove(queue_key);
         }
         self.stop_rate_if_idle();
     }
@@ -331,7 +333,7 @@
     /// Returns when [`BodyScheduler::next`] should be called again if nothing happens before.
     #[must_use]
     pub fn wake_at(&mut self, now: Instant) -> Option<Instant> {
-        // The passing of time brings nothing more for bodies that have stalled already.
+        // Bodies that have stalled already need no further wake-up.
         let pending = self.active.iter().filter(|body| body.outstanding > 0);
         let stalls_at = pending
             .map(|body| body.last_progress + STALL_TIMEOUT)
@@ -350,10 +352,10 @@
             let left = end.saturating_duration_since(now).as_secs_f64();
             left - cost - margin * run
         };
-        let mut slack = until(body_offer.call.deadline, MARGINS.1);
+        let mut slack = until(body_offer.call.deadline, TARGET_AND_DEADLINE_MARGINS.1);
         if let Some(target) = body_offer.call.target.filter(|_| tier.uses_target()) {
-            let least = MIN_SLACK * (cost + run);
-            slack = slack.min(until(target, MARGINS.0).max(least));
+            let least = MIN_SLACK_FACTOR * (cost + run);
+            slack = slack.min(until(target, TARGET_AND_DEADLINE_MARGINS.0).max(least));
         }
         Entry {
             tier,
@@ -404,10 +406,10 @@
         if self.held > 0 && self.held + longest.unwrap_or(0) > self.max_held {
             return false;
         }
-        let Some((position, _)) = self.queue.pop(false) else {
+        let Some((queue_key, _)) = self.queue.pop(false) else {
             return false;
         };
-        let Some(body) = self.waiting.remove(&position) else {
+        let Some(body) = self.waiting.remove(&queue_key) else {
             return true;
         };
         self.held += body.length;
@@ -423,8 +425,8 @@
 
     /// Returns the bytes of one credit.
     fn chunk_size(&self) -> u64 {
-        let ahead =
-            (self.rate() * OUTSTANDING_SECONDS).clamp(OUTSTANDING_BYTES.0, OUTSTANDING_BYTES.1);
+        let ahead = (self.rate() * OUTSTANDING_SECONDS)
+            .clamp(OUTSTANDING_BYTES_RANGE.0, OUTSTANDING_BYTES_RANGE.1);
         to_u64(ahead) / MAX_CHUNKS
     }
 
@@ -443,7 +445,7 @@
     where
         R: Rng,
     {
-        // In seconds of the link, which carries one per second.
+        // The cost is in seconds of transfer, of which the link carries one per second.
         let wait = self.deferred_work[tier_index(entry.tier)].add(now, entry.cost, 1.0);
         Refusal {
             reason,
@@ -463,7 +465,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "bounded by the bytes that may be asked for"
+    reason = "bounded by the outstanding credit"
 )]
 fn to_u64(bytes: f64) -> u64 {
     bytes as u64
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -8,8 +8,8 @@
 use rand::Rng;
 use std::time::Instant;
 
-/// Load of the candidate in the local zone above which calls without a target start to consider
-/// other zones; their share rises linearly to all calls at full load.
+/// Load of the candidate in the local zone above which some calls without a target consider other
+/// zones. The share of calls that do so rises linearly, up to all of them at full load.
 const SPILLOVER_LOAD: f64 = 0.7;
 
 /// Factor on the score of a more distant backend server for calls without a target.
@@ -18,8 +18,8 @@
 /// Factor by which a more distant backend server has to be faster for calls with a target.
 pub(crate) const FAR_SPEEDUP: f64 = 1.25;
 
-/// Factor on the expected response time that must fit into the time left until the target for the
-/// nearer backend server to be used: durations vary by half of their mean, and traffic between
+/// The nearer backend server is used if its expected response time, multiplied by this factor, fits
+/// into the time left until the target: durations vary by half of their mean, and traffic between
 /// availability zones costs money.
 pub(crate) const TARGET_MARGIN: f64 = 1.1;
 
@@ -63,8 +63,8 @@
             let Some(found) = self.select_of_two(servers, call, rng) else {
                 continue;
             };
-            // Alone in its tier, a backend server in slow start would get every call that enters on
-            // its VM.
+            // A backend server in slow start that is the only one on its VM would otherwise get
+            // every call that enters there.
             let slow_start_weight = self.servers[found as usize].slow_start_weight(call.now);
             if tier == Distance::Vm as usize && !rng.random_bool(slow_start_weight) {
                 cold = Some(found);
@@ -168,7 +168,8 @@
             }
             cold = Some(index);
         }
-        // No draw succeeded, but the first choice must be found if there is any.
+        // The random draws may have missed every usable backend server. The first of the two
+        // choices must be found if there is one.
         cold.or_else(|| {
             let found = tier.iter().copied().find(|index| usable(*index));
             found.filter(|_| except.is_none())
--- a/crates/policy/src/duration.rs
+++ b/crates/policy/src/duration.rs
@@ -1,8 +1,8 @@
 //! Call durations, learned per route.
 //!
 //! Calls of a few milliseconds and jobs of seconds share one backend server. If every wait were
-//! predicted from one mean, it would be wrong for both. The tables are of fixed size, as the
-//! operators choose the number of routes and the memory is the VM's.
+//! predicted from one mean, it would be wrong for both. The tables are of fixed size, because
+//! operators may configure any number of routes, while the memory of the VM is limited.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 const MEAN_SAMPLES: u32 = 16;
 
 /// The same for durations under light load, the baseline of the slowdown: with service times
-/// that vary as much as their mean, it is off by 6%.
+/// that vary as much as their mean, this baseline is off by 6%.
 const LIGHT_MEAN_SAMPLES: u32 = 128;
 
 /// Calls under light load that are required before others are compared with them. Without a
--- a/crates/policy/src/elapsed.rs
+++ b/crates/policy/src/elapsed.rs
@@ -13,15 +13,16 @@
 /// Number of rows: 0.5 KB per service, the same number as [`crate::duration::SERVICE_ROWS`].
 const ROWS: usize = 32;
 
-/// Share of the difference to a shorter time by which the longest time decays with each call,
-/// so that a timeout which operators shorten is learned within a thousand calls.
-const DECAY: f64 = 1.0 / 256.0;
+/// With each call that has less time left, the longest time seen is lowered by this share of the
+/// difference, so that a timeout which operators shorten is learned within a thousand calls.
+const DECAY_PER_CALL: f64 = 1.0 / 256.0;
 
 /// Share of the longest time that may be spent in transit, in timers and in connection queues:
 /// 125 ms of 2.5 s.
 const TRANSIT_TOLERANCE: f64 = 0.05;
 
-/// Longest time that callers start with, by route.
+/// Estimates how long callers have waited, from the longest time that callers of each route had
+/// left.
 #[derive(Debug, Clone)]
 pub struct Estimator {
     rows: Box<[Row]>,
@@ -55,7 +56,7 @@
             };
         }
         let missing = row.longest - remaining;
-        row.longest = remaining.max(row.longest - missing * DECAY);
+        row.longest = remaining.max(row.longest - missing * DECAY_PER_CALL);
         if missing <= row.longest * TRANSIT_TOLERANCE {
             return Duration::ZERO;
         }
--- a/crates/policy/src/fair_share.rs
+++ b/crates/policy/src/fair_share.rs
@@ -39,8 +39,8 @@
     total: Usage,
     epoch: u32,
     epoch_start: Instant,
-    active: u32,
-    previous_active: u32,
+    active_cells: u32,
+    previous_active_cells: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -77,8 +77,8 @@
             total: unused,
             epoch: 1,
             epoch_start: now,
-            active: 0,
-            previous_active: 0,
+            active_cells: 0,
+            previous_active_cells: 0,
         }
     }
 
@@ -101,13 +101,13 @@
         if now.saturating_duration_since(self.epoch_start) >= DECAY_TIME {
             self.epoch = self.epoch.wrapping_add(1);
             self.epoch_start = now;
-            self.previous_active = self.active;
-            self.active = 0;
+            self.previous_active_cells = self.active_cells;
+            self.active_cells = 0;
         }
         let usage = &mut self.rows[0][usize::from(cells.0[0])];
         if usage.epoch != self.epoch {
             usage.epoch = self.epoch;
-            self.active += 1;
+            self.active_cells += 1;
         }
         cells
     }
@@ -120,8 +120,8 @@
         self.total.add(now, work);
     }
 
-    /// Returns the factor by which the caller's bound on waiting is scaled, for a call of so
-    /// many slot-seconds.
+    /// Returns the factor by which the caller's bound on waiting is scaled, for a call of `cost`
+    /// slot-seconds.
     ///
     /// When the queue is full, the bound decides which calls are admitted. A caller that has
     /// used more than its fair share finds the queue full earlier, which leaves room for those
@@ -129,7 +129,7 @@
     /// may use the whole capacity.
     #[must_use]
     pub fn wait_factor(&self, now: Instant, cells: Cells, cost: f64) -> f64 {
-        let active = f64::from(self.active.max(self.previous_active).max(1));
+        let active = f64::from(self.active_cells.max(self.previous_active_cells).max(1));
         let fair_share = self.total.decayed(now) / active;
         let usages = self.rows.iter().zip(cells.0);
         let used = usages
--- a/crates/policy/src/in_flight.rs
+++ b/crates/policy/src/in_flight.rs
@@ -1,10 +1,10 @@
 //! Tracks the calls in flight at a backend server, to find which request crashed it.
 //!
-//! *Load pattern:* the process of a backend server ends while it runs several calls,
-//! any of which may be the cause. *Without it* a request that crashes servers cannot
-//! be told from the requests that fail with them. A call that ended without an
-//! answer shortly before the crash is a suspect as well: its caller may have given
-//! up before the process ended.
+//! The process of a backend server may end while it runs several calls, any of which
+//! may be the cause. Without tracking them, a request that crashes servers cannot be
+//! told from the requests that merely fail because of the crash. A call that ended
+//! without an answer shortly before the crash is a suspect as well: its caller may
+//! have given up before the process ended.
 
 use call::Digest;
 use smol_str::SmolStr;
@@ -20,7 +20,7 @@
 /// Maximum number of suspects per crash.
 const MAX_SUSPECTS: usize = 64;
 
-/// How long an answer exonerates a request. A frequently requested path has been answered
+/// How long an answer clears a request of suspicion. A frequently requested path has been answered
 /// moments before any crash that it happens to be in flight at.
 const ANSWER_WINDOW: Duration = Duration::from_secs(10);
 
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -38,7 +38,7 @@
 
 /// Share of the former call rate that must remain for a cut to be kept. A cut to the real
 /// capacity loses nothing, a mistaken one a third or more.
-const MIN_KEPT_RATE: f64 = 0.8;
+const MIN_KEPT_RATE_SHARE: f64 = 0.8;
 
 /// Time for which a cut is not tried again after it was reverted: each trial costs half a
 /// second at two thirds of the capacity.
@@ -47,7 +47,7 @@
 /// Time between increases by one, so that the limit rises slowly.
 const RAISE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Calls under light load that a probe collects, at half of the limit.
+/// Calls under light load after which a probe ends; it runs at half of the limit.
 const PROBE_CALLS: u32 = 64;
 
 /// Maximum duration of a probe, for backend servers whose calls take long.
@@ -96,6 +96,7 @@
     rate: f64,
 }
 
+/// A period at half of the limit, which measures durations under light load; not a load probe.
 #[derive(Debug, Clone, Copy)]
 struct Probe {
     calls_left: u32,
@@ -285,7 +286,7 @@
         // The call rate fell, so concurrency wasn't the cause of the slowdown but chance or the
         // work itself, and the cut only loses capacity.
         if let Some(pending_cut) = self.pending_cut.take()
-            && rate < pending_cut.rate * MIN_KEPT_RATE
+            && rate < pending_cut.rate * MIN_KEPT_RATE_SHARE
         {
             self.current = pending_cut.previous.min(self.advertised);
             self.baseline = pending_cut.slowdown;
--- a/crates/policy/src/load_probe.rs
+++ b/crates/policy/src/load_probe.rs
@@ -61,7 +61,7 @@
 
 /// Time for which calls are preceded by probes after a call has failed: a backend server that is
 /// gone stays in the view for some seconds.
-const FAILURE_PROBING: Duration = Duration::from_secs(5);
+const FAILURE_PROBING_TIME: Duration = Duration::from_secs(5);
 
 /// Assumed duration of a call, in multiples of the route's mean, on a backend server that has not
 /// run a call of this route.
@@ -84,7 +84,7 @@
     }
 
     pub(crate) fn record_failure(&mut self, now: Instant) {
-        self.active_until = Some(now + FAILURE_PROBING);
+        self.active_until = Some(now + FAILURE_PROBING_TIME);
     }
 
     fn is_active(&self, now: Instant) -> bool {
@@ -93,7 +93,7 @@
 }
 
 impl Balancer {
-    /// Returns the backend servers to probe for a call: some on the own VM, and some of the nearest
+    /// Returns the backend servers to probe for a call: some on this VM, and some of the nearest
     /// tier beyond it that has any.
     ///
     /// Returns none while the service has low load, as almost every backend server then has a free
@@ -278,7 +278,7 @@
     run: f64,
     /// Seconds until its answer, increased for a backend server that fails calls.
     time: f64,
-    /// The same, plus up to one more run time in proportion to the square of the load there.
+    /// As `time`, plus up to one more run time in proportion to the square of the load there.
     ///
     /// The reported run time is the mean of a few calls. By time alone, all proxies would follow
     /// the random variation of the last calls and fill one backend server while others have most
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -33,12 +33,13 @@
 const MIN_SAMPLES: u32 = 10;
 
 /// Duration of the first ejection; it doubles with each further one.
-const FIRST_EJECTION: Duration = Duration::from_secs(5);
+const FIRST_EJECTION_TIME: Duration = Duration::from_secs(5);
 
-/// Upper bound of an ejection.
-const MAX_EJECTION: Duration = Duration::from_mins(1);
+/// Upper bound of the duration of an ejection.
+const MAX_EJECTION_TIME: Duration = Duration::from_mins(1);
 
-/// Consecutive good test calls that end an ejection.
+/// Good calls since the start of an ejection that are needed to end it, once its time has passed;
+/// a bad test call starts a new ejection.
 const RECOVERY_CALLS: u32 = 3;
 
 /// Time without an ejection after which earlier ejections are forgotten.
@@ -194,9 +195,9 @@
         {
             self.ejections = 0;
         }
-        let wait = FIRST_EJECTION
+        let wait = FIRST_EJECTION_TIME
             .saturating_mul(1 << self.ejections.min(8))
-            .min(MAX_EJECTION);
+            .min(MAX_EJECTION_TIME);
         self.ejections += 1;
         self.ejection = Some(Ejection {
             until: now + wait.mul_f64(rng.random_range(0.75..1.25)),
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,12 +1,12 @@
 //! Quarantine of requests that crash the backend servers that run them.
 //!
-//! *Load pattern:* a request crashes every process that runs it, and is sent again,
-//! through any node. *Without it* each repeat and each retry takes down one more
-//! backend server of the service. Outlier ejection and retry budgets do not help:
-//! they penalize all other requests and let this one through, since every node sees
-//! it for the first time. *Grounds:* such a "query of death" (Google's SRE book,
-//! "Addressing Cascading Failures") can be recognized only by its content, so all
-//! nodes record crashes under a digest of the request. A request is held after three
+//! A request may crash every process that runs it, and be sent again, through any
+//! node. Without quarantine, each repeat and each retry takes down one more backend
+//! server of the service. Outlier ejection and retry budgets do not help: they
+//! penalize all other requests and let this one through, since every node sees it
+//! for the first time. Such a "query of death" (Google's SRE book, "Addressing
+//! Cascading Failures") can be recognized only by its content, so all nodes record
+//! crashes under a digest of the request. A request is held after three
 //! crashes. A request that merely ran at the same time is cleared by its first
 //! answer, and is held only if at least one process crashed with no other request
 //! as likely to be the cause.
@@ -26,10 +26,10 @@
 pub const HOLD_TIME: Duration = Duration::from_mins(10);
 
 /// How long after the hold a single further crash holds the request again.
-const PROBATION: Duration = Duration::from_mins(50);
+const PROBATION_TIME: Duration = Duration::from_mins(50);
 
 /// How long a crash record is kept.
-pub const RETENTION: Duration = HOLD_TIME.saturating_add(PROBATION);
+pub const RETENTION: Duration = HOLD_TIME.saturating_add(PROBATION_TIME);
 
 /// Maximum number of requests tracked; those with the fewest crashes are evicted first.
 pub const MAX_REQUESTS: usize = 512;
@@ -123,7 +123,7 @@
         let is_sole_suspect = active().any(|record| record.crash.is_alone);
         let wait = last
             .saturating_duration_since(now)
-            .saturating_sub(PROBATION);
+            .saturating_sub(PROBATION_TIME);
         if active().count() >= HOLD_THRESHOLD && is_sole_suspect && !wait.is_zero() {
             RequestStatus::Held { wait }
         } else {
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -58,7 +58,8 @@
 /// What they leave goes to look-ups and refreshes at four to one, and no tier is ever starved.
 ///
 /// Nested calls of refreshes get as much as fresh look-ups. When they got everything, a service
-/// that had one backend server left ran 761 of them within 14 s and not one claim release.
+/// that had one backend server left ran 761 of them within 14 s and none of the service's direct
+/// calls (releases of claims).
 /// Nested calls of commits and look-ups get three times as much: each refusal wastes what the
 /// parent has used of another service, and they are short compared with the other work of the
 /// service that runs them.
@@ -67,7 +68,7 @@
 const WEIGHTS: [f64; TIERS.len()] = [90.0, 24.0, 8.0, 8.0, 2.0, 0.05];
 
 /// Number of lanes: a short and a long one for each tier.
-pub(crate) const LANES: usize = 2 * TIERS.len();
+pub(crate) const LANE_COUNT: usize = 2 * TIERS.len();
 
 /// Lane length up to which the work ahead of a call is summed exactly. In a longer lane all of
 /// the work counts, so that the time spent in a burst doesn't grow quadratically.
@@ -75,7 +76,7 @@
 
 /// Stale heap items that a lane may keep beyond the number of live ones before they are
 /// removed.
-const MAX_STALE_ENTRIES: usize = 64;
+const MAX_STALE_ITEMS: usize = 64;
 
 /// Handle of a waiting call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -108,7 +109,7 @@
 pub struct Queue {
     slab: Vec<SlabSlot>,
     free_indices: Vec<u32>,
-    lanes: [Lane; LANES],
+    lanes: [Lane; LANE_COUNT],
     passes: [u64; TIERS.len()],
     virtual_time: u64,
     waiting: usize,
@@ -148,7 +149,8 @@
         self.waiting == 0
     }
 
-    /// Returns whether a call of any tier waits that is long, or short, as asked.
+    /// Returns whether a call of any tier waits: a long one if `long` is set, otherwise a
+    /// short one.
     #[must_use]
     pub fn has_kind(&self, long: bool) -> bool {
         TIERS
@@ -156,7 +158,8 @@
             .any(|tier| self.lanes[lane_index(*tier, long)].waiting > 0)
     }
 
-    /// Returns whether a call of this tier waits that is long, or short, as asked.
+    /// Returns whether a call of this tier waits: a long one if `long` is set, otherwise a short
+    /// one.
     #[must_use]
     pub fn has_lane(&self, tier: Tier, long: bool) -> bool {
         self.lanes[lane_index(tier, long)].waiting > 0
@@ -291,7 +294,9 @@
     }
 
     fn earliest(&mut self) -> Option<(Instant, Key)> {
-        (0..LANES).filter_map(|lane| self.first_live(lane)).min()
+        (0..LANE_COUNT)
+            .filter_map(|lane| self.first_live(lane))
+            .min()
     }
 
     /// Returns the first live call of a lane, dropping stale items before it.
@@ -370,7 +375,7 @@
     /// until their deadlines reach the top.
     fn drop_stale(&mut self, lane: usize) {
         let lane = &mut self.lanes[lane];
-        if lane.heap.len() > 2 * lane.waiting + MAX_STALE_ENTRIES {
+        if lane.heap.len() > 2 * lane.waiting + MAX_STALE_ITEMS {
             let slab = &self.slab;
             lane.heap.retain(|Reverse((_, key))| is_live(slab, *key));
         }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -57,8 +57,8 @@
     pub max_attempts: u8,
     /// Whether the caller, or a layer above it, marked the call as a retry ([`HEADER`]).
     pub retried_by_caller: bool,
-    /// Whether there are backend servers that have not refused the call; after [`Cause::Full`], one
-    /// of them must also not be known to be full.
+    /// Whether there are backend servers that the call has not been sent to; after [`Cause::Full`],
+    /// one of them must also not be known to be full.
     pub has_alternative: bool,
     /// When nobody waits for the answer any more.
     pub deadline: Instant,
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Records a repeat that cannot be suppressed: a call made while running a call that is itself
-    /// a repeat.
+    /// Records a retry that cannot be suppressed: a call made while running a call that is itself
+    /// a retry.
     pub fn record_retry(&mut self, now: Instant) {
         if let Some(quota) = &mut self.quota {
             quota.record_retry(now);
--- a/crates/policy/src/retry_quota.rs
+++ b/crates/policy/src/retry_quota.rs
@@ -14,8 +14,9 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Buckets per window; one that has just left the window may still count for its own length.
-const BUCKETS: u32 = 20;
+/// Buckets that a window is divided into; one that has just left the window may still count
+/// for its own length.
+const BUCKETS_PER_WINDOW: u32 = 20;
 
 /// Share of the extra retries that is used: nodes that have just joined aren't known to all
 /// others yet, and windows are counted in buckets.
@@ -35,7 +36,8 @@
     pub window: Duration,
 }
 
-/// What one node has sent to a service within a window.
+/// One node's part of the fleet-wide limit on retries to a service, with the requests and retries
+/// that the node has sent within the window.
 #[derive(Debug, Clone)]
 pub struct RetryQuota {
     limits: FleetLimits,
@@ -80,7 +82,8 @@
         self.bucket(now).requests += 1;
     }
 
-    /// Counts a retry without checking the quota: a call made by a run that was itself a retry.
+    /// Counts a retry without checking the quota: a call made while running a call that is
+    /// itself a retry.
     pub fn record_retry(&mut self, now: Instant) {
         self.bucket(now).retries += 1;
     }
@@ -105,7 +108,7 @@
 
     /// Returns the current bucket, after dropping those that have left the window.
     fn bucket(&mut self, now: Instant) -> &mut Bucket {
-        let length = self.limits.window / BUCKETS;
+        let length = self.limits.window / BUCKETS_PER_WINDOW;
         let is_expired = |bucket: &Bucket| {
             now.saturating_duration_since(bucket.since) > self.limits.window + length
         };
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -1,11 +1,11 @@
 //! Canary analysis: which calls go to a new version of a service, and whether it replaces the old.
 //!
-//! *Load pattern:* operators roll out a version that fails some of its calls, or is several times
-//! slower: at once, after some good seconds, for one kind of call only, or only under load.
-//! *Without it* load balancing gives the new endpoints the same share as all others, and thousands
-//! of calls fail before an operator notices. *Grounds:* each outbound proxy sends a fixed share
-//! of its own calls to the new version, so the fleet as a whole keeps to that share without any
-//! coordination. The share goes to so few endpoints that each is as busy as those of the old
+//! Operators may roll out a version that fails some of its calls, or is several times slower: at
+//! once, after some seconds without faults, for one kind of call only, or only under load. Without
+//! canary analysis, load balancing gives the new endpoints the same share as all others, and
+//! thousands of calls fail before an operator notices. Instead, each outbound proxy sends a fixed
+//! share of its own calls to the new version, so the fleet as a whole keeps to that share without
+//! any coordination. The share goes to so few endpoints that each is as busy as those of the old
 //! version: an idle endpoint would hide faults that appear only under load. The results are
 //! compared with those of the old version, by kind of call and over the same seconds, using Wald's
 //! sequential probability ratio test ("Sequential Tests of Statistical Hypotheses", 1945), so that
@@ -19,10 +19,11 @@
 /// Fraction of a roll-out's duration that the canary stage lasts.
 const CANARY_FRACTION: f64 = 0.5;
 
-/// Fraction of a roll-out's duration for which both versions then take calls equally.
+/// Fraction of a roll-out's duration that the next stage lasts, in which both versions take calls
+/// equally ([`Stage::Both`]).
 const BOTH_FRACTION: f64 = 0.06;
 
-/// Minimum duration of that stage.
+/// Minimum duration of [`Stage::Both`].
 const MIN_BOTH_TIME: Duration = Duration::from_millis(600);
 
 /// Minimum time between the change to the new version alone and completion: the change crosses
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -57,7 +57,7 @@
     pub(crate) in_view: bool,
     pub(crate) leaving: bool,
     pub(crate) distance: Distance,
-    pub(crate) arm: Track,
+    pub(crate) track: Track,
     pub(crate) slots: f64,
     pub(crate) in_flight: u32,
     /// Sum of the start times of the calls in flight, in seconds since `epoch`.
@@ -69,16 +69,16 @@
     load: f64,
     load_reported_at: Instant,
     pub(crate) slow_start_from: Option<Instant>,
-    /// Length of the slow start that began then.
-    slow_start: Duration,
+    /// Length of the slow start that began at `slow_start_from`.
+    slow_start_duration: Duration,
     /// End of the pause after an unanswered load probe.
     probes_paused_until: Option<Instant>,
     pub(crate) health: Health,
 }
 
 impl Server {
-    /// Creates a healthy and fast backend server, in slow start unless it `is_initial`: one of
-    /// those that were known from the beginning.
+    /// Creates the state of a backend server, which is assumed to be healthy and fast. It is in
+    /// slow start unless it `is_initial`: one of those that were known from the beginning.
     pub(crate) fn new(now: Instant, candidate: &Candidate, is_initial: bool) -> Self {
         Self {
             identity: candidate.identity.clone(),
@@ -87,7 +87,7 @@
             in_view: true,
             leaving: false,
             distance: candidate.distance,
-            arm: candidate.track,
+            track: candidate.track,
             slots: 1.0,
             in_flight: 0,
             start_sum: 0.0,
@@ -100,7 +100,7 @@
             // When the proxy itself starts, all backend servers are new to it; that does not make
             // them cold.
             slow_start_from: (!is_initial).then_some(now),
-            slow_start: candidate.warm_up.unwrap_or(SLOW_START),
+            slow_start_duration: candidate.warm_up.unwrap_or(SLOW_START),
             probes_paused_until: None,
             health: Health::new(now),
         }
@@ -117,13 +117,13 @@
         self.process = candidate.process;
         self.health = Health::new(now);
         self.restart_slow_start(now);
-        self.slow_start = candidate.warm_up.unwrap_or(SLOW_START);
+        self.slow_start_duration = candidate.warm_up.unwrap_or(SLOW_START);
     }
 
     /// Restarts the slow start, as after an ejection.
     pub(crate) fn restart_slow_start(&mut self, now: Instant) {
         self.slow_start_from = Some(now);
-        self.slow_start = SLOW_START;
+        self.slow_start_duration = SLOW_START;
         self.slowdown = 1.0;
         self.answers = 0;
     }
@@ -239,9 +239,10 @@
             return 1.0;
         };
         let age = now.saturating_duration_since(from);
-        if age >= self.slow_start {
+        if age >= self.slow_start_duration {
             return 1.0;
         }
-        (age.as_secs_f64() / self.slow_start.as_secs_f64()).clamp(MIN_SLOW_START_WEIGHT, 1.0)
+        (age.as_secs_f64() / self.slow_start_duration.as_secs_f64())
+            .clamp(MIN_SLOW_START_WEIGHT, 1.0)
     }
 }
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -20,8 +20,7 @@
 /// Lower bound of the speed, which keeps waits finite.
 const MIN_SPEED: f64 = 0.02;
 
-/// Speed of a slot: the work that it does in a second, as a share of what its calls were expected
-/// to take.
+/// Speed of a slot: how long its calls were expected to take, divided by how long they took.
 ///
 /// It is derived from durations and not from the number of completions, which is irregular when
 /// jobs of a second run among calls of milliseconds. A backend server that hangs completes nothing
@@ -90,14 +89,14 @@
 const LANE_DECAY_TIME: f64 = 0.5;
 
 /// Time constant, in seconds, with which the rate of a lane without waiting calls approaches the
-/// total rate. It is longer than [`LANE_DECAY_TIME`]: a class with a small share has waiting calls
-/// only on and off, and with a faster approach its low rate was forgotten each time.
+/// total rate. It is longer than [`LANE_DECAY_TIME`]: a lane with a small share has waiting calls
+/// only intermittently, and with a faster approach its low rate was forgotten each time.
 const IDLE_DECAY_TIME: f64 = 2.0;
 
 /// Minimum number of calls over which a lane's rate is averaged.
 const MIN_LANE_CALLS: f64 = 8.0;
 
-/// Slot-seconds a second that a lane (calls of one class and kind) gets.
+/// Slot-seconds per second that a lane (the short or the long calls of one tier) gets.
 ///
 /// The rate is only observable while calls of the lane wait. While none waits, it approaches the
 /// rate of all slots, because a lane that is served without waiting could get more.
