--- a/crates/policy/tests/balance.rs
+++ b/crates/policy/tests/balance.rs
@@ -48,9 +48,9 @@
     }
 }
 
-// A backend server restarts behind a node that keeps running and advertises a warm-up time of 4 s.
-// It must not get as many calls as the warm ones, which would make look-ups wait behind them. It
-// did when only a new node counted as a new backend server.
+// A backend server restarts behind a node that keeps running, and advertises a warm-up time of 4 s.
+// When only a new node counted as a new backend server, the restarted one got as many calls as the
+// warm ones, and look-ups queued there.
 #[test]
 fn restart_behind_node() {
     let clock = Manual::new();
@@ -82,9 +82,9 @@
 }
 
 // One of four backend servers is ten times slower, and its late look-ups are hedged elsewhere after
-// three times the usual duration. It must not keep one call in twenty, commits among them. It did
-// when an overtaken call counted with its elapsed time: a backend server whose calls are all
-// overtaken then looked only three times slower, with an empty queue.
+// three times the usual duration. When a call that a hedge overtook counted with its elapsed time,
+// a backend server whose calls were all overtaken looked only three times slower, with an empty
+// queue, and kept one call in twenty, commits among them.
 #[test]
 fn hedged_server_avoided() {
     let clock = Manual::new();
@@ -190,9 +190,9 @@
     f64::from(new_calls) / 1_000.0
 }
 
-// All nodes are restarted one after the other while their backend servers keep running. None of
-// these may be put into slow start. At any time one of three was, and the others became too full,
-// because a node's new process looked like a new backend server.
+// All nodes are restarted one after the other while their backend servers keep running. When a
+// node's new process looked like a new backend server, one backend server in three was in slow
+// start at any time, and the others became too full.
 #[test]
 fn warm_after_restart() {
     let (unknown, warm) = (
--- a/crates/policy/tests/body_scheduler.rs
+++ b/crates/policy/tests/body_scheduler.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Capacity of the link in bytes per second: 8.4 Mbit/s.
-const RATE: f64 = 1_050_000.0;
+const LINK_RATE: f64 = 1_050_000.0;
 
 /// Maximum bytes of bodies that a VM holds.
 const MAX_HELD: u64 = 8 << 20;
@@ -21,16 +21,16 @@
 
 /// Time from giving a credit to its bytes at the sender's link: the round trip and a sender
 /// that wakes late.
-const ANSWER: Duration = Duration::from_millis(5);
+const SEND_DELAY: Duration = Duration::from_millis(5);
 
 /// How long an upload runs once its body has arrived.
-const RUN: Duration = Duration::from_millis(110);
+const UPLOAD_RUN: Duration = Duration::from_millis(110);
 
 /// Latency target and deadline of an upload.
-const UPLOAD: (Duration, Duration) = (Duration::from_millis(600), Duration::from_secs(2));
+const UPLOAD_TIMES: (Duration, Duration) = (Duration::from_millis(600), Duration::from_secs(2));
 
 /// Deadline of a check, whose request and answer are small.
-const CHECK: Duration = Duration::from_millis(250);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long a check runs.
 const CHECK_RUN: Duration = Duration::from_millis(22);
@@ -43,7 +43,7 @@
     uploads: f64,
     checks_per_second: f64,
     /// Mean length of an upload in bytes; lengths vary around it in both directions.
-    mean: f64,
+    mean_length: f64,
 }
 
 /// What the callers received.
@@ -53,7 +53,7 @@
     checks_in_time: u32,
     uploads: u32,
     uploads_in_time: u32,
-    uploads_whole: f64,
+    bytes_in_time: f64,
     refused: u32,
     seconds: f64,
 }
@@ -65,12 +65,12 @@
 
     /// Returns the share of the link that carried uploads answered in time.
     fn link_share(&self) -> f64 {
-        self.uploads_whole / (RATE * self.seconds)
+        self.bytes_in_time / (LINK_RATE * self.seconds)
     }
 }
 
-/// Traffic queued at the link, first in, first out.
-enum Parcel {
+/// An item of the first-in, first-out queue in front of the link.
+enum QueuedItem {
     Check { sent: Instant },
     Chunk { key: Key, bytes: f64 },
     Whole { sent: Instant, bytes: f64 },
@@ -89,25 +89,25 @@
     let start = clock.now();
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut scheduler = BodyScheduler::new(start, advertised, MAX_HELD);
-    let mut link: VecDeque<(Parcel, f64)> = VecDeque::new();
-    let mut in_transit: Vec<(Instant, Key, f64)> = Vec::new();
+    let mut link: VecDeque<(QueuedItem, f64)> = VecDeque::new();
+    let mut credits: Vec<(Instant, Key, f64)> = Vec::new();
     let mut uploads: Vec<Upload> = Vec::new();
     let mut report = Report {
         seconds: 60.0,
         ..Report::default()
     };
-    let upload_chance = load.uploads * RATE / load.mean * STEP.as_secs_f64();
+    let upload_chance = load.uploads * LINK_RATE / load.mean_length * STEP.as_secs_f64();
     let check_chance = load.checks_per_second * STEP.as_secs_f64();
     while clock.now() < start + Duration::from_mins(1) {
         clock.advance(STEP);
         let now = clock.now();
         if rng.random_bool(check_chance) {
             report.checks += 1;
-            link.push_back((Parcel::Check { sent: now }, CHECK_BYTES));
+            link.push_back((QueuedItem::Check { sent: now }, CHECK_BYTES));
         }
         if rng.random_bool(upload_chance) {
             report.uploads += 1;
-            let length = load.mean * rng.random_range(0.5..1.5);
+            let length = load.mean_length * rng.random_range(0.5..1.5);
             if with_scheduling {
                 match scheduler.offer(now, &upload_offer(now, length), &mut rng) {
                     Ok(key) => uploads.push(Upload {
@@ -119,7 +119,7 @@
                     Err(_) => report.refused += 1,
                 }
             } else {
-                let whole = Parcel::Whole {
+                let whole = QueuedItem::Whole {
                     sent: now,
                     bytes: length,
                 };
@@ -128,54 +128,54 @@
         }
         while let Some(next) = scheduler.next(now, &mut rng) {
             match next {
-                Next::Credit(key, bytes) => in_transit.push((now + ANSWER, key, f64::from(bytes))),
+                Next::Credit(key, bytes) => credits.push((now + SEND_DELAY, key, f64::from(bytes))),
                 Next::Refuse(key, _) => {
                     uploads.retain(|upload| upload.key != key);
                     report.refused += 1;
                 }
             }
         }
-        in_transit.retain(|(at, key, bytes)| {
+        credits.retain(|(at, key, bytes)| {
             if *at <= now {
                 let (key, bytes) = (*key, *bytes);
-                link.push_back((Parcel::Chunk { key, bytes }, bytes));
+                link.push_back((QueuedItem::Chunk { key, bytes }, bytes));
             }
             *at > now
         });
-        let mut room = RATE * STEP.as_secs_f64();
-        while let Some((parcel, left)) = link.front_mut() {
-            let carried = left.min(room);
+        let mut capacity = LINK_RATE * STEP.as_secs_f64();
+        while let Some((item, left)) = link.front_mut() {
+            let carried = left.min(capacity);
             *left -= carried;
-            room -= carried;
+            capacity -= carried;
             if *left > 0.0 {
                 break;
             }
-            match parcel {
-                Parcel::Check { sent } => {
-                    report.checks_in_time += u32::from(now + CHECK_RUN < *sent + CHECK);
+            match item {
+                QueuedItem::Check { sent } => {
+                    report.checks_in_time += u32::from(now + CHECK_RUN < *sent + CHECK_TIMEOUT);
                 }
-                Parcel::Whole { sent, bytes } => {
-                    note_upload(&mut report, now, *sent, *bytes);
+                QueuedItem::Whole { sent, bytes } => {
+                    record_upload(&mut report, now, *sent, *bytes);
                 }
-                Parcel::Chunk { key, bytes } => {
+                QueuedItem::Chunk { key, bytes } => {
                     let (key, bytes) = (*key, *bytes);
                     #[expect(
                         clippy::cast_possible_truncation,
                         clippy::cast_sign_loss,
-                        reason = "a piece"
+                        reason = "a chunk"
                     )]
                     scheduler.receive(now, key, bytes as u64);
                     let at = uploads.iter().position(|upload| upload.key == key);
                     if let Some(at) = at {
                         uploads[at].received += bytes;
                         if !scheduler.is_pending(key) {
-                            scheduler.release(whole_bytes(uploads[at].length));
+                            scheduler.release(to_bytes(uploads[at].length));
                             let done = uploads.swap_remove(at);
                             assert!(
                                 (done.received - done.length).abs() < 1.0,
                                 "the whole body is received"
                             );
-                            note_upload(&mut report, now, done.sent, done.length);
+                            record_upload(&mut report, now, done.sent, done.length);
                         }
                     }
                 }
@@ -186,10 +186,10 @@
     report
 }
 
-fn note_upload(report: &mut Report, now: Instant, sent: Instant, bytes: f64) {
-    if now + RUN < sent + UPLOAD.0 {
+fn record_upload(report: &mut Report, now: Instant, sent: Instant, bytes: f64) {
+    if now + UPLOAD_RUN < sent + UPLOAD_TIMES.0 {
         report.uploads_in_time += 1;
-        report.uploads_whole += bytes;
+        report.bytes_in_time += bytes;
     }
 }
 
@@ -198,24 +198,24 @@
     clippy::cast_sign_loss,
     reason = "a length"
 )]
-fn whole_bytes(length: f64) -> u64 {
+fn to_bytes(length: f64) -> u64 {
     length as u64
 }
 
 fn upload_offer(now: Instant, length: f64) -> BodyOffer {
-    let length = whole_bytes(length);
+    let length = to_bytes(length);
     BodyOffer {
         call: Request {
             class: Class::Lookup,
             caller: 1,
             key: 1,
             route: 1,
-            deadline: now + UPLOAD.1,
-            target: Some(now + UPLOAD.0),
+            deadline: now + UPLOAD_TIMES.1,
+            target: Some(now + UPLOAD_TIMES.0),
             nested: None,
         },
         length,
-        run: RUN,
+        run: UPLOAD_RUN,
     }
 }
 
@@ -227,11 +227,11 @@
     let load = Load {
         uploads: 1.3,
         checks_per_second: 50.0,
-        mean: 60_000.0,
+        mean_length: 60_000.0,
     };
     for seed in 1..=3 {
-        let without = simulate(seed, &load, false, Some(RATE));
-        let with = simulate(seed, &load, true, Some(RATE));
+        let without = simulate(seed, &load, false, Some(LINK_RATE));
+        let with = simulate(seed, &load, true, Some(LINK_RATE));
         println!("full link, seed {seed}: {with:?}; without: {without:?}");
         assert!(without.check_share() < 0.1, "{without:?}");
         assert!(with.check_share() > 0.99, "{with:?}");
@@ -240,16 +240,16 @@
     }
 }
 
-// The same with a link that carries less than its VM advertises, as when it is throttled, and
-// with nothing advertised at all.
+// As `saturated_link`, on a link that carries less than its VM advertises, for instance because it is
+// throttled, and on one whose VM advertises nothing.
 #[test]
 fn slower_than_advertised() {
     let load = Load {
         uploads: 1.3,
         checks_per_second: 50.0,
-        mean: 60_000.0,
+        mean_length: 60_000.0,
     };
-    for advertised in [Some(4.0 * RATE), None] {
+    for advertised in [Some(4.0 * LINK_RATE), None] {
         let report = simulate(1, &load, true, advertised);
         println!("advertised {advertised:?}: {report:?}");
         assert!(report.check_share() > 0.95, "{report:?}");
@@ -263,9 +263,9 @@
     let load = Load {
         uploads: 0.3,
         checks_per_second: 50.0,
-        mean: 60_000.0,
+        mean_length: 60_000.0,
     };
-    let report = simulate(1, &load, true, Some(RATE));
+    let report = simulate(1, &load, true, Some(LINK_RATE));
     println!("idle link: {report:?}");
     assert_eq!(report.refused, 0);
     assert_eq!(report.uploads - report.uploads_in_time, 0);
@@ -277,7 +277,7 @@
 fn unresponsive_sender() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut scheduler = BodyScheduler::new(clock.now(), Some(RATE), MAX_HELD);
+    let mut scheduler = BodyScheduler::new(clock.now(), Some(LINK_RATE), MAX_HELD);
     let unresponsive: Vec<_> = (0..4)
         .map(|_| {
             scheduler
@@ -315,7 +315,7 @@
 fn too_late() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut scheduler = BodyScheduler::new(clock.now(), Some(RATE), MAX_HELD);
+    let mut scheduler = BodyScheduler::new(clock.now(), Some(LINK_RATE), MAX_HELD);
     let first = scheduler.offer(clock.now(), &upload_offer(clock.now(), 300_000.0), &mut rng);
     assert!(first.is_ok(), "nothing is before it");
     while scheduler.next(clock.now(), &mut rng).is_some() {}
@@ -345,7 +345,7 @@
     let clock = Manual::new();
     let now = clock.now();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut scheduler = BodyScheduler::new(now, Some(100.0 * RATE), 200_000);
+    let mut scheduler = BodyScheduler::new(now, Some(100.0 * LINK_RATE), 200_000);
     let keys: Vec<_> = (0..5)
         .map(|_| {
             scheduler
--- a/crates/policy/tests/first_calls.rs
+++ b/crates/policy/tests/first_calls.rs
@@ -10,9 +10,9 @@
 /// Longest wait of a call behind long ones while a slot is free.
 const MAX_WAIT: Duration = Duration::from_millis(250);
 
-// Long reports are fetched over slow lines right after a backend server has started. Look-ups must
-// not be refused meanwhile although slots are free. They were when half of the slots were used to
-// measure the speed until a call ended.
+// Long reports are fetched over slow lines right after a backend server has started. When the first
+// probe lasted until a call ended, half of the slots stayed closed meanwhile, and look-ups were
+// refused although slots were free.
 #[yare::parameterized(
     two_slots = { 2 },
     three_slots = { 3 },
--- a/crates/policy/tests/load/large_fleet.rs
+++ b/crates/policy/tests/load/large_fleet.rs
@@ -49,7 +49,7 @@
     1.0 - report.answered_share(report.all_flows(), OUTAGE)
 }
 
-// One in ten VMs of a large fleet loses power. Until the failure is detected, 200 nodes keep
+// One in ten VMs of a large fleet loses power. Until the failure is detected, nearly 200 nodes keep
 // sending commits there, and one commit in twelve is lost without it being known whether it ran:
 // each node sends to a given VM only every few seconds, so it detects each dead VM on its own, by
 // losing a commit to it.
--- a/crates/policy/tests/load/sim.rs
+++ b/crates/policy/tests/load/sim.rs
@@ -103,7 +103,7 @@
 }
 
 struct Outbound {
-    balance: Balancer,
+    balancer: Balancer,
     budget: RetryBudget,
     hedge: HedgePolicy,
     round_robin: usize,
@@ -154,7 +154,7 @@
     }
     for round_robin in 0..scenario.proxies.len() {
         sim.outbound.push(Outbound {
-            balance: Balancer::new(),
+            balancer: Balancer::new(),
             budget: RetryBudget::new(start, 10),
             hedge: HedgePolicy::new(start),
             round_robin,
@@ -229,7 +229,7 @@
                 |server: &Server| server.in_view.0 <= self.now && self.now < server.in_view.1;
             let candidates = (0..).zip(&self.scenario.servers);
             let candidates = candidates.filter(|(_, server)| is_in_view(server));
-            outbound.balance.sync(
+            outbound.balancer.sync(
                 now,
                 candidates.map(|(index, server): (u64, &Server)| Candidate {
                     identity: Identity {
@@ -311,8 +311,8 @@
         let now = self.at(self.now);
         let (args, proxy) = (self.args_of(call, now), self.calls[call].proxy);
         let args = args.with_tried(&self.calls[call].tried);
-        let balance = &self.outbound[proxy].balance;
-        let keys = balance.probe_targets(now, &args, &mut self.rng);
+        let balancer = &self.outbound[proxy].balancer;
+        let keys = balancer.probe_targets(now, &args, &mut self.rng);
         self.send_probes(call, keys);
     }
 
@@ -320,9 +320,9 @@
         let now = self.at(self.now);
         let (args, proxy) = (self.args_of(call, now), self.calls[call].proxy);
         let args = args.with_tried(&self.calls[call].tried);
-        let balance = &self.outbound[proxy].balance;
+        let balancer = &self.outbound[proxy].balancer;
         let keys =
-            balance.further_probe_targets(now, &args, &self.calls[call].probes, &mut self.rng);
+            balancer.further_probe_targets(now, &args, &self.calls[call].probes, &mut self.rng);
         self.send_probes(call, keys);
     }
 
@@ -346,7 +346,7 @@
         let proxy = self.calls[call].proxy;
         for index in 0..self.calls[call].probes.len() {
             let probe = self.calls[call].probes[index];
-            let identity = self.outbound[proxy].balance.identity(probe.key);
+            let identity = self.outbound[proxy].balancer.identity(probe.key);
             let server = identity.and_then(|known| usize::try_from(known.incarnation).ok());
             let has_power = |server: &usize| !(self.scenario.servers[*server].is_dead)(self.now);
             let Some(server) = server
@@ -434,9 +434,9 @@
                 let args = args.with_tried(&self.calls[call].tried);
                 let probes = &self.calls[call].probes;
                 let key = outbound
-                    .balance
+                    .balancer
                     .pick_probed(now, &args, probes, &mut self.rng)?;
-                let identity = outbound.balance.identity(key)?;
+                let identity = outbound.balancer.identity(key)?;
                 let server = usize::try_from(identity.incarnation).ok()?;
                 self.calls[call].tried.push(key);
                 Some((server, Some(key)))
@@ -614,7 +614,7 @@
                 AttemptResult::Full => balance::Outcome::Full,
             };
             outbound
-                .balance
+                .balancer
                 .finish(now, key, route, took, outcome, &mut self.rng);
         }
         if result == AttemptResult::Answered && is_first {
@@ -657,9 +657,9 @@
         };
         let took = Duration::from_secs_f64(self.now - first.sent_at);
         if let Some(key) = first.key.take() {
-            let balance = &mut self.outbound[self.calls[call].proxy].balance;
+            let balancer = &mut self.outbound[self.calls[call].proxy].balancer;
             let outcome = balance::Outcome::HedgeWon;
-            balance.finish(now, key, route, took, outcome, &mut self.rng);
+            balancer.finish(now, key, route, took, outcome, &mut self.rng);
         }
     }
 
@@ -724,11 +724,11 @@
             max_attempts: 3,
             retried_by_caller: false,
             has_alternative: match cause {
-                Cause::Full => outbound.balance.has_room(now, tried),
-                _ => tried.len() < outbound.balance.len(),
+                Cause::Full => outbound.balancer.has_room(now, tried),
+                _ => tried.len() < outbound.balancer.len(),
             },
             deadline,
-            expected_duration: outbound.balance.expected_duration(route),
+            expected_duration: outbound.balancer.expected_duration(route),
         };
         match outbound.budget.decide(now, &failed, &mut self.rng) {
             Decision::Retry(wait) => Some(wait.as_secs_f64()),
--- a/crates/policy/tests/load/sustained_overload.rs
+++ b/crates/policy/tests/load/sustained_overload.rs
@@ -35,7 +35,7 @@
     );
 }
 
-// The load is up to ten load the capacity. A first-come, first-served queue grows
+// The load is up to ten times the capacity. A first-come, first-served queue grows
 // until each answer comes after its deadline: all slots are busy, and no call is
 // answered in time.
 #[parameterized(
--- a/crates/policy/tests/load/uneven_zone.rs
+++ b/crates/policy/tests/load/uneven_zone.rs
@@ -44,7 +44,8 @@
     println!(
         "in time: without target {untargeted_share:.3} with target {targeted_share:.3}, remote {remote:.3}"
     );
-    // About three in ten of the answers that were late without a target meet it; a quarter must.
+    // Of the answers that are late without a target, about three in ten are in time with one; at
+    // least a quarter must be.
     assert!(1.0 - targeted_share < 0.75 * (1.0 - untargeted_share));
     // Only calls that the slow zone cannot answer in time go to other zones.
     assert!((0.1..0.5).contains(&remote), "{remote}");
--- a/crates/policy/tests/load_probe.rs
+++ b/crates/policy/tests/load_probe.rs
@@ -110,9 +110,9 @@
     faster = { Some(estimate(0, 300)), estimate(60, 100), 1 },
     unanswered = { None, estimate(500, 100), 1 },
     refuses = { Some(Estimate { accepts: false, ..estimate(0, 100) }), estimate(500, 100), 1 },
-    unknown_there = { Some(Estimate { run: None, ..estimate(0, 100) }), estimate(20, 100), 1 },
-    emptier = { Some(estimate(0, 100)), Estimate { load: 0.2, ..estimate(0, 110) }, 1 },
-    sooner_there = { Some(estimate(0, 100)), estimate(1, 100), 0 },
+    unknown_duration = { Some(Estimate { run: None, ..estimate(0, 100) }), estimate(20, 100), 1 },
+    lower_load = { Some(estimate(0, 100)), Estimate { load: 0.2, ..estimate(0, 110) }, 1 },
+    first_is_sooner = { Some(estimate(0, 100)), estimate(1, 100), 0 },
 )]
 fn soonest_is_picked(one: Option<Estimate>, two: Estimate, chosen: usize) {
     let clock = Manual::new();
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -245,7 +245,8 @@
                 Step::Restart { node } => nodes[node] = CrashHistory::default(),
             }
         }
-        // Two rounds bring all remaining records to all nodes; the last crash in reverse order.
+        // Two rounds bring all remaining records to all nodes; the second sends them in reverse
+        // order.
         for round in 0..2 {
             for from in 0..NODES {
                 let mut sent = nodes[from].list(now);
--- a/crates/policy/tests/retry_quota.rs
+++ b/crates/policy/tests/retry_quota.rs
@@ -13,8 +13,8 @@
     window: Duration::from_secs(10),
 };
 
-/// Requests of one node in each tenth of a second.
-const RATE: usize = 1;
+/// Requests that each node receives per step, a tenth of a second.
+const REQUESTS_PER_STEP: usize = 1;
 
 /// Returns the most retries of the fleet in any window, and the most that the limits allow.
 ///
@@ -28,11 +28,11 @@
     let mut sent = Vec::new();
     for _ in 0..300 {
         clock.advance(Duration::from_millis(100));
-        let count = (0..NODES * RATE).filter(|node| retry(&clock, node % NODES));
+        let count = (0..NODES * REQUESTS_PER_STEP).filter(|node| retry(&clock, node % NODES));
         sent.push(count.count());
     }
     let windows = sent.windows(100).map(|window| window.iter().sum());
-    let allowed = NODES * RATE * 100 / 5 + 176;
+    let allowed = NODES * REQUESTS_PER_STEP * 100 / 5 + 176;
     (windows.max().unwrap_or(0), allowed)
 }
 
