--- a/crates/call/src/owner.rs
+++ b/crates/call/src/owner.rs
@@ -26,8 +26,8 @@
 
 /// Returns the rendezvous rank of a node for the item `seed`; the highest-ranked node owns it.
 ///
-/// The hash is FNV-1a followed by the finaliser of `SplitMix64`. It is fixed
-/// because nodes of all builds must agree on it, and the finaliser is needed
+/// The hash is FNV-1a followed by the finalizer of `SplitMix64`. It is fixed
+/// because nodes of all builds must agree on it, and the finalizer is needed
 /// because FNV's high bits alone differ too little between short names.
 #[must_use]
 pub fn rank(seed: u64, node: &str) -> u64 {
--- a/crates/call/src/reserve.rs
+++ b/crates/call/src/reserve.rs
@@ -270,7 +270,7 @@
                 answer,
             } => self.complete(*key, *holder, answer.as_ref()),
             Entry::Release { key, holder } => {
-                if let Some(reservation) = self.open_reservation(*key, *holder) {
+                if let Some(reservation) = self.find_held_reservation(*key, *holder) {
                     reservation.state = State::Released;
                 }
             }
@@ -298,13 +298,13 @@
     }
 
     /// Finds the reservation of a key if `holder` holds it and has neither completed nor released it.
-    fn open_reservation(&mut self, key: Key, holder: Holder) -> Option<&mut Reservation> {
+    fn find_held_reservation(&mut self, key: Key, holder: Holder) -> Option<&mut Reservation> {
         let reservation = self.reservations.get_mut(&key)?;
         reservation.is_held_by(holder).then_some(reservation)
     }
 
     fn complete(&mut self, key: Key, holder: Holder, answer: Option<&Arc<Answer>>) {
-        let Some(reservation) = self.open_reservation(key, holder) else {
+        let Some(reservation) = self.find_held_reservation(key, holder) else {
             return;
         };
         let Some(answer) = answer.filter(|answer| answer.size() <= MAX_ANSWER_BYTES) else {
--- a/crates/call/src/table.rs
+++ b/crates/call/src/table.rs
@@ -92,7 +92,7 @@
 #[derive(Debug)]
 pub struct AttemptTable<S> {
     peers: HashMap<u64, Peer>,
-    calls: HashMap<Id, Entry<S>>,
+    attempts: HashMap<Id, Entry<S>>,
     finished: VecDeque<(Instant, Id)>,
 }
 
@@ -100,7 +100,7 @@
     fn default() -> Self {
         Self {
             peers: HashMap::new(),
-            calls: HashMap::new(),
+            attempts: HashMap::new(),
             finished: VecDeque::new(),
         }
     }
@@ -147,14 +147,14 @@
             peer.lowest_tracked_link = oldest + 1;
         }
         let stage = Stage::Queued;
-        self.calls.insert(id, Entry { stage, call });
+        self.attempts.insert(id, Entry { stage, call });
         Arrival::Queued
     }
 
     /// Marks a queued attempt as running; returns false if it was withdrawn and must not run.
     #[must_use]
     pub fn start(&mut self, id: Id) -> bool {
-        match self.calls.get_mut(&id) {
+        match self.attempts.get_mut(&id) {
             Some(entry) if entry.stage == Stage::Queued => {
                 entry.stage = Stage::Running;
                 true
@@ -165,7 +165,7 @@
 
     /// Marks an attempt as finished, whether or not it ran; its call is kept for [`OUTCOME_RETENTION`].
     pub fn finish(&mut self, id: Id, now: Instant) {
-        if let Some(entry) = self.calls.get_mut(&id)
+        if let Some(entry) = self.attempts.get_mut(&id)
             && entry.stage != Stage::Finished
         {
             entry.stage = Stage::Finished;
@@ -191,7 +191,7 @@
             return Outcome::NeverReceived;
         }
         let withdrawn = self.withdraw(id, now);
-        match self.calls.get(&id) {
+        match self.attempts.get(&id) {
             Some(entry) if withdrawn => Outcome::Withdrawn(&entry.call),
             Some(entry) if entry.stage == Stage::Running => Outcome::Running(&entry.call),
             Some(entry) => Outcome::Finished(&entry.call),
@@ -202,7 +202,7 @@
     /// Returns whether an attempt is running.
     #[must_use]
     pub fn is_running(&self, id: Id) -> bool {
-        let entry = self.calls.get(&id);
+        let entry = self.attempts.get(&id);
         entry.is_some_and(|entry| entry.stage == Stage::Running)
     }
 
@@ -210,7 +210,7 @@
     #[must_use]
     pub fn withdraw(&mut self, id: Id, now: Instant) -> bool {
         let queued = self
-            .calls
+            .attempts
             .get(&id)
             .is_some_and(|entry| entry.stage == Stage::Queued);
         if queued {
@@ -222,17 +222,17 @@
     /// Returns the call of an attempt, unless it has been evicted.
     #[must_use]
     pub fn get(&self, id: Id) -> Option<&S> {
-        self.calls.get(&id).map(|entry| &entry.call)
+        self.attempts.get(&id).map(|entry| &entry.call)
     }
 
     /// Removes a finished attempt that its peer has acknowledged and will not query.
     pub fn acknowledge(&mut self, id: Id) {
         if self
-            .calls
+            .attempts
             .get(&id)
             .is_some_and(|entry| entry.stage == Stage::Finished)
         {
-            self.calls.remove(&id);
+            self.attempts.remove(&id);
         }
     }
 
@@ -240,12 +240,12 @@
     pub fn expire_outcomes(&mut self, now: Instant) {
         while let Some(&(finished_at, id)) = self.finished.front() {
             let expired = now.saturating_duration_since(finished_at) > OUTCOME_RETENTION;
-            let acknowledged = !self.calls.contains_key(&id);
+            let acknowledged = !self.attempts.contains_key(&id);
             if !expired && !acknowledged && self.finished.len() <= MAX_OUTCOMES {
                 break;
             }
             self.finished.pop_front();
-            self.calls.remove(&id);
+            self.attempts.remove(&id);
         }
     }
 
@@ -255,9 +255,9 @@
             .retain(|_, peer| now.saturating_duration_since(peer.last_seen) <= PEER_RETENTION);
     }
 
-    /// Returns the number of calls and the number of peers stored.
+    /// Returns the number of attempts and the number of peers stored.
     #[must_use]
     pub fn sizes(&self) -> (usize, usize) {
-        (self.calls.len(), self.peers.len())
+        (self.attempts.len(), self.peers.len())
     }
 }
--- a/crates/config/src/endpoint.rs
+++ b/crates/config/src/endpoint.rs
@@ -43,9 +43,10 @@
     /// Identifies the backend server's process, which can be replaced while the node's process stays the
     /// same; a new one has to warm up.
     pub process: u64,
-    /// Warm-up time, during which it is slow, counted from its announcement, in milliseconds, if announced.
+    /// Time from its announcement during which the backend server warms up and is slow, in milliseconds,
+    /// if announced.
     pub cold_ms: Option<u32>,
-    /// Whether it accepts new calls.
+    /// Whether the backend server accepts new calls, is leaving or is gone.
     pub state: State,
 }
 
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -10,7 +10,7 @@
     pub enum Violation {
         /// A name is empty, too long, or contains a character that is not allowed in names.
         InvalidName(name: SmolStr) {
-            display("{:?} is not a valid name: expected 1 to {} letters, digits, '-', '_' or '.'", name, crate::validate::MAX_NAME)
+            display("{:?} is not a valid name: expected 1 to {} letters, digits, '-', '_' or '.'", name, crate::validate::MAX_NAME_BYTES)
         }
         /// A route prefix is malformed.
         InvalidPrefix(prefix: SmolStr) {
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -35,11 +35,11 @@
 
 /// The position of a roll-out order among all orders that were written.
 ///
-/// A store that is restored from a copy assigns the same revisions again, so
+/// A store that is restored from a backup assigns the same revisions again, so
 /// revisions are only comparable within one era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderRevision {
-    /// How often the store had been restored from a copy.
+    /// How often the store had been restored from a backup when the order was written.
     pub era: u64,
     /// Revision at which the order was written.
     pub revision: u64,
--- a/crates/config/src/validate.rs
+++ b/crates/config/src/validate.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeSet;
 
 /// Longest name, in bytes: the limit of a DNS label, as names become part of DNS names.
-pub const MAX_NAME: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 
 /// Longest prefix, in bytes: a host name of up to 253 and a path of the same length.
-pub const MAX_PREFIX: usize = 512;
+pub const MAX_PREFIX_BYTES: usize = 512;
 
 /// Maximum number of services: ten times the planned 410.
 pub const MAX_SERVICES: usize = 4_096;
@@ -72,7 +72,7 @@
 
 pub(crate) fn check_name(name: &SmolStr) -> Result<(), Violation> {
     let is_valid = !name.is_empty()
-        && name.len() <= MAX_NAME
+        && name.len() <= MAX_NAME_BYTES
         && name
             .bytes()
             .all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.'));
@@ -85,7 +85,7 @@
 pub(crate) fn check_prefix(prefix: &SmolStr) -> Result<(), Violation> {
     let path = prefix.find('/').map(|slash| prefix.split_at(slash));
     let is_valid = path.is_some_and(|(host, path)| {
-        prefix.len() <= MAX_PREFIX
+        prefix.len() <= MAX_PREFIX_BYTES
             && (host.is_empty() || is_host(host))
             && !path.contains("//")
             && path
--- a/crates/config/src/view.rs
+++ b/crates/config/src/view.rs
@@ -247,7 +247,7 @@
 
     /// Asserts that no route refers to a service that is missing from the view.
     ///
-    /// Calls of such a route would have no destination. It can't occur as long as
+    /// Calls of such a route would have no destination. This can't occur as long as
     /// views are built only here; the check remains enabled to guard that invariant.
     fn assert_services_present(&self) {
         for (service, _) in self.routes.iter().flat_map(|route| &route.targets) {
