--- a/crates/bench/src/converge.rs
+++ b/crates/bench/src/converge.rs
@@ -6,11 +6,11 @@
 
 use crate::converge_fault::Fault;
 use crate::count::to_f64;
-use crate::deployment::{Deployment, Plan, Vm, put_route};
+use crate::deployment::{Deployment, Vm, VmSpec, put_route};
 use crate::error::Error;
-use crate::node::{self, Installed, Metrics};
+use crate::node::{self, InstalledVersion, Metrics};
 use crate::options;
-use crate::proposer::{Proposer, name_service};
+use crate::proposer::{Proposer, service_name};
 use crate::relay;
 use bpaf::{Parser, construct, long};
 use config::{Class, Repeat};
@@ -36,7 +36,7 @@
 
 /// What to measure.
 #[derive(Debug, Clone)]
-pub struct Plot {
+pub struct Options {
     /// Node processes.
     pub nodes: usize,
     /// Availability zones that they are spread over.
@@ -96,17 +96,17 @@
 }
 
 /// A running experiment.
-pub(crate) struct Run {
-    pub(crate) plot: Plot,
+pub(crate) struct Experiment {
+    pub(crate) plot: Options,
     pub(crate) deployment: Deployment,
     proposer: Proposer,
-    pub(crate) cut: relay::Handle,
+    pub(crate) cut: relay::Relay,
     pub(crate) not_converged: usize,
 }
 
 /// Reads what to measure from the command line.
 #[must_use]
-pub fn parse() -> impl Parser<Plot> {
+pub fn parse() -> impl Parser<Options> {
     let nodes = long("nodes")
         .help("Node processes")
         .argument::<usize>("COUNT")
@@ -134,7 +134,7 @@
         .help("platform-outage, roots-killed, partition or herd-restart")
         .argument::<Fault>("FAULT")
         .optional();
-    construct!(Plot {
+    construct!(Options {
         nodes,
         zones,
         versions,
@@ -149,7 +149,7 @@
 /// # Errors
 ///
 /// When a program can't be started or the fleet doesn't come up.
-pub async fn run(plot: Plot) -> Result<Report, Error> {
+pub async fn run(plot: Options) -> Result<Report, Error> {
     let begun = Instant::now();
     let mut run = start(plot).await?;
     run.wait_version().await?;
@@ -188,12 +188,12 @@
     Ok(report)
 }
 
-async fn start(plot: Plot) -> Result<Run, Error> {
+async fn start(plot: Options) -> Result<Experiment, Error> {
     let mut deployment = Deployment::spawn(Vec::new(), &[]).await?;
     let cut = relay::bind(deployment.platform_address).await?;
     for index in 0..plot.nodes {
         let zone = format!("zone-{}", index % plot.zones + 1);
-        let mut plan = Plan::new(&format!("vm-{index}"), &zone, None);
+        let mut plan = VmSpec::new(&format!("vm-{index}"), &zone, None);
         let line = format!("distribution = {}", plot.distribution);
         plan.settings.push(("fleet".to_owned(), line));
         if index % plot.zones == plot.zones - 1 {
@@ -201,7 +201,7 @@
         }
         deployment.add(plan)?;
     }
-    let mut run = Run {
+    let mut run = Experiment {
         proposer: Proposer::open(deployment.platform_address),
         plot,
         deployment,
@@ -215,9 +215,9 @@
     Ok(run)
 }
 
-impl Run {
+impl Experiment {
     pub(crate) async fn announce(&self, index: usize) -> Result<(), Error> {
-        let service = name_service(index % SERVED.min(self.plot.services));
+        let service = service_name(index % SERVED.min(self.plot.services));
         let begun = Instant::now();
         loop {
             match node::announce(&self.deployment.vms[index], &service).await {
@@ -231,8 +231,8 @@
     /// Proposes a version as an operator would: a share of a route goes elsewhere.
     pub(crate) async fn propose_next(&mut self) -> Result<(), Error> {
         let index = self.proposer.proposed.len() % self.plot.services;
-        let other = name_service((index + 1 + self.proposer.proposed.len()) % self.plot.services);
-        let prefix = format!("/{}", name_service(index));
+        let other = service_name((index + 1 + self.proposer.proposed.len()) % self.plot.services);
+        let prefix = format!("/{}", service_name(index));
         let change = put_route(&prefix, &other, Class::Refresh, Repeat::ByMethod);
         self.proposer.propose(vec![change]).await
     }
@@ -259,7 +259,7 @@
                     break;
                 }
                 if begun.elapsed() > LIMIT {
-                    let what = format!("version {} at {}", self.proposer.version, vm.plan.name);
+                    let what = format!("version {} at {}", self.proposer.version, vm.spec.name);
                     return Err(Error::Timeout(what));
                 }
                 tokio::time::sleep(POLL).await;
@@ -278,7 +278,7 @@
                     break;
                 }
                 if begun.elapsed() > LIMIT {
-                    return Err(Error::Timeout(format!("endpoints at {}", vm.plan.name)));
+                    return Err(Error::Timeout(format!("endpoints at {}", vm.spec.name)));
                 }
                 tokio::time::sleep(POLL).await;
             }
@@ -336,8 +336,8 @@
         let mut processor = 0.0;
         for vm in &self.deployment.vms {
             let usage = vm.node.usage()?;
-            processor += usage.processor.as_secs_f64();
-            let resident = to_f64(usage.resident) / f64::from(1 << 20);
+            processor += usage.cpu_time.as_secs_f64();
+            let resident = to_f64(usage.resident_bytes) / f64::from(1 << 20);
             report.node_rss_mb_max = report.node_rss_mb_max.max(resident);
             let (partial, dangling) = self.check_routes(vm).await?;
             report.partial += usize::from(partial);
@@ -373,7 +373,7 @@
 }
 
 /// Counts how often a VM served by a lower version after a higher one.
-fn count_reverts(log: &[Installed]) -> usize {
+fn count_reverts(log: &[InstalledVersion]) -> usize {
     let pairs = log.windows(2);
     pairs
         .filter(|pair| pair[1].version < pair[0].version)
--- a/crates/bench/src/converge_fault.rs
+++ b/crates/bench/src/converge_fault.rs
@@ -1,6 +1,6 @@
 //! What goes wrong while versions converge.
 
-use crate::converge::{Run, SETTLE};
+use crate::converge::{Experiment, SETTLE};
 use crate::error::Error;
 use crate::node;
 use rustix::process::Signal;
@@ -19,13 +19,13 @@
     /// A zone is cut from the platform, not from the other zones.
     Partition,
     /// All nodes of a zone are killed and started again right before the version.
-    HerdRestart,
+    ZoneRestart,
 }
 
 impl Fault {
     /// Tells whether it ends processes, whose counts of bytes end with them.
     pub(crate) fn ends_nodes(self) -> bool {
-        matches!(self, Self::RootsKilled | Self::HerdRestart)
+        matches!(self, Self::RootsKilled | Self::ZoneRestart)
     }
 }
 
@@ -37,13 +37,13 @@
             "platform-outage" => Ok(Self::PlatformOutage),
             "roots-killed" => Ok(Self::RootsKilled),
             "partition" => Ok(Self::Partition),
-            "herd-restart" => Ok(Self::HerdRestart),
+            "herd-restart" => Ok(Self::ZoneRestart),
             _ => Err("want platform-outage, roots-killed, partition or herd-restart".to_owned()),
         }
     }
 }
 
-impl Run {
+impl Experiment {
     /// Lets the fault happen, round after round, each with a version right after.
     pub(crate) async fn suffer(&mut self, fault: Fault) -> Result<(), Error> {
         for round in 0..ROUNDS {
@@ -56,12 +56,12 @@
                     self.set_down(false).await?;
                 }
                 Fault::Partition => {
-                    self.cut.set_silent(true);
+                    self.cut.set_stalled(true);
                     // Long enough for watches to be given up and leases to lapse.
                     tokio::time::sleep(SETTLE + SETTLE / 2).await;
                 }
                 Fault::RootsKilled => killed = self.kill(&zone, true).await?,
-                Fault::HerdRestart => {
+                Fault::ZoneRestart => {
                     killed = self.kill(&zone, false).await?;
                     self.restart(&killed).await?;
                 }
@@ -74,7 +74,7 @@
             if fault == Fault::RootsKilled {
                 self.restart(&killed).await?;
             }
-            self.cut.set_silent(false);
+            self.cut.set_stalled(false);
             tokio::time::sleep(SETTLE).await;
         }
         Ok(())
@@ -90,7 +90,7 @@
     async fn kill(&mut self, zone: &str, roots: bool) -> Result<Vec<usize>, Error> {
         let mut killed = Vec::new();
         for (index, vm) in self.deployment.vms.iter().enumerate() {
-            if vm.plan.zone == zone {
+            if vm.spec.zone == zone {
                 let status = node::read_status(vm).await?;
                 if !roots || status.distribution.path.len() == 1 {
                     killed.push(index);
--- a/crates/bench/src/deadly.rs
+++ b/crates/bench/src/deadly.rs
@@ -5,7 +5,7 @@
 //! servers that it crashes are started again 1.5 s later.
 
 use crate::caller::{Call, Caller};
-use crate::deployment::{Deployment, Vm, plan_services, put_route, put_service};
+use crate::deployment::{Deployment, Vm, put_route, put_service, service_vms};
 use crate::error::Error;
 use crate::faults_callers::now_us;
 use crate::faults_inject::{Target, record_arguments, record_file};
@@ -129,7 +129,12 @@
 /// When a program can't be started, or the fleet doesn't come to serve.
 pub async fn run(plot: Plot) -> Result<Report, Error> {
     let mut target = spawn(plot.per_zone, &plot.programs).await?;
-    let addresses: Vec<_> = target.deployment.vms.iter().map(Vm::callers).collect();
+    let addresses: Vec<_> = target
+        .deployment
+        .vms
+        .iter()
+        .map(Vm::callers_address)
+        .collect();
     let callers: Vec<_> = addresses
         .iter()
         .map(|address| Caller::new(*address))
@@ -160,9 +165,9 @@
 async fn spawn(per_zone: usize, programs: &Path) -> Result<Target, Error> {
     let mut deployment = Deployment::spawn_from(programs, Vec::new(), &[]).await?;
     let mut files = Vec::new();
-    for (index, mut plan) in plan_services(&[SERVICE], per_zone).into_iter().enumerate() {
+    for (index, mut plan) in service_vms(&[SERVICE], per_zone).into_iter().enumerate() {
         let file = record_file(deployment.folder(), index, 0);
-        plan.backend_arguments = record_arguments(&file);
+        plan.backend_args = record_arguments(&file);
         files.push(file);
         deployment.add(plan)?;
     }
--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -5,9 +5,9 @@
 //! and the operators' reports are shown. The last line holds the figures.
 
 use crate::caller::{Call, Caller};
-use crate::deployment::{Deployment, TOKEN, Vm, plan_services};
+use crate::deployment::{Deployment, OPERATOR_TOKEN, Vm, service_vms};
 use crate::error::Error;
-use crate::load::{Outcome, Planned, Series, send_planned};
+use crate::load::{LatencySeries, Outcome, PlannedCall, send_planned};
 use http::Method;
 use serde::Serialize;
 use serde_json::Value;
@@ -78,7 +78,7 @@
 /// How the calls of one series ended.
 #[derive(Debug)]
 struct Sum {
-    series: Series,
+    series: LatencySeries,
     endings: BTreeMap<String, u64>,
 }
 
@@ -90,7 +90,7 @@
 pub async fn run() -> Result<Report, Error> {
     say("Starting Tenaga: records, claims and jobs, each in three availability zones.");
     let start = Instant::now();
-    let plans = plan_services(&["records", "claims", "jobs"], 1);
+    let plans = service_vms(&["records", "claims", "jobs"], 1);
     let mut deployment = Deployment::spawn(plans, &[]).await?;
     wait_announced(&deployment).await?;
     let nodes = deployment.vms.len();
@@ -149,7 +149,7 @@
 where
     F: Fn(&Value) -> bool,
 {
-    let caller = Caller::new(vm.operators());
+    let caller = Caller::new(vm.operators_address());
     let call = Call::get("/v1/status");
     let deadline = Instant::now() + LIMIT;
     while Instant::now() < deadline {
@@ -161,7 +161,7 @@
         }
         tokio::time::sleep(POLL).await;
     }
-    Err(Error::Timeout(format!("the status of {}", vm.plan.name)))
+    Err(Error::Timeout(format!("the status of {}", vm.spec.name)))
 }
 
 /// Proposes a patch, and gives the time until the last node has it, and the bytes that it took.
@@ -182,7 +182,7 @@
         "--platform",
         &platform,
     ];
-    let (code, output) = deployment.operate(&arguments, LIMIT)?;
+    let (code, output) = deployment.run_cli(&arguments, LIMIT)?;
     print!("{output}");
     if code != 0 {
         return Err(Error::Unexpected(format!("propose ended with {code}")));
@@ -206,7 +206,7 @@
 fn read_proposed(deployment: &Deployment) -> Result<SystemTime, Error> {
     let platform = deployment.platform_address.to_string();
     let arguments = ["log", "--limit", "1", "--json", "--platform", &platform];
-    let (_, output) = deployment.operate(&arguments, LIMIT)?;
+    let (_, output) = deployment.run_cli(&arguments, LIMIT)?;
     let log = serde_json::from_str::<Value>(&output);
     let log = log.map_err(|error| Error::Unexpected(format!("{error}: {output}")))?;
     let at_ms = log[0]["entry"]["at_ms"].as_u64();
@@ -217,7 +217,7 @@
 async fn sum_control_bytes(deployment: &Deployment) -> Result<u64, Error> {
     let mut sum = 0;
     for vm in &deployment.vms {
-        let caller = Caller::new(vm.operators());
+        let caller = Caller::new(vm.operators_address());
         let answer = caller
             .send_within(&Call::get("/metrics"), CALL_LIMIT)
             .await?;
@@ -238,19 +238,19 @@
     Ok(sum_up(outcomes))
 }
 
-fn plan_load(deployment: &Deployment) -> Vec<Planned> {
+fn plan_load(deployment: &Deployment) -> Vec<PlannedCall> {
     let mut planned = Vec::new();
     // The zone of the killed VM keeps callers too, but they use the node of another VM.
     let entries = deployment.vms.iter().enumerate();
     let entries = entries.filter(|(index, _)| ![KILLED, DRAINED].contains(index));
     for (index, vm) in entries.take(6) {
-        let caller = Caller::new(vm.callers());
+        let caller = Caller::new(vm.callers_address());
         for (series, period) in [LOOKUP_PERIOD, BOOKING_PERIOD].into_iter().enumerate() {
             let mut at = Duration::from_millis(u64::try_from(index).unwrap_or(0));
             while at < LOAD {
                 let call = make_call(series, index, at);
                 let caller = caller.clone();
-                planned.push(Planned {
+                planned.push(PlannedCall {
                     at,
                     series,
                     caller,
@@ -279,22 +279,25 @@
     if let Some(backend) = &mut vm.backend {
         backend.kill()?;
     }
-    let name = &vm.plan.name;
+    let name = &vm.spec.name;
     say(&format!("killed {name}: its node and its backend server"));
     tokio::time::sleep(DRAIN_AT.saturating_sub(KILL_AT)).await;
     let vm = &deployment.vms[DRAINED];
     let token = deployment.folder().join("token");
-    fs::write(&token, TOKEN)?;
-    let (token, address) = (token.display().to_string(), vm.operators().to_string());
-    say(&format!("$ bluebellpick drain {}", vm.plan.name));
-    let (_, output) = deployment.operate(&["drain", &address, "--token-file", &token], LIMIT)?;
+    fs::write(&token, OPERATOR_TOKEN)?;
+    let (token, address) = (
+        token.display().to_string(),
+        vm.operators_address().to_string(),
+    );
+    say(&format!("$ bluebellpick drain {}", vm.spec.name));
+    let (_, output) = deployment.run_cli(&["drain", &address, "--token-file", &token], LIMIT)?;
     print!("{output}");
     Ok(())
 }
 
 fn sum_up(outcomes: Vec<Outcome>) -> Vec<Sum> {
     let new_sum = |_| Sum {
-        series: Series::new(),
+        series: LatencySeries::new(),
         endings: BTreeMap::new(),
     };
     let mut sums = SERIES.iter().map(new_sum).collect::<Vec<_>>();
@@ -307,7 +310,7 @@
 }
 
 fn name_ending(outcome: &Outcome) -> String {
-    match &outcome.answer {
+    match &outcome.result {
         Ok(answer) if answer.status.is_success() => "answered".to_owned(),
         Ok(answer) => match answer.header("bluebellpick-verdict") {
             Some(verdict) => verdict.to_owned(),
@@ -332,7 +335,10 @@
 
 fn show_reports(deployment: &Deployment) -> Result<(), Error> {
     let platform = deployment.platform_address.to_string();
-    let nodes = deployment.vms.iter().map(|vm| vm.operators().to_string());
+    let nodes = deployment
+        .vms
+        .iter()
+        .map(|vm| vm.operators_address().to_string());
     let nodes = nodes.map(|address| format!("--node={address}"));
     let nodes = nodes.collect::<Vec<_>>();
     for verb in ["status", "burn"] {
@@ -340,7 +346,7 @@
         let mut arguments = vec![verb, "--platform", &platform, "--timeout", "1"];
         arguments.extend(nodes.iter().map(String::as_str));
         // Ends with 1, since the killed VM does not answer; its line says so.
-        let (_, output) = deployment.operate(&arguments, LIMIT)?;
+        let (_, output) = deployment.run_cli(&arguments, LIMIT)?;
         print!("{output}");
     }
     Ok(())
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -36,11 +36,11 @@
 const ROUTE_TIMEOUT_MS: u32 = 5_000;
 
 /// Token of the deployment's operators.
-pub const TOKEN: &str = "bench-operators-token";
+pub const OPERATOR_TOKEN: &str = "bench-operators-token";
 
 /// One VM to start.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Plan {
+pub struct VmSpec {
     /// Name of its node.
     pub name: String,
     /// Availability zone.
@@ -50,14 +50,14 @@
     /// Service of its backend server; without one the node runs alone.
     pub service: Option<String>,
     /// Further arguments of the backend server's stand-in.
-    pub backend_arguments: Vec<String>,
+    pub backend_args: Vec<String>,
     /// Address of the platform, if it is another than the deployment's.
     pub platform: Option<SocketAddr>,
     /// Further lines of the node's settings, by section.
     pub settings: Vec<(String, String)>,
 }
 
-impl Plan {
+impl VmSpec {
     /// Plans a VM of one region.
     #[must_use]
     pub fn new(name: &str, zone: &str, service: Option<&str>) -> Self {
@@ -66,7 +66,7 @@
             zone: zone.to_owned(),
             region: "region-1".to_owned(),
             service: service.map(str::to_owned),
-            backend_arguments: Vec::new(),
+            backend_args: Vec::new(),
             platform: None,
             settings: Vec::new(),
         }
@@ -75,24 +75,24 @@
 
 /// Plans `services` in three availability zones, with `per_zone` VMs each.
 #[must_use]
-pub fn plan_services(services: &[&str], per_zone: usize) -> Vec<Plan> {
-    let mut plans = Vec::new();
+pub fn service_vms(services: &[&str], per_zone: usize) -> Vec<VmSpec> {
+    let mut specs = Vec::new();
     for zone in ["zone-1", "zone-2", "zone-3"] {
         for service in services {
             for index in 1..=per_zone {
                 let name = format!("{zone}-{service}-{index}");
-                plans.push(Plan::new(&name, zone, Some(service)));
+                specs.push(VmSpec::new(&name, zone, Some(service)));
             }
         }
     }
-    plans
+    specs
 }
 
 /// A VM with its processes.
 #[derive(Debug)]
 pub struct Vm {
     /// What it was started from.
-    pub plan: Plan,
+    pub spec: VmSpec,
     /// Its address.
     pub ip: IpAddr,
     /// The node.
@@ -106,31 +106,31 @@
 impl Vm {
     /// Where callers connect.
     #[must_use]
-    pub fn callers(&self) -> SocketAddr {
+    pub fn callers_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, CALLERS)
     }
 
     /// Where other nodes connect.
     #[must_use]
-    pub fn nodes(&self) -> SocketAddr {
+    pub fn nodes_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, NODES)
     }
 
     /// Where the backend server announces itself.
     #[must_use]
-    pub fn backend(&self) -> SocketAddr {
+    pub fn announce_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, BACKEND)
     }
 
     /// Where operators connect.
     #[must_use]
-    pub fn operators(&self) -> SocketAddr {
+    pub fn operators_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, OPERATORS)
     }
 
     /// Where the backend server takes calls.
     #[must_use]
-    pub fn server(&self) -> SocketAddr {
+    pub fn backend_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, SERVER)
     }
 
@@ -150,10 +150,10 @@
     ///
     /// When the program can't be started.
     pub fn restart_backend(&mut self) -> Result<(), Error> {
-        if let Some(service) = &self.plan.service {
+        if let Some(service) = &self.spec.service {
             let log = self.settings.with_extension("backend.log");
             let programs = &self.programs;
-            self.backend = Some(spawn_backend(programs, self.ip, service, &self.plan, &log)?);
+            self.backend = Some(spawn_backend(programs, self.ip, service, &self.spec, &log)?);
         }
         Ok(())
     }
@@ -180,8 +180,8 @@
     /// # Errors
     ///
     /// When a program can't be started.
-    pub async fn spawn(plans: Vec<Plan>, platform_arguments: &[&str]) -> Result<Self, Error> {
-        Self::spawn_from(Path::new(""), plans, platform_arguments).await
+    pub async fn spawn(specs: Vec<VmSpec>, platform_arguments: &[&str]) -> Result<Self, Error> {
+        Self::spawn_from(Path::new(""), specs, platform_arguments).await
     }
 
     /// Starts a fleet as [`Deployment::spawn`] does, from the programs in another folder.
@@ -191,7 +191,7 @@
     /// When a program can't be started.
     pub async fn spawn_from(
         programs: &Path,
-        plans: Vec<Plan>,
+        specs: Vec<VmSpec>,
         platform_arguments: &[&str],
     ) -> Result<Self, Error> {
         let folder = tempfile::Builder::new().prefix("bluebellpick-").tempdir()?;
@@ -209,8 +209,8 @@
             programs,
         };
         deployment.wait_platform().await?;
-        for plan in plans {
-            deployment.add(plan)?;
+        for spec in specs {
+            deployment.add(spec)?;
         }
         Ok(deployment)
     }
@@ -226,30 +226,35 @@
     /// # Errors
     ///
     /// When a program can't be started.
-    pub fn add(&mut self, plan: Plan) -> Result<(), Error> {
+    pub fn add(&mut self, spec: VmSpec) -> Result<(), Error> {
         let ip = self.next_ip();
-        let settings = self.folder.path().join(format!("{}.ini", plan.name));
-        let seeds = self.vms.iter().take(3).map(Vm::nodes).collect::<Vec<_>>();
+        let settings = self.folder.path().join(format!("{}.ini", spec.name));
+        let seeds = self
+            .vms
+            .iter()
+            .take(3)
+            .map(Vm::nodes_address)
+            .collect::<Vec<_>>();
         std::fs::write(
             &settings,
             write_settings(
-                &plan,
+                &spec,
                 ip,
-                plan.platform.unwrap_or(self.platform_address),
+                spec.platform.unwrap_or(self.platform_address),
                 &seeds,
             ),
         )?;
         let log = settings.with_extension("node.log");
         let node = spawn_node(&self.programs, &settings, &log)?;
-        let backend = match &plan.service {
+        let backend = match &spec.service {
             Some(service) => {
                 let log = settings.with_extension("backend.log");
-                Some(spawn_backend(&self.programs, ip, service, &plan, &log)?)
+                Some(spawn_backend(&self.programs, ip, service, &spec, &log)?)
             }
             None => None,
         };
         self.vms.push(Vm {
-            plan,
+            spec,
             ip,
             node,
             backend,
@@ -270,7 +275,7 @@
     /// # Errors
     ///
     /// When it can't be started, or doesn't end within `limit`.
-    pub fn operate(&self, arguments: &[&str], limit: Duration) -> Result<(i32, String), Error> {
+    pub fn run_cli(&self, arguments: &[&str], limit: Duration) -> Result<(i32, String), Error> {
         let log = self
             .folder
             .path()
@@ -290,11 +295,11 @@
     pub fn propose(&self, changes: &[Change], base: u64) -> Result<String, Error> {
         let name = format!("patch-{:016x}.jsonl", rand::random::<u64>());
         let file = self.folder.path().join(name);
-        std::fs::write(&file, write_patch(changes)?)?;
+        std::fs::write(&file, encode_patch(changes)?)?;
         let (base, platform) = (base.to_string(), self.platform_address.to_string());
         let file = file.display().to_string();
         let arguments = ["propose", &file, "--base", &base, "--platform", &platform];
-        let (code, output) = self.operate(&arguments, Duration::from_secs(20))?;
+        let (code, output) = self.run_cli(&arguments, Duration::from_secs(20))?;
         if code == 0 {
             Ok(output)
         } else {
@@ -319,7 +324,7 @@
     pub async fn wait_served(&self, path: &str, limit: Duration) -> Result<(), Error> {
         let start = Instant::now();
         for vm in &self.vms {
-            let caller = Caller::new(vm.callers());
+            let caller = Caller::new(vm.callers_address());
             loop {
                 let answer = caller.send_within(&Call::get(path), CALL_LIMIT).await;
                 if answer
@@ -329,7 +334,7 @@
                     break;
                 }
                 if start.elapsed() > limit {
-                    let what = format!("{path} at {}: {answer:?}", vm.plan.name);
+                    let what = format!("{path} at {}: {answer:?}", vm.spec.name);
                     return Err(Error::Timeout(what));
                 }
                 tokio::time::sleep(POLL).await;
@@ -371,7 +376,7 @@
 /// # Errors
 ///
 /// When a change has no JSON form.
-pub fn write_patch(changes: &[Change]) -> Result<String, Error> {
+pub fn encode_patch(changes: &[Change]) -> Result<String, Error> {
     let mut text = String::new();
     for change in changes {
         let as_error = |error: serde_json::Error| Error::Unexpected(error.to_string());
@@ -427,7 +432,7 @@
     Ipv4Addr::new(127, base[0], base[1].saturating_add(block), last).into()
 }
 
-fn write_settings(plan: &Plan, ip: IpAddr, platform: SocketAddr, seeds: &[SocketAddr]) -> String {
+fn write_settings(spec: &VmSpec, ip: IpAddr, platform: SocketAddr, seeds: &[SocketAddr]) -> String {
     let seeds = seeds
         .iter()
         .map(ToString::to_string)
@@ -438,7 +443,7 @@
             "node",
             format!(
                 "name = {}\nzone = {}\nregion = {}",
-                plan.name, plan.zone, plan.region
+                spec.name, spec.zone, spec.region
             ),
         ),
         (
@@ -449,13 +454,13 @@
         ),
         ("fleet", format!("platform = {platform}\nseeds = {seeds}")),
         ("limits", String::new()),
-        ("operators", format!("token = {TOKEN}")),
+        ("operators", format!("token = {OPERATOR_TOKEN}")),
     ];
     let mut text = Vec::new();
     for (section, lines) in sections {
         text.push(format!("[{section}]"));
         text.push(lines);
-        let further = plan.settings.iter().filter(|(name, _)| name == section);
+        let further = spec.settings.iter().filter(|(name, _)| name == section);
         text.extend(further.map(|(_, line)| line.clone()));
     }
     text.join("\n")
@@ -489,14 +494,14 @@
     programs: &Path,
     ip: IpAddr,
     service: &str,
-    plan: &Plan,
+    spec: &VmSpec,
     log: &Path,
 ) -> Result<Process, Error> {
     let listen = SocketAddr::new(ip, SERVER).to_string();
     let announce = SocketAddr::new(ip, BACKEND).to_string();
     let mut arguments = vec!["backend", "--listen", &listen, "--announce", &announce];
     arguments.extend(["--service", service]);
-    arguments.extend(plan.backend_arguments.iter().map(String::as_str));
+    arguments.extend(spec.backend_args.iter().map(String::as_str));
     let program = name_program(programs, "bluebellpick-standin");
     Process::spawn(&program, arguments, log)
 }
--- a/crates/bench/src/error.rs
+++ b/crates/bench/src/error.rs
@@ -15,7 +15,7 @@
             source(source)
         }
         /// A program is not where it is looked for.
-        Missing(program: PathBuf) {
+        ProgramNotFound(program: PathBuf) {
             display("{} is not there: run `cargo build --release --workspace` first", program.display())
         }
         /// A call failed below HTTP.
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -1,6 +1,6 @@
 //! Calls under faults: real processes, seeded faults, and a check of the histories.
 
-use crate::deployment::{Deployment, Vm, plan_services, put_route, put_service};
+use crate::deployment::{Deployment, Vm, put_route, put_service, service_vms};
 use crate::error::Error;
 use crate::faults_callers::{self, Notes, TIMEOUT_MS, now_us};
 use crate::faults_forward::Forwarder;
@@ -92,7 +92,12 @@
     let mut target = spawn(1).await?;
     let notes = Notes::default();
     let end = Instant::now() + plot.duration;
-    let addresses: Vec<_> = target.deployment.vms.iter().map(Vm::callers).collect();
+    let addresses: Vec<_> = target
+        .deployment
+        .vms
+        .iter()
+        .map(Vm::callers_address)
+        .collect();
     let callers =
         faults_callers::spawn(plot.seed, &addresses, move || Instant::now() < end, &notes);
     let mut harm = Harm::new(plot.seed);
@@ -130,14 +135,14 @@
     let mut deployment = Deployment::spawn(Vec::new(), &[]).await?;
     let mut forwarders = Vec::new();
     let mut files = Vec::new();
-    for (index, mut plan) in plan_services(&SERVICES, per_zone).into_iter().enumerate() {
+    for (index, mut plan) in service_vms(&SERVICES, per_zone).into_iter().enumerate() {
         let file = record_file(deployment.folder(), index, 0);
-        plan.backend_arguments = record_arguments(&file);
+        plan.backend_args = record_arguments(&file);
         let front = SocketAddr::new(deployment.next_ip(), FORWARDER_PORT);
         let advertised = format!("advertised = {front}");
         plan.settings.push(("listen".to_owned(), advertised));
         deployment.add(plan)?;
-        let nodes = deployment.vms[index].nodes();
+        let nodes = deployment.vms[index].nodes_address();
         forwarders.push(Forwarder::spawn(front, nodes).await?);
         files.push(file);
     }
--- a/crates/bench/src/faults_inject.rs
+++ b/crates/bench/src/faults_inject.rs
@@ -1,6 +1,6 @@
 //! Faults that are put into a running fleet, and taken out again.
 
-use crate::deployment::{Deployment, put_service, write_patch};
+use crate::deployment::{Deployment, encode_patch, put_service};
 use crate::error::Error;
 use crate::faults_callers::now_us;
 use crate::faults_forward::{Forwarder, Mode};
@@ -401,7 +401,7 @@
         let file = record_file(self.deployment.folder(), vm, files.len());
         files.push((file.clone(), Vec::new()));
         let server = &mut self.deployment.vms[vm];
-        server.plan.backend_arguments = record_arguments(&file);
+        server.spec.backend_args = record_arguments(&file);
         server.restart_backend()
     }
 
@@ -413,7 +413,7 @@
         for racer in 0..2 {
             let service = format!("race-{}-{racer}", self.races);
             let file = self.deployment.folder().join(format!("{service}.jsonl"));
-            std::fs::write(&file, write_patch(&[put_service(&service)])?)?;
+            std::fs::write(&file, encode_patch(&[put_service(&service)])?)?;
             let (file, base) = (file.display().to_string(), self.races.to_string());
             let arguments = ["propose", &file, "--base", &base, "--platform", &platform];
             let log = self.deployment.folder().join(format!("{service}.log"));
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -18,19 +18,19 @@
 
 /// Latencies of one series, from the intended send times.
 #[derive(Debug, Clone)]
-pub struct Series {
+pub struct LatencySeries {
     histogram: Histogram<u64>,
     /// Calls that got no good answer.
     pub errors: u64,
 }
 
-impl Default for Series {
+impl Default for LatencySeries {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Series {
+impl LatencySeries {
     /// Makes an empty series.
     ///
     /// # Panics
@@ -53,7 +53,7 @@
 
     /// Gives the number of answers.
     #[must_use]
-    pub fn answers(&self) -> u64 {
+    pub fn count(&self) -> u64 {
         self.histogram.len()
     }
 
@@ -66,7 +66,7 @@
 
 /// A call to be sent at a time fixed beforehand.
 #[derive(Debug, Clone)]
-pub struct Planned {
+pub struct PlannedCall {
     /// When, from the start of the run.
     pub at: Duration,
     /// Which series it counts for.
@@ -87,21 +87,21 @@
     /// Time from then to the whole answer.
     pub latency: Duration,
     /// The answer.
-    pub answer: Result<Answer, Error>,
+    pub result: Result<Answer, Error>,
 }
 
 /// Sends every planned call at its time, however late the answers are, and gives what became of them.
-pub async fn send_planned(plan: Vec<Planned>, limit: Duration) -> Vec<Outcome> {
-    send_each(plan, move |planned| async move {
+pub async fn send_planned(plan: Vec<PlannedCall>, limit: Duration) -> Vec<Outcome> {
+    send_planned_with(plan, move |planned| async move {
         planned.caller.send_within(&planned.call, limit).await
     })
     .await
 }
 
 /// As [`send_planned`], with `send` for sending one call.
-pub async fn send_each<F, S>(mut plan: Vec<Planned>, send: F) -> Vec<Outcome>
+pub async fn send_planned_with<F, S>(mut plan: Vec<PlannedCall>, send: F) -> Vec<Outcome>
 where
-    F: Fn(Planned) -> S,
+    F: Fn(PlannedCall) -> S,
     S: Future<Output = Result<Answer, Error>> + Send + 'static,
 {
     plan.sort_by_key(|planned| planned.at);
@@ -120,7 +120,7 @@
                 series,
                 at,
                 latency,
-                answer,
+                result: answer,
             };
             // The receiver lives until every outcome is in.
             let _received = sender.send(outcome);
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -12,11 +12,11 @@
 #[derive(Debug, Clone)]
 enum Command {
     Demo,
-    Path(path::Plot),
-    Converge(converge::Plot),
+    Path(path::Options),
+    Converge(converge::Options),
     Deadly(deadly::Plot),
     Faults(faults::Plot),
-    State(state::Plot),
+    State(state::Options),
     Overload(overload::Plot),
     Rolling(rolling::Plot),
     Soak(soak::Plot),
--- a/crates/bench/src/node.rs
+++ b/crates/bench/src/node.rs
@@ -22,7 +22,7 @@
 /// When it does not answer, or not as a node.
 pub async fn read_status(vm: &Vm) -> Result<Status, Error> {
     let call = Call::get("/v1/status");
-    let answer = Caller::new(vm.operators())
+    let answer = Caller::new(vm.operators_address())
         .send_within(&call, LIMIT)
         .await?;
     serde_json::from_slice(&answer.body).map_err(|error| Error::Unexpected(error.to_string()))
@@ -59,7 +59,7 @@
 /// When it does not answer.
 pub async fn read_metrics(vm: &Vm) -> Result<Metrics, Error> {
     let call = Call::get("/metrics");
-    let answer = Caller::new(vm.operators())
+    let answer = Caller::new(vm.operators_address())
         .send_within(&call, LIMIT)
         .await?;
     let text = String::from_utf8_lossy(&answer.body);
@@ -77,11 +77,14 @@
 ///
 /// When the node does not take it.
 pub async fn announce(vm: &Vm, service: &str) -> Result<(), Error> {
-    let body = serde_json::json!({ "service": service, "address": vm.server(), "slots": 6 });
+    let body =
+        serde_json::json!({ "service": service, "address": vm.backend_address(), "slots": 6 });
     let call = Call::new(Method::PUT, "/v1/announce")
         .header("content-type", "application/json")
         .body(body.to_string().into());
-    let answer = Caller::new(vm.backend()).send_within(&call, LIMIT).await?;
+    let answer = Caller::new(vm.announce_address())
+        .send_within(&call, LIMIT)
+        .await?;
     if answer.status.is_success() {
         Ok(())
     } else {
@@ -104,7 +107,7 @@
 
 /// A version that a node began to serve by, and when, in milliseconds of the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Installed {
+pub struct InstalledVersion {
     /// The version.
     pub version: Version,
     /// When.
@@ -116,16 +119,16 @@
 /// # Errors
 ///
 /// When the log can't be read.
-pub fn read_installed(log: &Path) -> Result<Vec<Installed>, Error> {
+pub fn read_installed(log: &Path) -> Result<Vec<InstalledVersion>, Error> {
     let text = std::fs::read_to_string(log)?;
     Ok(text.lines().filter_map(scan_installed).collect())
 }
 
-fn scan_installed(line: &str) -> Option<Installed> {
+fn scan_installed(line: &str) -> Option<InstalledVersion> {
     let rest = line.split_once("version_installed")?.1;
     let version = rest.split_once("version=")?.1.split_whitespace().next()?;
     let at_ms = scan_time(line.trim_start_matches('[').split_whitespace().next()?)?;
-    Some(Installed {
+    Some(InstalledVersion {
         version: Version(version.parse().ok()?),
         at_ms,
     })
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -6,7 +6,7 @@
 //! bound, with three retries.
 
 use crate::count::to_f64;
-use crate::deployment::{Deployment, Plan, put_route, put_service, send_fault};
+use crate::deployment::{Deployment, VmSpec, put_route, put_service, send_fault};
 use crate::error::Error;
 use crate::load::Outcome;
 use crate::options;
@@ -215,11 +215,11 @@
 
 async fn start() -> Result<Deployment, Error> {
     let plans = (1..=SERVERS).map(|index| {
-        let mut plan = Plan::new(&format!("vm-{index}"), "zone-1", Some("desk"));
+        let mut plan = VmSpec::new(&format!("vm-{index}"), "zone-1", Some("desk"));
         let work = WORK_MS.to_string();
         // The baseline's queue is the backend server's own, and without bound.
         let arguments = ["--work-ms", &work, "--queue", "1000000"];
-        plan.backend_arguments = arguments.map(str::to_owned).to_vec();
+        plan.backend_args = arguments.map(str::to_owned).to_vec();
         plan
     });
     let deployment = Deployment::spawn(plans.collect(), &[]).await?;
@@ -316,7 +316,7 @@
     let [commits, lookups, refreshes] = [COMMITS, LOOKUPS, REFRESHES].map(of);
     Level {
         load,
-        goodput_ratio: to_f64(all.good.answers()) / (CAPACITY * (seconds - 1.0)),
+        goodput_ratio: to_f64(all.good.count()) / (CAPACITY * (seconds - 1.0)),
         commit_share: commits.share(),
         lookup_share: lookups.share(),
         refresh_share: refreshes.share(),
@@ -348,9 +348,9 @@
         })
         .share()
     });
-    let answers = hot.good.answers() + others.good.answers();
+    let answers = hot.good.count() + others.good.count();
     Fairness {
-        hot_caller_share: to_f64(hot.good.answers()) / to_f64(answers.max(1)),
+        hot_caller_share: to_f64(hot.good.count()) / to_f64(answers.max(1)),
         fair_share_min: shares.fold(1.0, f64::min),
         fair_share_mean: others.share(),
     }
@@ -366,11 +366,11 @@
     for factor in [1, 10] {
         tokio::time::sleep(PAUSE).await;
         let fault = format!(r#"{{"slow_factor": {factor}}}"#);
-        send_fault(deployment.vms[0].server(), &fault).await?;
+        send_fault(deployment.vms[0].backend_address(), &fault).await?;
         let outcomes = send_flows(deployment, &flows, entry).await;
         tallies.push(Tally::count(&outcomes, counts));
     }
-    send_fault(deployment.vms[0].server(), r#"{"slow_factor": 1}"#).await?;
+    send_fault(deployment.vms[0].backend_address(), r#"{"slow_factor": 1}"#).await?;
     let slow = Slow {
         healthy_p99_ms: tallies[0].good.quantile_ms(0.99),
         slow_p99_ms: tallies[1].good.quantile_ms(0.99),
--- a/crates/bench/src/overload_calls.rs
+++ b/crates/bench/src/overload_calls.rs
@@ -4,7 +4,7 @@
 use crate::count::to_f64;
 use crate::deployment::Deployment;
 use crate::error::Error;
-use crate::load::{Outcome, Planned, Series, send_each, send_planned};
+use crate::load::{LatencySeries, Outcome, PlannedCall, send_planned, send_planned_with};
 use config::Class;
 use http::Method;
 use rand::Rng;
@@ -64,8 +64,8 @@
 pub async fn send_flows(deployment: &Deployment, flows: &[Flow], entry: Entry) -> Vec<Outcome> {
     let vms = deployment.vms.iter();
     let addresses = vms.map(|vm| match entry {
-        Entry::Nodes => vm.callers(),
-        Entry::Servers => vm.server(),
+        Entry::Nodes => vm.callers_address(),
+        Entry::Servers => vm.backend_address(),
     });
     let places = addresses.map(Caller::new).collect::<Vec<_>>();
     let mut plan = plan_calls(flows, &places);
@@ -77,10 +77,10 @@
     }
 }
 
-async fn send_in_turn(plan: Vec<Planned>, places: Vec<Caller>) -> Vec<Outcome> {
+async fn send_in_turn(plan: Vec<PlannedCall>, places: Vec<Caller>) -> Vec<Outcome> {
     let places = Arc::new(places);
     let turn = Arc::new(AtomicUsize::new(0));
-    send_each(plan, move |planned| {
+    send_planned_with(plan, move |planned| {
         let (places, turn) = (Arc::clone(&places), Arc::clone(&turn));
         async move {
             if planned.series == PROBES {
@@ -113,7 +113,7 @@
 
 /// Plans calls that a backend server answers at once: what the wire and the
 /// machine take meanwhile.
-fn plan_probes(deployment: &Deployment, flows: &[Flow]) -> Vec<Planned> {
+fn plan_probes(deployment: &Deployment, flows: &[Flow]) -> Vec<PlannedCall> {
     let end = flows.iter().map(|flow| flow.span.1).fold(0.0, f64::max);
     let mut planned = Vec::new();
     let mut at = Duration::ZERO;
@@ -121,10 +121,10 @@
         if at.as_secs_f64() >= end {
             break;
         }
-        planned.push(Planned {
+        planned.push(PlannedCall {
             at,
             series: PROBES,
-            caller: Caller::new(vm.server()),
+            caller: Caller::new(vm.backend_address()),
             call: Call::get("/health"),
         });
         at += PROBE_PERIOD;
@@ -133,7 +133,7 @@
 }
 
 /// Draws send times that are independent of each other, as those of many callers are.
-fn plan_calls(flows: &[Flow], places: &[Caller]) -> Vec<Planned> {
+fn plan_calls(flows: &[Flow], places: &[Caller]) -> Vec<PlannedCall> {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut planned = Vec::new();
     for flow in flows {
@@ -144,7 +144,7 @@
                 break;
             }
             let caller = rng.random_range(0..flow.callers.1);
-            planned.push(Planned {
+            planned.push(PlannedCall {
                 at: Duration::from_secs_f64(at),
                 // Callers of a kind have series of their own, one after the other.
                 series: flow.series + caller as usize,
@@ -172,9 +172,9 @@
 #[derive(Debug)]
 pub struct Tally {
     /// Latencies of the answers in time.
-    pub good: Series,
+    pub good: LatencySeries,
     /// Latencies of the refusals.
-    pub refused: Series,
+    pub refused: LatencySeries,
     /// Calls sent.
     pub sent: u64,
     /// Answers after the deadline.
@@ -188,8 +188,8 @@
         F: Fn(&Outcome) -> bool,
     {
         let mut tally = Self {
-            good: Series::new(),
-            refused: Series::new(),
+            good: LatencySeries::new(),
+            refused: LatencySeries::new(),
             sent: 0,
             late: 0,
         };
@@ -201,7 +201,7 @@
 
     fn add(&mut self, outcome: &Outcome) {
         self.sent += 1;
-        let Ok(answer) = &outcome.answer else {
+        let Ok(answer) = &outcome.result else {
             return;
         };
         if !answer.status.is_success() {
@@ -216,6 +216,6 @@
     /// Gives the share of the calls that were answered in time.
     #[must_use]
     pub fn share(&self) -> f64 {
-        to_f64(self.good.answers()) / to_f64(self.sent.max(1))
+        to_f64(self.good.count()) / to_f64(self.sent.max(1))
     }
 }
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -10,9 +10,9 @@
 
 use crate::caller::{Call, Caller};
 use crate::count::to_f64;
-use crate::deployment::{Deployment, Plan, put_route, put_service};
+use crate::deployment::{Deployment, VmSpec, put_route, put_service};
 use crate::error::Error;
-use crate::load::{Planned, Series, send_planned};
+use crate::load::{LatencySeries, PlannedCall, send_planned};
 use crate::options;
 use crate::process::Usage;
 use bpaf::{Parser, construct, long};
@@ -23,7 +23,7 @@
 
 /// What to measure.
 #[derive(Debug, Clone)]
-pub struct Plot {
+pub struct Options {
     /// Calls a second of each series and VM.
     pub rate: u32,
     /// How long.
@@ -101,7 +101,7 @@
 
 /// Reads what to measure from the command line.
 #[must_use]
-pub fn parse() -> impl Parser<Plot> {
+pub fn parse() -> impl Parser<Options> {
     let rate = long("rate")
         .help("Calls a second of each series and VM")
         .argument::<u32>("RATE")
@@ -125,7 +125,7 @@
         .guard(|turns| (1..=100).contains(turns), "between 1 and 100")
         .fallback(5)
         .display_fallback();
-    construct!(Plot {
+    construct!(Options {
         rate,
         duration,
         vms,
@@ -139,7 +139,7 @@
 /// # Errors
 ///
 /// When a program can't be started, or the fleet doesn't come to serve.
-pub async fn run(plot: &Plot) -> Result<Report, Error> {
+pub async fn run(plot: &Options) -> Result<Report, Error> {
     let deployment = start(plot, Path::new("")).await?;
     measure(&deployment, plot).await
 }
@@ -149,7 +149,7 @@
 /// # Errors
 ///
 /// When a program can't be started, or a fleet doesn't come to serve.
-pub async fn run_pair(plot: &Plot, against: &Path) -> Result<Pair, Error> {
+pub async fn run_pair(plot: &Options, against: &Path) -> Result<Pair, Error> {
     let here = start(plot, Path::new("")).await?;
     let there = start(plot, against).await?;
     let mut turns = Vec::new();
@@ -172,7 +172,7 @@
     Ok(compare(&turns))
 }
 
-async fn start(plot: &Plot, programs: &Path) -> Result<Deployment, Error> {
+async fn start(plot: &Options, programs: &Path) -> Result<Deployment, Error> {
     let plans = (0..plot.vms).map(plan_vm).collect();
     let deployment = Deployment::spawn_from(programs, plans, &[]).await?;
     deployment.propose(&plan_changes(plot.vms), 0)?;
@@ -185,13 +185,17 @@
     Ok(deployment)
 }
 
-async fn measure(deployment: &Deployment, plot: &Plot) -> Result<Report, Error> {
+async fn measure(deployment: &Deployment, plot: &Options) -> Result<Report, Error> {
     let before = read_usage(deployment)?;
     let outcomes = send_planned(plan_calls(deployment, plot, plot.duration), CALL_LIMIT).await;
     let after = read_usage(deployment)?;
-    let mut series = [Series::new(), Series::new(), Series::new()];
+    let mut series = [
+        LatencySeries::new(),
+        LatencySeries::new(),
+        LatencySeries::new(),
+    ];
     for outcome in outcomes {
-        match outcome.answer {
+        match outcome.result {
             Ok(answer) if answer.status.is_success() => {
                 series[outcome.series].record(outcome.latency);
             }
@@ -199,11 +203,12 @@
         }
     }
     let mut report = report(&series);
-    let spent = after.processor.saturating_sub(before.processor);
-    let through = to_f64((series[LOCAL].answers() + series[REMOTE].answers()).max(1));
+    let spent = after.cpu_time.saturating_sub(before.cpu_time);
+    let through = to_f64((series[LOCAL].count() + series[REMOTE].count()).max(1));
     report.node_cpu_us_a_call = spent.as_secs_f64() * 1e6 / through;
-    report.node_switches_a_call = to_f64(after.switches - before.switches) / through;
-    report.node_rss_mb_max = to_f64(after.resident) / f64::from(1 << 20);
+    report.node_switches_a_call =
+        to_f64(after.voluntary_switches - before.voluntary_switches) / through;
+    report.node_rss_mb_max = to_f64(after.resident_bytes) / f64::from(1 << 20);
     Ok(report)
 }
 
@@ -237,23 +242,23 @@
 /// Gives the processor time of all nodes, and the largest resident memory of one.
 fn read_usage(deployment: &Deployment) -> Result<Usage, Error> {
     let mut all = Usage {
-        resident: 0,
-        processor: Duration::ZERO,
-        switches: 0,
+        resident_bytes: 0,
+        cpu_time: Duration::ZERO,
+        voluntary_switches: 0,
     };
     for vm in &deployment.vms {
         let one = vm.node.usage()?;
-        all.processor += one.processor;
-        all.switches += one.switches;
-        all.resident = all.resident.max(one.resident);
+        all.cpu_time += one.cpu_time;
+        all.voluntary_switches += one.voluntary_switches;
+        all.resident_bytes = all.resident_bytes.max(one.resident_bytes);
     }
     Ok(all)
 }
 
-fn plan_vm(index: usize) -> Plan {
+fn plan_vm(index: usize) -> VmSpec {
     let service = format!("service-{index}");
-    let mut plan = Plan::new(&format!("vm-{index}"), "zone-1", Some(&service));
-    plan.backend_arguments = vec!["--work-ms".to_owned(), "0".to_owned()];
+    let mut plan = VmSpec::new(&format!("vm-{index}"), "zone-1", Some(&service));
+    plan.backend_args = vec!["--work-ms".to_owned(), "0".to_owned()];
     plan
 }
 
@@ -269,12 +274,16 @@
     changes
 }
 
-fn plan_calls(deployment: &Deployment, plot: &Plot, duration: Duration) -> Vec<Planned> {
+fn plan_calls(deployment: &Deployment, plot: &Options, duration: Duration) -> Vec<PlannedCall> {
     let period = Duration::from_secs(1) / plot.rate;
     let mut planned = Vec::new();
     for (index, vm) in deployment.vms.iter().enumerate() {
         let other = &deployment.vms[(index + 1) % deployment.vms.len()];
-        let entries = [vm.server(), vm.callers(), other.callers()];
+        let entries = [
+            vm.backend_address(),
+            vm.callers_address(),
+            other.callers_address(),
+        ];
         for (series, address) in entries.into_iter().enumerate() {
             let caller = Caller::new(address);
             let call = Call::get(&format!("/service-{index}/item"));
@@ -284,7 +293,7 @@
                 / u32::try_from(deployment.vms.len() * entries.len()).unwrap_or(1);
             let mut at = offset;
             while at < duration {
-                planned.push(Planned {
+                planned.push(PlannedCall {
                     at,
                     series,
                     caller: caller.clone(),
@@ -297,7 +306,7 @@
     planned
 }
 
-fn report(series: &[Series; 3]) -> Report {
+fn report(series: &[LatencySeries; 3]) -> Report {
     let p50 = |index: usize| series[index].quantile_ms(0.5);
     let p99 = |index: usize| series[index].quantile_ms(0.99);
     Report {
@@ -312,7 +321,7 @@
         node_cpu_us_a_call: 0.0,
         node_switches_a_call: 0.0,
         node_rss_mb_max: 0.0,
-        calls: series.iter().map(Series::answers).sum(),
+        calls: series.iter().map(LatencySeries::count).sum(),
         errors: series.iter().map(|one| one.errors).sum(),
     }
 }
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -30,11 +30,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Usage {
     /// Resident memory, in bytes.
-    pub resident: u64,
+    pub resident_bytes: u64,
     /// Processor time since its start.
-    pub processor: Duration,
+    pub cpu_time: Duration,
     /// Times that one of its threads gave the processor up since its start.
-    pub switches: u64,
+    pub voluntary_switches: u64,
 }
 
 impl Process {
@@ -129,12 +129,12 @@
         let (ticks, resident) =
             usage.ok_or_else(|| Error::Unexpected("unreadable process status".to_owned()))?;
         Ok(Usage {
-            resident,
-            processor: self.read_scheduled().unwrap_or_else(|| {
+            resident_bytes: resident,
+            cpu_time: self.read_scheduled().unwrap_or_else(|| {
                 // The kernel may not keep nanoseconds.
                 Duration::from_secs_f64(ticks / TICKS_PER_SECOND)
             }),
-            switches: self.count_switches()?,
+            voluntary_switches: self.count_switches()?,
         })
     }
 
@@ -205,7 +205,7 @@
     if path.is_file() {
         Ok(path)
     } else {
-        Err(Error::Missing(path))
+        Err(Error::ProgramNotFound(path))
     }
 }
 
--- a/crates/bench/src/proposer.rs
+++ b/crates/bench/src/proposer.rs
@@ -52,7 +52,7 @@
     pub async fn propose_services(&mut self, count: usize) -> Result<(), Error> {
         let mut changes = Vec::new();
         for index in 0..count {
-            let name = name_service(index);
+            let name = service_name(index);
             changes.push(put_service(&name));
             let prefix = format!("/{name}");
             changes.push(put_route(&prefix, &name, Class::Lookup, Repeat::ByMethod));
@@ -96,7 +96,7 @@
 
 /// Names a service of the first configuration.
 #[must_use]
-pub fn name_service(index: usize) -> String {
+pub fn service_name(index: usize) -> String {
     format!("service-{index}")
 }
 
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -12,7 +12,7 @@
 
 /// A running forwarder.
 #[derive(Debug)]
-pub struct Handle {
+pub struct Relay {
     /// Where it listens.
     pub address: SocketAddr,
     silent: watch::Sender<bool>,
@@ -23,17 +23,17 @@
 /// # Errors
 ///
 /// When no address is free.
-pub async fn bind(target: SocketAddr) -> io::Result<Handle> {
+pub async fn bind(target: SocketAddr) -> io::Result<Relay> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
     let (silent, silence) = watch::channel(false);
     tokio::spawn(accept(listener, target, silence));
-    Ok(Handle { address, silent })
+    Ok(Relay { address, silent })
 }
 
-impl Handle {
+impl Relay {
     /// Holds all bytes back, on open connections and new ones, or lets them go on.
-    pub fn set_silent(&self, is_silent: bool) {
+    pub fn set_stalled(&self, is_silent: bool) {
         self.silent.send_replace(is_silent);
     }
 }
--- a/crates/bench/src/rolling.rs
+++ b/crates/bench/src/rolling.rs
@@ -5,7 +5,7 @@
 //! nothing was sent. Every other call that gets no whole answer is lost.
 
 use crate::caller::{Call, Caller};
-use crate::deployment::{Deployment, Vm, plan_services};
+use crate::deployment::{Deployment, Vm, service_vms};
 use crate::error::Error;
 use crate::faults::{SERVICES, serve_all};
 use crate::faults_callers::{Notes, describe, now_us, read};
@@ -216,9 +216,9 @@
 async fn spawn() -> Result<Target, Error> {
     let mut deployment = Deployment::spawn(Vec::new(), &[]).await?;
     let mut files = Vec::new();
-    for (index, mut plan) in plan_services(&SERVICES, 1).into_iter().enumerate() {
+    for (index, mut plan) in service_vms(&SERVICES, 1).into_iter().enumerate() {
         let file = record_file(deployment.folder(), index, 0);
-        plan.backend_arguments = record_arguments(&file);
+        plan.backend_args = record_arguments(&file);
         deployment.add(plan)?;
         files.push(file);
     }
@@ -250,7 +250,7 @@
 where
     F: Fn(&Value) -> bool,
 {
-    let operators = Caller::new(vm.operators());
+    let operators = Caller::new(vm.operators_address());
     let call = Call::get("/v1/status");
     let start = Instant::now();
     while start.elapsed() < READY_LIMIT {
@@ -263,7 +263,7 @@
         }
         tokio::time::sleep(POLL).await;
     }
-    Err(Error::Timeout(format!("{} to serve", vm.plan.name)))
+    Err(Error::Timeout(format!("{} to serve", vm.spec.name)))
 }
 
 /// Tells whether the own backend server serves.
@@ -290,7 +290,7 @@
         let callers: Arc<[Caller]> = deployment
             .vms
             .iter()
-            .map(|vm| Caller::new(vm.callers()))
+            .map(|vm| Caller::new(vm.callers_address()))
             .collect();
         let notes = Notes::default();
         let ending = Arc::new(AtomicBool::new(false));
--- a/crates/bench/src/soak.rs
+++ b/crates/bench/src/soak.rs
@@ -198,7 +198,12 @@
     let target = spawn(head.map_or(plot.per_zone, |head| head.per_zone)).await?;
     let notes = Notes::default();
     let end = Instant::now() + plot.duration;
-    let addresses: Vec<_> = target.deployment.vms.iter().map(Vm::callers).collect();
+    let addresses: Vec<_> = target
+        .deployment
+        .vms
+        .iter()
+        .map(Vm::callers_address)
+        .collect();
     let ends = Arc::new(AtomicBool::new(false));
     let is_planned = plan.is_some();
     let goes_on = {
--- a/crates/bench/src/soak_left.rs
+++ b/crates/bench/src/soak_left.rs
@@ -99,7 +99,7 @@
                     let name = format!("bluebellpick_stop_waits{{kind=\"{kind}\"}}");
                     let held = metrics.get(&name) > 0.0;
                     if held && start.elapsed() > ENDED {
-                        eprintln!("violation: {} still holds {kind}", vm.plan.name);
+                        eprintln!("violation: {} still holds {kind}", vm.spec.name);
                     }
                     unended += usize::from(held);
                 }
--- a/crates/bench/src/soak_storm.rs
+++ b/crates/bench/src/soak_storm.rs
@@ -145,7 +145,7 @@
         self.deadly_count += 1;
         let name = format!("{kind:?}-{}", self.deadly_count).to_lowercase();
         let vms = &self.target.deployment.vms;
-        let addresses = vms.iter().map(Vm::callers).collect();
+        let addresses = vms.iter().map(Vm::callers_address).collect();
         let series = Series { kind, name };
         self.deadly.push(tokio::spawn(series.send(addresses, end)));
     }
@@ -254,7 +254,7 @@
                 continue;
             }
             if !vm.node.was_ended_by(Signal::HUP) {
-                eprintln!("violation: {} ended by itself", vm.plan.name);
+                eprintln!("violation: {} ended by itself", vm.spec.name);
                 self.ended += 1;
             }
             vm.restart_node()?;
@@ -359,7 +359,7 @@
         for vm in &self.target.deployment.vms {
             let sockets = list_half_closed(vm.node.id())?;
             if !sockets.is_empty() {
-                let (name, count) = (&vm.plan.name, sockets.len());
+                let (name, count) = (&vm.spec.name, sockets.len());
                 eprintln!("violation: {name} holds {count} half-closed sockets");
                 eprintln!(
                     "half closed, by ports here and there: {}",
@@ -393,7 +393,7 @@
         let deployment = &self.target.deployment;
         let platform = deployment.platform_address.to_string();
         let arguments = ["log", "--limit=1", "--json", "--platform", &platform];
-        let (_, output) = deployment.operate(&arguments, SERVED)?;
+        let (_, output) = deployment.run_cli(&arguments, SERVED)?;
         let unexpected = || Error::Unexpected(format!("log: {output}"));
         let listed: serde_json::Value =
             serde_json::from_str(&output).map_err(|_no_json| unexpected())?;
@@ -416,7 +416,7 @@
             if let Ok(metrics) = read_metrics(vm).await {
                 let reverts = metrics.get("bluebellpick_config_reverts_total");
                 if reverts > 0.0 {
-                    eprintln!("violation: {} was offered an older view", vm.plan.name);
+                    eprintln!("violation: {} was offered an older view", vm.spec.name);
                     self.reverts += 1;
                 }
             }
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -3,11 +3,11 @@
 //! One real node is fed by a link of this tool's, which plays a child that
 //! knows the whole fleet, while further links play children that are relayed to.
 
-use crate::deployment::{Deployment, Plan, put_route};
+use crate::deployment::{Deployment, VmSpec, put_route};
 use crate::error::Error;
 use crate::node;
 use crate::options;
-use crate::proposer::{Proposer, name_service};
+use crate::proposer::{Proposer, service_name};
 use bpaf::{Parser, construct, long};
 use config::{Class, Endpoint, Repeat, State, Version};
 use serde::Serialize;
@@ -52,7 +52,7 @@
 
 /// What to measure.
 #[derive(Debug, Clone, Copy)]
-pub struct Plot {
+pub struct Options {
     /// Services, and routes, of the configuration.
     pub services: usize,
     /// Endpoints of the fleet.
@@ -92,7 +92,7 @@
 
 /// Reads what to measure from the command line.
 #[must_use]
-pub fn parse() -> impl Parser<Plot> {
+pub fn parse() -> impl Parser<Options> {
     let services = options::parse_services();
     let endpoints = long("endpoints")
         .help("Endpoints of the fleet")
@@ -118,7 +118,7 @@
         .fallback(1.0)
         .display_fallback();
     let duration = options::parse_seconds(30);
-    construct!(Plot {
+    construct!(Options {
         services,
         endpoints,
         children,
@@ -132,18 +132,18 @@
 /// # Errors
 ///
 /// When a program can't be started or the state doesn't arrive.
-pub async fn run(plot: Plot) -> Result<Report, Error> {
-    let plans = vec![Plan::new("vm-0", "zone-1", None)];
+pub async fn run(plot: Options) -> Result<Report, Error> {
+    let plans = vec![VmSpec::new("vm-0", "zone-1", None)];
     let deployment = Deployment::spawn(plans, &[]).await?;
     let vm = &deployment.vms[0];
     let mut proposer = Proposer::open(deployment.platform_address);
     proposer.propose_services(1).await?;
     wait(|| async { Ok(node::read_status(vm).await?.version == proposer.version) }).await?;
-    let empty = vm.node.usage()?.resident;
+    let empty = vm.node.usage()?.resident_bytes;
     proposer.propose_services(plot.services).await?;
     let mut links = Vec::new();
     for index in 0..=plot.children {
-        links.push(join(vm.nodes(), index).await?);
+        links.push(join(vm.nodes_address(), index).await?);
     }
     let feeder = Arc::clone(&links[0]);
     let mut endpoints: Vec<_> = (0..plot.endpoints)
@@ -165,7 +165,7 @@
     let announcements = churn(plot, &feeder, &mut endpoints, &mut proposer).await?;
     let elapsed = begun.elapsed().as_secs_f64();
     let (after, total) = (vm.node.usage()?, node::read_metrics(vm).await?);
-    let processor = after.processor.saturating_sub(before.processor);
+    let processor = after.cpu_time.saturating_sub(before.cpu_time);
     let sum = |metrics: &node::Metrics| metrics.control_received() + metrics.control_sent();
     Ok(Report {
         services: plot.services,
@@ -175,7 +175,7 @@
         versions: proposer.proposed.len(),
         announcements,
         node_rss_empty_mb: to_mb(empty),
-        node_rss_mb: to_mb(after.resident),
+        node_rss_mb: to_mb(after.resident_bytes),
         node_cpu_pct: 100.0 * processor.as_secs_f64() / elapsed,
         control_bytes_s: (sum(&total) - sum(&bytes)) / elapsed,
     })
@@ -183,7 +183,7 @@
 
 /// Sends announcements and proposes versions at the rates of 14,000 nodes times the speed.
 async fn churn(
-    plot: Plot,
+    plot: Options,
     feeder: &Arc<Mutex<OwnedWriteHalf>>,
     endpoints: &mut [Endpoint],
     proposer: &mut Proposer,
@@ -215,8 +215,8 @@
         }
         if f64::from(versions) < version_rate * elapsed {
             let index = usize::try_from(versions).unwrap_or(0) % plot.services;
-            let other = name_service((index + 1) % plot.services);
-            let prefix = format!("/{}", name_service(index));
+            let other = service_name((index + 1) % plot.services);
+            let prefix = format!("/{}", service_name(index));
             let change = put_route(&prefix, &other, Class::Refresh, Repeat::ByMethod);
             proposer.propose(vec![change]).await?;
             versions += 1;
@@ -241,7 +241,7 @@
         incarnation: rand::random(),
         started_ms: 1_790_000_000_000,
         sequence: 1,
-        service: name_service(index % services).into(),
+        service: service_name(index % services).into(),
         version: "".into(),
         zone: format!("zone-{}", index % 15).into(),
         region: format!("region-{}", index % 4).into(),
