--- a/crates/bench/src/deadly.rs
+++ b/crates/bench/src/deadly.rs
@@ -43,7 +43,7 @@
 
 /// What to try.
 #[derive(Debug, Clone)]
-pub struct Plot {
+pub struct Options {
     /// VMs in each of three zones, all of one service.
     pub per_zone: usize,
     /// Calls a second that are not deadly, at all nodes together.
@@ -90,7 +90,7 @@
 
 /// Reads what to try from the command line.
 #[must_use]
-pub fn parse() -> impl Parser<Plot> {
+pub fn parse() -> impl Parser<Options> {
     let per_zone = long("per-zone")
         .help("VMs in each of three zones, all of one service")
         .argument::<usize>("COUNT")
@@ -113,7 +113,7 @@
         .help("Folder of the programs, such as those of another build")
         .argument::<PathBuf>("FOLDER")
         .fallback(PathBuf::new());
-    construct!(Plot {
+    construct!(Options {
         per_zone,
         rate,
         kind,
@@ -127,8 +127,8 @@
 /// # Errors
 ///
 /// When a program can't be started, or the fleet doesn't come to serve.
-pub async fn run(plot: Plot) -> Result<Report, Error> {
-    let mut target = spawn(plot.per_zone, &plot.programs).await?;
+pub async fn run(options: Options) -> Result<Report, Error> {
+    let mut target = spawn(options.per_zone, &options.programs).await?;
     let addresses: Vec<_> = target
         .deployment
         .vms
@@ -140,14 +140,14 @@
         .map(|address| Caller::new(*address))
         .collect();
     let start = Instant::now();
-    let (begin, end) = (start + BEFORE, start + BEFORE + plot.duration);
+    let (begin, end) = (start + BEFORE, start + BEFORE + options.duration);
     let stop = end + AFTER;
     let notes = Notes::default();
-    let load = tokio::spawn(send_load(callers, plot.rate, stop, Arc::clone(&notes)));
+    let load = tokio::spawn(send_load(callers, options.rate, stop, Arc::clone(&notes)));
     supervise(&mut target, begin).await?;
     let begin_us = now_us();
     let series = Series {
-        kind: plot.kind,
+        kind: options.kind,
         name: "one".to_owned(),
     };
     let deadly = tokio::spawn(series.send(addresses, end));
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -38,7 +38,7 @@
 
 /// What to try.
 #[derive(Debug, Clone, Copy)]
-pub struct Plot {
+pub struct Options {
     /// Seed of all that is drawn.
     pub seed: u64,
     /// How long.
@@ -70,13 +70,13 @@
 
 /// Reads what to try from the command line.
 #[must_use]
-pub fn parse() -> impl Parser<Plot> {
+pub fn parse() -> impl Parser<Options> {
     let seed = options::parse_seed();
     let duration = options::parse_seconds(60);
     let rolling = long("rolling")
         .help("Restart every node and backend server in turn instead, which must cut nothing off")
         .switch();
-    construct!(Plot {
+    construct!(Options {
         seed,
         duration,
         rolling
@@ -88,21 +88,25 @@
 /// # Errors
 ///
 /// When a program can't be started, or the fleet doesn't come to serve.
-pub async fn run(plot: Plot) -> Result<Report, Error> {
+pub async fn run(options: Options) -> Result<Report, Error> {
     let mut target = spawn(1).await?;
     let notes = Notes::default();
-    let end = Instant::now() + plot.duration;
+    let end = Instant::now() + options.duration;
     let addresses: Vec<_> = target
         .deployment
         .vms
         .iter()
         .map(Vm::callers_address)
         .collect();
-    let callers =
-        faults_callers::spawn(plot.seed, &addresses, move || Instant::now() < end, &notes);
-    let mut harm = Harm::new(plot.seed);
+    let callers = faults_callers::spawn(
+        options.seed,
+        &addresses,
+        move || Instant::now() < end,
+        &notes,
+    );
+    let mut harm = Harm::new(options.seed);
     while Instant::now() + SETTLE < end {
-        if plot.rolling {
+        if options.rolling {
             harm.restart_all(&mut target, end).await?;
         } else {
             harm.go_on(&mut target).await?;
@@ -120,7 +124,7 @@
         eprintln!("{line}");
     }
     Ok(Report {
-        seed: plot.seed,
+        seed: options.seed,
         verdict,
         faults_injected: harm.injected,
     })
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -14,12 +14,12 @@
     Demo,
     Path(path::Options),
     Converge(converge::Options),
-    Deadly(deadly::Plot),
-    Faults(faults::Plot),
+    Deadly(deadly::Options),
+    Faults(faults::Options),
     State(state::Options),
-    Overload(overload::Plot),
-    Rolling(rolling::Plot),
-    Soak(soak::Plot),
+    Overload(overload::Options),
+    Rolling(rolling::Options),
+    Soak(soak::Options),
 }
 
 fn parse_command() -> impl Parser<Command> {
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -21,7 +21,7 @@
 
 /// What to run.
 #[derive(Debug, Clone, Copy)]
-pub struct Plot {
+pub struct Options {
     /// How long each series of calls goes on.
     pub duration: Duration,
     /// The one part to run, or all.
@@ -43,13 +43,13 @@
 
 /// Reads what to run.
 #[must_use]
-pub fn parse() -> impl Parser<Plot> {
+pub fn parse() -> impl Parser<Options> {
     let duration = options::parse_seconds(5);
     let only = long("only")
         .help("Run just this part: levels, fairness, slow or burst")
         .argument::<Part>("PART")
         .optional();
-    construct!(Plot { duration, only })
+    construct!(Options { duration, only })
 }
 
 impl FromStr for Part {
@@ -175,10 +175,10 @@
 /// # Errors
 ///
 /// When a program can't be started, or the fleet doesn't come to serve.
-pub async fn run(plot: Plot) -> Result<Report, Error> {
+pub async fn run(options: Options) -> Result<Report, Error> {
     let deployment = start().await?;
-    let seconds = plot.duration.as_secs_f64();
-    let wants = |part| plot.only.is_none_or(|only| only == part);
+    let seconds = options.duration.as_secs_f64();
+    let wants = |part| options.only.is_none_or(|only| only == part);
     let warm = [
         flow(LOOKUPS, 0.5, (0.0, 3.0)),
         flow(COMMITS, 0.1, (0.0, 3.0)),
--- a/crates/bench/src/rolling.rs
+++ b/crates/bench/src/rolling.rs
@@ -52,7 +52,7 @@
 
 /// What to try.
 #[derive(Debug, Clone)]
-pub struct Plot {
+pub struct Options {
     /// Seed of all that the callers draw.
     pub seed: u64,
     /// Calls a second at each node.
@@ -115,7 +115,7 @@
 
 /// Reads what to try from the command line.
 #[must_use]
-pub fn parse() -> impl Parser<Plot> {
+pub fn parse() -> impl Parser<Options> {
     let seed = long("seed")
         .help("Seed of all that the callers draw")
         .argument::<u64>("SEED")
@@ -144,7 +144,7 @@
             0 => vec![Round::Vm, Round::Node],
             _ => rounds,
         });
-    construct!(Plot {
+    construct!(Options {
         seed,
         rate,
         vms,
@@ -157,14 +157,14 @@
 /// # Errors
 ///
 /// When a program can't be started, or does not stop or serve in time.
-pub async fn run(plot: Plot) -> Result<Report, Error> {
+pub async fn run(options: Options) -> Result<Report, Error> {
     let mut target = spawn().await?;
     let from_us = now_us();
-    let load = Load::spawn(&target.deployment, &plot);
+    let load = Load::spawn(&target.deployment, &options);
     tokio::time::sleep(MARGIN).await;
     let mut took = Vec::new();
-    let vms = target.deployment.vms.len().min(plot.vms);
-    for round in &plot.rounds {
+    let vms = target.deployment.vms.len().min(options.vms);
+    for round in &options.rounds {
         for vm in 0..vms {
             let start = Instant::now();
             restart(&mut target, *round, vm).await?;
@@ -286,7 +286,7 @@
 }
 
 impl Load {
-    fn spawn(deployment: &Deployment, plot: &Plot) -> Self {
+    fn spawn(deployment: &Deployment, options: &Options) -> Self {
         let callers: Arc<[Caller]> = deployment
             .vms
             .iter()
@@ -299,11 +299,11 @@
             let pacer = Pacer {
                 node,
                 callers: Arc::clone(&callers),
-                rng: SmallRng::seed_from_u64(plot.seed.wrapping_add(node as u64)),
+                rng: SmallRng::seed_from_u64(options.seed.wrapping_add(node as u64)),
                 notes: notes.clone(),
                 ending: Arc::clone(&ending),
             };
-            pacers.spawn(pacer.run(Duration::from_secs(1) / plot.rate.max(1)));
+            pacers.spawn(pacer.run(Duration::from_secs(1) / options.rate.max(1)));
         }
         Self {
             notes,
--- a/crates/bench/src/soak.rs
+++ b/crates/bench/src/soak.rs
@@ -13,7 +13,7 @@
 use crate::faults_history::Verdict;
 use crate::options;
 use crate::soak_plan::{Head, Plan};
-use crate::soak_storm::Storm;
+use crate::soak_runner::Storm;
 use bpaf::{Parser, construct, long};
 use serde::Serialize;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
 
 /// What to try.
 #[derive(Debug, Clone)]
-pub struct Plot {
+pub struct Options {
     /// Seed of all that is drawn.
     pub seed: u64,
     /// How long.
@@ -100,7 +100,7 @@
 
 /// Reads what to try from the command line.
 #[must_use]
-pub fn parse() -> impl Parser<Plot> {
+pub fn parse() -> impl Parser<Options> {
     let seed = options::parse_seed();
     let per_zone = long("per-zone")
         .help("VMs of each of three services in each of three zones")
@@ -142,7 +142,7 @@
     let shrink = long("shrink")
         .help("Leave faults out of the plan as long as one of --repeat runs of it fails")
         .switch();
-    construct!(Plot {
+    construct!(Options {
         seed,
         per_zone,
         keep,
@@ -157,7 +157,7 @@
     })
 }
 
-impl Plot {
+impl Options {
     /// Gives the plan to play, if the faults are not drawn as time goes by.
     ///
     /// # Errors
@@ -188,16 +188,16 @@
 ///
 /// When a program can't be started, the fleet doesn't come to serve at first, or the
 /// plan can't be read.
-pub async fn run(plot: Plot) -> Result<Report, Error> {
-    let plan = plot.find_plan()?;
-    if let Some((plan, file)) = plan.as_ref().zip(plot.write_plan.as_ref()) {
+pub async fn run(options: Options) -> Result<Report, Error> {
+    let plan = options.find_plan()?;
+    if let Some((plan, file)) = plan.as_ref().zip(options.write_plan.as_ref()) {
         plan.write(file)?;
     }
     let head = plan.as_ref().map(|plan| plan.head);
-    let seed = head.map_or(plot.seed, |head| head.seed);
-    let target = spawn(head.map_or(plot.per_zone, |head| head.per_zone)).await?;
+    let seed = head.map_or(options.seed, |head| head.seed);
+    let target = spawn(head.map_or(options.per_zone, |head| head.per_zone)).await?;
     let notes = Notes::default();
-    let end = Instant::now() + plot.duration;
+    let end = Instant::now() + options.duration;
     let addresses: Vec<_> = target
         .deployment
         .vms
@@ -228,7 +228,7 @@
         Err(error) => Err(error),
     };
     let is_clean = report.as_ref().is_ok_and(Report::is_clean);
-    if let Some(folder) = plot.keep.filter(|_| !is_clean) {
+    if let Some(folder) = options.keep.filter(|_| !is_clean) {
         copy_files(storm.target.deployment.folder(), &folder)?;
     }
     report
--- a/crates/bench/src/soak_repeat.rs
+++ b/crates/bench/src/soak_repeat.rs
@@ -2,7 +2,7 @@
 
 use crate::error::Error;
 use crate::process::Process;
-use crate::soak::Plot;
+use crate::soak::Options;
 use crate::soak_plan::Plan;
 use rustix::process::Signal;
 use serde::Serialize;
@@ -48,19 +48,19 @@
     }
 }
 
-/// Runs a soak as often as the plot says, and counts what was violated.
+/// Runs a soak as often as the options says, and counts what was violated.
 ///
 /// # Errors
 ///
 /// When a run can't be started.
-pub async fn run(plot: &Plot) -> Result<Tally, Error> {
+pub async fn run(options: &Options) -> Result<Tally, Error> {
     let folder = tempfile::Builder::new().prefix("soaks-").tempdir()?;
     let mut tally = Tally::default();
     let mut running: Vec<Run> = Vec::new();
     let mut started = 0;
-    while started < plot.repeat || !running.is_empty() {
-        while started < plot.repeat && running.len() < plot.jobs {
-            running.push(start(plot, started, folder.path())?);
+    while started < options.repeat || !running.is_empty() {
+        while started < options.repeat && running.len() < options.jobs {
+            running.push(start(options, started, folder.path())?);
             started += 1;
         }
         tokio::time::sleep(POLL).await;
@@ -68,7 +68,7 @@
             if run.process.is_running() {
                 running.push(run);
             } else {
-                tally.add(plot, &mut run)?;
+                tally.add(options, &mut run)?;
             }
         }
     }
@@ -77,7 +77,7 @@
 
 impl Tally {
     /// Takes in a run that has ended, and tells of it.
-    fn add(&mut self, plot: &Plot, run: &mut Run) -> Result<(), Error> {
+    fn add(&mut self, options: &Options, run: &mut Run) -> Result<(), Error> {
         let is_clean = run.process.wait(POLL)?.success();
         self.runs += 1;
         self.failed += usize::from(!is_clean);
@@ -90,12 +90,12 @@
         kinds.sort();
         kinds.dedup();
         let state = if is_clean { "clean" } else { "failed" };
-        let (done, all, seed) = (self.runs, plot.repeat, run.seed);
+        let (done, all, seed) = (self.runs, options.repeat, run.seed);
         eprintln!("{done} of {all}: seed {seed} {state} {}", kinds.join("; "));
         for kind in kinds {
             *self.violations.entry(kind).or_default() += 1;
         }
-        if let Some(keep) = plot.keep.as_ref().filter(|_| !is_clean) {
+        if let Some(keep) = options.keep.as_ref().filter(|_| !is_clean) {
             let folder = keep.join(format!("run-{}", run.number));
             std::fs::create_dir_all(&folder)?;
             std::fs::copy(&run.process.log, folder.join("trace"))?;
@@ -111,25 +111,25 @@
     words.take(WORDS).collect::<Vec<_>>().join(" ")
 }
 
-fn start(plot: &Plot, number: usize, folder: &Path) -> Result<Run, Error> {
-    let seed = if plot.next_seeds {
-        plot.seed + number as u64
+fn start(options: &Options, number: usize, folder: &Path) -> Result<Run, Error> {
+    let seed = if options.next_seeds {
+        options.seed + number as u64
     } else {
-        plot.seed
+        options.seed
     };
     let mut arguments = vec![
         "soak".to_owned(),
         format!("--seed={seed}"),
-        format!("--seconds={}", plot.duration.as_secs()),
-        format!("--per-zone={}", plot.per_zone),
+        format!("--seconds={}", options.duration.as_secs()),
+        format!("--per-zone={}", options.per_zone),
     ];
-    if plot.planned {
+    if options.planned {
         arguments.push("--planned".to_owned());
     }
-    if let Some(plan) = &plot.plan {
+    if let Some(plan) = &options.plan {
         arguments.push(format!("--plan={}", plan.display()));
     }
-    if let Some(keep) = &plot.keep {
+    if let Some(keep) = &options.keep {
         let folder = keep.join(format!("run-{number}"));
         arguments.push(format!("--keep={}", folder.display()));
     }
@@ -147,11 +147,11 @@
 /// # Errors
 ///
 /// When there is no plan, it doesn't fail, or a run can't be started.
-pub async fn shrink(plot: &Plot) -> Result<Tally, Error> {
+pub async fn shrink(options: &Options) -> Result<Tally, Error> {
     let missing = || Error::Unexpected("--shrink wants --plan or --planned".to_owned());
-    let mut plan = plot.find_plan()?.ok_or_else(missing)?;
+    let mut plan = options.find_plan()?.ok_or_else(missing)?;
     let file = tempfile::Builder::new().prefix("plan-").tempfile()?;
-    let mut last = play(plot, &plan, file.path()).await?;
+    let mut last = play(options, &plan, file.path()).await?;
     if last.failed == 0 {
         return Err(Error::Unexpected("the plan does not fail".to_owned()));
     }
@@ -160,12 +160,12 @@
         let mut start = 0;
         while start < plan.events.len() {
             let shorter = plan.without(start, start + size);
-            let tally = play(plot, &shorter, file.path()).await?;
+            let tally = play(options, &shorter, file.path()).await?;
             if tally.failed > 0 {
                 plan = shorter;
                 last = tally;
                 eprintln!("{} events still fail", plan.events.len());
-                if let Some(kept) = &plot.write_plan {
+                if let Some(kept) = &options.write_plan {
                     plan.write(kept)?;
                 }
             } else {
@@ -177,12 +177,12 @@
     Ok(last)
 }
 
-async fn play(plot: &Plot, plan: &Plan, file: &Path) -> Result<Tally, Error> {
+async fn play(options: &Options, plan: &Plan, file: &Path) -> Result<Tally, Error> {
     plan.write(file)?;
-    let plot = Plot {
+    let options = Options {
         plan: Some(file.to_owned()),
         keep: None,
-        ..plot.clone()
+        ..options.clone()
     };
-    run(&plot).await
+    run(&options).await
 }
--- a/crates/bench/tests/plan.rs
+++ b/crates/bench/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Plans of faults: drawn alike from a seed, kept in files, and what a calm must find gone.
 
-use bench::soak_left::list_half_closed;
+use bench::soak_cleanup::list_half_closed;
 use bench::soak_plan::{Action, Head, Plan};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
