--- a/crates/bench/src/deadly.rs
+++ b/crates/bench/src/deadly.rs
@@ -1,16 +1,19 @@
-//! What a request that crashes backend servers costs all other requests.
+//! Measures how a deadly request, one that crashes the backend server that runs it, affects
+//! all other requests.
 //!
-//! Callers look different things up at all nodes at a steady rate. After a while a deadly
-//! request is sent as well, four times a second at all nodes in turn, or at all at once;
-//! servers that it crashes are started again 1.5 s later.
+//! Callers send look-ups with distinct paths to all nodes at a steady rate. After a while, a
+//! deadly request is sent as well, four times a second: to the nodes in turn, or to all nodes
+//! at once. Crashed backend servers are started again after 1.5 s.
 
 use crate::caller::{Call, Caller};
 use crate::deployment::{Deployment, Vm, put_route, put_service, service_vms};
 use crate::error::Error;
 use crate::faults_callers::now_us;
-use crate::faults_inject::{Target, record_arguments, record_file};
+use crate::faults_inject::{Target, record_args, record_file};
 use crate::options;
-use crate::soak_deadly::{DOWN, Kind, Series, count_after_third, is_held, read_deadly_runs};
+use crate::soak_deadly::{
+    DeadlyKind, DeadlySeries, RESTART_DELAY, count_runs_after_bound, is_held, read_deadly_runs,
+};
 use bpaf::{Parser, construct, long};
 use config::{Class, Repeat};
 use serde::Serialize;
@@ -20,65 +23,65 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Load before the first deadly request.
-const BEFORE: Duration = Duration::from_secs(3);
+/// Duration of the load before the first deadly request.
+const LOAD_BEFORE: Duration = Duration::from_secs(3);
 
-/// Load after the last one.
-const AFTER: Duration = Duration::from_secs(3);
+/// Duration of the load after the last deadly request.
+const LOAD_AFTER: Duration = Duration::from_secs(3);
 
-/// Time that a caller gives a call.
+/// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest wait for the fleet to serve.
+/// Time limit for the fleet to start serving.
 const START_LIMIT: Duration = Duration::from_mins(1);
 
-/// Time between two looks at the backend servers.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval at which the backend servers' processes are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The one service.
+/// Name of the only service.
 const SERVICE: &str = "records";
 
-/// Microseconds of a second.
+/// Microseconds per second.
 const SECOND_US: u64 = 1_000_000;
 
-/// What to try.
+/// Options of the experiment.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// VMs in each of three zones, all of one service.
+    /// VMs in each of three availability zones, all of one service.
     pub per_zone: usize,
-    /// Calls a second that are not deadly, at all nodes together.
+    /// Rate of the calls that are not deadly, in calls per second over all nodes.
     pub rate: u32,
-    /// What the deadly request is.
-    pub kind: Kind,
-    /// How long it comes again and again.
+    /// Kind of the deadly request.
+    pub kind: DeadlyKind,
+    /// How long the deadly request is repeated.
     pub duration: Duration,
-    /// Folder of the programs to run; this one's own by default.
+    /// Folder of the programs to run; by default the folder of this program.
     pub programs: PathBuf,
 }
 
-/// What came of it.
+/// Results of the experiment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// Backend servers that ended.
+    /// Runs of the deadly request that crashed a backend server.
     pub crashes: usize,
-    /// Runs of the deadly request later than 3 s after it had crashed the third server.
+    /// Runs of the deadly request that began more than 3 s after its third crash.
     pub runs_after_bound: usize,
-    /// Share of the other calls that were served before it came.
+    /// Share of the other calls that succeeded before the first deadly request.
     pub served_before: f64,
-    /// The same while it came.
+    /// Share of the other calls that succeeded while the deadly request was repeated.
     pub served_during: f64,
-    /// The same afterwards.
+    /// Share of the other calls that succeeded afterwards.
     pub served_after: f64,
-    /// Other calls that were refused as deadly ones are.
+    /// Other calls that were refused because they were mistaken for the deadly request.
     pub innocents_held: usize,
-    /// Time from the third crash until 99 in 100 other calls were served in each second, in
-    /// seconds; none if that did not come.
+    /// Time from the third crash until at least 99% of the other calls succeeded in every
+    /// second, in seconds; none if that was not reached.
     pub recovered_s: Option<u64>,
 }
 
-/// One call that is not deadly.
+/// Result of a call that is not deadly.
 #[derive(Debug, Clone, Copy)]
 struct Lookup {
     sent_us: u64,
@@ -86,9 +89,9 @@
     is_held: bool,
 }
 
-type Notes = Arc<Mutex<Vec<Lookup>>>;
+type LookupLog = Arc<Mutex<Vec<Lookup>>>;
 
-/// Reads what to try from the command line.
+/// Parses the options from the command line.
 #[must_use]
 pub fn parse() -> impl Parser<Options> {
     let per_zone = long("per-zone")
@@ -107,7 +110,7 @@
         .help("What the deadly request is: lookup, burst, booking or keyed")
         .argument::<String>("KIND")
         .parse(|kind| serde_json::from_value(kind.into()))
-        .fallback(Kind::Lookup);
+        .fallback(DeadlyKind::Lookup);
     let duration = options::parse_seconds(16);
     let programs = long("programs")
         .help("Folder of the programs, such as those of another build")
@@ -126,7 +129,7 @@
 ///
 /// # Errors
 ///
-/// When a program can't be started, or the fleet doesn't come to serve.
+/// When a program can't be started, or the fleet doesn't serve in time.
 pub async fn run(options: Options) -> Result<Report, Error> {
     let mut target = spawn(options.per_zone, &options.programs).await?;
     let addresses: Vec<_> = target
@@ -140,13 +143,13 @@
         .map(|address| Caller::new(*address))
         .collect();
     let start = Instant::now();
-    let (begin, end) = (start + BEFORE, start + BEFORE + options.duration);
-    let stop = end + AFTER;
-    let notes = Notes::default();
-    let load = tokio::spawn(send_load(callers, options.rate, stop, Arc::clone(&notes)));
+    let (begin, end) = (start + LOAD_BEFORE, start + LOAD_BEFORE + options.duration);
+    let stop = end + LOAD_AFTER;
+    let log = LookupLog::default();
+    let load = tokio::spawn(send_load(callers, options.rate, stop, Arc::clone(&log)));
     supervise(&mut target, begin).await?;
     let begin_us = now_us();
-    let series = Series {
+    let series = DeadlySeries {
         kind: options.kind,
         name: "one".to_owned(),
     };
@@ -158,18 +161,18 @@
         task.await
             .map_err(|error| Error::Unexpected(error.to_string()))?;
     }
-    let lookups = notes.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    let lookups = log.lock().unwrap_or_else(PoisonError::into_inner).clone();
     report(&target, &lookups, begin_us, end_us)
 }
 
 async fn spawn(per_zone: usize, programs: &Path) -> Result<Target, Error> {
     let mut deployment = Deployment::spawn_from(programs, Vec::new(), &[]).await?;
     let mut files = Vec::new();
-    for (index, mut plan) in service_vms(&[SERVICE], per_zone).into_iter().enumerate() {
+    for (index, mut spec) in service_vms(&[SERVICE], per_zone).into_iter().enumerate() {
         let file = record_file(deployment.folder(), index, 0);
-        plan.backend_args = record_arguments(&file);
+        spec.backend_args = record_args(&file);
         files.push(file);
-        deployment.add(plan)?;
+        deployment.add(spec)?;
     }
     let mut changes = vec![put_service(SERVICE)];
     for (prefix, class, repeat) in [
@@ -186,7 +189,7 @@
     Ok(Target::new(deployment, Vec::new(), files))
 }
 
-/// Starts crashed backend servers again until `end`.
+/// Restarts crashed backend servers until `end`.
 async fn supervise(target: &mut Target, end: Instant) -> Result<(), Error> {
     let mut down: Vec<(Instant, usize)> = Vec::new();
     while Instant::now() < end || !down.is_empty() {
@@ -194,19 +197,19 @@
         for vm in 0..target.deployment.vms.len() {
             let is_known = down.iter().any(|(_, known)| *known == vm);
             if !is_known && !target.server(vm)?.is_running() {
-                down.push((now + DOWN, vm));
+                down.push((now + RESTART_DELAY, vm));
             }
         }
         for (_, vm) in down.extract_if(.., |(at, _)| *at <= now) {
             target.restart_server(vm)?;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-/// Sends calls at a steady rate, each for something else, at all nodes in turn.
-async fn send_load(callers: Vec<Caller>, rate: u32, stop: Instant, notes: Notes) {
+/// Sends calls at a steady rate to all nodes in turn, each with a path of its own.
+async fn send_load(callers: Vec<Caller>, rate: u32, stop: Instant, log: LookupLog) {
     let mut ticks = tokio::time::interval(Duration::from_secs(1) / rate);
     let mut calls = JoinSet::new();
     for (number, caller) in (0..).zip(callers.iter().cycle()) {
@@ -214,7 +217,7 @@
         if Instant::now() >= stop {
             break;
         }
-        let (caller, notes) = (caller.clone(), Arc::clone(&notes));
+        let (caller, log) = (caller.clone(), Arc::clone(&log));
         calls.spawn(async move {
             let call = Call::get(&format!("/records/{number}"));
             let sent_us = now_us();
@@ -224,8 +227,8 @@
                 is_served: answer.as_ref().is_ok_and(|one| one.status.is_success()),
                 is_held: answer.is_ok_and(|one| is_held(&String::from_utf8_lossy(&one.body))),
             };
-            let mut notes = notes.lock().unwrap_or_else(PoisonError::into_inner);
-            notes.push(lookup);
+            let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
+            log.push(lookup);
         });
     }
     while calls.join_next().await.is_some() {}
@@ -240,23 +243,23 @@
     let deadly = read_deadly_runs(target)?;
     let runs = deadly.into_values().next().unwrap_or_default();
     let crashed = runs.iter().filter(|run| run.outcome == Outcome::Crashed);
-    let mut ends: Vec<_> = crashed.filter_map(|run| run.end_us).collect();
-    ends.sort_unstable();
-    let third = ends.get(2).copied();
+    let mut crash_times: Vec<_> = crashed.filter_map(|run| run.end_us).collect();
+    crash_times.sort_unstable();
+    let third_crash = crash_times.get(2).copied();
     Ok(Report {
         vms: target.deployment.vms.len(),
-        crashes: ends.len(),
-        runs_after_bound: count_after_third(&runs),
-        served_before: share(lookups, 0, begin_us),
-        served_during: share(lookups, begin_us, end_us),
-        served_after: share(lookups, end_us, u64::MAX),
+        crashes: crash_times.len(),
+        runs_after_bound: count_runs_after_bound(&runs),
+        served_before: served_share(lookups, 0, begin_us),
+        served_during: served_share(lookups, begin_us, end_us),
+        served_after: served_share(lookups, end_us, u64::MAX),
         innocents_held: lookups.iter().filter(|one| one.is_held).count(),
-        recovered_s: third.and_then(|third| find_recovery(lookups, third)),
+        recovered_s: third_crash.and_then(|crash_us| find_recovery(lookups, crash_us)),
     })
 }
 
-/// Gives the share of the calls sent in a span that were served; all of none.
-fn share(lookups: &[Lookup], from_us: u64, to_us: u64) -> f64 {
+/// Returns the share of the calls sent in a time span that succeeded; 1 if none was sent.
+fn served_share(lookups: &[Lookup], from_us: u64, to_us: u64) -> f64 {
     let sent = lookups
         .iter()
         .filter(|one| (from_us..to_us).contains(&one.sent_us));
@@ -269,13 +272,14 @@
     f64::from(served) / f64::from(count)
 }
 
-/// Gives the seconds after `from_us` from which on 99 in 100 calls of each second were served.
+/// Returns the number of seconds after `from_us` from which on at least 99% of the calls of
+/// every second succeeded.
 fn find_recovery(lookups: &[Lookup], from_us: u64) -> Option<u64> {
     let last_us = lookups.iter().map(|one| one.sent_us).max()?;
     let seconds = last_us.checked_sub(from_us)? / SECOND_US;
     let is_bad = |second: &u64| {
         let start = from_us + second * SECOND_US;
-        share(lookups, start, start + SECOND_US) < 0.99
+        served_share(lookups, start, start + SECOND_US) < 0.99
     };
     let recovered = (0..seconds).rfind(is_bad).map_or(0, |bad| bad + 1);
     (recovered < seconds).then_some(recovered)
--- a/crates/bench/src/faults_callers.rs
+++ b/crates/bench/src/faults_callers.rs
@@ -1,8 +1,9 @@
-//! Callers who book and look up, repeat what may not have run, and note what they were told.
+//! Callers that send bookings and look-ups, retry bookings that may not have run, and record
+//! the outcomes that were reported to them.
 
 use crate::caller::{Answer, Call, Caller};
 use crate::error::Error;
-use crate::faults_history::{Invocation, Told};
+use crate::faults_history::{Invocation, ReportedOutcome};
 use http::Method;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -15,65 +16,65 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Callers at once.
+/// Number of concurrent callers.
 const CALLERS: usize = 16;
 
-/// Callers that read nothing, in a plan.
-const UNREADING: u64 = 2;
+/// Number of callers that don't read their responses, when a plan of faults is played.
+const STALLED_READERS: u64 = 2;
 
-/// How long such a caller holds its connection, in milliseconds.
-const UNREAD_MS: std::ops::Range<u64> = 500..7_000;
+/// How long such a caller keeps its connection open, in milliseconds.
+const STALL_MS: std::ops::Range<u64> = 500..7_000;
 
-/// Bytes of an answer that no socket on the way holds.
-const UNREAD_BYTES: usize = 20 << 20;
+/// Size of a response that exceeds the socket buffers on its path.
+const STALLED_RESPONSE_BYTES: usize = 20 << 20;
 
-/// Requests of one key at most.
-const MAX_REQUESTS: u32 = 6;
+/// Maximum number of requests with the same idempotency key.
+const MAX_REQUESTS_PER_KEY: u32 = 6;
 
-/// Time that a caller gives a call, in milliseconds.
+/// Timeout of a call, in milliseconds.
 pub const TIMEOUT_MS: u64 = 2_000;
 
-/// Time after which a caller takes a silent node for lost.
-const PATIENCE: Duration = Duration::from_millis(TIMEOUT_MS + 1_000);
+/// Time after which a caller gives up on a node that doesn't respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(TIMEOUT_MS + 1_000);
 
-/// Characters of an answer that are kept for people.
-const MAX_WORDS: usize = 100;
+/// Maximum number of characters of a response body that are kept for messages.
+const MAX_DETAIL_CHARS: usize = 100;
 
 /// Pause between two calls of one caller, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 5..40;
 
-/// Longest that a caller waits because it was told to.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// Upper limit of the retry delay that a caller accepts from a response.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Pause before a repeat, in milliseconds.
-const REPEAT_MS: std::ops::Range<u64> = 20..400;
+/// Pause before a retry, in milliseconds.
+const REPEAT_DELAY_MS: std::ops::Range<u64> = 20..400;
 
-/// What all callers noted so far; clones share it.
+/// Invocations recorded by all callers so far; clones share them.
 #[derive(Debug, Clone, Default)]
-pub struct Notes(Arc<Mutex<Vec<Invocation>>>);
+pub struct InvocationLog(Arc<Mutex<Vec<Invocation>>>);
 
-impl Notes {
-    /// Adds what a caller noted.
-    pub fn push(&self, one: Invocation) {
-        let mut notes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        notes.push(one);
+impl InvocationLog {
+    /// Adds an invocation.
+    pub fn record(&self, invocation: Invocation) {
+        let mut log = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        log.push(invocation);
     }
 
-    /// Takes all notes.
+    /// Removes and returns all invocations.
     #[must_use]
     pub fn take(&self) -> Vec<Invocation> {
         std::mem::take(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// What a backend server tells of the request that it answers.
+/// Body of a backend server's response, which describes the request.
 #[derive(Debug, Deserialize)]
-struct Description {
+struct ResponseBody {
     request: String,
     body_fingerprint: String,
 }
 
-/// Gives the time of day, in microseconds of the Unix epoch.
+/// Returns the wall clock time, in microseconds since the Unix epoch.
 #[must_use]
 pub fn now_us() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -82,54 +83,58 @@
     })
 }
 
-/// Starts all callers, which call as long as `goes_on` holds.
+/// Starts all callers; they send calls as long as `keep_running` returns true.
 pub(crate) fn spawn<F>(
     seed: u64,
     addresses: &[SocketAddr],
-    goes_on: F,
-    notes: &Notes,
+    keep_running: F,
+    log: &InvocationLog,
 ) -> Vec<JoinHandle<()>>
 where
     F: Fn() -> bool + Clone + Send + 'static,
 {
     (0..CALLERS)
         .map(|index| {
-            let goes_on = goes_on.clone();
-            let run = run(index, seed, addresses.to_vec(), goes_on, notes.clone());
+            let keep_running = keep_running.clone();
+            let run = run(index, seed, addresses.to_vec(), keep_running, log.clone());
             tokio::spawn(run)
         })
         .collect()
 }
 
-/// Starts callers that ask for long answers and take nothing of them.
-pub(crate) fn spawn_unreading<F>(
+/// Starts callers that request long responses and don't read them.
+pub(crate) fn spawn_stalled_readers<F>(
     seed: u64,
     addresses: &[SocketAddr],
-    goes_on: &F,
+    keep_running: &F,
 ) -> Vec<JoinHandle<()>>
 where
     F: Fn() -> bool + Clone + Send + 'static,
 {
-    (0..UNREADING)
+    (0..STALLED_READERS)
         .map(|index| {
             let rng = SmallRng::seed_from_u64(seed.wrapping_sub(index + 1));
-            tokio::spawn(read_nothing(rng, addresses.to_vec(), goes_on.clone()))
+            tokio::spawn(run_stalled_reader(
+                rng,
+                addresses.to_vec(),
+                keep_running.clone(),
+            ))
         })
         .collect()
 }
 
-async fn read_nothing<F>(mut rng: SmallRng, addresses: Vec<SocketAddr>, goes_on: F)
+async fn run_stalled_reader<F>(mut rng: SmallRng, addresses: Vec<SocketAddr>, keep_running: F)
 where
     F: Fn() -> bool,
 {
-    while goes_on() {
+    while keep_running() {
         let address = addresses[rng.random_range(0..addresses.len())];
-        let held = Duration::from_millis(rng.random_range(UNREAD_MS));
+        let held = Duration::from_millis(rng.random_range(STALL_MS));
         if let Ok(mut stream) = TcpStream::connect(address).await {
             let request = format!(
-                "GET /records/unread HTTP/1.1\r\nhost: mesh\r\nx-answer-bytes: {UNREAD_BYTES}\r\n\r\n"
+                "GET /records/unread HTTP/1.1\r\nhost: mesh\r\nx-answer-bytes: {STALLED_RESPONSE_BYTES}\r\n\r\n"
             );
-            // A node that is being killed may not take it.
+            // The write may fail because the node is being killed.
             drop(stream.write_all(request.as_bytes()).await);
             tokio::time::sleep(held).await;
         }
@@ -151,76 +156,91 @@
     Ok(())
 }
 
-/// Calls as long as `goes_on` holds, at nodes drawn anew for each request.
-async fn run<F>(index: usize, seed: u64, addresses: Vec<SocketAddr>, goes_on: F, notes: Notes)
-where
+/// Sends calls as long as `keep_running` returns true, each request to a random node.
+async fn run<F>(
+    index: usize,
+    seed: u64,
+    addresses: Vec<SocketAddr>,
+    keep_running: F,
+    log: InvocationLog,
+) where
     F: Fn() -> bool,
 {
-    let mut one = One {
+    let mut task = CallerTask {
         index,
         rng: SmallRng::seed_from_u64(seed.wrapping_add(index as u64)),
         nodes: addresses.into_iter().map(Caller::new).collect(),
         requests: 0,
-        notes,
+        log,
     };
     let mut calls = 0;
-    while goes_on() {
+    while keep_running() {
         calls += 1;
-        one.make_call(calls).await;
-        one.pause(PAUSE_MS).await;
+        task.make_call(calls).await;
+        task.pause(PAUSE_MS).await;
     }
 }
 
-/// One caller.
-struct One {
+/// State of one caller.
+struct CallerTask {
     index: usize,
     rng: SmallRng,
     nodes: Vec<Caller>,
     requests: u64,
-    notes: Notes,
+    log: InvocationLog,
 }
 
-impl One {
+impl CallerTask {
     async fn pause(&mut self, range: std::ops::Range<u64>) {
         let pause = Duration::from_millis(self.rng.random_range(range));
         tokio::time::sleep(pause).await;
     }
 
     async fn make_call(&mut self, number: u64) {
-        let books = self.rng.random_bool(0.6);
-        let key = books.then(|| format!("key-{}-{number}", self.index));
-        let path = match (books, self.rng.random_bool(0.5)) {
+        let is_booking = self.rng.random_bool(0.6);
+        let key = is_booking.then(|| format!("key-{}-{number}", self.index));
+        let path = match (is_booking, self.rng.random_bool(0.5)) {
             (true, true) => "/claims/release",
             (true, false) => "/jobs/book",
             (false, _) => "/records/gearbox",
         };
-        let mut call = Call::new(if books { Method::POST } else { Method::GET }, path);
+        let mut call = Call::new(
+            if is_booking {
+                Method::POST
+            } else {
+                Method::GET
+            },
+            path,
+        );
         if let Some(key) = &key {
             call.body = format!("for {key}").into_bytes().into();
             call.headers.push(("idempotency-key", key.clone()));
         }
         call.headers
             .push(("bluebellpick-timeout-ms", TIMEOUT_MS.to_string()));
-        // A few answers are longer than what is sent at once.
+        // A few responses are longer than what is sent without waiting for credit.
         if self.rng.random_ratio(1, 20) {
             let bytes = self.rng.random_range(1_000..200_000);
             call.headers.push(("x-answer-bytes", bytes.to_string()));
         }
-        for _ in 0..MAX_REQUESTS {
+        for _ in 0..MAX_REQUESTS_PER_KEY {
             let (told, wait) = self.request(&call, key.as_ref()).await;
-            let settled = matches!(told, Told::Answered { .. } | Told::Ran);
-            if settled || key.is_none() {
+            let has_run = matches!(
+                told,
+                ReportedOutcome::Answered { .. } | ReportedOutcome::Ran
+            );
+            if has_run || key.is_none() {
                 return;
             }
-            tokio::time::sleep(wait.min(LONGEST_WAIT)).await;
-            self.pause(REPEAT_MS).await;
+            tokio::time::sleep(wait.min(MAX_RETRY_AFTER)).await;
+            self.pause(REPEAT_DELAY_MS).await;
         }
     }
 
-    /// Sends one request to a node that takes the connection, and notes what came of it.
+    /// Sends one request to a node that accepts the connection, and records the invocation.
     ///
-    /// Gives what it was told, and the time to wait that it was told.
-    async fn request(&mut self, call: &Call, key: Option<&String>) -> (Told, Duration) {
+    /// Returns the reported outcome and the retry delay from the response.
+    async fn request(&mut self, call: &Call, key: Option<&String>) -> (ReportedOutcome, Duration) {
         self.requests += 1;
         let request = format!("r-{}-{}", self.index, self.requests);
         let mut call = call.clone();
@@ -229,14 +249,26 @@
         let (told, wait, detail) = loop {
             let node = self.rng.random_range(0..self.nodes.len());
             let caller = self.nodes[node].clone();
-            match caller.send_within(&call, PATIENCE).await {
-                Ok(answer) => break (read(&answer), read_wait(&answer), describe(node, &answer)),
-                // Nobody took the connection: nothing was sent.
-                Err(Error::Io(_)) => self.pause(REPEAT_MS).await,
-                Err(error) => break (Told::Broken, Duration::ZERO, format!("VM {node}: {error}")),
+            match caller.send_within(&call, RESPONSE_TIMEOUT).await {
+                Ok(answer) => {
+                    break (
+                        classify_answer(&answer),
+                        retry_after(&answer),
+                        summarize(node, &answer),
+                    );
+                }
+                // The connection failed before anything was sent.
+                Err(Error::Io(_)) => self.pause(REPEAT_DELAY_MS).await,
+                Err(error) => {
+                    break (
+                        ReportedOutcome::Broken,
+                        Duration::ZERO,
+                        format!("VM {node}: {error}"),
+                    );
+                }
             }
         };
-        self.notes.push(Invocation {
+        self.log.record(Invocation {
             request,
             key: key.cloned(),
             fingerprint: fingerprint(&call.body),
@@ -249,29 +281,29 @@
     }
 }
 
-fn read_wait(answer: &Answer) -> Duration {
+fn retry_after(answer: &Answer) -> Duration {
     let header = answer.header("bluebellpick-retry-after-ms");
     let wait = header.and_then(|value| value.parse().ok());
     wait.map_or(Duration::ZERO, Duration::from_millis)
 }
 
-/// Gives the words of an answer for people.
-pub(crate) fn describe(node: usize, answer: &Answer) -> String {
-    let words = String::from_utf8_lossy(&answer.body);
-    let words: String = words.chars().take(MAX_WORDS).collect();
-    format!("VM {node}: {} {words}", answer.status)
+/// Summarizes a response for messages.
+pub(crate) fn summarize(node: usize, answer: &Answer) -> String {
+    let text = String::from_utf8_lossy(&answer.body);
+    let text: String = text.chars().take(MAX_DETAIL_CHARS).collect();
+    format!("VM {node}: {} {text}", answer.status)
 }
 
-/// Reads what an answer tells of the call.
-pub(crate) fn read(answer: &Answer) -> Told {
-    let description = serde_json::from_slice::<Description>(&answer.body);
+/// Returns the outcome of the call that a response reports.
+pub(crate) fn classify_answer(answer: &Answer) -> ReportedOutcome {
+    let description = serde_json::from_slice::<ResponseBody>(&answer.body);
     match (answer.header("bluebellpick-verdict"), description) {
-        (Some("ran"), Ok(description)) if answer.status.is_success() => Told::Answered {
+        (Some("ran"), Ok(description)) if answer.status.is_success() => ReportedOutcome::Answered {
             request: description.request,
             fingerprint: description.body_fingerprint,
         },
-        (Some("ran"), _) => Told::Ran,
-        (Some("not-run"), _) => Told::NotRun,
-        _ => Told::MayHaveRun,
+        (Some("ran"), _) => ReportedOutcome::Ran,
+        (Some("not-run"), _) => ReportedOutcome::NotRun,
+        _ => ReportedOutcome::MayHaveRun,
     }
 }
--- a/crates/bench/src/faults_forward.rs
+++ b/crates/bench/src/faults_forward.rs
@@ -1,4 +1,5 @@
-//! Forwarders in front of nodes, which lose track of connections one way.
+//! TCP forwarders in front of nodes that drop, hold or delay the bytes of their connections,
+//! separately for each direction.
 
 use crate::error::Error;
 use std::net::SocketAddr;
@@ -9,28 +10,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What happens to bytes that go one way over a connection.
+/// What a forwarder does with the bytes of one direction of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
-    /// They arrive.
+pub enum ForwardMode {
+    /// Forwards them.
     Pass,
-    /// They are lost, and nobody is told.
-    Lose,
-    /// They wait.
+    /// Drops them silently; the connection stays open.
+    Drop,
+    /// Holds them back until the mode changes.
     Hold,
-    /// They arrive late, each chunk after [`LAG`].
-    Lag,
+    /// Forwards each chunk after a delay of 40 ms.
+    Delay,
 }
 
-/// How late bytes arrive: as between far regions.
-const LAG: Duration = Duration::from_millis(40);
+/// Delay of each chunk, as between distant regions.
+const DELAY: Duration = Duration::from_millis(40);
 
-type Way = watch::Sender<Mode>;
+type Direction = watch::Sender<ForwardMode>;
 
-/// A forwarder in front of one node; clones share it.
+/// A forwarder in front of one node; clones share its connections.
 #[derive(Debug, Clone, Default)]
 pub struct Forwarder {
-    lines: Arc<Mutex<Vec<(Way, Way)>>>,
+    connections: Arc<Mutex<Vec<(Direction, Direction)>>>,
 }
 
 impl Forwarder {
@@ -46,31 +47,47 @@
         Ok(forwarder)
     }
 
-    /// Sets what happens on the connections of now, towards the node and back; new ones pass.
-    pub fn set(&self, up: Mode, down: Mode) {
-        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        lines.retain(|line| line.0.receiver_count() > 0 || line.1.receiver_count() > 0);
-        for line in lines.iter() {
-            turn(&line.0, up);
-            turn(&line.1, down);
+    /// Sets the modes of all open connections, `up` towards the node and `down` from it; new
+    /// connections start with [`ForwardMode::Pass`].
+    pub fn set_modes(&self, up: ForwardMode, down: ForwardMode) {
+        let mut connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        connections.retain(|connection| {
+            connection.0.receiver_count() > 0 || connection.1.receiver_count() > 0
+        });
+        for connection in connections.iter() {
+            switch_mode(&connection.0, up);
+            switch_mode(&connection.1, down);
         }
     }
 
-    /// Closes all connections of now.
-    pub fn reset(&self) {
-        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        lines.clear();
+    /// Closes all open connections.
+    pub fn close_all(&self) {
+        let mut connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        connections.clear();
     }
 
-    /// Closes the connections that have lost bytes, as if what lost track of them had been replaced.
-    pub fn sever(&self) {
-        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        lines.retain(|line| *line.0.borrow() != Mode::Lose && *line.1.borrow() != Mode::Lose);
+    /// Closes the connections that drop bytes, as if a device that had lost their state had been
+    /// replaced.
+    pub fn close_lossy(&self) {
+        let mut connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        connections.retain(|connection| {
+            *connection.0.borrow() != ForwardMode::Drop
+                && *connection.1.borrow() != ForwardMode::Drop
+        });
     }
 
     async fn accept(self, listener: TcpListener, target: SocketAddr) {
         while let Ok((near, _)) = listener.accept().await {
-            // A refused connection is passed on as one that ends at once.
+            // If the target refuses the connection, the client's connection is closed at once.
             let Ok(far) = TcpStream::connect(target).await else {
                 continue;
             };
@@ -79,51 +96,62 @@
             }
             let (near_read, near_write) = near.into_split();
             let (far_read, far_write) = far.into_split();
-            let (up, down) = (Way::new(Mode::Pass), Way::new(Mode::Pass));
+            let (up, down) = (
+                Direction::new(ForwardMode::Pass),
+                Direction::new(ForwardMode::Pass),
+            );
             tokio::spawn(copy(near_read, far_write, up.subscribe()));
             tokio::spawn(copy(far_read, near_write, down.subscribe()));
-            let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-            lines.push((up, down));
+            let mut connections = self
+                .connections
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            connections.push((up, down));
         }
     }
 }
 
-async fn severed(mut mode: watch::Receiver<Mode>) {
+async fn wait_until_closed(mut mode: watch::Receiver<ForwardMode>) {
     while mode.changed().await.is_ok() {}
 }
 
-/// Sets one way; what has lost bytes stays lost, for the rest would make no sense.
-fn turn(way: &Way, mode: Mode) {
-    way.send_if_modified(|now| {
-        let turns = *now != Mode::Lose && *now != mode;
-        if turns {
-            *now = mode;
+/// Sets the mode of one direction. A direction that drops bytes keeps doing so: forwarding
+/// the rest would leave a gap in the byte stream.
+fn switch_mode(direction: &Direction, mode: ForwardMode) {
+    direction.send_if_modified(|current| {
+        let changes = *current != ForwardMode::Drop && *current != mode;
+        if changes {
+            *current = mode;
         }
-        turns
+        changes
     });
 }
 
-async fn copy(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut mode: watch::Receiver<Mode>) {
+async fn copy(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    mut mode: watch::Receiver<ForwardMode>,
+) {
     let mut buffer = vec![0; 16 << 10];
     loop {
         let count = tokio::select! {
             count = from.read(&mut buffer) => count.unwrap_or(0),
-            () = severed(mode.clone()) => return,
+            () = wait_until_closed(mode.clone()) => return,
         };
-        let decided = mode.wait_for(|mode| *mode != Mode::Hold).await;
-        let Ok(decided) = decided.map(|mode| *mode) else {
+        let chosen = mode.wait_for(|mode| *mode != ForwardMode::Hold).await;
+        let Ok(chosen) = chosen.map(|mode| *mode) else {
             return;
         };
-        let lost = decided == Mode::Lose;
-        if decided == Mode::Lag {
-            tokio::time::sleep(LAG).await;
+        let is_dropped = chosen == ForwardMode::Drop;
+        if chosen == ForwardMode::Delay {
+            tokio::time::sleep(DELAY).await;
         }
-        if count == 0 && lost {
-            // The end of a lost connection is lost as well, until it is severed.
+        if count == 0 && is_dropped {
+            // The end of the stream is dropped too, until the connection is closed.
             while mode.changed().await.is_ok() {}
             return;
         }
-        if lost {
+        if is_dropped {
             continue;
         }
         if count == 0 || to.write_all(&buffer[..count]).await.is_err() {
--- a/crates/bench/src/faults_history.rs
+++ b/crates/bench/src/faults_history.rs
@@ -1,49 +1,50 @@
-//! Histories of callers and backend servers, and the check that they agree.
+//! Histories of callers and backend servers, and a consistency check of them.
 //!
-//! Callers note what they asked and were told, backend servers what they ran.
-//! The check knows nothing of the system between them: whatever it did, a key
-//! may have run at most once, what was told "not run" is in no record, an
-//! answer is the one to its own request, and a graceful stop cuts nothing off.
+//! Callers record their requests and the reported outcomes, backend servers record their runs.
+//! The check is independent of the system between them. It requires that an idempotency key
+//! ran at most once, that a request reported as "not run" is in no record, that a response
+//! belongs to its own request, and that a graceful stop cuts no call off.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
-/// What a caller was told.
+/// Outcome of a request as it was reported to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
-    /// An answer of a backend server.
+pub enum ReportedOutcome {
+    /// A backend server responded.
     Answered {
-        /// Whose request it answers.
+        /// Name of the request that the response belongs to.
         request: String,
-        /// Fingerprint of the body that it answers.
+        /// Fingerprint of that request's body.
         fingerprint: String,
     },
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
-    /// It ran, and the answer is not kept or was the backend server's own failure.
+    /// The request ran, but its response is no longer stored or was an error of the backend
+    /// server.
     Ran,
-    /// The connection broke, or nothing came in time.
+    /// The connection broke, or no response came in time.
     Broken,
 }
 
-/// One request of a caller; a repeat under the same key is another.
+/// One request of a caller; a retry with the same key is another invocation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Invocation {
-    /// Names the request.
+    /// Name of the request.
     pub request: String,
-    /// Its idempotency key, if the call must not be repeated.
+    /// Idempotency key, if the call must not run more than once.
     pub key: Option<String>,
-    /// Fingerprint of its body.
+    /// Fingerprint of the request body.
     pub fingerprint: String,
-    /// When it was sent, in microseconds of the Unix epoch.
+    /// When it was sent, in microseconds since the Unix epoch.
     pub sent_us: u64,
-    /// When the caller was told, in microseconds of the Unix epoch.
+    /// When the outcome was reported, in microseconds since the Unix epoch.
     pub told_us: u64,
-    /// What the caller was told.
-    pub told: Told,
-    /// The node that was asked and its words, for people.
+    /// Outcome that was reported to the caller.
+    pub told: ReportedOutcome,
+    /// The node that took the request and a summary of its response, for messages.
     pub detail: String,
 }
 
@@ -56,22 +57,22 @@
     pub key: String,
     /// Name of the request, or empty.
     pub request: String,
-    /// When the work began, in microseconds of the Unix epoch.
+    /// When the work began, in microseconds since the Unix epoch.
     pub start_us: u64,
-    /// When it ended, in microseconds of the Unix epoch.
+    /// When it ended, in microseconds since the Unix epoch.
     pub end_us: Option<u64>,
 }
 
-/// The runs of one process of a backend server.
+/// Record of one process of a backend server.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Record {
+pub struct ProcessRecord {
     /// Its runs.
     pub runs: Vec<Run>,
-    /// From each time that it, or its node, was told to leave, until that was done.
-    pub left: Vec<Span>,
+    /// Time spans from each request that it or its node leave until the process had ended.
+    pub leave_spans: Vec<Span>,
 }
 
-/// A span of time, in microseconds of the Unix epoch.
+/// A time span, in microseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Span {
     /// Its start.
@@ -80,78 +81,78 @@
     pub to_us: u64,
 }
 
-/// All that was noted of a run of the experiment.
+/// Everything that was recorded in one run of the experiment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct History {
-    /// What the callers noted.
+    /// Invocations of the callers.
     pub invocations: Vec<Invocation>,
-    /// What the backend servers recorded, a process each.
-    pub records: Vec<Record>,
-    /// Spans in which nothing but graceful stops went on.
-    pub graceful: Vec<Span>,
+    /// Records of the backend servers, one per process.
+    pub records: Vec<ProcessRecord>,
+    /// Time spans in which there were graceful stops but no faults.
+    pub graceful_spans: Vec<Span>,
 }
 
-/// What the check found.
+/// Result of the check.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Verdict {
-    /// Requests.
+pub struct CheckResult {
+    /// Number of requests.
     pub calls: usize,
-    /// Those with a key.
+    /// Requests with an idempotency key.
     pub keyed_calls: usize,
-    /// Those that were answered.
+    /// Requests that were answered, or reported as run.
     pub answered: usize,
-    /// Those that were told "not run".
+    /// Requests that were reported as "not run".
     pub not_run: usize,
-    /// Those that were told "may have run".
+    /// Requests that were reported as "may have run".
     pub may_have_run: usize,
-    /// Those whose connection broke, or that heard nothing in time.
+    /// Requests whose connection broke, or that got no response in time.
     pub broken: usize,
-    /// Keys of which the callers never learned whether they ran.
+    /// Keys for which the callers never learned whether they ran.
     pub unsettled_keys: usize,
     /// Keys that ran more than once.
     pub double_runs: usize,
-    /// Requests that were told "not run" and ran.
+    /// Requests that ran although they were reported as "not run".
     pub false_not_run: usize,
-    /// Answers to another request than the one that they came to.
+    /// Responses that belong to another request.
     pub mixed_answers: usize,
     /// Requests that a graceful stop cut off.
     pub cut_in_flight: usize,
-    /// Longest time from a leave to the start of new work, in seconds.
+    /// Longest time from a request to leave until the start of new work, in seconds.
     pub new_work_after_leave_max_s: f64,
-    /// The violations, for people.
+    /// Descriptions of the violations.
     #[serde(skip)]
     pub violations: Vec<String>,
-    /// What the callers were told of each unsettled key, for people.
+    /// Descriptions of the requests of each unsettled key.
     #[serde(skip)]
     pub unsettled: Vec<String>,
 }
 
 /// Checks a history.
 #[must_use]
-pub fn check(history: &History) -> Verdict {
-    let mut verdict = Verdict {
+pub fn check(history: &History) -> CheckResult {
+    let mut result = CheckResult {
         calls: history.invocations.len(),
-        ..Verdict::default()
+        ..CheckResult::default()
     };
     for one in &history.invocations {
-        count(&mut verdict, one);
+        count_outcome(&mut result, one);
     }
-    verdict.unsettled = describe_unsettled(history);
-    verdict.unsettled_keys = verdict.unsettled.len();
-    check_runs(&mut verdict, history);
-    check_answers(&mut verdict, history);
-    check_graceful(&mut verdict, history);
-    verdict.new_work_after_leave_max_s = find_latest_work(history);
-    verdict
+    result.unsettled = describe_unsettled(history);
+    result.unsettled_keys = result.unsettled.len();
+    check_runs(&mut result, history);
+    check_answers(&mut result, history);
+    check_graceful_stops(&mut result, history);
+    result.new_work_after_leave_max_s = max_work_after_leave(history);
+    result
 }
 
-fn count(verdict: &mut Verdict, one: &Invocation) {
-    verdict.keyed_calls += usize::from(one.key.is_some());
+fn count_outcome(result: &mut CheckResult, one: &Invocation) {
+    result.keyed_calls += usize::from(one.key.is_some());
     match one.told {
-        Told::Answered { .. } | Told::Ran => verdict.answered += 1,
-        Told::NotRun => verdict.not_run += 1,
-        Told::MayHaveRun => verdict.may_have_run += 1,
-        Told::Broken => verdict.broken += 1,
+        ReportedOutcome::Answered { .. } | ReportedOutcome::Ran => result.answered += 1,
+        ReportedOutcome::NotRun => result.not_run += 1,
+        ReportedOutcome::MayHaveRun => result.may_have_run += 1,
+        ReportedOutcome::Broken => result.broken += 1,
     }
 }
 
@@ -162,9 +163,19 @@
             under_key.entry(key).or_default().push(one);
         }
     }
-    let settled = |one: &&Invocation| matches!(one.told, Told::Answered { .. } | Told::Ran);
+    let settled = |one: &&Invocation| {
+        matches!(
+            one.told,
+            ReportedOutcome::Answered { .. } | ReportedOutcome::Ran
+        )
+    };
     let unsettled = under_key.iter().filter(|(_, asked)| {
-        let unknown = |one: &&Invocation| matches!(one.told, Told::MayHaveRun | Told::Broken);
+        let unknown = |one: &&Invocation| {
+            matches!(
+                one.told,
+                ReportedOutcome::MayHaveRun | ReportedOutcome::Broken
+            )
+        };
         !asked.iter().any(settled) && asked.iter().any(unknown)
     });
     unsettled
@@ -176,31 +187,31 @@
         .collect()
 }
 
-fn check_runs(verdict: &mut Verdict, history: &History) {
+fn check_runs(result: &mut CheckResult, history: &History) {
     let runs = || history.records.iter().flat_map(|record| &record.runs);
     let mut of_key: HashMap<&str, Vec<&Run>> = HashMap::new();
     for run in runs().filter(|run| !run.key.is_empty()) {
         of_key.entry(&run.key).or_default().push(run);
     }
     for (key, runs) in of_key.iter().filter(|(_, runs)| runs.len() > 1) {
-        verdict.double_runs += 1;
+        result.double_runs += 1;
         let message = format!("key {key} ran {} times: {runs:?}", runs.len());
-        verdict.violations.push(message);
+        result.violations.push(message);
     }
     let ran: HashMap<&str, &Run> = runs().map(|run| (run.request.as_str(), run)).collect();
     for one in &history.invocations {
-        if one.told == Told::NotRun
+        if one.told == ReportedOutcome::NotRun
             && let Some(run) = ran.get(one.request.as_str())
         {
-            verdict.false_not_run += 1;
+            result.false_not_run += 1;
             let message = format!("told \"not run\" and ran: {one:?} {run:?}");
-            verdict.violations.push(message);
+            result.violations.push(message);
         }
     }
 }
 
-/// An answer must be to the request itself, or to another one under its key.
-fn check_answers(verdict: &mut Verdict, history: &History) {
+/// Checks that each response belongs to its request or to another one with the same key.
+fn check_answers(result: &mut CheckResult, history: &History) {
     let mut under_key: HashMap<&str, HashSet<&str>> = HashMap::new();
     for one in &history.invocations {
         if let Some(key) = &one.key {
@@ -208,7 +219,7 @@
         }
     }
     for one in &history.invocations {
-        let Told::Answered {
+        let ReportedOutcome::Answered {
             request,
             fingerprint,
         } = &one.told
@@ -221,18 +232,19 @@
             .as_deref()
             .is_some_and(|key| under_key[key].contains(request.as_str()));
         if !(own || shared) || *fingerprint != one.fingerprint {
-            verdict.mixed_answers += 1;
-            verdict.violations.push(format!("mixed answer: {one:?}"));
+            result.mixed_answers += 1;
+            result.violations.push(format!("mixed answer: {one:?}"));
         }
     }
 }
 
-/// While nothing but graceful stops goes on, every call ends with an answer or a sure refusal.
+/// Checks that every call within a span of graceful stops ended with a response or a definite
+/// refusal.
 ///
-/// A repeat counts from the first request under its key: what a fault before
-/// the stop has made unknown stays so. One that ends after the span may have
-/// met the next fault.
-fn check_graceful(verdict: &mut Verdict, history: &History) {
+/// A retry counts from the first request with its key: an outcome that is unknown because of a
+/// fault before the stop stays unknown. A call that ended after the span may have been affected
+/// by the next fault, and is left out.
+fn check_graceful_stops(result: &mut CheckResult, history: &History) {
     let mut first: HashMap<&str, u64> = HashMap::new();
     for one in &history.invocations {
         if let Some(key) = &one.key {
@@ -242,13 +254,16 @@
     }
     for one in &history.invocations {
         let from_us = one.key.as_deref().map_or(one.sent_us, |key| first[key]);
-        let within = |graceful: &Span| graceful.from_us <= from_us && one.told_us <= graceful.to_us;
-        let cut = matches!(one.told, Told::Broken | Told::MayHaveRun);
-        if cut && history.graceful.iter().any(within) {
-            verdict.cut_in_flight += 1;
+        let within = |span: &Span| span.from_us <= from_us && one.told_us <= span.to_us;
+        let cut = matches!(
+            one.told,
+            ReportedOutcome::Broken | ReportedOutcome::MayHaveRun
+        );
+        if cut && history.graceful_spans.iter().any(within) {
+            result.cut_in_flight += 1;
             let runs = history.records.iter().flat_map(|record| &record.runs);
             let ran: Vec<_> = runs.filter(|run| run.request == one.request).collect();
-            verdict.violations.push(format!("cut off: {one:?} {ran:?}"));
+            result.violations.push(format!("cut off: {one:?} {ran:?}"));
         }
     }
 }
@@ -257,15 +272,20 @@
     clippy::cast_precision_loss,
     reason = "times of one run of the experiment are far below 2^52 microseconds"
 )]
-fn find_latest_work(history: &History) -> f64 {
+fn max_work_after_leave(history: &History) -> f64 {
     let records = history.records.iter();
-    let latest = records.flat_map(|record| record.left.iter().map(|left| find_work(record, *left)));
+    let latest = records.flat_map(|record| {
+        record
+            .leave_spans
+            .iter()
+            .map(|leave| work_after_leave(record, *leave))
+    });
     latest.max().unwrap_or(0) as f64 / 1e6
 }
 
-/// Gives how long after a leave the last new work began.
-fn find_work(record: &Record, left: Span) -> u64 {
+/// Returns the time from a request to leave until the last new work began.
+fn work_after_leave(record: &ProcessRecord, leave: Span) -> u64 {
     let starts = record.runs.iter().map(|run| run.start_us);
-    let within = starts.filter(|start| (left.from_us..=left.to_us).contains(start));
-    within.max().map_or(0, |start| start - left.from_us)
+    let within = starts.filter(|start| (leave.from_us..=leave.to_us).contains(start));
+    within.max().map_or(0, |start| start - leave.from_us)
 }
--- a/crates/bench/src/faults_inject.rs
+++ b/crates/bench/src/faults_inject.rs
@@ -1,10 +1,10 @@
-//! Faults that are put into a running fleet, and taken out again.
+//! Injects faults into a running fleet and recovers from them.
 
 use crate::deployment::{Deployment, encode_patch, put_service};
 use crate::error::Error;
 use crate::faults_callers::now_us;
-use crate::faults_forward::{Forwarder, Mode};
-use crate::faults_history::{Record, Run, Span};
+use crate::faults_forward::{ForwardMode, Forwarder};
+use crate::faults_history::{ProcessRecord, Run, Span};
 use crate::process::Process;
 use crate::soak_deadly;
 use rand::Rng;
@@ -15,52 +15,52 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Longest wait for a process that was told to stop gracefully.
+/// Time limit for a graceful stop of a process.
 const STOP_LIMIT: Duration = Duration::from_secs(20);
 
-/// Time between two looks at such a process.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval at which a stopping process is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is done to the fleet; numbers name VMs.
+/// A fault; the numbers are indexes of VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fault {
     /// SIGKILL of a node.
     KillNode(usize),
-    /// SIGSTOP of a node, and SIGCONT later.
+    /// SIGSTOP of a node, followed by SIGCONT.
     FreezeNode(usize),
     /// SIGKILL of a backend server.
     KillServer(usize),
-    /// SIGSTOP of a backend server, and SIGCONT later.
+    /// SIGSTOP of a backend server, followed by SIGCONT.
     FreezeServer(usize),
-    /// Connections to a node lose what goes towards it.
+    /// The connections to a node drop the bytes towards it.
     LoseUp(usize),
-    /// Connections to a node lose what comes back.
+    /// The connections to a node drop the bytes from it.
     LoseDown(usize),
-    /// Connections to a node hold what goes towards it, and deliver it late.
+    /// The connections to a node hold the bytes towards it and deliver them later.
     HoldUp(usize),
-    /// Connections to a node lose what goes either way.
+    /// The connections to a node drop the bytes in both directions.
     Silence(usize),
-    /// Connections to a node are slow either way.
+    /// The connections to a node delay the bytes in both directions.
     Lag(usize),
-    /// Connections to a node are closed; new ones work.
+    /// The connections to a node are closed; new ones work.
     Reset(usize),
     /// SIGHUP of a node.
     Hangup(usize),
-    /// The platform answers after 0.8 s.
+    /// The platform responds after 0.8 s.
     PlatformSlow,
-    /// The platform's watches stay open and say nothing more.
+    /// The platform's watches stay open but deliver nothing more.
     SilentWatches,
-    /// The platform loses answers after the effect.
+    /// The platform executes requests but drops half of the responses.
     LoseAnswers,
     /// The platform is down.
     PlatformDown,
-    /// Two operators propose against the same version.
+    /// Two operators propose changes to the same version.
     Race,
 }
 
 impl Fault {
-    /// Draws a fault.
-    pub fn draw(rng: &mut SmallRng, vms: usize) -> Self {
+    /// Returns a random fault.
+    pub fn sample(rng: &mut SmallRng, vms: usize) -> Self {
         let vm = rng.random_range(0..vms);
         let faults = [
             Self::KillNode(vm),
@@ -83,7 +83,7 @@
         faults[rng.random_range(0..faults.len())]
     }
 
-    /// Gives the VM that it is done to, if it is one.
+    /// Returns the affected VM, if the fault affects a single one.
     pub(crate) fn vm(self) -> Option<usize> {
         match self {
             Self::KillNode(vm)
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Tells whether two faults can be in force at once without one undoing the other.
+    /// Returns whether two faults can be active at once without one undoing the other.
     #[must_use]
-    pub fn goes_with(self, other: Self) -> bool {
+    pub fn is_compatible_with(self, other: Self) -> bool {
         match (self.vm(), other.vm()) {
             (Some(one), Some(two)) => one != two,
             (None, None) => self == Self::Race || other == Self::Race,
@@ -116,7 +116,7 @@
     }
 }
 
-/// What is stopped gracefully; numbers name VMs.
+/// A process to stop gracefully; the numbers are indexes of VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stop {
     /// A node.
@@ -125,17 +125,17 @@
     Server(usize),
 }
 
-/// A graceful stop under way.
+/// A graceful stop that has been requested.
 #[derive(Debug, Clone, Copy)]
-pub struct Ending {
-    /// What was told to stop.
+pub struct PendingStop {
+    /// The process that was requested to stop.
     pub stop: Stop,
     since: Instant,
     from_us: u64,
 }
 
 impl Stop {
-    /// Gives the VM whose process it stops.
+    /// Returns the VM of the process.
     #[must_use]
     pub fn vm(self) -> usize {
         let (Self::Node(vm) | Self::Server(vm)) = self;
@@ -143,29 +143,29 @@
     }
 }
 
-impl Ending {
-    /// Tells whether it should have ended.
+impl PendingStop {
+    /// Returns whether the time limit for the stop has passed.
     #[must_use]
-    pub fn is_late(&self) -> bool {
+    pub fn is_overdue(&self) -> bool {
         self.since.elapsed() > STOP_LIMIT
     }
 }
 
-/// A running fleet with the means to harm it.
+/// A running fleet into which faults can be injected.
 #[derive(Debug)]
 pub struct Target {
     /// The fleet.
     pub deployment: Deployment,
     /// A forwarder in front of each VM's node.
     pub forwarders: Vec<Forwarder>,
-    /// Files of the records, by VM: one a process.
+    /// Record files by VM, one per process, with the process's leave spans.
     records: HashMap<usize, Vec<(PathBuf, Vec<Span>)>>,
-    racers: Vec<Process>,
+    proposers: Vec<Process>,
     races: u32,
 }
 
 impl Target {
-    /// Takes over a fleet whose backend servers record to the files of [`record_file`].
+    /// Takes a fleet whose backend servers record to the files named by [`record_file`].
     #[must_use]
     pub fn new(deployment: Deployment, forwarders: Vec<Forwarder>, files: Vec<PathBuf>) -> Self {
         let records = files.into_iter().map(|file| vec![(file, Vec::new())]);
@@ -173,12 +173,12 @@
             deployment,
             forwarders,
             records: records.enumerate().collect(),
-            racers: Vec::new(),
+            proposers: Vec::new(),
             races: 0,
         }
     }
 
-    /// Puts a fault in.
+    /// Injects a fault.
     ///
     /// # Errors
     ///
@@ -190,39 +190,39 @@
             Fault::KillServer(vm) => self.server(vm)?.kill(),
             Fault::FreezeServer(vm) => self.signal_server(vm, Signal::STOP),
             Fault::LoseUp(vm) => {
-                self.forwarders[vm].set(Mode::Lose, Mode::Pass);
+                self.forwarders[vm].set_modes(ForwardMode::Drop, ForwardMode::Pass);
                 Ok(())
             }
             Fault::LoseDown(vm) => {
-                self.forwarders[vm].set(Mode::Pass, Mode::Lose);
+                self.forwarders[vm].set_modes(ForwardMode::Pass, ForwardMode::Drop);
                 Ok(())
             }
             Fault::HoldUp(vm) => {
-                self.forwarders[vm].set(Mode::Hold, Mode::Pass);
+                self.forwarders[vm].set_modes(ForwardMode::Hold, ForwardMode::Pass);
                 Ok(())
             }
             Fault::Silence(vm) => {
-                self.forwarders[vm].set(Mode::Lose, Mode::Lose);
+                self.forwarders[vm].set_modes(ForwardMode::Drop, ForwardMode::Drop);
                 Ok(())
             }
             Fault::Lag(vm) => {
-                self.forwarders[vm].set(Mode::Lag, Mode::Lag);
+                self.forwarders[vm].set_modes(ForwardMode::Delay, ForwardMode::Delay);
                 Ok(())
             }
             Fault::Reset(vm) => {
-                self.forwarders[vm].reset();
+                self.forwarders[vm].close_all();
                 Ok(())
             }
             Fault::Hangup(vm) => self.deployment.vms[vm].node.signal(Signal::HUP),
-            Fault::PlatformSlow => self.set_platform(r#"{"slow_ms":800}"#).await,
-            Fault::SilentWatches => self.set_platform(r#"{"silent_watches":true}"#).await,
-            Fault::LoseAnswers => self.set_platform(r#"{"lose_percent":50}"#).await,
-            Fault::PlatformDown => self.set_platform(r#"{"down":true}"#).await,
+            Fault::PlatformSlow => self.set_platform_fault(r#"{"slow_ms":800}"#).await,
+            Fault::SilentWatches => self.set_platform_fault(r#"{"silent_watches":true}"#).await,
+            Fault::LoseAnswers => self.set_platform_fault(r#"{"lose_percent":50}"#).await,
+            Fault::PlatformDown => self.set_platform_fault(r#"{"down":true}"#).await,
             Fault::Race => self.race(),
         }
     }
 
-    /// Takes a fault out again.
+    /// Ends a fault.
     ///
     /// # Errors
     ///
@@ -234,7 +234,7 @@
             Fault::KillServer(vm) => self.restart_server(vm),
             Fault::FreezeServer(vm) => self.signal_server(vm, Signal::CONT),
             Fault::HoldUp(vm) | Fault::Lag(vm) => {
-                self.forwarders[vm].set(Mode::Pass, Mode::Pass);
+                self.forwarders[vm].set_modes(ForwardMode::Pass, ForwardMode::Pass);
                 Ok(())
             }
             Fault::LoseUp(_)
@@ -246,70 +246,70 @@
             Fault::LoseAnswers
             | Fault::PlatformDown
             | Fault::PlatformSlow
-            | Fault::SilentWatches => self.set_platform("{}").await,
+            | Fault::SilentWatches => self.set_platform_fault("{}").await,
         }
     }
 
-    /// Stops a process gracefully, waits for its end and starts it again.
+    /// Stops a process gracefully, waits until it has ended and starts it again.
     ///
     /// # Errors
     ///
     /// When it does not end in time, or can't be started again.
-    pub async fn stop(&mut self, stop: Stop) -> Result<(), Error> {
-        self.end(stop).await?;
+    pub async fn restart_gracefully(&mut self, stop: Stop) -> Result<(), Error> {
+        self.stop_and_wait(stop).await?;
         self.start(stop)
     }
 
-    /// Stops a process gracefully and waits for its end.
+    /// Stops a process gracefully and waits until it has ended.
     ///
     /// # Errors
     ///
     /// When it does not end in time.
-    pub async fn end(&mut self, stop: Stop) -> Result<(), Error> {
-        let ending = self.tell(stop)?;
-        while !self.has_ended(&ending)? {
-            if ending.is_late() {
+    pub async fn stop_and_wait(&mut self, stop: Stop) -> Result<(), Error> {
+        let pending = self.request_stop(stop)?;
+        while !self.has_ended(&pending)? {
+            if pending.is_overdue() {
                 return Err(Error::Timeout(format!("{stop:?} to end")));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Tells a process to stop gracefully.
+    /// Requests a process to stop gracefully.
     ///
     /// # Errors
     ///
     /// When there is no such process.
-    pub fn tell(&mut self, stop: Stop) -> Result<Ending, Error> {
+    pub fn request_stop(&mut self, stop: Stop) -> Result<PendingStop, Error> {
         let process = self.process(stop)?;
-        // A request may have crashed it.
+        // A deadly request may have crashed it.
         if process.is_running() {
             process.signal(Signal::TERM)?;
         }
-        Ok(Ending {
+        Ok(PendingStop {
             stop,
             since: Instant::now(),
             from_us: now_us(),
         })
     }
 
-    /// Tells whether a process that was told to stop has ended, and notes when.
+    /// Returns whether a process that was requested to stop has ended, and records the leave span.
     ///
     /// # Errors
     ///
     /// When there is no such process.
-    pub fn has_ended(&mut self, ending: &Ending) -> Result<bool, Error> {
-        if self.process(ending.stop)?.is_running() {
+    pub fn has_ended(&mut self, pending: &PendingStop) -> Result<bool, Error> {
+        if self.process(pending.stop)?.is_running() {
             return Ok(false);
         }
         let span = Span {
-            from_us: ending.from_us,
+            from_us: pending.from_us,
             to_us: now_us(),
         };
-        let records = self.records.entry(ending.stop.vm()).or_default();
-        if let Some((_, left)) = records.last_mut() {
-            left.push(span);
+        let records = self.records.entry(pending.stop.vm()).or_default();
+        if let Some((_, leave_spans)) = records.last_mut() {
+            leave_spans.push(span);
         }
         Ok(true)
     }
@@ -318,12 +318,12 @@
     ///
     /// # Errors
     ///
-    /// When the system refuses.
+    /// When the signal can't be sent.
     pub fn kill(&mut self, stop: Stop) -> Result<(), Error> {
         self.process(stop)?.kill()
     }
 
-    /// Gives the files of all records.
+    /// Returns the paths of all record files.
     pub fn record_files(&self) -> impl Iterator<Item = &std::path::Path> {
         self.records
             .values()
@@ -336,12 +336,12 @@
     /// # Errors
     ///
     /// When it can't be killed or started.
-    pub fn bounce(&mut self, vm: usize) -> Result<(), Error> {
+    pub fn kill_and_restart(&mut self, vm: usize) -> Result<(), Error> {
         self.server(vm)?.kill()?;
         self.restart_server(vm)
     }
 
-    /// Starts a process again that has ended.
+    /// Starts a process again after it has ended.
     ///
     /// # Errors
     ///
@@ -360,18 +360,18 @@
         }
     }
 
-    /// Reads what all backend servers recorded.
+    /// Reads the records of all backend servers.
     ///
     /// # Errors
     ///
-    /// When a file can't be read, or a line is no run.
-    pub fn read_records(&self) -> Result<Vec<Record>, Error> {
+    /// When a file can't be read, or a line is not a valid run.
+    pub fn read_records(&self) -> Result<Vec<ProcessRecord>, Error> {
         let files = self.records.values().flatten();
         files
-            .map(|(file, left)| {
-                Ok(Record {
+            .map(|(file, leave_spans)| {
+                Ok(ProcessRecord {
                     runs: read_runs(&read_record(file)?)?,
-                    left: left.clone(),
+                    leave_spans: leave_spans.clone(),
                 })
             })
             .collect()
@@ -382,7 +382,7 @@
         server.ok_or_else(|| Error::Unexpected(format!("VM {vm} has no backend server")))
     }
 
-    /// Signals a backend server, unless a request has crashed it.
+    /// Sends a signal to a backend server, unless a deadly request has crashed it.
     fn signal_server(&mut self, vm: usize, signal: Signal) -> Result<(), Error> {
         let server = self.server(vm)?;
         if server.is_running() {
@@ -391,40 +391,42 @@
         Ok(())
     }
 
-    async fn set_platform(&self, fault: &str) -> Result<(), Error> {
+    async fn set_platform_fault(&self, fault: &str) -> Result<(), Error> {
         self.deployment.set_platform_fault(fault).await.map(drop)
     }
 
-    /// A killed process leaves its record behind; the next one gets a file of its own.
+    /// Starts a backend server again. The new process gets a record file of its own, since the
+    /// previous process leaves its record behind.
     pub(crate) fn restart_server(&mut self, vm: usize) -> Result<(), Error> {
         let files = self.records.entry(vm).or_default();
         let file = record_file(self.deployment.folder(), vm, files.len());
         files.push((file.clone(), Vec::new()));
         let server = &mut self.deployment.vms[vm];
-        server.spec.backend_args = record_arguments(&file);
+        server.spec.backend_args = record_args(&file);
         server.restart_backend()
     }
 
-    /// Starts two proposals against the version of now; which one wins is not looked at here.
+    /// Starts two concurrent proposals with the same base version; which one wins is not checked.
     fn race(&mut self) -> Result<(), Error> {
         self.races += 1;
-        self.racers.retain_mut(Process::is_running);
+        self.proposers.retain_mut(Process::is_running);
         let platform = self.deployment.platform_address.to_string();
-        for racer in 0..2 {
-            let service = format!("race-{}-{racer}", self.races);
+        for proposer in 0..2 {
+            let service = format!("race-{}-{proposer}", self.races);
             let file = self.deployment.folder().join(format!("{service}.jsonl"));
             std::fs::write(&file, encode_patch(&[put_service(&service)])?)?;
             let (file, base) = (file.display().to_string(), self.races.to_string());
             let arguments = ["propose", &file, "--base", &base, "--platform", &platform];
             let log = self.deployment.folder().join(format!("{service}.log"));
-            self.racers
+            self.proposers
                 .push(Process::spawn("bluebellpick", arguments, &log)?);
         }
         Ok(())
     }
 }
 
-/// Reads a record; a process that was killed before its first line of code left none, and ran nothing.
+/// Reads a record file. A missing file counts as empty: its process was killed before it
+/// created the file, and has run nothing.
 pub(crate) fn read_record(file: &std::path::Path) -> Result<String, Error> {
     match std::fs::read_to_string(file) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(String::new()),
@@ -432,15 +434,15 @@
     }
 }
 
-/// Names the file of a backend server's record.
+/// Returns the path of the record file of a backend server's process.
 #[must_use]
 pub fn record_file(folder: &std::path::Path, vm: usize, process: usize) -> PathBuf {
     folder.join(format!("record-{vm}-{process}.jsonl"))
 }
 
-/// Gives the arguments of a backend server that records to `file`.
+/// Returns the arguments of a backend server that records to `file`.
 #[must_use]
-pub fn record_arguments(file: &std::path::Path) -> Vec<String> {
+pub fn record_args(file: &std::path::Path) -> Vec<String> {
     let file = file.display().to_string();
     vec![
         "--record".to_owned(),
@@ -448,15 +450,16 @@
         "--work-ms".to_owned(),
         "8".to_owned(),
         "--deadly-path".to_owned(),
-        soak_deadly::MARK.to_owned(),
+        soak_deadly::DEADLY_MARKER.to_owned(),
     ]
 }
 
-/// Reads a record's lines; the last one of each run tells the most, and a killed process may leave half a line.
+/// Parses the lines of a record. The last line of a run is the most complete one; a last line
+/// without a newline, which a killed process may leave, is ignored.
 pub(crate) fn read_runs(text: &str) -> Result<Vec<Run>, Error> {
-    let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
+    let complete = text.rsplit_once('\n').map_or("", |(complete, _)| complete);
     let mut runs: HashMap<usize, Run> = HashMap::new();
-    for line in whole.lines() {
+    for line in complete.lines() {
         let run: Run =
             serde_json::from_str(line).map_err(|error| Error::Unexpected(error.to_string()))?;
         runs.insert(run.run, run);
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -1,9 +1,8 @@
-//! What callers get when there is too much, beside a plain baseline.
+//! Measures goodput, latency and fairness under overload, in comparison with a plain baseline.
 //!
-//! Four nodes with a backend server each take from half to ten times what the
-//! backend servers can do. The baseline sends the same calls at the same times
-//! to the same backend servers: in turn, first come, first served without a
-//! bound, with three retries.
+//! Four nodes with one backend server each receive from half to ten times the capacity of the
+//! backend servers. The baseline sends the same calls at the same times directly to the same
+//! backend servers: round robin, with unbounded FIFO queues and three retries.
 
 use crate::count::to_f64;
 use crate::deployment::{Deployment, VmSpec, put_route, put_service, send_fault};
@@ -11,7 +10,7 @@
 use crate::load::Outcome;
 use crate::options;
 use crate::overload_calls::{
-    CAPACITY, Entry, Flow, PROBES, SERVERS, TIMEOUT, Tally, WORK_MS, send_flows,
+    CAPACITY, EntryPoint, Flow, FlowTally, PROBE_SERIES, SERVERS, TIMEOUT, WORK_MS, send_flows,
 };
 use bpaf::{Parser, construct, long};
 use config::{Change, Class, Repeat, Retry};
@@ -19,29 +18,29 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// What to run.
+/// Options of the experiment.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// How long each series of calls goes on.
+    /// Duration of each run.
     pub duration: Duration,
-    /// The one part to run, or all.
+    /// The only part to run; all parts if there is none.
     pub only: Option<Part>,
 }
 
-/// A part of the run.
+/// A part of the experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Part {
-    /// Half to ten times the capacity.
+    /// Loads from half to ten times the capacity.
     Levels,
-    /// One caller that sends more than all others.
+    /// One caller that sends more than all others together.
     Fairness,
-    /// One backend server that is ten times slower.
+    /// One backend server that is ten times slower than the others.
     Slow,
-    /// Two seconds of eight times the capacity.
+    /// Two seconds of refreshes at eight times the capacity.
     Burst,
 }
 
-/// Reads what to run.
+/// Parses the options from the command line.
 #[must_use]
 pub fn parse() -> impl Parser<Options> {
     let duration = options::parse_seconds(5);
@@ -61,148 +60,149 @@
             "fairness" => Ok(Self::Fairness),
             "slow" => Ok(Self::Slow),
             "burst" => Ok(Self::Burst),
-            _ => Err(format!("no part `{name}`")),
+            _ => Err(format!("unknown part `{name}`")),
         }
     }
 }
 
-/// What callers got of one kind of calls.
+/// Results at one load.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Level {
-    /// Load as times of the capacity.
+    /// Load, as a multiple of the capacity.
     pub load: f64,
-    /// Answers in time over the capacity.
+    /// Rate of the calls answered in time, divided by the capacity.
     pub goodput_ratio: f64,
-    /// Commits answered in time, of those sent.
+    /// Share of the commits that were answered in time.
     pub commit_share: f64,
-    /// Look-ups answered in time, of those sent.
+    /// Share of the look-ups that were answered in time.
     pub lookup_share: f64,
-    /// Refreshes answered in time, of those sent.
+    /// Share of the refreshes that were answered in time.
     pub refresh_share: f64,
-    /// Commits answered in time, 99th percentile.
+    /// Latency of the commits answered in time, 99th percentile.
     pub commit_p99_ms: f64,
-    /// Look-ups answered in time, 99th percentile.
+    /// Latency of the look-ups answered in time, 99th percentile.
     pub lookup_p99_ms: f64,
-    /// Refusals, median.
+    /// Latency of the refusals, median.
     pub refusal_p50_ms: f64,
-    /// Refusals, 90th percentile.
+    /// Latency of the refusals, 90th percentile.
     pub refusal_p90_ms: f64,
-    /// Refusals, 99th percentile.
+    /// Latency of the refusals, 99th percentile.
     pub refusal_p99_ms: f64,
-    /// Calls that a backend server answers at once, without a node between, 99th percentile.
+    /// Latency of probes, which bypass the nodes and which backend servers answer at once, 99th
+    /// percentile.
     pub wire_p99_ms: f64,
-    /// Answers after their deadline.
+    /// Successful responses after the deadline.
     pub late_answers: u64,
 }
 
-/// Shares of the callers beside a hot one.
+/// Results with one hot caller.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Fairness {
-    /// Share of the hot caller among all answers in time.
+    /// Share of the hot caller in all calls answered in time.
     pub hot_caller_share: f64,
-    /// Least share of another caller's calls that were answered in time.
+    /// Lowest share of calls answered in time of any other caller.
     pub fair_share_min: f64,
-    /// Share of all other callers' calls that were answered in time.
+    /// Share of calls answered in time of all other callers together.
     pub fair_share_mean: f64,
 }
 
-/// Latencies with one backend server ten times slower.
+/// Results with one backend server ten times slower.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Slow {
-    /// With all of them well, 99th percentile.
+    /// Latency without a slow backend server, 99th percentile.
     pub healthy_p99_ms: f64,
-    /// With a slow one, 99th percentile.
+    /// Latency with a slow backend server, 99th percentile.
     pub slow_p99_ms: f64,
-    /// With a slow one, share answered in time.
+    /// Share of calls answered in time with a slow backend server.
     pub slow_share: f64,
 }
 
-/// What a burst of refreshes did to commits and look-ups.
+/// Effect of a burst of refreshes on commits and look-ups.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Burst {
-    /// Share answered in time while it lasted.
+    /// Share of commits and look-ups answered in time during the burst.
     pub share_in_burst: f64,
-    /// Seconds after its end until they were answered as before.
+    /// Time after the end of the burst until share and latency were normal again, in seconds.
     pub normal_after_s: f64,
 }
 
-/// What one system gave.
+/// Results of one system: the nodes or the baseline.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Side {
-    /// Half to ten times the capacity.
+pub struct SystemReport {
+    /// Results by load, from half to ten times the capacity.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub levels: Vec<Level>,
-    /// Beside a hot caller.
+    /// Results with a hot caller.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fairness: Option<Fairness>,
-    /// With a slow backend server.
+    /// Results with a slow backend server.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slow: Option<Slow>,
-    /// After a burst.
+    /// Results with a burst.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub burst: Option<Burst>,
 }
 
-/// What was measured.
+/// Results of the experiment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Through the nodes.
+    /// Results through the nodes.
     #[serde(flatten)]
-    pub nodes: Side,
-    /// Goodput at the highest load over the best of all loads.
+    pub nodes: SystemReport,
+    /// Goodput at the highest load, divided by the highest goodput at any load.
     pub goodput_top_over_peak: f64,
-    /// The plain baseline.
-    pub baseline: Side,
+    /// Results of the baseline.
+    pub baseline: SystemReport,
 }
 
-/// Loads, as times of the capacity.
-const LOADS: [f64; 5] = [0.5, 1.0, 2.0, 4.0, 10.0];
+/// Loads, as multiples of the capacity.
+const LOAD_FACTORS: [f64; 5] = [0.5, 1.0, 2.0, 4.0, 10.0];
 
-/// Longest wait for the fleet to serve.
+/// Time limit for the fleet to start serving.
 const START_LIMIT: Duration = Duration::from_secs(30);
 
-/// Pause between two runs, in which what waits runs out.
-const PAUSE: Duration = Duration::from_secs(2);
+/// Pause between two runs, in which the queues drain.
+const RUN_PAUSE: Duration = Duration::from_secs(2);
 
-/// Series of the classes, with room for the callers of each.
+/// First series of each class; every caller of a class has a series of its own.
 const COMMITS: usize = 0;
 const LOOKUPS: usize = 100;
 const REFRESHES: usize = 200;
-const HOT: usize = 300;
+const HOT_CALLER: usize = 300;
 
-/// Starts the fleet, runs the parts and gives what callers got.
+/// Starts the fleet, runs the selected parts and returns the results.
 ///
 /// # Errors
 ///
-/// When a program can't be started, or the fleet doesn't come to serve.
+/// When a program can't be started, or the fleet doesn't serve in time.
 pub async fn run(options: Options) -> Result<Report, Error> {
     let deployment = start().await?;
     let seconds = options.duration.as_secs_f64();
-    let wants = |part| options.only.is_none_or(|only| only == part);
-    let warm = [
-        flow(LOOKUPS, 0.5, (0.0, 3.0)),
-        flow(COMMITS, 0.1, (0.0, 3.0)),
+    let is_selected = |part| options.only.is_none_or(|only| only == part);
+    let warm_up = [
+        make_flow(LOOKUPS, 0.5, (0.0, 3.0)),
+        make_flow(COMMITS, 0.1, (0.0, 3.0)),
     ];
-    send_flows(&deployment, &warm, Entry::Nodes).await;
-    let mut sides = Vec::new();
-    for entry in [Entry::Nodes, Entry::Servers] {
-        let mut side = Side::default();
-        if wants(Part::Levels) {
-            side.levels = measure_levels(&deployment, seconds, entry).await;
+    send_flows(&deployment, &warm_up, EntryPoint::Nodes).await;
+    let mut systems = Vec::new();
+    for entry_point in [EntryPoint::Nodes, EntryPoint::Servers] {
+        let mut system = SystemReport::default();
+        if is_selected(Part::Levels) {
+            system.levels = measure_levels(&deployment, seconds, entry_point).await;
         }
-        if wants(Part::Fairness) {
-            side.fairness = Some(measure_fairness(&deployment, seconds, entry).await);
+        if is_selected(Part::Fairness) {
+            system.fairness = Some(measure_fairness(&deployment, seconds, entry_point).await);
         }
-        if wants(Part::Burst) {
-            side.burst = Some(measure_burst(&deployment, entry).await);
+        if is_selected(Part::Burst) {
+            system.burst = Some(measure_burst(&deployment, entry_point).await);
         }
-        if wants(Part::Slow) {
-            side.slow = Some(measure_slow(&deployment, seconds, entry).await?);
+        if is_selected(Part::Slow) {
+            system.slow = Some(measure_slow(&deployment, seconds, entry_point).await?);
         }
-        sides.push(side);
+        systems.push(system);
     }
-    let baseline = sides.pop().unwrap_or_default();
-    let nodes = sides.pop().unwrap_or_default();
+    let baseline = systems.pop().unwrap_or_default();
+    let nodes = systems.pop().unwrap_or_default();
     let goodputs = nodes.levels.iter().map(|level| level.goodput_ratio);
     let peak = goodputs.fold(f64::MIN_POSITIVE, f64::max);
     let top = nodes.levels.last().map_or(0.0, |level| level.goodput_ratio);
@@ -214,19 +214,19 @@
 }
 
 async fn start() -> Result<Deployment, Error> {
-    let plans = (1..=SERVERS).map(|index| {
-        let mut plan = VmSpec::new(&format!("vm-{index}"), "zone-1", Some("desk"));
+    let specs = (1..=SERVERS).map(|index| {
+        let mut spec = VmSpec::new(&format!("vm-{index}"), "zone-1", Some("desk"));
         let work = WORK_MS.to_string();
-        // The baseline's queue is the backend server's own, and without bound.
+        // The baseline queues calls at the backend servers, practically without a bound.
         let arguments = ["--work-ms", &work, "--queue", "1000000"];
-        plan.backend_args = arguments.map(str::to_owned).to_vec();
-        plan
+        spec.backend_args = arguments.map(str::to_owned).to_vec();
+        spec
     });
-    let deployment = Deployment::spawn(plans.collect(), &[]).await?;
+    let deployment = Deployment::spawn(specs.collect(), &[]).await?;
     let changes = [
         put_service("desk"),
         put_route("/book", "desk", Class::Commit, Repeat::Never),
-        put_reads(),
+        put_read_retry(),
         with_retry(put_route("/find", "desk", Class::Lookup, Repeat::ByMethod)),
         with_retry(put_route(
             "/board",
@@ -240,12 +240,12 @@
     Ok(deployment)
 }
 
-/// Name of the retry rule of calls that read.
-const READS: &str = "reads";
+/// Name of the retry rule of look-ups and refreshes.
+const READ_RETRY: &str = "reads";
 
-fn put_reads() -> Change {
+fn put_read_retry() -> Change {
     Change::PutRetry {
-        name: READS.into(),
+        name: READ_RETRY.into(),
         retry: Retry {
             attempts: 3,
             budget_percent: 20,
@@ -257,170 +257,188 @@
 
 fn with_retry(mut change: Change) -> Change {
     if let Change::PutRoute { route, .. } = &mut change {
-        route.retry = Some(READS.into());
+        route.retry = Some(READ_RETRY.into());
     }
     change
 }
 
-fn flow(series: usize, share: f64, span: (f64, f64)) -> Flow {
+fn make_flow(series: usize, load: f64, span: (f64, f64)) -> Flow {
     let (class, callers) = match series {
         COMMITS => (Class::Commit, ("clerk", 30)),
         REFRESHES => (Class::Refresh, ("parent", 30)),
-        HOT => (Class::Lookup, ("script", 1)),
+        HOT_CALLER => (Class::Lookup, ("script", 1)),
         _ => (Class::Lookup, ("fitter", 30)),
     };
     Flow {
         series,
         class,
         callers,
-        share,
+        load,
         span,
     }
 }
 
-fn is_of(outcome: &Outcome, series: usize) -> bool {
+fn is_in_series(outcome: &Outcome, series: usize) -> bool {
     (series..series + 100).contains(&outcome.series)
 }
 
-async fn measure_levels(deployment: &Deployment, seconds: f64, entry: Entry) -> Vec<Level> {
+async fn measure_levels(
+    deployment: &Deployment,
+    seconds: f64,
+    entry_point: EntryPoint,
+) -> Vec<Level> {
     let mut levels = Vec::new();
-    for load in LOADS {
-        tokio::time::sleep(PAUSE).await;
-        // A fifth of commits, so that at four times the capacity they alone fit.
+    for load in LOAD_FACTORS {
+        tokio::time::sleep(RUN_PAUSE).await;
+        // A fifth are commits, so that at four times the capacity the commits alone still fit.
         let span = (0.0, seconds);
         let flows = [
-            flow(COMMITS, 0.2 * load, span),
-            flow(LOOKUPS, 0.5 * load, span),
-            flow(REFRESHES, 0.3 * load, span),
+            make_flow(COMMITS, 0.2 * load, span),
+            make_flow(LOOKUPS, 0.5 * load, span),
+            make_flow(REFRESHES, 0.3 * load, span),
         ];
-        let outcomes = send_flows(deployment, &flows, entry).await;
+        let outcomes = send_flows(deployment, &flows, entry_point).await;
         let level = tally_level(&outcomes, load, seconds);
-        eprintln!("{entry:?} {level:?}");
+        eprintln!("{entry_point:?} {level:?}");
         levels.push(level);
     }
     levels
 }
 
 fn tally_level(outcomes: &[Outcome], load: f64, seconds: f64) -> Level {
-    // The first second fills the queues.
-    let counts = |outcome: &Outcome| outcome.at >= Duration::from_secs(1);
-    let of = |series| {
-        Tally::count(outcomes, |outcome| {
-            counts(outcome) && is_of(outcome, series)
+    // The first second is left out: the queues fill up.
+    let is_measured = |outcome: &Outcome| outcome.at >= Duration::from_secs(1);
+    let tally_series = |series| {
+        FlowTally::count(outcomes, |outcome| {
+            is_measured(outcome) && is_in_series(outcome, series)
         })
     };
-    let all = Tally::count(outcomes, |outcome| {
-        counts(outcome) && outcome.series < PROBES
+    let all = FlowTally::count(outcomes, |outcome| {
+        is_measured(outcome) && outcome.series < PROBE_SERIES
     });
-    let wire = Tally::count(outcomes, |outcome| outcome.series == PROBES);
-    let [commits, lookups, refreshes] = [COMMITS, LOOKUPS, REFRESHES].map(of);
+    let wire = FlowTally::count(outcomes, |outcome| outcome.series == PROBE_SERIES);
+    let [commits, lookups, refreshes] = [COMMITS, LOOKUPS, REFRESHES].map(tally_series);
     Level {
         load,
-        goodput_ratio: to_f64(all.good.count()) / (CAPACITY * (seconds - 1.0)),
+        goodput_ratio: to_f64(all.in_time.count()) / (CAPACITY * (seconds - 1.0)),
         commit_share: commits.share(),
         lookup_share: lookups.share(),
         refresh_share: refreshes.share(),
-        commit_p99_ms: commits.good.quantile_ms(0.99),
-        lookup_p99_ms: lookups.good.quantile_ms(0.99),
+        commit_p99_ms: commits.in_time.quantile_ms(0.99),
+        lookup_p99_ms: lookups.in_time.quantile_ms(0.99),
         refusal_p50_ms: all.refused.quantile_ms(0.5),
         refusal_p90_ms: all.refused.quantile_ms(0.9),
         refusal_p99_ms: all.refused.quantile_ms(0.99),
-        wire_p99_ms: wire.good.quantile_ms(0.99),
+        wire_p99_ms: wire.in_time.quantile_ms(0.99),
         late_answers: all.late,
     }
 }
 
-async fn measure_fairness(deployment: &Deployment, seconds: f64, entry: Entry) -> Fairness {
-    tokio::time::sleep(PAUSE).await;
+async fn measure_fairness(
+    deployment: &Deployment,
+    seconds: f64,
+    entry_point: EntryPoint,
+) -> Fairness {
+    tokio::time::sleep(RUN_PAUSE).await;
     let span = (0.0, seconds + 1.0);
-    let flows = [flow(LOOKUPS, 0.6, span), flow(HOT, 4.0, span)];
-    let outcomes = send_flows(deployment, &flows, entry).await;
-    let counts = |outcome: &Outcome| outcome.at >= Duration::from_secs(1);
-    let of = |series| {
-        Tally::count(&outcomes, |outcome| {
-            counts(outcome) && is_of(outcome, series)
+    let flows = [
+        make_flow(LOOKUPS, 0.6, span),
+        make_flow(HOT_CALLER, 4.0, span),
+    ];
+    let outcomes = send_flows(deployment, &flows, entry_point).await;
+    let is_measured = |outcome: &Outcome| outcome.at >= Duration::from_secs(1);
+    let tally_series = |series| {
+        FlowTally::count(&outcomes, |outcome| {
+            is_measured(outcome) && is_in_series(outcome, series)
         })
     };
-    let [others, hot] = [LOOKUPS, HOT].map(of);
+    let [others, hot] = [LOOKUPS, HOT_CALLER].map(tally_series);
     let shares = (LOOKUPS..LOOKUPS + 30).map(|series| {
-        Tally::count(&outcomes, |outcome| {
-            counts(outcome) && outcome.series == series
+        FlowTally::count(&outcomes, |outcome| {
+            is_measured(outcome) && outcome.series == series
         })
         .share()
     });
-    let answers = hot.good.count() + others.good.count();
+    let answers = hot.in_time.count() + others.in_time.count();
     Fairness {
-        hot_caller_share: to_f64(hot.good.count()) / to_f64(answers.max(1)),
+        hot_caller_share: to_f64(hot.in_time.count()) / to_f64(answers.max(1)),
         fair_share_min: shares.fold(1.0, f64::min),
         fair_share_mean: others.share(),
     }
 }
 
-async fn measure_slow(deployment: &Deployment, seconds: f64, entry: Entry) -> Result<Slow, Error> {
+async fn measure_slow(
+    deployment: &Deployment,
+    seconds: f64,
+    entry_point: EntryPoint,
+) -> Result<Slow, Error> {
     let span = (0.0, seconds + 2.0);
-    let flows = [flow(COMMITS, 0.05, span), flow(LOOKUPS, 0.35, span)];
-    // What is learnt of the slow one in two seconds is in force afterwards.
-    let counts =
-        |outcome: &Outcome| outcome.series < PROBES && outcome.at >= Duration::from_secs(2);
+    let flows = [
+        make_flow(COMMITS, 0.05, span),
+        make_flow(LOOKUPS, 0.35, span),
+    ];
+    // The first two seconds are left out: the nodes learn of the slow backend server in them.
+    let is_measured =
+        |outcome: &Outcome| outcome.series < PROBE_SERIES && outcome.at >= Duration::from_secs(2);
     let mut tallies = Vec::new();
     for factor in [1, 10] {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RUN_PAUSE).await;
         let fault = format!(r#"{{"slow_factor": {factor}}}"#);
         send_fault(deployment.vms[0].backend_address(), &fault).await?;
-        let outcomes = send_flows(deployment, &flows, entry).await;
-        tallies.push(Tally::count(&outcomes, counts));
+        let outcomes = send_flows(deployment, &flows, entry_point).await;
+        tallies.push(FlowTally::count(&outcomes, is_measured));
     }
     send_fault(deployment.vms[0].backend_address(), r#"{"slow_factor": 1}"#).await?;
     let slow = Slow {
-        healthy_p99_ms: tallies[0].good.quantile_ms(0.99),
-        slow_p99_ms: tallies[1].good.quantile_ms(0.99),
+        healthy_p99_ms: tallies[0].in_time.quantile_ms(0.99),
+        slow_p99_ms: tallies[1].in_time.quantile_ms(0.99),
         slow_share: tallies[1].share(),
     };
-    eprintln!("{entry:?} {slow:?}");
+    eprintln!("{entry_point:?} {slow:?}");
     Ok(slow)
 }
 
-/// Begin and end of the burst, in seconds.
-const BURST: (f64, f64) = (3.0, 5.0);
+/// Start and end of the burst, in seconds.
+const BURST_SPAN: (f64, f64) = (3.0, 5.0);
 
-/// Length of the run with the burst in it.
-const BURST_RUN: f64 = 12.0;
+/// Duration of the run with the burst, in seconds.
+const BURST_RUN_S: f64 = 12.0;
 
-/// Half seconds in which a run is looked at.
-const STEP: f64 = 0.5;
+/// Length of the windows in which the recovery is evaluated, in seconds.
+const WINDOW_S: f64 = 0.5;
 
-/// Share answered in time from which things are normal.
-const NORMAL: f64 = 0.98;
+/// Share of calls answered in time from which a window counts as normal.
+const NORMAL_SHARE: f64 = 0.98;
 
-async fn measure_burst(deployment: &Deployment, entry: Entry) -> Burst {
-    tokio::time::sleep(PAUSE).await;
-    let span = (0.0, BURST_RUN);
+async fn measure_burst(deployment: &Deployment, entry_point: EntryPoint) -> Burst {
+    tokio::time::sleep(RUN_PAUSE).await;
+    let span = (0.0, BURST_RUN_S);
     let flows = [
-        flow(COMMITS, 0.1, span),
-        flow(LOOKUPS, 0.5, span),
-        flow(REFRESHES, 8.0, BURST),
+        make_flow(COMMITS, 0.1, span),
+        make_flow(LOOKUPS, 0.5, span),
+        make_flow(REFRESHES, 8.0, BURST_SPAN),
     ];
-    let outcomes = send_flows(deployment, &flows, entry).await;
+    let outcomes = send_flows(deployment, &flows, entry_point).await;
     let within = |from: f64, to: f64| {
-        Tally::count(&outcomes, |outcome| {
+        FlowTally::count(&outcomes, |outcome| {
             let at = outcome.at.as_secs_f64();
             from <= at && at < to && outcome.series < REFRESHES
         })
     };
-    let usual = within(1.0, BURST.0).good.quantile_ms(0.99);
+    let baseline_p99_ms = within(1.0, BURST_SPAN.0).in_time.quantile_ms(0.99);
     let mut normal_after_s = 0.0;
-    let mut from = BURST.1;
-    while from + STEP <= BURST_RUN - TIMEOUT.as_secs_f64() {
-        let tally = within(from, from + STEP);
-        // Within a step, the 95th percentile is what the 99th is in a long run.
-        let slow = tally.good.quantile_ms(0.95) > 1.5 * usual;
-        if tally.share() < NORMAL || slow {
-            normal_after_s = from + STEP - BURST.1;
+    let mut from = BURST_SPAN.1;
+    while from + WINDOW_S <= BURST_RUN_S - TIMEOUT.as_secs_f64() {
+        let tally = within(from, from + WINDOW_S);
+        // A window has few calls: its 95th percentile stands for the 99th of a long run.
+        let slow = tally.in_time.quantile_ms(0.95) > 1.5 * baseline_p99_ms;
+        if tally.share() < NORMAL_SHARE || slow {
+            normal_after_s = from + WINDOW_S - BURST_SPAN.1;
         }
-        from += STEP;
+        from += WINDOW_S;
     }
     Burst {
-        share_in_burst: within(BURST.0, BURST.1).share(),
+        share_in_burst: within(BURST_SPAN.0, BURST_SPAN.1).share(),
         normal_after_s,
     }
 }
--- a/crates/bench/src/overload_calls.rs
+++ b/crates/bench/src/overload_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the overload runs, and how a plain baseline sends them.
+//! Calls of the overload experiment, and the baseline's way to send them.
 
 use crate::caller::{Answer, Call, Caller};
 use crate::count::to_f64;
@@ -14,90 +14,100 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Mean work of a call, in milliseconds: long against what the bench itself
-/// takes for a call, so that ten times the capacity is within its reach.
+/// Mean work of a call, in milliseconds. It is long compared with the bench's own cost per call,
+/// so that the bench can send ten times the capacity.
 pub const WORK_MS: u32 = 60;
 
-/// Backend servers, each with six slots.
+/// Number of backend servers, each with six slots.
 pub const SERVERS: u32 = 4;
 
-/// Slots of all backend servers.
+/// Number of slots of all backend servers.
 const SLOTS: u32 = SERVERS * 6;
 
-/// Calls a second that all backend servers do.
+/// Capacity of all backend servers, in calls per second.
 pub const CAPACITY: f64 = SLOTS as f64 * 1000.0 / WORK_MS as f64;
 
-/// Time that a caller gives a call.
+/// Timeout of a call.
 pub const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tries of the baseline: the first and three retries.
-const TRIES: u32 = 4;
+/// Attempts of the baseline per call: the first one and three retries.
+const MAX_ATTEMPTS: u32 = 4;
 
 /// Seed of the send times.
 const SEED: u64 = 6;
 
-/// Callers' calls of one kind.
+/// Calls of one class by a group of callers.
 #[derive(Debug, Clone, Copy)]
 pub struct Flow {
-    /// Series that they count for.
+    /// Series of the first caller; the callers' series follow one another.
     pub series: usize,
-    /// What they are worth.
+    /// Class of the calls.
     pub class: Class,
-    /// Name of the caller; each call is of one of so many callers.
+    /// Name prefix and number of the callers; each call is made by a random one.
     pub callers: (&'static str, u32),
-    /// Calls a second, as a share of the capacity.
-    pub share: f64,
-    /// Seconds at which they begin and end.
+    /// Rate of the calls, as a multiple of the capacity.
+    pub load: f64,
+    /// Start and end of the calls, in seconds.
     pub span: (f64, f64),
 }
 
-/// Who takes the calls.
+/// Where the calls are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Entry {
-    /// The nodes.
+pub enum EntryPoint {
+    /// To the nodes.
     Nodes,
-    /// The backend servers themselves, in turn, with three retries.
+    /// Directly to the backend servers, round robin, with three retries.
     Servers,
 }
 
-/// Sends all calls of some flows and gives what became of them.
-pub async fn send_flows(deployment: &Deployment, flows: &[Flow], entry: Entry) -> Vec<Outcome> {
+/// Sends all calls of the flows and returns their outcomes.
+pub async fn send_flows(
+    deployment: &Deployment,
+    flows: &[Flow],
+    entry_point: EntryPoint,
+) -> Vec<Outcome> {
     let vms = deployment.vms.iter();
-    let addresses = vms.map(|vm| match entry {
-        Entry::Nodes => vm.callers_address(),
-        Entry::Servers => vm.backend_address(),
+    let addresses = vms.map(|vm| match entry_point {
+        EntryPoint::Nodes => vm.callers_address(),
+        EntryPoint::Servers => vm.backend_address(),
     });
-    let places = addresses.map(Caller::new).collect::<Vec<_>>();
-    let mut plan = plan_calls(flows, &places);
+    let targets = addresses.map(Caller::new).collect::<Vec<_>>();
+    let mut plan = plan_calls(flows, &targets);
     plan.extend(plan_probes(deployment, flows));
-    match entry {
-        // The node itself ends a call at its deadline; the bench only must not hang.
-        Entry::Nodes => send_planned(plan, 5 * TIMEOUT).await,
-        Entry::Servers => send_in_turn(plan, places).await,
+    match entry_point {
+        // The node ends a call at its deadline; this limit only keeps the bench from hanging.
+        EntryPoint::Nodes => send_planned(plan, 5 * TIMEOUT).await,
+        EntryPoint::Servers => send_round_robin(plan, targets).await,
     }
 }
 
-async fn send_in_turn(plan: Vec<PlannedCall>, places: Vec<Caller>) -> Vec<Outcome> {
-    let places = Arc::new(places);
-    let turn = Arc::new(AtomicUsize::new(0));
+async fn send_round_robin(plan: Vec<PlannedCall>, targets: Vec<Caller>) -> Vec<Outcome> {
+    let targets = Arc::new(targets);
+    let next_target = Arc::new(AtomicUsize::new(0));
     send_planned_with(plan, move |planned| {
-        let (places, turn) = (Arc::clone(&places), Arc::clone(&turn));
+        let (targets, next_target) = (Arc::clone(&targets), Arc::clone(&next_target));
         async move {
-            if planned.series == PROBES {
+            if planned.series == PROBE_SERIES {
                 return planned.caller.send_within(&planned.call, TIMEOUT).await;
             }
-            send_tries(&planned.call, &places, &turn).await
+            send_with_retries(&planned.call, &targets, &next_target).await
         }
     })
     .await
 }
 
-/// Tries up to four backend servers in turn, each for a quarter of the time.
-async fn send_tries(call: &Call, places: &[Caller], turn: &AtomicUsize) -> Result<Answer, Error> {
-    let mut last = Err(Error::Timeout("no try".to_owned()));
-    for _ in 0..TRIES {
-        let next = turn.fetch_add(1, Ordering::Relaxed) % places.len();
-        last = places[next].send_within(call, TIMEOUT / TRIES).await;
+/// Sends a call to up to four backend servers, round robin, each with a quarter of the timeout.
+async fn send_with_retries(
+    call: &Call,
+    targets: &[Caller],
+    next_target: &AtomicUsize,
+) -> Result<Answer, Error> {
+    let mut last = Err(Error::Timeout("no attempt".to_owned()));
+    for _ in 0..MAX_ATTEMPTS {
+        let next = next_target.fetch_add(1, Ordering::Relaxed) % targets.len();
+        last = targets[next]
+            .send_within(call, TIMEOUT / MAX_ATTEMPTS)
+            .await;
         if last.as_ref().is_ok_and(|answer| answer.status.is_success()) {
             break;
         }
@@ -106,13 +116,13 @@
 }
 
 /// Series of the probes.
-pub const PROBES: usize = 1_000;
+pub const PROBE_SERIES: usize = 1_000;
 
-/// Time between two probes.
+/// Interval of the probes.
 const PROBE_PERIOD: Duration = Duration::from_millis(10);
 
-/// Plans calls that a backend server answers at once: what the wire and the
-/// machine take meanwhile.
+/// Plans probes, calls that a backend server answers at once. They measure the latency that the
+/// network and the machine add during the run.
 fn plan_probes(deployment: &Deployment, flows: &[Flow]) -> Vec<PlannedCall> {
     let end = flows.iter().map(|flow| flow.span.1).fold(0.0, f64::max);
     let mut planned = Vec::new();
@@ -123,7 +133,7 @@
         }
         planned.push(PlannedCall {
             at,
-            series: PROBES,
+            series: PROBE_SERIES,
             caller: Caller::new(vm.backend_address()),
             call: Call::get("/health"),
         });
@@ -132,23 +142,23 @@
     planned
 }
 
-/// Draws send times that are independent of each other, as those of many callers are.
-fn plan_calls(flows: &[Flow], places: &[Caller]) -> Vec<PlannedCall> {
+/// Plans calls with independent random send times (a Poisson process), as those of many callers.
+fn plan_calls(flows: &[Flow], targets: &[Caller]) -> Vec<PlannedCall> {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut planned = Vec::new();
     for flow in flows {
         let mut at = flow.span.0;
         loop {
-            at -= (1.0 - rng.random::<f64>()).ln() / (flow.share * CAPACITY);
+            at -= (1.0 - rng.random::<f64>()).ln() / (flow.load * CAPACITY);
             if at >= flow.span.1 {
                 break;
             }
             let caller = rng.random_range(0..flow.callers.1);
             planned.push(PlannedCall {
                 at: Duration::from_secs_f64(at),
-                // Callers of a kind have series of their own, one after the other.
+                // Each caller of the flow has a series of its own.
                 series: flow.series + caller as usize,
-                caller: places[rng.random_range(0..places.len())].clone(),
+                caller: targets[rng.random_range(0..targets.len())].clone(),
                 call: make_call(flow, caller),
             });
         }
@@ -168,32 +178,32 @@
         .header("bluebellpick-timeout-ms", &TIMEOUT.as_millis().to_string())
 }
 
-/// What a set of series came to.
+/// Totals of a set of outcomes.
 #[derive(Debug)]
-pub struct Tally {
-    /// Latencies of the answers in time.
-    pub good: LatencySeries,
+pub struct FlowTally {
+    /// Latencies of the successful responses in time.
+    pub in_time: LatencySeries,
     /// Latencies of the refusals.
     pub refused: LatencySeries,
-    /// Calls sent.
+    /// Number of calls.
     pub sent: u64,
-    /// Answers after the deadline.
+    /// Number of successful responses after the deadline.
     pub late: u64,
 }
 
-impl Tally {
-    /// Counts the outcomes that `choose` wants.
-    pub fn count<F>(outcomes: &[Outcome], choose: F) -> Self
+impl FlowTally {
+    /// Counts the outcomes for which `is_selected` returns true.
+    pub fn count<F>(outcomes: &[Outcome], is_selected: F) -> Self
     where
         F: Fn(&Outcome) -> bool,
     {
         let mut tally = Self {
-            good: LatencySeries::new(),
+            in_time: LatencySeries::new(),
             refused: LatencySeries::new(),
             sent: 0,
             late: 0,
         };
-        for outcome in outcomes.iter().filter(|outcome| choose(outcome)) {
+        for outcome in outcomes.iter().filter(|outcome| is_selected(outcome)) {
             tally.add(outcome);
         }
         tally
@@ -209,13 +219,13 @@
         } else if outcome.latency > TIMEOUT {
             self.late += 1;
         } else {
-            self.good.record(outcome.latency);
+            self.in_time.record(outcome.latency);
         }
     }
 
-    /// Gives the share of the calls that were answered in time.
+    /// Returns the share of the calls that were answered in time.
     #[must_use]
     pub fn share(&self) -> f64 {
-        to_f64(self.good.count()) / to_f64(self.sent.max(1))
+        to_f64(self.in_time.count()) / to_f64(self.sent.max(1))
     }
 }
--- a/crates/bench/src/rolling.rs
+++ b/crates/bench/src/rolling.rs
@@ -1,16 +1,16 @@
-//! A rolling restart under load: every VM in turn is stopped gracefully and started again.
+//! Rolling restart under load: the VMs are stopped gracefully and started again, one by one.
 //!
-//! Callers send at times fixed beforehand, over kept connections, at every
-//! node. A caller whose node takes no connection goes to the next VM's: then
-//! nothing was sent. Every other call that gets no whole answer is lost.
+//! Callers of every node send calls at times fixed beforehand, over persistent connections. If a
+//! node refuses the connection, nothing has been sent, and the caller connects to the next VM's
+//! node. Every other call without a complete response counts as lost.
 
 use crate::caller::{Call, Caller};
 use crate::deployment::{Deployment, Vm, service_vms};
 use crate::error::Error;
-use crate::faults::{SERVICES, serve_all};
-use crate::faults_callers::{Notes, describe, now_us, read};
-use crate::faults_history::{History, Invocation, Span, Told, Verdict, check};
-use crate::faults_inject::{Stop, Target, record_arguments, record_file};
+use crate::faults::{SERVICES, deploy_services};
+use crate::faults_callers::{InvocationLog, classify_answer, now_us, summarize};
+use crate::faults_history::{CheckResult, History, Invocation, ReportedOutcome, Span, check};
+use crate::faults_inject::{Stop, Target, record_args, record_file};
 use bpaf::{Parser, construct, long};
 use http::Method;
 use rand::rngs::SmallRng;
@@ -23,88 +23,88 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Endpoints of each service: one in each availability zone.
+/// Number of endpoints of each service, one in each availability zone.
 const ZONES: u64 = 3;
 
-/// Time that a caller gives a call, in milliseconds.
+/// Timeout of a call, in milliseconds.
 const TIMEOUT_MS: u64 = 5_000;
 
-/// Time after which a caller takes a silent node for lost.
-const PATIENCE: Duration = Duration::from_millis(TIMEOUT_MS + 1_000);
+/// Time after which a caller gives up on a node that doesn't respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(TIMEOUT_MS + 1_000);
 
-/// One call in that many is long, so that something is in flight at every stop.
-const LONG_ONE_IN: u32 = 25;
+/// One in this many calls is long, so that calls are in flight at every stop.
+const LONG_CALL_ONE_IN: u32 = 25;
 
-/// Work of a long call, in milliseconds.
-const LONG_MS: &str = "300";
+/// Work of a long call, in milliseconds, as a header value.
+const LONG_WORK_MS: &str = "300";
 
-/// Pause before a caller looks for another node.
-const NEXT_NODE: Duration = Duration::from_millis(10);
+/// Pause before a caller connects to the next node.
+const NEXT_NODE_DELAY: Duration = Duration::from_millis(10);
 
-/// Time between two looks at a VM that is to serve again.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval at which a restarted VM is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest wait for a VM to serve again.
+/// Time limit for a restarted VM to serve.
 const READY_LIMIT: Duration = Duration::from_secs(20);
 
-/// Load before the first stop and after the last restart.
-const MARGIN: Duration = Duration::from_secs(1);
+/// Duration of the load before the first stop and after the last restart.
+const LOAD_MARGIN: Duration = Duration::from_secs(1);
 
-/// What to try.
+/// Options of the experiment.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of all that the callers draw.
+    /// Seed of the callers' random choices.
     pub seed: u64,
-    /// Calls a second at each node.
+    /// Calls per second at each node.
     pub rate: u32,
-    /// VMs that are restarted in each round; all by default.
+    /// Number of VMs to restart in each round; all by default.
     pub vms: usize,
-    /// What is stopped in each round.
+    /// What each round restarts.
     pub rounds: Vec<Round>,
 }
 
-/// What a round stops on each VM.
+/// What a round restarts on each VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Round {
-    /// The backend server, and once it has ended the node.
+    /// The backend server and the node, which is stopped after the backend server has ended.
     Vm,
-    /// The node alone.
+    /// Only the node.
     Node,
-    /// The backend server alone.
+    /// Only the backend server.
     Server,
 }
 
-/// What came of it.
+/// Results of the experiment.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
-    /// Calls that callers made.
+    /// Number of calls.
     pub calls: usize,
-    /// Those that got the whole answer of a backend server.
+    /// Calls that were answered, or reported as run.
     pub answered: usize,
-    /// Those that got none, whatever they were told.
+    /// All other calls, whatever was reported.
     pub lost: usize,
-    /// Those of the lost that were told "not run".
+    /// Lost calls that were reported as "not run".
     pub not_run_told: usize,
-    /// Those of the lost that were told "may have run".
+    /// Lost calls that were reported as "may have run".
     pub may_have_run_told: usize,
-    /// Those of the lost that were cut off or left in doubt.
+    /// Lost calls that were cut off, or whose outcome is unknown.
     pub cut_in_flight: usize,
     /// Keys that ran more than once.
     pub double_runs: usize,
-    /// Calls that were told "not run" and ran.
+    /// Calls that ran although they were reported as "not run".
     pub false_not_run: usize,
-    /// Answers to another call than the one that they came to.
+    /// Responses that belong to another call.
     pub mixed_answers: usize,
-    /// Longest time from a leave to the start of new work, in seconds.
+    /// Longest time from a request to leave until the start of new work, in seconds.
     pub new_work_after_leave_max_s: f64,
-    /// Stops with their restarts.
+    /// Number of restarts.
     pub restarts: usize,
     /// Mean time from the first signal until the VM served again, in seconds.
     pub restart_mean_s: f64,
 }
 
 impl Report {
-    /// Tells whether nothing was lost or violated.
+    /// Returns whether there were calls, and none was lost or violated a requirement.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         let violations =
@@ -113,7 +113,7 @@
     }
 }
 
-/// Reads what to try from the command line.
+/// Parses the options from the command line.
 #[must_use]
 pub fn parse() -> impl Parser<Options> {
     let seed = long("seed")
@@ -137,7 +137,7 @@
             "vm" => Ok(Round::Vm),
             "node" => Ok(Round::Node),
             "server" => Ok(Round::Server),
-            _ => Err("want vm, node or server"),
+            _ => Err("expected vm, node or server"),
         })
         .many()
         .map(|rounds| match rounds.len() {
@@ -152,63 +152,69 @@
     })
 }
 
-/// Restarts every VM in turn while callers call, and checks what they and the backend servers noted.
+/// Restarts the VMs one by one under load, and checks what the callers and the backend servers
+/// recorded.
 ///
 /// # Errors
 ///
-/// When a program can't be started, or does not stop or serve in time.
+/// When a program can't be started, or doesn't stop or serve in time.
 pub async fn run(options: Options) -> Result<Report, Error> {
     let mut target = spawn().await?;
     let from_us = now_us();
-    let load = Load::spawn(&target.deployment, &options);
-    tokio::time::sleep(MARGIN).await;
-    let mut took = Vec::new();
+    let load = LoadGenerator::spawn(&target.deployment, &options);
+    tokio::time::sleep(LOAD_MARGIN).await;
+    let mut restart_times = Vec::new();
     let vms = target.deployment.vms.len().min(options.vms);
     for round in &options.rounds {
         for vm in 0..vms {
             let start = Instant::now();
             restart(&mut target, *round, vm).await?;
-            took.push(start.elapsed());
+            restart_times.push(start.elapsed());
             eprintln!("{} {round:?} {vm}: {:?}", now_us(), start.elapsed());
         }
     }
-    tokio::time::sleep(MARGIN).await;
-    let invocations = load.end().await?;
+    tokio::time::sleep(LOAD_MARGIN).await;
+    let invocations = load.finish().await?;
     for one in &invocations {
-        if !matches!(one.told, Told::Answered { .. } | Told::Ran) {
+        if !matches!(
+            one.told,
+            ReportedOutcome::Answered { .. } | ReportedOutcome::Ran
+        ) {
             eprintln!("lost: {one:?}");
         }
     }
-    let graceful = vec![Span {
+    let graceful_spans = vec![Span {
         from_us,
         to_us: now_us(),
     }];
-    let verdict = check(&History {
+    let check_result = check(&History {
         invocations,
         records: target.read_records()?,
-        graceful,
+        graceful_spans,
     });
-    for line in &verdict.violations {
+    for line in &check_result.violations {
         eprintln!("{line}");
     }
-    Ok(report(&verdict, &took))
+    Ok(report(&check_result, &restart_times))
 }
 
-fn report(verdict: &Verdict, took: &[Duration]) -> Report {
-    let restarts = u32::try_from(took.len()).unwrap_or(u32::MAX).max(1);
-    let mean = took.iter().sum::<Duration>() / restarts;
+fn report(check_result: &CheckResult, restart_times: &[Duration]) -> Report {
+    let restarts = u32::try_from(restart_times.len())
+        .unwrap_or(u32::MAX)
+        .max(1);
+    let mean = restart_times.iter().sum::<Duration>() / restarts;
     Report {
-        calls: verdict.calls,
-        answered: verdict.answered,
-        lost: verdict.calls - verdict.answered,
-        not_run_told: verdict.not_run,
-        may_have_run_told: verdict.may_have_run,
-        cut_in_flight: verdict.cut_in_flight,
-        double_runs: verdict.double_runs,
-        false_not_run: verdict.false_not_run,
-        mixed_answers: verdict.mixed_answers,
-        new_work_after_leave_max_s: verdict.new_work_after_leave_max_s,
-        restarts: took.len(),
+        calls: check_result.calls,
+        answered: check_result.answered,
+        lost: check_result.calls - check_result.answered,
+        not_run_told: check_result.not_run,
+        may_have_run_told: check_result.may_have_run,
+        cut_in_flight: check_result.cut_in_flight,
+        double_runs: check_result.double_runs,
+        false_not_run: check_result.false_not_run,
+        mixed_answers: check_result.mixed_answers,
+        new_work_after_leave_max_s: check_result.new_work_after_leave_max_s,
+        restarts: restart_times.len(),
         restart_mean_s: mean.as_secs_f64(),
     }
 }
@@ -216,36 +222,37 @@
 async fn spawn() -> Result<Target, Error> {
     let mut deployment = Deployment::spawn(Vec::new(), &[]).await?;
     let mut files = Vec::new();
-    for (index, mut plan) in service_vms(&SERVICES, 1).into_iter().enumerate() {
+    for (index, mut spec) in service_vms(&SERVICES, 1).into_iter().enumerate() {
         let file = record_file(deployment.folder(), index, 0);
-        plan.backend_args = record_arguments(&file);
-        deployment.add(plan)?;
+        spec.backend_args = record_args(&file);
+        deployment.add(spec)?;
         files.push(file);
     }
-    serve_all(&deployment).await?;
-    // A fleet that has just started links its zones first; a stop then leaves a service without endpoints.
+    deploy_services(&deployment).await?;
+    // A new fleet first connects its availability zones. A stop before that would leave nodes
+    // without endpoints of a service.
     for vm in &deployment.vms {
-        wait_status(vm, knows_all).await?;
+        wait_status(vm, knows_all_endpoints).await?;
     }
     Ok(Target::new(deployment, Vec::new(), files))
 }
 
-/// Stops what `round` says, starts it again and waits until the VM serves.
+/// Restarts the processes that `round` selects and waits until the VM serves.
 async fn restart(target: &mut Target, round: Round, vm: usize) -> Result<(), Error> {
     match round {
         Round::Vm => {
-            target.end(Stop::Server(vm)).await?;
-            target.end(Stop::Node(vm)).await?;
+            target.stop_and_wait(Stop::Server(vm)).await?;
+            target.stop_and_wait(Stop::Node(vm)).await?;
             target.start(Stop::Node(vm))?;
             target.start(Stop::Server(vm))?;
         }
-        Round::Node => target.stop(Stop::Node(vm)).await?,
-        Round::Server => target.stop(Stop::Server(vm)).await?,
+        Round::Node => target.restart_gracefully(Stop::Node(vm)).await?,
+        Round::Server => target.restart_gracefully(Stop::Server(vm)).await?,
     }
-    wait_status(&target.deployment.vms[vm], has_server).await
+    wait_status(&target.deployment.vms[vm], backend_serves).await
 }
 
-/// Waits until a node is ready and its status is as wanted.
+/// Waits until a node is ready and its status satisfies `is_wanted`.
 async fn wait_status<F>(vm: &Vm, is_wanted: F) -> Result<(), Error>
 where
     F: Fn(&Value) -> bool,
@@ -254,81 +261,81 @@
     let call = Call::get("/v1/status");
     let start = Instant::now();
     while start.elapsed() < READY_LIMIT {
-        if let Ok(answer) = operators.send_within(&call, PATIENCE).await {
+        if let Ok(answer) = operators.send_within(&call, RESPONSE_TIMEOUT).await {
             let status: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
             let is_ready = status["not_ready"].as_array().is_some_and(Vec::is_empty);
             if is_ready && is_wanted(&status) {
                 return Ok(());
             }
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Err(Error::Timeout(format!("{} to serve", vm.spec.name)))
 }
 
-/// Tells whether the own backend server serves.
-fn has_server(status: &Value) -> bool {
+/// Returns whether the node's own backend server serves.
+fn backend_serves(status: &Value) -> bool {
     status["backend"]["leaving"] == Value::Bool(false)
 }
 
-/// Tells whether a node knows all endpoints of all services.
-fn knows_all(status: &Value) -> bool {
+/// Returns whether the node knows all endpoints of all services.
+fn knows_all_endpoints(status: &Value) -> bool {
     SERVICES
         .iter()
         .all(|service| status["endpoints"][*service] == ZONES)
 }
 
-/// The callers of all nodes.
-struct Load {
-    notes: Notes,
-    ending: Arc<AtomicBool>,
+/// Callers of all nodes.
+struct LoadGenerator {
+    log: InvocationLog,
+    is_ending: Arc<AtomicBool>,
     pacers: JoinSet<()>,
 }
 
-impl Load {
+impl LoadGenerator {
     fn spawn(deployment: &Deployment, options: &Options) -> Self {
         let callers: Arc<[Caller]> = deployment
             .vms
             .iter()
             .map(|vm| Caller::new(vm.callers_address()))
             .collect();
-        let notes = Notes::default();
-        let ending = Arc::new(AtomicBool::new(false));
+        let log = InvocationLog::default();
+        let is_ending = Arc::new(AtomicBool::new(false));
         let mut pacers = JoinSet::new();
         for node in 0..callers.len() {
             let pacer = Pacer {
                 node,
                 callers: Arc::clone(&callers),
                 rng: SmallRng::seed_from_u64(options.seed.wrapping_add(node as u64)),
-                notes: notes.clone(),
-                ending: Arc::clone(&ending),
+                log: log.clone(),
+                is_ending: Arc::clone(&is_ending),
             };
             pacers.spawn(pacer.run(Duration::from_secs(1) / options.rate.max(1)));
         }
         Self {
-            notes,
-            ending,
+            log,
+            is_ending,
             pacers,
         }
     }
 
-    /// Sends nothing new, waits for the calls that are out and gives what was noted.
-    async fn end(mut self) -> Result<Vec<Invocation>, Error> {
-        self.ending.store(true, Ordering::Relaxed);
+    /// Stops sending, waits for the calls in flight and returns all invocations.
+    async fn finish(mut self) -> Result<Vec<Invocation>, Error> {
+        self.is_ending.store(true, Ordering::Relaxed);
         while let Some(ended) = self.pacers.join_next().await {
             ended.map_err(|error| Error::Unexpected(error.to_string()))?;
         }
-        Ok(self.notes.take())
+        Ok(self.log.take())
     }
 }
 
-/// Sends the calls of one node's callers at their times.
+/// Sends the calls of one node's callers at their planned times.
 struct Pacer {
     node: usize,
     callers: Arc<[Caller]>,
     rng: SmallRng,
-    notes: Notes,
-    ending: Arc<AtomicBool>,
+    log: InvocationLog,
+    is_ending: Arc<AtomicBool>,
 }
 
 impl Pacer {
@@ -336,72 +343,79 @@
         let mut calls = JoinSet::new();
         let start = tokio::time::Instant::now();
         for number in 0.. {
-            // Half a period of jitter: the nodes' callers must not fall into step.
+            // Up to half a period of jitter keeps the callers of different nodes out of step.
             let jitter = period.mul_f64(self.rng.random_range(0.0..0.5));
             tokio::time::sleep_until(start + period * number + jitter).await;
-            if self.ending.load(Ordering::Relaxed) {
+            if self.is_ending.load(Ordering::Relaxed) {
                 break;
             }
             while calls.try_join_next().is_some() {}
-            let one = self.draw_call(number);
+            let one = self.sample_call(number);
             calls.spawn(send(
                 one,
                 Arc::clone(&self.callers),
                 self.node,
-                self.notes.clone(),
+                self.log.clone(),
             ));
         }
         while calls.join_next().await.is_some() {}
     }
 
-    fn draw_call(&mut self, number: u32) -> One {
+    fn sample_call(&mut self, number: u32) -> PreparedCall {
         let path = match self.rng.random_range(0..4) {
             0 => "/claims/release",
             1 => "/jobs/book",
             _ => "/records/gearbox",
         };
-        let books = path != "/records/gearbox";
+        let is_booking = path != "/records/gearbox";
         let request = format!("r-{}-{number}", self.node);
-        let key = books.then(|| format!("key-{}-{number}", self.node));
-        let mut call = Call::new(if books { Method::POST } else { Method::GET }, path)
-            .header("x-request", &request)
-            .header("bluebellpick-timeout-ms", &TIMEOUT_MS.to_string());
+        let key = is_booking.then(|| format!("key-{}-{number}", self.node));
+        let mut call = Call::new(
+            if is_booking {
+                Method::POST
+            } else {
+                Method::GET
+            },
+            path,
+        )
+        .header("x-request", &request)
+        .header("bluebellpick-timeout-ms", &TIMEOUT_MS.to_string());
         if let Some(key) = &key {
             call = call
                 .header("idempotency-key", key)
                 .body(format!("for {key}").into_bytes().into());
         }
-        if self.rng.random_ratio(1, LONG_ONE_IN) {
-            call = call.header("x-work-ms", LONG_MS);
+        if self.rng.random_ratio(1, LONG_CALL_ONE_IN) {
+            call = call.header("x-work-ms", LONG_WORK_MS);
         }
-        One { request, key, call }
+        PreparedCall { request, key, call }
     }
 }
 
-/// One call that is to be sent.
-struct One {
+/// A call to send.
+struct PreparedCall {
     request: String,
     key: Option<String>,
     call: Call,
 }
 
-async fn send(one: One, callers: Arc<[Caller]>, first: usize, notes: Notes) {
+async fn send(one: PreparedCall, callers: Arc<[Caller]>, first: usize, log: InvocationLog) {
     let sent_us = now_us();
     let mut node = first;
     let (told, detail) = loop {
-        match callers[node].send_within(&one.call, PATIENCE).await {
-            Ok(answer) => break (read(&answer), describe(node, &answer)),
-            // Nobody took the connection: nothing was sent.
+        match callers[node].send_within(&one.call, RESPONSE_TIMEOUT).await {
+            Ok(answer) => break (classify_answer(&answer), summarize(node, &answer)),
+            // The connection failed before anything was sent.
             Err(Error::Io(_)) => {
                 node = (node + 1) % callers.len();
-                tokio::time::sleep(NEXT_NODE).await;
+                tokio::time::sleep(NEXT_NODE_DELAY).await;
             }
-            // The kept connection was closed before anything was written to it.
+            // The persistent connection was closed before anything was written to it.
             Err(Error::Http(error)) if error.is_canceled() => {}
-            Err(error) => break (Told::Broken, format!("VM {node}: {error}")),
+            Err(error) => break (ReportedOutcome::Broken, format!("VM {node}: {error}")),
         }
     };
-    notes.push(Invocation {
+    log.record(Invocation {
         fingerprint: fingerprint(&one.call.body),
         request: one.request,
         key: one.key,
--- a/crates/bench/src/soak.rs
+++ b/crates/bench/src/soak.rs
@@ -1,19 +1,20 @@
-//! A soak: faults of all kinds that overlap, and the promises that must hold meanwhile and after.
+//! Soak test: overlapping faults of all kinds, and the guarantees that must hold during them and
+//! afterwards.
 //!
-//! Real processes, harmed from outside only: by signals, by forwarders between
-//! them, by what the platform's stand-in does. While it runs callers keep their
-//! connections, operators write versions, and processes are stopped, paused,
-//! killed and started in series that overlap. From time to time all faults end;
-//! then every node must serve, and hold the version that is written then.
+//! Faults are injected into real processes from outside only: by signals, by forwarders between
+//! them and by the platform's stand-in. Meanwhile callers send calls over persistent
+//! connections, operators propose versions, and processes are stopped, paused, killed and
+//! started in overlapping sequences. Such a period is a storm. After it comes a calm: all faults
+//! end, and then every node must serve and get the version that is proposed then.
 
 use crate::deployment::Vm;
 use crate::error::Error;
-use crate::faults::{AFTERMATH, spawn};
-use crate::faults_callers::{self, Notes};
-use crate::faults_history::Verdict;
+use crate::faults::{LATE_EFFECT_WAIT, spawn};
+use crate::faults_callers::{self, InvocationLog};
+use crate::faults_history::CheckResult;
 use crate::options;
-use crate::soak_plan::{Head, Plan};
-use crate::soak_runner::Storm;
+use crate::soak_plan::{Plan, PlanHeader};
+use crate::soak_runner::SoakRunner;
 use bpaf::{Parser, construct, long};
 use serde::Serialize;
 use std::path::{Path, PathBuf};
@@ -21,75 +22,78 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Time for which a plan has one storm: 12 s of faults and what the calm takes.
-const STORM: Duration = Duration::from_secs(20);
+/// Duration of a storm with its calm, by which the number of storms in a plan is chosen: 12 s of
+/// faults, and the rest for the calm.
+const STORM_WITH_CALM: Duration = Duration::from_secs(20);
 
-/// What to try.
+/// Options of the soak test.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How long.
+    /// Duration of the soak test.
     pub duration: Duration,
-    /// VMs of each service in each zone: nine VMs for each.
+    /// Number of VMs of each service in each availability zone. With three services and three zones,
+    /// the fleet has nine times as many VMs.
     pub per_zone: usize,
-    /// Whether the faults are drawn whole before the first one, with the kinds that only plans have.
+    /// Whether to generate all faults in advance as a plan, including the kinds that only plans have.
     pub planned: bool,
-    /// A plan to play in place of one that is drawn.
+    /// File of a plan to play, instead of generated faults.
     pub plan: Option<PathBuf>,
-    /// Where the plan that is played is written.
+    /// File to write the plan to.
     pub write_plan: Option<PathBuf>,
-    /// How often.
+    /// Number of runs.
     pub repeat: usize,
-    /// Runs side by side.
+    /// Number of concurrent runs.
     pub jobs: usize,
-    /// Whether each run takes the next seed.
+    /// Whether each run uses the next seed.
     pub next_seeds: bool,
-    /// Whether faults are left out of the plan as long as it fails.
+    /// Whether to shrink the plan: to remove events as long as it still fails.
     pub shrink: bool,
-    /// Where the logs go when something is wrong.
+    /// Folder to copy the logs to after a violation or an error.
     pub keep: Option<PathBuf>,
 }
 
-/// What came of it.
+/// Results of the soak test.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
-    /// Seed of all that was drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// What the check of the histories found.
+    /// Result of the check of the histories.
     #[serde(flatten)]
-    pub verdict: Verdict,
-    /// Faults that were put in, graceful stops included.
+    pub check_result: CheckResult,
+    /// Number of injected faults, including graceful stops.
     pub faults_injected: usize,
-    /// Times that all faults had ended and the fleet was looked at.
+    /// Number of calms: times that all faults ended and the fleet was checked.
     pub calms: usize,
-    /// Calms in which some node did not serve in time.
+    /// Calms in which some node didn't serve in time.
     pub not_served: usize,
-    /// Calms in which a version was not in force everywhere in time.
+    /// Calms in which a version didn't reach all nodes in time.
     pub not_in_force: usize,
-    /// Views older than the one before that nodes were offered.
+    /// Nodes, counted in each calm, that have been offered a view older than their current one.
     pub reverts: u64,
-    /// Nodes that ended by themselves.
+    /// Unexpected exits of nodes.
     pub ended_by_themselves: usize,
-    /// Stops that did not end within their limit.
+    /// Graceful stops that exceeded their time limit.
     pub stops_late: usize,
-    /// Sockets that nodes held half closed 2 s after a calm.
+    /// Half-closed sockets that nodes still held 2 s after the other checks of a calm.
     pub half_closed: usize,
-    /// Runs that began over 2 s after their backend server's farewell was answered.
+    /// Runs that began more than 2 s after their backend server's leave request was acknowledged.
     pub late_runs: usize,
-    /// Kinds of calls that nodes still held when nobody called any more.
+    /// Kinds of calls that nodes still held after the last caller had ended, summed over the nodes.
     pub unended: usize,
-    /// Runs of deadly requests later than 3 s after the third crash, beyond three of each.
+    /// Runs of deadly requests that began more than 3 s after the third crash, not counting three
+    /// for each request.
     pub deadly_runs: usize,
-    /// Requests of other callers that were refused as deadly ones are.
+    /// Requests of other callers that were refused because they were mistaken for deadly ones.
     pub innocents_held: usize,
 }
 
 impl Report {
-    /// Tells whether nothing was violated.
+    /// Returns whether there was no violation.
     #[must_use]
     pub fn is_clean(&self) -> bool {
-        let found = &self.verdict;
+        let found = &self.check_result;
         let wrong = found.double_runs + found.false_not_run + found.mixed_answers;
         let wrong = wrong + self.not_served + self.not_in_force + self.ended_by_themselves;
         let left = self.stops_late + self.half_closed + self.late_runs + self.unended;
@@ -98,7 +102,7 @@
     }
 }
 
-/// Reads what to try from the command line.
+/// Parses the options from the command line.
 #[must_use]
 pub fn parse() -> impl Parser<Options> {
     let seed = options::parse_seed();
@@ -158,45 +162,49 @@
 }
 
 impl Options {
-    /// Gives the plan to play, if the faults are not drawn as time goes by.
+    /// Returns the plan to play; none if the faults are to be chosen during the run.
     ///
     /// # Errors
     ///
-    /// When its file can't be read.
+    /// When the plan's file can't be read.
     pub fn find_plan(&self) -> Result<Option<Plan>, Error> {
         if let Some(file) = &self.plan {
-            return Plan::open(file).map(Some);
+            return Plan::read(file).map(Some);
         }
-        let storms = self.duration.div_duration_f64(STORM).round().max(1.0);
+        let storms = self
+            .duration
+            .div_duration_f64(STORM_WITH_CALM)
+            .round()
+            .max(1.0);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "some storms, and at least one"
         )]
-        let head = Head {
+        let header = PlanHeader {
             seed: self.seed,
             per_zone: self.per_zone,
             storms: storms as usize,
         };
-        Ok(self.planned.then(|| Plan::draw(head)))
+        Ok(self.planned.then(|| Plan::generate(header)))
     }
 }
 
-/// Starts the fleet, harms it while callers call, and checks what must hold.
+/// Starts the fleet, injects faults under load, and checks the guarantees.
 ///
 /// # Errors
 ///
-/// When a program can't be started, the fleet doesn't come to serve at first, or the
-/// plan can't be read.
+/// When a program can't be started, the new fleet doesn't serve in time, or the plan can't be
+/// read.
 pub async fn run(options: Options) -> Result<Report, Error> {
     let plan = options.find_plan()?;
     if let Some((plan, file)) = plan.as_ref().zip(options.write_plan.as_ref()) {
         plan.write(file)?;
     }
-    let head = plan.as_ref().map(|plan| plan.head);
-    let seed = head.map_or(options.seed, |head| head.seed);
-    let target = spawn(head.map_or(options.per_zone, |head| head.per_zone)).await?;
-    let notes = Notes::default();
+    let header = plan.as_ref().map(|plan| plan.header);
+    let seed = header.map_or(options.seed, |header| header.seed);
+    let target = spawn(header.map_or(options.per_zone, |header| header.per_zone)).await?;
+    let log = InvocationLog::default();
     let end = Instant::now() + options.duration;
     let addresses: Vec<_> = target
         .deployment
@@ -204,37 +212,41 @@
         .iter()
         .map(Vm::callers_address)
         .collect();
-    let ends = Arc::new(AtomicBool::new(false));
+    let is_ending = Arc::new(AtomicBool::new(false));
     let is_planned = plan.is_some();
-    let goes_on = {
-        let ends = Arc::clone(&ends);
-        move || !ends.load(Ordering::Relaxed) && (is_planned || Instant::now() < end)
+    let keep_running = {
+        let is_ending = Arc::clone(&is_ending);
+        move || !is_ending.load(Ordering::Relaxed) && (is_planned || Instant::now() < end)
     };
-    let mut callers = faults_callers::spawn(seed, &addresses, goes_on.clone(), &notes);
-    let mut storm = Storm::new(seed, target);
+    let mut callers = faults_callers::spawn(seed, &addresses, keep_running.clone(), &log);
+    let mut runner = SoakRunner::new(seed, target);
     let ended = match &plan {
         Some(plan) => {
             eprint!("{}", plan.to_lines()?);
-            callers.extend(faults_callers::spawn_unreading(seed, &addresses, &goes_on));
-            storm.play(plan).await
+            callers.extend(faults_callers::spawn_stalled_readers(
+                seed,
+                &addresses,
+                &keep_running,
+            ));
+            runner.run_plan(plan).await
         }
-        None => storm.run_until(end).await,
+        None => runner.run_until(end).await,
     };
-    ends.store(is_planned || ended.is_err(), Ordering::Relaxed);
+    is_ending.store(is_planned || ended.is_err(), Ordering::Relaxed);
     faults_callers::join(callers).await?;
-    tokio::time::sleep(AFTERMATH).await;
+    tokio::time::sleep(LATE_EFFECT_WAIT).await;
     let report = match ended {
-        Ok(()) => storm.report(seed, &notes).await,
+        Ok(()) => runner.report(seed, &log).await,
         Err(error) => Err(error),
     };
     let is_clean = report.as_ref().is_ok_and(Report::is_clean);
     if let Some(folder) = options.keep.filter(|_| !is_clean) {
-        copy_files(storm.target.deployment.folder(), &folder)?;
+        copy_files(runner.target.deployment.folder(), &folder)?;
     }
     report
 }
 
-/// Copies the files of a folder, which has no folders in it.
+/// Copies the files of a folder, without its subfolders.
 fn copy_files(from: &Path, to: &Path) -> Result<(), Error> {
     std::fs::create_dir_all(to)?;
     for entry in std::fs::read_dir(from)? {
--- a/crates/bench/src/soak_cleanup.rs
+++ b/crates/bench/src/soak_cleanup.rs
@@ -1,4 +1,5 @@
-//! What must be gone once faults have ended: half-closed sockets, calls, work after a farewell.
+//! Checks for what must not remain after faults have ended: half-closed sockets, calls in
+//! flight, and runs that began after a backend server's leave request.
 
 use crate::deployment::Vm;
 use crate::error::Error;
@@ -8,21 +9,22 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// State of a socket whose peer has closed it, in `/proc/net/tcp`.
+/// State `CLOSE_WAIT` in `/proc/net/tcp`: the peer has closed the connection.
 const CLOSE_WAIT: &str = "08";
 
-/// Longest time after a farewell was answered until no call begins any more, in microseconds.
-const LEFT_US: u64 = 2_000_000;
+/// Time after the acknowledgement of a leave request within which calls may still begin, in
+/// microseconds.
+const LEAVE_GRACE_US: u64 = 2_000_000;
 
-/// Longest time after the last caller until nothing is in flight: an answer that nobody
-/// takes is given up after 5 s.
-const ENDED: Duration = Duration::from_secs(8);
+/// Time limit for calls in flight to end after the last caller has ended: nodes give up a
+/// response that nobody reads after 5 s.
+const CALL_END_LIMIT: Duration = Duration::from_secs(8);
 
-/// Time between two looks at the nodes.
-const POLL: Duration = Duration::from_millis(100);
+/// Interval at which the nodes are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Names the sockets of a process that their peers have closed and it has not, by the ports of
-/// both ends: the own one tells the listener, the other one whose it was.
+/// Lists the sockets of a process that the peer has closed but the process has not, as local and
+/// remote port: the local port identifies the listener, the remote port the peer.
 ///
 /// # Errors
 ///
@@ -30,7 +32,7 @@
 pub fn list_half_closed(process: u32) -> Result<Vec<String>, Error> {
     let mut sockets = HashSet::new();
     for entry in std::fs::read_dir(format!("/proc/{process}/fd"))? {
-        // A descriptor may be closed between the listing and the look at it.
+        // A descriptor may have been closed since the folder was listed.
         let Ok(target) = std::fs::read_link(entry?.path()) else {
             continue;
         };
@@ -44,19 +46,20 @@
         let fields: Vec<_> = line.split_whitespace().collect();
         let is_state = fields.get(3).is_some_and(|state| *state == CLOSE_WAIT);
         let is_own = fields.get(9).is_some_and(|inode| sockets.contains(*inode));
-        (is_state && is_own).then(|| [1, 2].map(|end| name_port(fields[end])).join("-"))
+        (is_state && is_own).then(|| [1, 2].map(|end| parse_port(fields[end])).join("-"))
     });
     Ok(half_closed.collect())
 }
 
-/// Gives the port of an address in `/proc/net/tcp`, which is in hexadecimal digits there.
-fn name_port(address: &str) -> String {
+/// Returns the port of an address from `/proc/net/tcp`, where it is hexadecimal.
+fn parse_port(address: &str) -> String {
     let port = address.rsplit(':').next();
     let port = port.and_then(|port| u16::from_str_radix(port, 16).ok());
     port.map_or_else(|| address.to_owned(), |port| port.to_string())
 }
 
-/// Counts the runs that began at backend servers after their farewells had been answered.
+/// Counts the runs that began at backend servers too long after their leave requests had been
+/// acknowledged.
 ///
 /// # Errors
 ///
@@ -64,14 +67,16 @@
 pub fn count_late_runs(target: &Target) -> Result<usize, Error> {
     let mut count = 0;
     for file in target.record_files() {
-        let Some(left_us) = read_farewell(&file.with_extension("left"))? else {
+        let Some(leave_us) = read_leave_time(&file.with_extension("left"))? else {
             continue;
         };
         for run in read_runs(&read_record(file)?)? {
-            if run.start_us > left_us + LEFT_US {
-                let late_ms = (run.start_us - left_us) / 1_000;
+            if run.start_us > leave_us + LEAVE_GRACE_US {
+                let late_ms = (run.start_us - leave_us) / 1_000;
                 let file = file.display();
-                eprintln!("violation: {file}: a run began {late_ms} ms after the farewell");
+                eprintln!(
+                    "violation: {file}: a run began {late_ms} ms after the leave request was acknowledged"
+                );
                 count += 1;
             }
         }
@@ -79,8 +84,8 @@
     Ok(count)
 }
 
-/// Reads when a backend server's farewell was answered, if it was.
-fn read_farewell(file: &Path) -> Result<Option<u64>, Error> {
+/// Reads when a backend server's leave request was acknowledged, if it was.
+fn read_leave_time(file: &Path) -> Result<Option<u64>, Error> {
     match std::fs::read_to_string(file) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
         Err(error) => Err(error.into()),
@@ -88,7 +93,8 @@
     }
 }
 
-/// Counts the calls that nodes still hold when nobody calls any more.
+/// Counts the kinds of calls that nodes still hold after all callers have ended, summed over the
+/// nodes.
 pub async fn count_unended(vms: &[Vm]) -> usize {
     let start = Instant::now();
     loop {
@@ -98,16 +104,16 @@
                 for kind in ["calls", "answers", "keyed"] {
                     let name = format!("bluebellpick_stop_waits{{kind=\"{kind}\"}}");
                     let held = metrics.get(&name) > 0.0;
-                    if held && start.elapsed() > ENDED {
+                    if held && start.elapsed() > CALL_END_LIMIT {
                         eprintln!("violation: {} still holds {kind}", vm.spec.name);
                     }
                     unended += usize::from(held);
                 }
             }
         }
-        if unended == 0 || start.elapsed() > ENDED {
+        if unended == 0 || start.elapsed() > CALL_END_LIMIT {
             return unended;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/bench/src/soak_deadly.rs
+++ b/crates/bench/src/soak_deadly.rs
@@ -1,7 +1,7 @@
-//! Requests that crash the backend servers that run them, in a soak.
+//! Deadly requests, which crash the backend servers that run them, in a soak test.
 //!
-//! The stand-ins end when they run one, and are started again some seconds later. The
-//! check knows only what the backend servers recorded and what callers were told.
+//! A stand-in that runs one exits, and is started again after [`RESTART_DELAY`]. The check uses
+//! only the records of the backend servers and the outcomes that were reported to callers.
 
 use crate::caller::{Call, Caller};
 use crate::error::Error;
@@ -15,63 +15,71 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Text that makes a path or a body deadly.
-pub const MARK: &str = "deadly";
+/// Text that makes a request deadly if its path contains it.
+pub const DEADLY_MARKER: &str = "deadly";
 
-/// How long after the third crash runs are counted, in microseconds.
-const KNOWN_US: u64 = 3_000_000;
+/// Time after the third crash from which further runs are counted, in microseconds.
+const BOUND_US: u64 = 3_000_000;
 
-/// Runs that may begin after that.
-const MAX_FURTHER: usize = 3;
+/// Number of runs that may begin after that.
+const MAX_RUNS_AFTER_BOUND: usize = 3;
 
-/// Time between two requests of one deadly series.
-const GAP: Duration = Duration::from_millis(250);
+/// Interval of the requests of a series.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between a crash and the start of the next process.
-pub const DOWN: Duration = Duration::from_millis(1_500);
+/// Delay between a crash and the restart of the backend server.
+pub const RESTART_DELAY: Duration = Duration::from_millis(1_500);
 
-/// What a deadly request is.
+/// Kinds of deadly requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum DeadlyKind {
     /// A look-up, which may run more than once.
     Lookup,
-    /// The same, at all nodes in the same instant.
+    /// A look-up that is sent to all nodes at the same time.
     Burst,
-    /// A booking without a key.
+    /// A booking without an idempotency key.
     Booking,
-    /// A release of a claim under a key of its own each time.
+    /// A release of a claim, each time with a new idempotency key.
     Keyed,
 }
 
-/// A request that comes again and again, and crashes what runs it.
+/// A deadly request that is sent repeatedly.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Series {
-    /// What it is.
-    pub kind: Kind,
-    /// Tells it from other series.
+pub struct DeadlySeries {
+    /// Kind of the request.
+    pub kind: DeadlyKind,
+    /// Unique name of the series.
     pub name: String,
 }
 
-impl Series {
-    /// Makes the request that is sent as number `number`.
+impl DeadlySeries {
+    /// Returns the request with number `number`.
     #[must_use]
     pub fn make_call(&self, number: usize) -> Call {
         let name = &self.name;
         let call = match self.kind {
-            Kind::Lookup | Kind::Burst => Call::get(&format!("/records/{MARK}-{name}")),
-            Kind::Booking => Call::new(Method::POST, &format!("/jobs/{MARK}-{name}")),
-            Kind::Keyed => Call::new(Method::POST, &format!("/claims/{MARK}-{name}"))
-                .header("idempotency-key", &format!("{MARK}-{name}-{number}")),
+            DeadlyKind::Lookup | DeadlyKind::Burst => {
+                Call::get(&format!("/records/{DEADLY_MARKER}-{name}"))
+            }
+            DeadlyKind::Booking => {
+                Call::new(Method::POST, &format!("/jobs/{DEADLY_MARKER}-{name}"))
+            }
+            DeadlyKind::Keyed => {
+                Call::new(Method::POST, &format!("/claims/{DEADLY_MARKER}-{name}")).header(
+                    "idempotency-key",
+                    &format!("{DEADLY_MARKER}-{name}-{number}"),
+                )
+            }
         };
-        call.header("x-request", &format!("{MARK}.{name}.{number}"))
+        call.header("x-request", &format!("{DEADLY_MARKER}.{name}.{number}"))
             .header("bluebellpick-timeout-ms", &TIMEOUT_MS.to_string())
     }
 
-    /// Sends the request at all nodes in turn, or at once, until `end`.
+    /// Sends the request to the nodes in turn, or to all nodes at once, until `end`.
     pub async fn send(self, addresses: Vec<SocketAddr>, end: Instant) {
         let at_once = match self.kind {
-            Kind::Burst => addresses.len(),
+            DeadlyKind::Burst => addresses.len(),
             _ => 1,
         };
         let mut next = (0..).zip(addresses.iter().cycle());
@@ -81,17 +89,16 @@
                 let caller = Caller::new(*address);
                 tokio::spawn(async move {
                     let limit = Duration::from_millis(TIMEOUT_MS);
-                    // Whatever it is told, and also by a node that is down: nobody misses
-                    // the answer.
+                    // The result doesn't matter, even if the node is down.
                     drop(caller.send_within(&call, limit).await);
                 });
             }
-            tokio::time::sleep(GAP).await;
+            tokio::time::sleep(REQUEST_INTERVAL).await;
         }
     }
 }
 
-/// Reads the runs of deadly requests from what backend servers recorded, by the series' name.
+/// Reads the runs of deadly requests from the backend servers' records, by name of the series.
 ///
 /// # Errors
 ///
@@ -101,7 +108,7 @@
     for file in target.record_files() {
         for entry in read_entries(&read_record(file)?)? {
             let mut words = entry.request.split('.');
-            if words.next() == Some(MARK)
+            if words.next() == Some(DEADLY_MARKER)
                 && let Some(name) = words.next()
             {
                 all.entry(name.to_owned()).or_default().push(entry);
@@ -111,48 +118,48 @@
     Ok(all)
 }
 
-/// Counts the runs of deadly requests beyond what is allowed after the third crash.
+/// Counts the runs of deadly requests that exceed the number allowed after the third crash.
 ///
 /// # Errors
 ///
 /// When a record can't be read.
-pub fn count_further_runs(target: &Target) -> Result<usize, Error> {
-    let mut further = 0;
+pub fn count_excess_runs(target: &Target) -> Result<usize, Error> {
+    let mut excess = 0;
     for (name, runs) in read_deadly_runs(target)? {
-        let count = count_after_third(&runs);
-        if count > MAX_FURTHER {
+        let count = count_runs_after_bound(&runs);
+        if count > MAX_RUNS_AFTER_BOUND {
             eprintln!(
                 "violation: deadly request {name} ran {count} times later than 3 s after it had crashed the third server"
             );
-            further += count - MAX_FURTHER;
+            excess += count - MAX_RUNS_AFTER_BOUND;
         }
     }
-    Ok(further)
+    Ok(excess)
 }
 
-/// Counts the runs that began later than 3 s after the third crash.
+/// Counts the runs that began more than 3 s after the third crash.
 #[must_use]
-pub fn count_after_third(runs: &[Entry]) -> usize {
+pub fn count_runs_after_bound(runs: &[Entry]) -> usize {
     let ended = runs.iter().filter(|run| run.outcome == Outcome::Crashed);
     let mut crashes: Vec<_> = ended.filter_map(|run| run.end_us).collect();
     crashes.sort_unstable();
     let Some(third) = crashes.get(2) else {
         return 0;
     };
-    let later = |run: &&Entry| run.start_us > third + KNOWN_US;
+    let later = |run: &&Entry| run.start_us > third + BOUND_US;
     runs.iter().filter(later).count()
 }
 
-/// Tells whether the words of an answer are those to a held request.
+/// Returns whether a response body says that the request is held in quarantine.
 #[must_use]
-pub fn is_held(words: &str) -> bool {
-    words.contains("\"reason\":\"held\"")
+pub fn is_held(body: &str) -> bool {
+    body.contains("\"reason\":\"held\"")
 }
 
 fn read_entries(text: &str) -> Result<Vec<Entry>, Error> {
-    let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
+    let complete = text.rsplit_once('\n').map_or("", |(complete, _)| complete);
     let mut entries = HashMap::new();
-    for line in whole.lines() {
+    for line in complete.lines() {
         let entry: Entry =
             serde_json::from_str(line).map_err(|error| Error::Unexpected(error.to_string()))?;
         entries.insert(entry.run, entry);
@@ -160,7 +167,8 @@
     Ok(entries.into_values().collect())
 }
 
-/// Counts the requests of other callers that were refused as deadly ones are.
+/// Counts the requests of other callers that were refused because they were mistaken for deadly
+/// ones.
 #[must_use]
 pub fn count_innocents_held(invocations: &[Invocation]) -> usize {
     let held = invocations.iter().filter(|one| is_held(&one.detail));
--- a/crates/bench/src/soak_plan.rs
+++ b/crates/bench/src/soak_plan.rs
@@ -1,114 +1,115 @@
-//! A plan of faults: drawn whole from a seed before it is played, and kept in a file.
+//! Plans of faults: generated from a seed before they are played, and stored in files.
 //!
-//! Draws that follow the wall clock give another series each time, so that a seed
-//! which failed once passes for long. A plan names each fault with its moment. Its
-//! file has a JSON object a line, the head first; lines that begin with `#` are notes.
+//! Faults that are chosen during a run depend on the wall clock, so that a seed that failed once
+//! may pass for a long time. A plan lists each fault with its time. Its file has one JSON object
+//! per line, the header first; lines that begin with `#` are comments.
 
 use crate::error::Error;
-use crate::faults::FAULT_MS;
+use crate::faults::FAULT_DURATION_MS;
 use crate::faults_inject::{Fault, Stop};
-use crate::soak_deadly::Kind;
+use crate::soak_deadly::DeadlyKind;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Pause between the beginnings of two faults, in milliseconds: with faults of
-/// up to 2.5 s some three are in force at once.
-pub(crate) const GAP_MS: std::ops::Range<u64> = 100..900;
+/// Time between the starts of two faults, in milliseconds. Faults last up to 2.5 s, so about three
+/// are active at once.
+pub(crate) const EVENT_GAP_MS: std::ops::Range<u64> = 100..900;
 
-/// One in so many events is a graceful stop in place of a fault.
-pub(crate) const STOPS: u32 = 6;
+/// One in this many events is a graceful stop instead of a fault.
+pub(crate) const STOP_ONE_IN: u32 = 6;
 
-/// One in so many events kills all nodes at once.
-pub(crate) const HERDS: u32 = 40;
+/// One in this many events kills all nodes at once.
+pub(crate) const KILL_ALL_ONE_IN: u32 = 40;
 
-/// Time between two calms, in milliseconds.
+/// Duration of a storm, the time between two calms, in milliseconds.
 pub(crate) const STORM_MS: u64 = 12_000;
 
-/// Time that a stop is planned with: most have ended by then.
-const STOP_MS: u64 = 3_000;
+/// Planned duration of a graceful stop, in milliseconds; most end within it.
+const PLANNED_STOP_MS: u64 = 3_000;
 
-/// Time for which a deadly request comes again: a server that it has crashed is back
-/// twice by then.
+/// How long a deadly request is repeated, in milliseconds: a backend server that it crashes is
+/// restarted twice within this time.
 const DEADLY_MS: u64 = 9_000;
 
-/// One in so many events is of the kinds that only plans have.
-const NEW_KINDS: u32 = 6;
+/// One in this many events is of a kind that only plans have.
+const PLAN_ONLY_ONE_IN: u32 = 6;
 
-/// Availability zones of a soak's fleet.
+/// Number of availability zones of a soak test's fleet.
 pub(crate) const ZONES: usize = 3;
 
-/// Services of a soak's fleet.
+/// Number of services of a soak test's fleet.
 const SERVICES: usize = 3;
 
-/// What a plan is for.
+/// Header of a plan: the fleet and the seed that it is made for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
-    /// Seed that it was drawn from, and of the callers.
+pub struct PlanHeader {
+    /// Seed of the plan and of the callers.
     pub seed: u64,
-    /// VMs of each service in each zone.
+    /// Number of VMs of each service in each availability zone.
     pub per_zone: usize,
-    /// Storms, each of which ends with a calm.
+    /// Number of storms: periods of overlapping faults, each followed by a calm.
     pub storms: usize,
 }
 
-/// What is done to the fleet.
+/// Something that an event does to the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
     /// A fault.
     Fault(Fault),
-    /// Kills all nodes that nothing else is done to.
+    /// Kills all nodes without another fault or stop.
     KillAll,
-    /// All connections to the nodes of a zone lose what goes either way; new ones work.
+    /// All connections to the nodes of an availability zone drop the bytes in both directions; new
+    /// ones work.
     SilenceZone(usize),
     /// A graceful stop.
     Stop(Stop),
-    /// Graceful stops of a VM's node and its backend server, at the same moment.
+    /// Graceful stops of a VM's node and its backend server at the same time.
     StopBoth(usize),
-    /// Kills a backend server and starts it again at once, at the same address.
+    /// Kills a backend server and starts it again immediately, at the same address.
     Bounce(usize),
-    /// A request that crashes what runs it comes again and again, at all nodes in turn.
-    Deadly(Kind),
+    /// A deadly request is sent repeatedly, to the nodes in turn.
+    Deadly(DeadlyKind),
 }
 
-/// One thing that is done to the fleet, and when.
+/// An action with its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Number of the storm that it is part of.
+    /// Number of the storm that the event belongs to.
     pub storm: usize,
-    /// When it begins, in milliseconds from the start of the storm.
+    /// Start of the event, in milliseconds from the start of the storm.
     pub at_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration of the event, in milliseconds.
     pub for_ms: u64,
-    /// What it is.
+    /// What the event does.
     pub action: Action,
 }
 
 /// A plan of faults.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// What it is for.
-    pub head: Head,
-    /// Its events, in order.
+    /// Header.
+    pub header: PlanHeader,
+    /// Events in the order of their starts.
     pub events: Vec<Event>,
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Generates a plan from the seed in its header.
     #[must_use]
-    pub fn draw(head: Head) -> Self {
-        let mut rng = SmallRng::seed_from_u64(head.seed);
+    pub fn generate(header: PlanHeader) -> Self {
+        let mut rng = SmallRng::seed_from_u64(header.seed);
         let mut events = Vec::new();
-        for storm in 0..head.storms {
+        for storm in 0..header.storms {
             let mut at_ms = 0;
             while at_ms < STORM_MS {
-                let action = draw_action(&mut rng, head.per_zone);
+                let action = sample_action(&mut rng, header.per_zone);
                 let for_ms = match action {
-                    Action::Stop(_) | Action::StopBoth(_) => STOP_MS,
+                    Action::Stop(_) | Action::StopBoth(_) => PLANNED_STOP_MS,
                     Action::Deadly(_) => DEADLY_MS,
-                    _ => rng.random_range(FAULT_MS),
+                    _ => rng.random_range(FAULT_DURATION_MS),
                 };
                 let event = Event {
                     storm,
@@ -116,56 +117,57 @@
                     for_ms,
                     action,
                 };
-                if events.iter().all(|other| goes_with(&event, other)) {
+                if events.iter().all(|other| is_compatible_with(&event, other)) {
                     events.push(event);
                 }
-                at_ms += rng.random_range(GAP_MS);
+                at_ms += rng.random_range(EVENT_GAP_MS);
             }
         }
-        Self { head, events }
+        Self { header, events }
     }
 
-    /// Reads a plan.
+    /// Reads a plan from a file.
     ///
     /// # Errors
     ///
-    /// When the file can't be read; a line that is no event is named.
-    pub fn open(file: &Path) -> Result<Self, Error> {
+    /// When the file can't be read, or a line is malformed; the error names the line.
+    pub fn read(file: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(file)?;
         let lines = text.lines().enumerate();
         let mut lines = lines.filter(|(_, line)| !line.starts_with('#') && !line.is_empty());
-        let (number, head) = lines
+        let (number, header) = lines
             .next()
-            .ok_or_else(|| Error::Unexpected(format!("{}: no head", file.display())))?;
-        let name = |number: usize, error: &serde_json::Error| {
+            .ok_or_else(|| Error::Unexpected(format!("{}: no header", file.display())))?;
+        let line_error = |number: usize, error: &serde_json::Error| {
             Error::Unexpected(format!("{}, line {}: {error}", file.display(), number + 1))
         };
-        let head = serde_json::from_str(head).map_err(|error| name(number, &error))?;
-        let events = lines
-            .map(|(number, line)| serde_json::from_str(line).map_err(|error| name(number, &error)));
+        let header = serde_json::from_str(header).map_err(|error| line_error(number, &error))?;
+        let events = lines.map(|(number, line)| {
+            serde_json::from_str(line).map_err(|error| line_error(number, &error))
+        });
         let plan = Self {
-            head,
+            header,
             events: events.collect::<Result<_, _>>()?,
         };
         plan.check()?;
         Ok(plan)
     }
 
-    /// Tells which event names a VM, a zone or a storm that there is not.
+    /// Checks that every event refers to an existing VM, availability zone and storm.
     fn check(&self) -> Result<(), Error> {
-        let vms = ZONES * SERVICES * self.head.per_zone;
+        let vms = ZONES * SERVICES * self.header.per_zone;
         for event in &self.events {
-            let is_there = event.storm < self.head.storms
+            let exists = event.storm < self.header.storms
                 && event.action.vm().is_none_or(|vm| vm < vms)
                 && !matches!(event.action, Action::SilenceZone(zone) if zone >= ZONES);
-            if !is_there {
+            if !exists {
                 return Err(Error::Unexpected(format!("not in this fleet: {event:?}")));
             }
         }
         Ok(())
     }
 
-    /// Writes a plan.
+    /// Writes the plan to a file.
     ///
     /// # Errors
     ///
@@ -174,14 +176,14 @@
         Ok(std::fs::write(file, self.to_lines()?)?)
     }
 
-    /// Gives the lines of its file.
+    /// Returns the content of the plan's file.
     ///
     /// # Errors
     ///
-    /// Never for a plan that was drawn or read.
+    /// Never for a plan that was generated or read.
     pub fn to_lines(&self) -> Result<String, Error> {
         let as_error = |error: serde_json::Error| Error::Unexpected(error.to_string());
-        let mut text = serde_json::to_string(&self.head).map_err(as_error)? + "\n";
+        let mut text = serde_json::to_string(&self.header).map_err(as_error)? + "\n";
         for event in &self.events {
             text += &serde_json::to_string(event).map_err(as_error)?;
             text.push('\n');
@@ -189,20 +191,20 @@
         Ok(text)
     }
 
-    /// Gives the plan without the events from `start` up to `end`.
+    /// Returns the plan without the events from `start` up to `end`, which is excluded.
     #[must_use]
     pub fn without(&self, start: usize, end: usize) -> Self {
         let mut events = self.events.clone();
         events.drain(start..end.min(self.events.len()));
         Self {
-            head: self.head,
+            header: self.header,
             events,
         }
     }
 }
 
 impl Action {
-    /// Gives the VM that it is done to, if it is one.
+    /// Returns the affected VM, if the action affects a single one.
     #[must_use]
     pub fn vm(self) -> Option<usize> {
         match self {
@@ -214,37 +216,43 @@
     }
 }
 
-fn draw_action(rng: &mut SmallRng, per_zone: usize) -> Action {
+fn sample_action(rng: &mut SmallRng, per_zone: usize) -> Action {
     let vms = ZONES * SERVICES * per_zone;
     let vm = rng.random_range(0..vms);
-    if rng.random_ratio(1, HERDS) {
+    if rng.random_ratio(1, KILL_ALL_ONE_IN) {
         return Action::KillAll;
     }
-    if rng.random_ratio(1, NEW_KINDS) {
+    if rng.random_ratio(1, PLAN_ONLY_ONE_IN) {
         return match rng.random_range(0..4) {
             0 => Action::SilenceZone(rng.random_range(0..ZONES)),
             1 => Action::StopBoth(vm),
             2 => Action::Bounce(vm),
-            _ => Action::Deadly(draw_kind(rng)),
+            _ => Action::Deadly(sample_kind(rng)),
         };
     }
-    if rng.random_ratio(1, STOPS) {
+    if rng.random_ratio(1, STOP_ONE_IN) {
         return Action::Stop(if rng.random_bool(0.5) {
             Stop::Node(vm)
         } else {
             Stop::Server(vm)
         });
     }
-    Action::Fault(Fault::draw(rng, vms))
+    Action::Fault(Fault::sample(rng, vms))
 }
 
-fn draw_kind(rng: &mut SmallRng) -> Kind {
-    let kinds = [Kind::Lookup, Kind::Burst, Kind::Booking, Kind::Keyed];
+fn sample_kind(rng: &mut SmallRng) -> DeadlyKind {
+    let kinds = [
+        DeadlyKind::Lookup,
+        DeadlyKind::Burst,
+        DeadlyKind::Booking,
+        DeadlyKind::Keyed,
+    ];
     kinds[rng.random_range(0..kinds.len())]
 }
 
-/// Tells whether two events can be in force at once without one undoing the other.
-fn goes_with(one: &Event, other: &Event) -> bool {
+/// Returns whether two events are apart in time, or can be active at once without one undoing
+/// the other.
+fn is_compatible_with(one: &Event, other: &Event) -> bool {
     let is_apart = one.storm != other.storm
         || one.at_ms >= other.at_ms + other.for_ms
         || other.at_ms >= one.at_ms + one.for_ms;
@@ -252,7 +260,7 @@
         return true;
     }
     match (one.action, other.action) {
-        (Action::Fault(one), Action::Fault(other)) => one.goes_with(other),
+        (Action::Fault(one), Action::Fault(other)) => one.is_compatible_with(other),
         _ => match (one.action.vm(), other.action.vm()) {
             (Some(one), Some(other)) => one != other,
             _ => true,
--- a/crates/bench/src/soak_repeat.rs
+++ b/crates/bench/src/soak_repeat.rs
@@ -1,4 +1,4 @@
-//! A soak again and again, side by side, and a failing plan made shorter.
+//! Repeated and concurrent runs of a soak test, and the shrinking of plans that fail.
 
 use crate::error::Error;
 use crate::process::Process;
@@ -10,45 +10,46 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Time between two looks at the runs.
-const POLL: Duration = Duration::from_millis(100);
+/// Interval at which the runs are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for a run that is ended early.
-const END: Duration = Duration::from_secs(5);
+/// Time limit for a run that is stopped early.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Words of a violation by which it is counted.
-const WORDS: usize = 4;
+/// Number of leading words of a violation that make up its kind.
+const KIND_WORDS: usize = 4;
 
-/// What many runs showed.
+/// Totals of many runs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Tally {
-    /// Runs.
+    /// Number of runs.
     pub runs: usize,
-    /// Those that failed.
+    /// Number of runs that failed.
     pub failed: usize,
-    /// Runs by what was violated.
+    /// Number of runs by kind of violation.
     pub violations: BTreeMap<String, usize>,
 }
 
-/// One run in a process of its own.
-struct Run {
+/// One run of the soak test, in a process of its own.
+struct SoakRun {
     number: usize,
     seed: u64,
     process: Process,
 }
 
-impl Drop for Run {
-    /// Ends a run so that it ends the processes that it started; killed, it leaves them behind.
+impl Drop for SoakRun {
+    /// Terminates a run with SIGTERM, so that it ends the processes that it started. If it were
+    /// killed, they would be left behind.
     fn drop(&mut self) {
         if self.process.is_running() {
-            // What goes wrong here is told as the process handle kills what is left.
+            // Errors are ignored: the process handle kills the run if it is still there.
             drop(self.process.signal(Signal::TERM));
-            drop(self.process.wait(END));
+            drop(self.process.wait(STOP_TIMEOUT));
         }
     }
 }
 
-/// Runs a soak as often as the options says, and counts what was violated.
+/// Runs the soak test as often as the options say, and counts the violations.
 ///
 /// # Errors
 ///
@@ -56,19 +57,19 @@
 pub async fn run(options: &Options) -> Result<Tally, Error> {
     let folder = tempfile::Builder::new().prefix("soaks-").tempdir()?;
     let mut tally = Tally::default();
-    let mut running: Vec<Run> = Vec::new();
+    let mut running: Vec<SoakRun> = Vec::new();
     let mut started = 0;
     while started < options.repeat || !running.is_empty() {
         while started < options.repeat && running.len() < options.jobs {
-            running.push(start(options, started, folder.path())?);
+            running.push(start_run(options, started, folder.path())?);
             started += 1;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         for mut run in std::mem::take(&mut running) {
             if run.process.is_running() {
                 running.push(run);
             } else {
-                tally.add(options, &mut run)?;
+                tally.add_run(options, &mut run)?;
             }
         }
     }
@@ -76,17 +77,17 @@
 }
 
 impl Tally {
-    /// Takes in a run that has ended, and tells of it.
-    fn add(&mut self, options: &Options, run: &mut Run) -> Result<(), Error> {
-        let is_clean = run.process.wait(POLL)?.success();
+    /// Counts a run that has ended and prints its result.
+    fn add_run(&mut self, options: &Options, run: &mut SoakRun) -> Result<(), Error> {
+        let is_clean = run.process.wait(POLL_INTERVAL)?.success();
         self.runs += 1;
         self.failed += usize::from(!is_clean);
         let text = std::fs::read_to_string(&run.process.log)?;
-        let marks = ["violation: ", "bluebellpick-bench: "];
+        let prefixes = ["violation: ", "bluebellpick-bench: "];
         let violations = text
             .lines()
-            .filter_map(|line| marks.iter().find_map(|mark| line.strip_prefix(mark)));
-        let mut kinds: Vec<_> = violations.map(name_kind).collect();
+            .filter_map(|line| prefixes.iter().find_map(|prefix| line.strip_prefix(prefix)));
+        let mut kinds: Vec<_> = violations.map(violation_kind).collect();
         kinds.sort();
         kinds.dedup();
         let state = if is_clean { "clean" } else { "failed" };
@@ -104,14 +105,15 @@
     }
 }
 
-/// Names the promise that a violation breaks, without the numbers of one run.
-fn name_kind(violation: &str) -> String {
+/// Returns the kind of a violation: its first words, leaving out words with digits, which differ
+/// from run to run.
+fn violation_kind(violation: &str) -> String {
     let words = violation.split_whitespace();
     let words = words.filter(|word| !word.contains(|letter: char| letter.is_ascii_digit()));
-    words.take(WORDS).collect::<Vec<_>>().join(" ")
+    words.take(KIND_WORDS).collect::<Vec<_>>().join(" ")
 }
 
-fn start(options: &Options, number: usize, folder: &Path) -> Result<Run, Error> {
+fn start_run(options: &Options, number: usize, folder: &Path) -> Result<SoakRun, Error> {
     let seed = if options.next_seeds {
         options.seed + number as u64
     } else {
@@ -135,23 +137,24 @@
     }
     let log = folder.join(format!("run-{number}"));
     let process = Process::spawn("bluebellpick-bench", arguments, &log)?;
-    Ok(Run {
+    Ok(SoakRun {
         number,
         seed,
         process,
     })
 }
 
-/// Leaves events out of a plan as long as one of `repeat` runs of it fails, halves first.
+/// Removes events from a plan as long as one of `repeat` runs of it fails, beginning with
+/// halves.
 ///
 /// # Errors
 ///
-/// When there is no plan, it doesn't fail, or a run can't be started.
+/// When there is no plan, the plan doesn't fail, or a run can't be started.
 pub async fn shrink(options: &Options) -> Result<Tally, Error> {
     let missing = || Error::Unexpected("--shrink wants --plan or --planned".to_owned());
     let mut plan = options.find_plan()?.ok_or_else(missing)?;
     let file = tempfile::Builder::new().prefix("plan-").tempfile()?;
-    let mut last = play(options, &plan, file.path()).await?;
+    let mut last = run_plan(options, &plan, file.path()).await?;
     if last.failed == 0 {
         return Err(Error::Unexpected("the plan does not fail".to_owned()));
     }
@@ -160,11 +163,11 @@
         let mut start = 0;
         while start < plan.events.len() {
             let shorter = plan.without(start, start + size);
-            let tally = play(options, &shorter, file.path()).await?;
+            let tally = run_plan(options, &shorter, file.path()).await?;
             if tally.failed > 0 {
                 plan = shorter;
                 last = tally;
-                eprintln!("{} events still fail", plan.events.len());
+                eprintln!("the plan still fails with {} events", plan.events.len());
                 if let Some(kept) = &options.write_plan {
                     plan.write(kept)?;
                 }
@@ -177,7 +180,7 @@
     Ok(last)
 }
 
-async fn play(options: &Options, plan: &Plan, file: &Path) -> Result<Tally, Error> {
+async fn run_plan(options: &Options, plan: &Plan, file: &Path) -> Result<Tally, Error> {
     plan.write(file)?;
     let options = Options {
         plan: Some(file.to_owned()),
--- a/crates/bench/tests/history.rs
+++ b/crates/bench/tests/history.rs
@@ -1,8 +1,10 @@
-//! The check of histories: it passes a good one and bites on each doctored one.
+//! The history check accepts a consistent history and detects each kind of defect.
 
-use bench::faults_history::{History, Invocation, Record, Run, Span, Told, Verdict, check};
+use bench::faults_history::{
+    CheckResult, History, Invocation, ProcessRecord, ReportedOutcome, Run, Span, check,
+};
 
-fn invoke(request: &str, key: Option<&str>, told: Told) -> Invocation {
+fn invoke(request: &str, key: Option<&str>, told: ReportedOutcome) -> Invocation {
     Invocation {
         request: request.to_owned(),
         key: key.map(str::to_owned),
@@ -14,8 +16,8 @@
     }
 }
 
-fn answered(request: &str) -> Told {
-    Told::Answered {
+fn answered(request: &str) -> ReportedOutcome {
+    ReportedOutcome::Answered {
         request: request.to_owned(),
         fingerprint: "f1".to_owned(),
     }
@@ -31,60 +33,61 @@
     }
 }
 
-/// A booking that was answered again under its key, one refused, one unknown and a look-up.
-fn make_good() -> History {
+/// A booking that was answered on a retry with the same key, a refused one, one with an unknown
+/// outcome, and a look-up.
+fn consistent_history() -> History {
     History {
         invocations: vec![
-            invoke("r1", Some("k1"), Told::Broken),
+            invoke("r1", Some("k1"), ReportedOutcome::Broken),
             invoke("r2", Some("k1"), answered("r1")),
-            invoke("r3", Some("k2"), Told::NotRun),
-            invoke("r4", Some("k3"), Told::MayHaveRun),
+            invoke("r3", Some("k2"), ReportedOutcome::NotRun),
+            invoke("r4", Some("k3"), ReportedOutcome::MayHaveRun),
             invoke("r5", None, answered("r5")),
         ],
         records: vec![
-            Record {
+            ProcessRecord {
                 runs: vec![run("k1", "r1", 1_000_100), run("", "r5", 1_000_200)],
-                left: vec![Span {
+                leave_spans: vec![Span {
                     from_us: 1_000_000,
                     to_us: 1_000_300,
                 }],
             },
-            Record::default(),
+            ProcessRecord::default(),
         ],
-        graceful: vec![Span {
+        graceful_spans: vec![Span {
             from_us: 2_000_000,
             to_us: 3_000_000,
         }],
     }
 }
 
-fn violations(verdict: &Verdict) -> [usize; 4] {
+fn violations(result: &CheckResult) -> [usize; 4] {
     [
-        verdict.double_runs,
-        verdict.false_not_run,
-        verdict.mixed_answers,
-        verdict.cut_in_flight,
+        result.double_runs,
+        result.false_not_run,
+        result.mixed_answers,
+        result.cut_in_flight,
     ]
 }
 
 #[test]
-fn good() {
-    let verdict = check(&make_good());
-    assert_eq!(violations(&verdict), [0; 4]);
+fn consistent() {
+    let result = check(&consistent_history());
+    assert_eq!(violations(&result), [0; 4]);
     assert_eq!(
-        (verdict.calls, verdict.keyed_calls, verdict.answered),
+        (result.calls, result.keyed_calls, result.answered),
         (5, 4, 2)
     );
     assert_eq!(
-        (verdict.not_run, verdict.may_have_run, verdict.broken),
+        (result.not_run, result.may_have_run, result.broken),
         (1, 1, 1)
     );
-    assert!((verdict.new_work_after_leave_max_s - 0.000_2).abs() < 1e-9);
+    assert!((result.new_work_after_leave_max_s - 0.000_2).abs() < 1e-9);
 }
 
-/// What is wrong with a doctored history.
+/// A change to the consistent history, with or without a violation.
 #[derive(Debug, Clone, Copy)]
-enum Wrong {
+enum Defect {
     RunTwice,
     RunRefused,
     AnswerSwapped,
@@ -96,45 +99,45 @@
     CutOffAfter,
 }
 
-fn doctor(history: &mut History, wrong: Wrong) {
+fn insert_defect(history: &mut History, defect: Defect) {
     let asked = &mut history.invocations;
     let runs = &mut history.records[1].runs;
-    match wrong {
-        Wrong::RunTwice => runs.push(run("k1", "r2", 1_100_000)),
-        Wrong::RunRefused => runs.push(run("k2", "r3", 9_000_000)),
-        Wrong::AnswerSwapped => asked[4].told = answered("r2"),
-        Wrong::BodySwapped => "f2".clone_into(&mut asked[4].fingerprint),
-        Wrong::AnswerBorrowed => asked[2].told = answered("r1"),
-        Wrong::CutOff => (asked[3].sent_us, asked[3].told_us) = (2_500_000, 2_600_000),
-        Wrong::CutOffOnRepeat => {
+    match defect {
+        Defect::RunTwice => runs.push(run("k1", "r2", 1_100_000)),
+        Defect::RunRefused => runs.push(run("k2", "r3", 9_000_000)),
+        Defect::AnswerSwapped => asked[4].told = answered("r2"),
+        Defect::BodySwapped => "f2".clone_into(&mut asked[4].fingerprint),
+        Defect::AnswerBorrowed => asked[2].told = answered("r1"),
+        Defect::CutOff => (asked[3].sent_us, asked[3].told_us) = (2_500_000, 2_600_000),
+        Defect::CutOffOnRepeat => {
             (asked[3].sent_us, asked[3].told_us) = (2_500_000, 2_600_000);
-            let mut repeat = invoke("r6", Some("k3"), Told::Broken);
+            let mut repeat = invoke("r6", Some("k3"), ReportedOutcome::Broken);
             (repeat.sent_us, repeat.told_us) = (2_700_000, 2_800_000);
             asked.push(repeat);
         }
-        // Not the stop's doing: unknown since before it, or cut off after it.
-        Wrong::UnknownBefore => {
-            let mut repeat = invoke("r6", Some("k3"), Told::MayHaveRun);
+        // Not caused by the stop: the outcome was unknown before it, or the call ended after it.
+        Defect::UnknownBefore => {
+            let mut repeat = invoke("r6", Some("k3"), ReportedOutcome::MayHaveRun);
             (repeat.sent_us, repeat.told_us) = (2_500_000, 2_600_000);
             asked.push(repeat);
         }
-        Wrong::CutOffAfter => (asked[3].sent_us, asked[3].told_us) = (2_900_000, 3_100_000),
+        Defect::CutOffAfter => (asked[3].sent_us, asked[3].told_us) = (2_900_000, 3_100_000),
     }
 }
 
 #[yare::parameterized(
-    run_twice = { Wrong::RunTwice, [1, 0, 0, 0] },
-    run_refused = { Wrong::RunRefused, [0, 1, 0, 0] },
-    answer_swapped = { Wrong::AnswerSwapped, [0, 0, 1, 0] },
-    body_swapped = { Wrong::BodySwapped, [0, 0, 1, 0] },
-    answer_borrowed = { Wrong::AnswerBorrowed, [0, 0, 1, 0] },
-    cut_off = { Wrong::CutOff, [0, 0, 0, 1] },
-    cut_off_on_repeat = { Wrong::CutOffOnRepeat, [0, 0, 0, 2] },
-    unknown_before = { Wrong::UnknownBefore, [0, 0, 0, 0] },
-    cut_off_after = { Wrong::CutOffAfter, [0, 0, 0, 0] },
+    run_twice = { Defect::RunTwice, [1, 0, 0, 0] },
+    run_refused = { Defect::RunRefused, [0, 1, 0, 0] },
+    answer_swapped = { Defect::AnswerSwapped, [0, 0, 1, 0] },
+    body_swapped = { Defect::BodySwapped, [0, 0, 1, 0] },
+    answer_borrowed = { Defect::AnswerBorrowed, [0, 0, 1, 0] },
+    cut_off = { Defect::CutOff, [0, 0, 0, 1] },
+    cut_off_on_repeat = { Defect::CutOffOnRepeat, [0, 0, 0, 2] },
+    unknown_before = { Defect::UnknownBefore, [0, 0, 0, 0] },
+    cut_off_after = { Defect::CutOffAfter, [0, 0, 0, 0] },
 )]
-fn doctored(wrong: Wrong, found: [usize; 4]) {
-    let mut history = make_good();
-    doctor(&mut history, wrong);
+fn defective(defect: Defect, found: [usize; 4]) {
+    let mut history = consistent_history();
+    insert_defect(&mut history, defect);
     assert_eq!(violations(&check(&history)), found);
 }
--- a/crates/bench/tests/plan.rs
+++ b/crates/bench/tests/plan.rs
@@ -1,32 +1,33 @@
-//! Plans of faults: drawn alike from a seed, kept in files, and what a calm must find gone.
+//! Plans of faults: reproducible generation and storage in files; and the detection of
+//! half-closed sockets.
 
 use bench::soak_cleanup::list_half_closed;
-use bench::soak_plan::{Action, Head, Plan};
+use bench::soak_plan::{Action, Plan, PlanHeader};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use yare::parameterized;
 
-const HEAD: Head = Head {
+const HEADER: PlanHeader = PlanHeader {
     seed: 23,
     per_zone: 1,
     storms: 2,
 };
 
 #[test]
-fn drawn_alike() {
-    let plan = Plan::draw(HEAD);
-    assert_eq!(plan, Plan::draw(HEAD));
-    assert_ne!(plan, Plan::draw(Head { seed: 24, ..HEAD }));
+fn same_seed_same_plan() {
+    let plan = Plan::generate(HEADER);
+    assert_eq!(plan, Plan::generate(HEADER));
+    assert_ne!(plan, Plan::generate(PlanHeader { seed: 24, ..HEADER }));
     assert!(plan.events.len() > 20, "{}", plan.events.len());
     assert!(plan.events.iter().any(|event| event.storm == 1));
 }
 
-// Two faults of one VM at once would undo each other, and a kept plan would show less
-// than it says.
+// Two faults of one VM at once could undo each other, and a stored plan would then do less than
+// it lists.
 #[test]
-fn none_undone() {
+fn no_conflicting_events() {
     for seed in 0..200 {
-        let plan = Plan::draw(Head { seed, ..HEAD });
+        let plan = Plan::generate(PlanHeader { seed, ..HEADER });
         for (index, one) in plan.events.iter().enumerate() {
             let later = plan.events[index + 1..].iter();
             let same = later.filter(|other| other.storm == one.storm);
@@ -39,23 +40,23 @@
 }
 
 #[test]
-fn kept_whole() {
-    let plan = Plan::draw(HEAD);
+fn file_round_trip() {
+    let plan = Plan::generate(HEADER);
     let mut file = tempfile::NamedTempFile::new().unwrap();
     plan.write(file.path()).unwrap();
-    assert_eq!(Plan::open(file.path()).unwrap(), plan);
+    assert_eq!(Plan::read(file.path()).unwrap(), plan);
     writeln!(file, "# what it showed").unwrap();
     let noted = format!("# a note\n{}", plan.to_lines().unwrap());
     std::fs::write(file.path(), noted).unwrap();
-    assert_eq!(Plan::open(file.path()).unwrap(), plan);
+    assert_eq!(Plan::read(file.path()).unwrap(), plan);
     let shorter = plan.without(1, 3);
     assert_eq!(shorter.events.len(), plan.events.len() - 2);
     assert_eq!(shorter.events[0], plan.events[0]);
 }
 
 #[parameterized(
-    empty = { "", "no head" },
-    bad_head = { "{}", "line 1: missing field" },
+    empty = { "", "no header" },
+    bad_header = { "{}", "line 1: missing field" },
     bad_event = { "{\"seed\":1,\"per_zone\":1,\"storms\":1}\n\n{\"storm\":0}", "line 3: missing field" },
     no_such_vm = { "{\"seed\":1,\"per_zone\":1,\"storms\":1}\n{\"storm\":0,\"at_ms\":1,\"for_ms\":1,\"action\":{\"bounce\":9}}", "not in this fleet" },
     no_such_zone = { "{\"seed\":1,\"per_zone\":1,\"storms\":1}\n{\"storm\":0,\"at_ms\":1,\"for_ms\":1,\"action\":{\"silence_zone\":3}}", "not in this fleet" },
@@ -64,19 +65,19 @@
 fn bad_file(text: &str, message: &str) {
     let file = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(file.path(), text).unwrap();
-    let error = Plan::open(file.path()).unwrap_err().to_string();
+    let error = Plan::read(file.path()).unwrap_err().to_string();
     assert!(error.contains(message), "{error}");
 }
 
-// The check for half-closed sockets must see one: a peer that closes, and we don't.
+// The check must detect a half-closed socket: the peer has closed it, the process has not.
 #[test]
-fn half_closed_seen() {
+fn half_closed_detected() {
     let before = list_half_closed(std::process::id()).unwrap().len();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (far, _) = listener.accept().unwrap();
     drop(far);
-    // The close is there once the read ends.
+    // The peer's FIN has arrived once the read returns.
     let mut buffer = [0];
     assert_eq!(std::io::Read::read(&mut (&near), &mut buffer).unwrap(), 0);
     let during = list_half_closed(std::process::id()).unwrap();
@@ -88,8 +89,8 @@
 }
 
 #[test]
-fn new_kinds_drawn() {
-    let plans = (0..20).map(|seed| Plan::draw(Head { seed, ..HEAD }));
+fn plan_only_actions_generated() {
+    let plans = (0..20).map(|seed| Plan::generate(PlanHeader { seed, ..HEADER }));
     let actions: Vec<_> = plans
         .flat_map(|plan| plan.events)
         .map(|event| event.action)
