--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -51,7 +51,7 @@
         /// The version held by this node.
         after: Version,
         /// Whether no other root of the zone gets them earlier.
-        is_first: bool,
+        is_primary: bool,
     },
     /// Stop sending versions.
     Unwatch,
--- a/crates/fleet/src/heartbeat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -75,7 +75,7 @@
         let link = self.links.get(&key)?;
         match link.role {
             Role::Parent => Some(self.subtree_status()),
-            Role::Child => Some(self.fleet_status()),
+            Role::Child => Some(self.aggregate_fleet_status()),
             Role::RootPeer => {
                 let zone = link.peer.as_ref().map(|peer| &peer.zone);
                 if zone == Some(&self.settings.local.zone) {
@@ -127,7 +127,7 @@
 
     /// Returns the status of the fleet: aggregated from the other roots' reports on a root, else as
     /// last sent by the parent.
-    pub(crate) fn fleet_status(&self) -> Status {
+    pub(crate) fn aggregate_fleet_status(&self) -> Status {
         if !self.lease.is_root() {
             let parents = self.statuses_from(|link| link.role == Role::Parent);
             return match parents.first() {
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -241,8 +241,8 @@
 
     /// Returns the status of the fleet, as far as it was reported to this node.
     #[must_use]
-    pub fn fleet(&self) -> Status {
-        self.fleet_status()
+    pub fn fleet_status(&self) -> Status {
+        self.aggregate_fleet_status()
     }
 
     fn run_due(&mut self, now: Instant) {
--- a/crates/fleet/src/root_duties.rs
+++ b/crates/fleet/src/root_duties.rs
@@ -144,11 +144,11 @@
     }
 
     fn watch(&mut self, after: Version) {
-        let is_first = self.lease.slot().is_none_or(|slot| slot == 0);
+        let is_primary = self.lease.slot().is_none_or(|slot| slot == 0);
         self.actions
             .push(Action::QueryPlatform(PlatformRequest::Watch {
                 after,
-                is_first,
+                is_primary,
             }));
     }
 
--- a/crates/fleet/tests/world/platform.rs
+++ b/crates/fleet/tests/world/platform.rs
@@ -244,11 +244,11 @@
                 }
                 return Vec::new();
             }
-            PlatformRequest::Watch { after, is_first } => {
+            PlatformRequest::Watch { after, is_primary } => {
                 self.watchers.insert(vm, (zone, self.head()));
                 self.silent_watchers.remove(&vm);
                 let mut steps = self.steps_after(after);
-                if is_first {
+                if is_primary {
                     self.crash_readers.insert(vm);
                     steps.push(PlatformResponse::Crashes(self.crashes()));
                 }
--- a/crates/node/src/control/desk.rs
+++ b/crates/node/src/control/desk.rs
@@ -150,8 +150,8 @@
                 }
                 return None;
             }
-            PlatformRequest::Watch { after, is_first } => {
-                self.watch(after, is_first);
+            PlatformRequest::Watch { after, is_primary } => {
+                self.watch(after, is_primary);
                 return None;
             }
             PlatformRequest::Unwatch => {
@@ -294,17 +294,17 @@
         })
     }
 
-    fn watch(&mut self, after: config::Version, is_first: bool) {
+    fn watch(&mut self, after: config::Version, is_primary: bool) {
         if self.shared.uses_platform_interface() {
-            let store = if is_first {
+            let store = if is_primary {
                 self.store.clone()
             } else {
                 self.store.with_relaxed_polling()
             };
             let watcher = ObjectWatcher::open(store, platform::mesh::OBJECT_NAME);
             let configurations = forward_configurations(watcher, self.inbox.clone());
-            let crashes = self.watch_crashes(is_first);
-            let rollouts = self.watch_rollouts(is_first);
+            let crashes = self.watch_crashes(is_primary);
+            let rollouts = self.watch_rollouts(is_primary);
             self.watch_task = Some(Task(tokio::spawn(async move {
                 tokio::join!(configurations, crashes, rollouts);
             })));
@@ -314,8 +314,8 @@
         let position = (after > config::Version::ZERO).then_some(after.0);
         let follower = Follower::open(journal.clone(), position);
         let inbox = self.inbox.clone();
-        let crashes = self.watch_crashes(is_first);
-        let rollouts = self.watch_rollouts(is_first);
+        let crashes = self.watch_crashes(is_primary);
+        let rollouts = self.watch_rollouts(is_primary);
         self.watch_task = Some(Task(tokio::spawn(async move {
             tokio::select! {
                 () = forward_versions(follower, inbox) => {}
@@ -327,12 +327,12 @@
 
     /// Forwards the crashes that roots write. One reader per zone is enough, since its links carry
     /// them to the others.
-    fn watch_crashes(&self, is_first: bool) -> impl Future<Output = ()> + use<C, S> {
+    fn watch_crashes(&self, is_primary: bool) -> impl Future<Output = ()> + use<C, S> {
         let (crash_store, inbox) = (self.crash_store.clone(), self.inbox.clone());
         let mut objects =
             ObjectWatcher::open_folder(self.store.with_relaxed_polling(), board::FOLDER);
         async move {
-            if !is_first {
+            if !is_primary {
                 return;
             }
             loop {
@@ -349,10 +349,10 @@
     ///
     /// Every root reads them: one that is not connected to another root yet would otherwise
     /// continue with outdated ones.
-    fn watch_rollouts(&self, is_first: bool) -> impl Future<Output = ()> + use<C, S> {
+    fn watch_rollouts(&self, is_primary: bool) -> impl Future<Output = ()> + use<C, S> {
         let is_on = self.shared.settings.canary_share.is_some();
         let (shared, inbox) = (Arc::clone(&self.shared), self.inbox.clone());
-        let store = if is_first {
+        let store = if is_primary {
             self.store.clone()
         } else {
             self.store.with_relaxed_polling()
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -354,7 +354,7 @@
             departures: counters.departures,
             views: counters.views,
             reverts: self.shared.metrics.control.reverts.get(),
-            fleet: self.node.fleet(),
+            fleet: self.node.fleet_status(),
         }
     }
 
