--- a/crates/fleet/src/bootstrap.rs
+++ b/crates/fleet/src/bootstrap.rs
@@ -6,12 +6,13 @@
 //! outdated routes. A process therefore serves only once it holds the highest
 //! version it has heard of.
 //!
-//! It asks the platform for the latest version. While the platform does not
-//! answer, it requires reports from two serving nodes instead, one of them in
-//! its own zone: the version that the VM served came through the roots of its
-//! zone, so nodes of that zone hold it, while other zones may lag. Neither wait
-//! has a time limit: every version is stored durably on the platform, so the
-//! wait ends with the outage or network partition that caused it.
+//! The process asks the platform for the latest version. While the platform
+//! does not answer, the process requires reports from two serving nodes
+//! instead, one of them in its own zone: the version that the VM served came
+//! through the roots of its zone, so nodes of that zone hold it, while other
+//! zones may lag. Neither wait has a time limit: every version is stored durably
+//! on the platform, so the wait ends with the outage or network partition that
+//! caused it.
 
 use config::Version;
 use smol_str::SmolStr;
--- a/crates/fleet/src/children.rs
+++ b/crates/fleet/src/children.rs
@@ -1,7 +1,7 @@
 //! Admission of nodes as children.
 //!
 //! Load pattern: a zone of 1,000 nodes restarts at once, and all ask its three roots. For each new
-//! child, the parent sends the whole configuration and list of endpoints, about a megabyte.
+//! child, the parent sends the full configuration and list of endpoints, about a megabyte.
 //! Without a limit, the roots would send gigabytes and answer no node in time. Children are
 //! therefore admitted up to a fixed number, and at a rate limited by the bytes to be sent. A node
 //! that is refused learns at once when to retry and which other nodes to ask, and the tree grows
@@ -26,7 +26,7 @@
 /// Longest path from a root to a leaf: longer ones would add hops but no capacity.
 pub const MAX_DEPTH: usize = 6;
 
-/// Most sending time that recently admitted children may need together: eight of a megabyte each.
+/// Maximum sending time of all recently admitted children together: eight of a megabyte each.
 pub const JOIN_BURST: Duration = Duration::from_millis(1_600);
 
 /// Time to send a byte to a new child, at 40 Mbit/s.
@@ -70,7 +70,7 @@
                     let peer = self.links.get(&key).and_then(|link| link.peer.clone());
                     self.refuse(key, RETRY_AFTER_FULL);
                     if let Some(peer) = peer {
-                        self.add_caller_as_candidate(&peer, now);
+                        self.add_refused_root(&peer, now);
                     }
                 }
             }
@@ -138,8 +138,9 @@
         };
         self.send(key, frame);
         self.establish_link(now, key, role, version);
-        if role == Role::RootPeer && !self.is_synced {
-            // The exchange that the dialling root starts marks only that root as synced.
+        if role == Role::RootPeer && !self.has_synced_endpoints {
+            // The checksum exchange that the dialling root starts completes only that root's
+            // endpoints. This root therefore starts one too.
             self.send_checksums(key, false);
         }
     }
--- a/crates/fleet/src/crashes.rs
+++ b/crates/fleet/src/crashes.rs
@@ -48,23 +48,23 @@
     pub(crate) fn on_crashes(&mut self, now: Instant, origin: Origin, list: &[Crash]) {
         let history = &mut self.crashes.history;
         let list = list.iter().take(MAX_CRASHES);
-        let news: Vec<_> = list
+        let new_crashes: Vec<_> = list
             .filter(|crash| history.merge(now, crash))
             .cloned()
             .collect();
-        if news.is_empty() {
+        if new_crashes.is_empty() {
             return;
         }
         for link in self.find_links(Link::is_established) {
             if origin != Origin::Link(link) {
-                self.send(link, Frame::Crashes(news.clone()));
+                self.send(link, Frame::Crashes(new_crashes.clone()));
             }
         }
         if self.lease.slot().is_some() && self.is_from_subtree(origin) {
             self.crashes.write_at.get_or_insert(now + BATCH_DELAY);
         }
         if origin != Origin::Local {
-            self.actions.push(Action::UpdateQuarantine(news));
+            self.actions.push(Action::UpdateQuarantine(new_crashes));
         }
     }
 
@@ -89,8 +89,8 @@
 
     /// Sends all known crashes to a new neighbour.
     pub(crate) fn send_crashes(&mut self, now: Instant, key: LinkKey) {
-        for part in self.crashes.history.list(now).chunks(MAX_CRASHES) {
-            self.send(key, Frame::Crashes(part.to_vec()));
+        for chunk in self.crashes.history.list(now).chunks(MAX_CRASHES) {
+            self.send(key, Frame::Crashes(chunk.to_vec()));
         }
     }
 
--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -13,16 +13,16 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Time that a lost node has to appear at another parent.
+/// Time that a lost node has to appear at another parent before it counts as departed.
 ///
-/// It usually finds one within the 3.5 s after which silence is detected, and
-/// sometimes needs a second attempt.
-pub const GRACE: Duration = Duration::from_secs(4);
+/// The node usually finds a parent within the 3.5 s after which silence is
+/// detected, and sometimes needs a second attempt.
+pub const REAPPEAR_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Number of nodes lost at once that always counts as ordinary.
 const ORDINARY_LOSSES: usize = 2;
 
-/// Divisor of the number of neighbours: losing more than this fraction at once is not ordinary.
+/// Divisor of the number of neighbours: losing more than a quarter at once is not ordinary.
 const LOSS_DIVISOR: usize = 4;
 
 /// Maximum time that a lost node is tracked.
@@ -63,19 +63,23 @@
         if !has_root || self.lost.len() > limit {
             return Vec::new();
         }
-        let due = self.lost.iter().filter(|(_, at)| now >= **at + GRACE);
-        let gone: Vec<_> = due.map(|(node, _)| node.clone()).collect();
-        for node in &gone {
+        let due = self
+            .lost
+            .iter()
+            .filter(|(_, at)| now >= **at + REAPPEAR_TIMEOUT);
+        let departed_nodes: Vec<_> = due.map(|(node, _)| node.clone()).collect();
+        for node in &departed_nodes {
             self.lost.remove(node);
         }
-        gone
+        departed_nodes
     }
 
     /// Returns when the next lost node may count as departed.
     #[must_use]
     pub fn deadline(&self, now: Instant) -> Option<Instant> {
         let first = self.lost.values().min()?;
-        // Overdue nodes that are held back are checked again four times per heartbeat interval.
-        Some((*first + GRACE).max(now + crate::link::HEARTBEAT_INTERVAL / 4))
+        // Lost nodes that are due but not declared departed yet are checked again four times per
+        // heartbeat interval.
+        Some((*first + REAPPEAR_TIMEOUT).max(now + crate::link::HEARTBEAT_INTERVAL / 4))
     }
 }
--- a/crates/fleet/src/endpoints.rs
+++ b/crates/fleet/src/endpoints.rs
@@ -28,7 +28,7 @@
 /// Effect of merging an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It was not newer than the entry, or there is no place for it.
+    /// It was not newer than the entry, or the table takes no new entry for it.
     Ignored,
     /// It was newer but changes nothing else.
     Refreshed,
@@ -188,8 +188,8 @@
     let (started, incarnation, sequence, state) = endpoint.rank();
     [started, incarnation, sequence, state as u64]
         .iter()
-        .fold(stable_hash(endpoint.node.as_bytes()), |sum, part| {
-            mix(sum ^ mix(*part))
+        .fold(stable_hash(endpoint.node.as_bytes()), |hash, field| {
+            mix(hash ^ mix(*field))
         })
 }
 
@@ -201,15 +201,15 @@
 
 /// Hashes bytes with FNV-1a, which unlike the standard library's hasher is the same in every build.
 pub(crate) fn stable_hash(bytes: &[u8]) -> u64 {
-    let sum = bytes.iter().fold(0xcbf2_9ce4_8422_2325_u64, |sum, byte| {
-        (sum ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+    let hash = bytes.iter().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
     });
-    mix(sum)
+    mix(hash)
 }
 
 /// Mixes the bits of a hash (the finalizer of `SplitMix64`).
-fn mix(sum: u64) -> u64 {
-    let sum = (sum ^ (sum >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let sum = (sum ^ (sum >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    sum ^ (sum >> 31)
+fn mix(hash: u64) -> u64 {
+    let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    hash ^ (hash >> 31)
 }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -46,11 +46,12 @@
         /// The version held by this node.
         after: Version,
     },
-    /// Send all versions after this one, now and as they are written.
+    /// Send all versions after `after`: those that exist now, and later ones as they are written.
     Watch {
         /// The version held by this node.
         after: Version,
-        /// Whether no other root of the zone gets them earlier.
+        /// Whether this is the root of its zone that polls at the full rate and also reads the
+        /// crashes that other roots write.
         is_primary: bool,
     },
     /// Stop sending versions.
@@ -68,7 +69,7 @@
     pub slot: u8,
     /// The holder, which is in the zone of the lease.
     pub holder: Peer,
-    /// Whether it had not expired.
+    /// Whether it had not expired when it was read.
     pub is_live: bool,
 }
 
@@ -97,7 +98,7 @@
         version: Version,
         /// The changes.
         patch: Arc<Patch>,
-        /// Digest of the whole configuration after it.
+        /// Digest of the resulting configuration.
         digest: Digest,
     },
     /// A version, as a full configuration.
@@ -205,9 +206,10 @@
     UpdateQuarantine(Vec<Crash>),
     /// Write crashes to the platform.
     WriteCrashes {
-        /// The lease of the root that writes.
+        /// Slot of the lease of the root that writes.
         slot: u8,
-        /// All crashes that it remembers, or the worst ones if there are too many.
+        /// All crashes that the root knows of. If there are too many, those of the requests with
+        /// the most uncleared crashes.
         list: Vec<Crash>,
     },
     /// Apply these roll-outs to calls from now on.
--- a/crates/fleet/src/fallback_poll.rs
+++ b/crates/fleet/src/fallback_poll.rs
@@ -28,30 +28,30 @@
 /// When a node last heard from a root, and last polled the platform.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FallbackPoll {
-    root_heard: Instant,
-    polled: Option<Instant>,
+    root_heard_at: Instant,
+    polled_at: Option<Instant>,
     interval: Duration,
 }
 
 impl FallbackPoll {
     pub(crate) fn new(now: Instant) -> Self {
         Self {
-            root_heard: now,
-            polled: None,
+            root_heard_at: now,
+            polled_at: None,
             interval: MIN_INTERVAL,
         }
     }
 
     /// Records that the path to a root was up at `at`.
     fn record_root_contact(&mut self, at: Instant) {
-        self.root_heard = self.root_heard.max(at);
+        self.root_heard_at = self.root_heard_at.max(at);
     }
 
     /// Returns when the next poll is due unless a root is heard from before.
     fn due_at(&self) -> Instant {
-        let due_at = self.root_heard + MAX_SILENCE;
-        self.polled
-            .map_or(due_at, |polled| due_at.max(polled + self.interval))
+        let due_at = self.root_heard_at + MAX_SILENCE;
+        self.polled_at
+            .map_or(due_at, |polled_at| due_at.max(polled_at + self.interval))
     }
 }
 
@@ -66,8 +66,8 @@
     ///
     /// `None` if it does not serve yet, is shutting down, or is a root.
     pub(crate) fn next_fallback_poll(&self) -> Option<Instant> {
-        let polls = self.gate.is_open() && !self.is_leaving && !self.lease.is_root();
-        polls.then(|| self.fallback_poll.due_at())
+        let may_poll = self.gate.is_open() && !self.is_leaving && !self.lease.is_root();
+        may_poll.then(|| self.fallback_poll.due_at())
     }
 
     /// Polls the platform if no root has been heard from for too long.
@@ -85,7 +85,7 @@
         }
         let zone = &self.settings.local.zone;
         let nodes = self.table.iter().filter(|one| one.zone == *zone).count();
-        self.fallback_poll.polled = Some(now);
+        self.fallback_poll.polled_at = Some(now);
         self.fallback_poll.interval = poll_interval(nodes);
         let after = self.version();
         self.actions
--- a/crates/fleet/src/heartbeat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -8,8 +8,8 @@
 use std::time::Instant;
 use wire::control::{Frame, Heartbeat, Status};
 
-/// Consecutive heartbeats with a different checksum of the endpoints after which the tables are
-/// compared: updates in flight make checksums differ for a moment.
+/// Number of consecutive heartbeats with a differing endpoint checksum after which the tables are
+/// compared. Updates in flight make the checksums differ for a moment.
 const MISMATCH_LIMIT: u8 = 3;
 
 impl Node {
@@ -66,7 +66,7 @@
         if is_due {
             self.send_checksums(key, false);
         }
-        self.on_version_source(key, beat.version, beat.is_ready);
+        self.report_version_to_gate(key, beat.version, beat.is_ready);
         self.on_peer_version(now, key, beat.version);
     }
 
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -29,10 +29,10 @@
 ///
 /// After a restart of all VMs, the node that is to dial a root is mostly not a root itself when it
 /// first reads the leases. With the next read 5 s later, all VMs waited 2 s for the endpoints that
-/// other nodes know, and until then served only by their own.
+/// other nodes know, and until then had only their own.
 const INITIAL_READ_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for which a root of a higher zone waits for roots of lower zones to dial it.
+/// Time for which a root waits to be dialled by the roots of zones with lower names.
 const CROSS_ZONE_DIAL_DELAY: Duration = Duration::from_secs(7);
 
 /// State of this node's own lease.
@@ -141,7 +141,7 @@
         is_new
     }
 
-    /// Records that another node holds a lease. Returns whether this node was a root by it.
+    /// Records that another node holds a lease. Returns whether this node held it until now.
     pub fn on_lost(&mut self, slot: u8) -> bool {
         let was_held = self.state == State::Held { slot };
         if was_held || self.state == (State::Requested { slot }) {
@@ -223,12 +223,12 @@
 
     /// Returns the slot of the lease that a node without a path to a root should claim.
     ///
-    /// `is_unreachable` returns whether a holder could not be reached. A zone in which at least one
-    /// root may answer needs none from here: its roots nominate others. A lease of this node's
-    /// former process is claimed again: after the restart of a whole zone all holders can be
+    /// `is_unreachable` returns whether a holder could not be reached. If any root of the zone may
+    /// be reachable, there is no slot to claim, as that root nominates others. A lease of a former
+    /// process of this node is claimed again: after the restart of a whole zone all holders can be
     /// reached, but none of them is a root. The same goes for a lease whose holder had this node's
-    /// address: that VM is gone, and nodes that dial it reach this node, which is not a root. Left
-    /// to expire, such a lease kept a zone in which all VMs had restarted without configuration
+    /// address: that VM is gone, and nodes that dial it reach this node, which is not a root. When
+    /// such a lease was left to expire, a zone in which all VMs had restarted had no configuration
     /// for 10 s.
     pub fn slot_to_claim<F>(&self, local: &Peer, is_unreachable: F) -> Option<u8>
     where
@@ -294,13 +294,13 @@
         for holder in leases.into_iter().map(|lease| &lease.holder) {
             let is_own_zone = holder.zone == local.zone;
             let is_higher = (&holder.zone, &holder.node) > (&local.zone, &local.node);
-            let is_ours_to_dial = if is_own_zone || is_new {
+            let should_dial = if is_own_zone || is_new {
                 is_higher || is_new
             } else {
                 is_lowest && (is_higher || may_dial_lower)
             };
             let is_zone_done = !is_own_zone && done_zone == Some(&holder.zone);
-            if !is_ours_to_dial || is_zone_done || holder.node == local.node {
+            if !should_dial || is_zone_done || holder.node == local.node {
                 continue;
             }
             done_zone = Some(&holder.zone);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,10 +8,10 @@
 //! The nodes of each availability zone form trees. The roots, which hold a [`lease`], watch the
 //! platform and push each step of the configuration to their [`children`]; every node applies it to
 //! its [`replica`] and pushes it on. A node selects its [`parent`] among known candidates, serves
-//! once the [`bootstrap`] gate is open, and reports the aggregated [`status`] of its subtree to its
-//! parent. [`endpoints`] are exchanged in both directions over the same links, as are records of
-//! requests that crash backend servers and the progress of roll-outs. The [`departure`] guard
-//! decides when a silent node counts as gone.
+//! once its readiness gate ([`bootstrap`]) is open, and reports the aggregated [`status`] of its
+//! subtree to its parent. [`endpoints`] are exchanged in both directions over the same links, as are
+//! records of requests that crash backend servers and the progress of roll-outs. The [`departure`]
+//! guard decides when a silent node counts as gone.
 //!
 //! ```
 //! use fleet::{Action, Event, Node, PlatformRequest, Settings};
--- a/crates/fleet/src/link.rs
+++ b/crates/fleet/src/link.rs
@@ -41,7 +41,7 @@
     /// To link to another root.
     Meet,
     /// To query the version that the peer holds.
-    Ask,
+    QueryVersion,
 }
 
 /// The state of a link, and the peer's relation to this node once it is established.
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -84,7 +84,7 @@
     pub(crate) rollouts: RolloutState,
     pub(crate) initial_reads: InitialReads,
     pub(crate) local_endpoint: Option<Endpoint>,
-    pub(crate) is_synced: bool,
+    pub(crate) has_synced_endpoints: bool,
     pub(crate) is_leaving: bool,
     pub(crate) counters: Counters,
     pub(crate) actions: Vec<Action>,
@@ -127,7 +127,7 @@
             rollouts: RolloutState::default(),
             initial_reads: InitialReads::default(),
             local_endpoint: None,
-            is_synced: false,
+            has_synced_endpoints: false,
             is_leaving: false,
             counters: Counters::default(),
             actions: Vec::new(),
@@ -198,7 +198,7 @@
     /// Returns whether the process holds enough to serve.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.gate.is_open() && self.is_synced && self.initial_reads.is_done()
+        self.gate.is_open() && self.has_synced_endpoints && self.initial_reads.is_done()
     }
 
     /// Returns whether this node is a root.
@@ -209,7 +209,7 @@
 
     /// Returns the names of the nodes from the root down to this one.
     ///
-    /// The path is empty if there is none to a root.
+    /// It is empty while this node has no path to a root.
     #[must_use]
     pub fn path(&self) -> &[SmolStr] {
         &self.path
@@ -313,7 +313,7 @@
             Frame::Rollouts(list) => {
                 self.on_rollouts(now, rollouts::Origin::Link(key), &list);
             }
-            Frame::Tallies(parts) => self.on_neighbour_tallies(key, parts),
+            Frame::Tallies(tallies) => self.on_neighbour_tallies(key, tallies),
             Frame::Leave { parents } => {
                 self.add_hints(now, parents);
                 self.drop_link(now, key, true);
--- a/crates/fleet/src/outage.rs
+++ b/crates/fleet/src/outage.rs
@@ -9,8 +9,8 @@
 //! A node that loses a neighbour *redials* it: it keeps dialling the neighbour's
 //! address, and a process that has started there learns which node to join. A
 //! node that serves, has no path to a root and gets no answer from the platform
-//! becomes an *acting root* of its zone until the platform answers. Leases save
-//! work and are not needed for correctness, so two acting roots do no harm. They
+//! becomes an *acting root* of its zone until the platform answers. Leases limit
+//! load and are not needed for correctness, so two acting roots do no harm. They
 //! link to each other and to the roots of other zones through the endpoints they
 //! know.
 
@@ -58,10 +58,10 @@
 #[derive(Debug, Default)]
 pub(crate) struct OutageState {
     /// Whether the last request to the platform failed.
-    is_out: bool,
+    platform_failed: bool,
     redials: BTreeMap<SmolStr, Redial>,
-    act_at: Option<Instant>,
-    round_at: Option<Instant>,
+    start_acting_at: Option<Instant>,
+    next_round_at: Option<Instant>,
     /// Number of rounds so far, which selects the nodes to dial.
     rounds: usize,
 }
@@ -69,18 +69,20 @@
 impl OutageState {
     pub(crate) fn deadline(&self) -> Option<Instant> {
         let redials = self.redials.values().map(|redial| redial.next_at);
-        let others = [self.act_at, self.round_at].into_iter().flatten();
+        let others = [self.start_acting_at, self.next_round_at]
+            .into_iter()
+            .flatten();
         redials.chain(others).min()
     }
 }
 
 impl Node {
     /// Records whether the platform answered.
-    pub(crate) fn record_platform_response(&mut self, now: Instant, answers: bool) {
-        self.outage.is_out = !answers;
-        if answers {
-            self.outage.act_at = None;
-            self.outage.round_at = None;
+    pub(crate) fn record_platform_response(&mut self, now: Instant, has_responded: bool) {
+        self.outage.platform_failed = !has_responded;
+        if has_responded {
+            self.outage.start_acting_at = None;
+            self.outage.next_round_at = None;
             if self.lease.is_acting() {
                 self.resign_acting_root(now);
             }
@@ -111,8 +113,8 @@
         }
         self.dial_lost_neighbours(now);
         self.step_acting_root(now);
-        if self.outage.round_at.is_some_and(|at| now >= at) {
-            self.outage.round_at = Some(now + ROUND_INTERVAL);
+        if self.outage.next_round_at.is_some_and(|at| now >= at) {
+            self.outage.next_round_at = Some(now + ROUND_INTERVAL);
             self.outage.rounds += 1;
             self.actions.push(crate::event::Action::QueryPlatform(
                 PlatformRequest::Leases { is_exact: true },
@@ -132,29 +134,29 @@
                 redial.address
             })
             .collect();
-        // Without a path to a root, this node has no tree to offer.
+        // Without a path to a root, this node has no tree that the neighbour could join.
         for address in due.into_iter().filter(|_| has_root) {
             self.dial(address, Purpose::Meet, now);
         }
     }
 
     fn step_acting_root(&mut self, now: Instant) {
-        let is_needed = self.outage.is_out && self.gate.is_open() && !self.has_root();
+        let is_needed = self.outage.platform_failed && self.gate.is_open() && !self.has_root();
         if !is_needed {
-            self.outage.act_at = None;
+            self.outage.start_acting_at = None;
             return;
         }
-        let Some(at) = self.outage.act_at else {
+        let Some(at) = self.outage.start_acting_at else {
             let wait = MIN_ROOTLESS_TIME + self.jitter(MIN_ROOTLESS_TIME);
-            self.outage.act_at = Some(now + wait);
+            self.outage.start_acting_at = Some(now + wait);
             self.add_zone_candidates(now);
             return;
         };
         if now < at || self.lease.is_root() {
             return;
         }
-        self.outage.act_at = None;
-        self.outage.round_at = Some(now);
+        self.outage.start_acting_at = None;
+        self.outage.next_round_at = Some(now);
         self.lease.start_acting();
         for parent in self.find_links(|link| link.role == Role::Parent) {
             self.close(parent);
@@ -232,8 +234,9 @@
         self.start_search(now);
     }
 
-    /// Adds a root whose `Meet` frame this node had to refuse as a candidate to join.
-    pub(crate) fn add_caller_as_candidate(&mut self, peer: &Peer, now: Instant) {
+    /// Adds a root to the candidate parents after this node, not being a root, refused its `Meet`
+    /// frame.
+    pub(crate) fn add_refused_root(&mut self, peer: &Peer, now: Instant) {
         if self.has_root() {
             return;
         }
--- a/crates/fleet/src/parent.rs
+++ b/crates/fleet/src/parent.rs
@@ -47,7 +47,7 @@
 }
 
 impl Candidates {
-    /// Adds a candidate. A known one keeps its source, but is upgraded to [`Source::Root`].
+    /// Adds a candidate. A known one keeps its source unless `source` is [`Source::Root`].
     pub fn add(&mut self, address: SocketAddr, source: Source, now: Instant) {
         if self.known.len() >= MAX_CANDIDATES && !self.known.contains_key(&address) {
             self.evict_worst();
@@ -136,7 +136,8 @@
             .is_some_and(|candidate| candidate.is_unreachable)
     }
 
-    /// Resets the attempt counts for a new search. Retry delays, as of a parent just lost, stay.
+    /// Resets the attempt counts for a new search. Retry delays stay, such as that of a parent that
+    /// was just lost.
     pub fn reset_attempts(&mut self) {
         for candidate in self.known.values_mut() {
             candidate.attempts = 0;
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -1,8 +1,9 @@
 //! A node's replica of the configuration, and the frames that bring peers up to date.
 //!
-//! A step is applied only to its base version. What is missing is fetched, first as a range of
-//! steps, then as a full configuration. The latest steps are retained, so that neighbours that
-//! missed a few are sent only those.
+//! A step is applied only to its base version. A node that lacks versions requests them from a
+//! neighbour. Each node retains the latest steps, so that neighbours that missed a few are sent
+//! only those. Neighbours that missed more, or could not apply a version, are sent the full
+//! configuration.
 
 use config::{Digest, Error, Mesh, Patch, Version, VersionedMesh};
 use smol_str::{SmolStr, ToSmolStr};
@@ -17,9 +18,9 @@
 /// Most changes in all retained steps together: about 1 MB at the largest.
 const MAX_RETAINED_CHANGES: usize = 2_000;
 
-/// Most changes of a step that is sent as a step: at 46 bytes a route, 100 are 4.6 kB.
+/// Most changes of a step that is sent to peers: at 46 bytes a route, 100 are 4.6 kB.
 ///
-/// In place of a longer one, the full configuration is sent, which is compressed: 6 bytes a route.
+/// In place of a longer step, the full configuration is sent, which is compressed: 6 bytes a route.
 const MAX_STEP_CHANGES: usize = 100;
 
 /// The step from one version to a later one.
@@ -78,7 +79,7 @@
     retained_changes: usize,
     refused: Option<(Version, SmolStr)>,
     assembly: Option<Assembly>,
-    /// The configuration held, as chunks; made when a peer first needs them.
+    /// The configuration held, encoded as chunks when a peer first needs them.
     chunks: OnceCell<Vec<Chunk>>,
 }
 
@@ -125,12 +126,12 @@
         outcome
     }
 
-    /// Applies the newest configuration, given as a whole, and returns the step that leads to it.
+    /// Applies a full configuration from the platform, and returns the step that leads to it.
     ///
-    /// The node that reads from a source of whole versions computes the step, so that the nodes
-    /// below it are sent only the changes: a version of 350 routes is some 40 kB, and most
-    /// versions change a few routes.
-    pub fn apply_newest(&mut self, version: Version, mesh: Mesh) -> (ApplyOutcome, Option<Step>) {
+    /// The node that reads full configurations computes the step, so that the nodes below it are
+    /// sent only the changes: a version of 350 routes is some 40 kB, and most versions change a few
+    /// routes.
+    pub fn apply_and_diff(&mut self, version: Version, mesh: Mesh) -> (ApplyOutcome, Option<Step>) {
         if version <= self.version() {
             return (ApplyOutcome::Stale, None);
         }
@@ -165,7 +166,7 @@
         outcome
     }
 
-    /// Adds a chunk of a full configuration, and applies it once it is complete.
+    /// Adds a chunk of a full configuration, and applies the configuration once it is complete.
     ///
     /// The chunks of one configuration arrive in order over one link.
     pub fn apply_chunk(&mut self, chunk: &Chunk) -> ApplyOutcome {
@@ -212,14 +213,14 @@
     /// Returns the frames that lead from version `after` to the one held: steps, or the
     /// full configuration.
     ///
-    /// `whole` requests the full configuration in any case.
+    /// `full` requests the full configuration in any case.
     #[must_use]
-    pub fn frames_after(&self, after: Version, whole: bool) -> Vec<Frame> {
+    pub fn frames_after(&self, after: Version, full: bool) -> Vec<Frame> {
         if after >= self.version() {
             return Vec::new();
         }
         let first = self.steps.iter().position(|step| step.base == after);
-        if let Some(first) = first.filter(|_| !whole) {
+        if let Some(first) = first.filter(|_| !full) {
             let range = self.steps.range(first..);
             if range
                 .clone()
@@ -230,8 +231,8 @@
         }
         let held = &self.held;
         let chunks = self.chunks.get_or_init(|| {
-            let split = wire::control::encode_chunks(held.version(), held.digest(), held.mesh());
-            split.unwrap_or_else(|error| {
+            let encoded = wire::control::encode_chunks(held.version(), held.digest(), held.mesh());
+            encoded.unwrap_or_else(|error| {
                 log::warn!(version = held.version().0, error:%; "version_too_long");
                 Vec::new()
             })
--- a/crates/fleet/src/rollouts.rs
+++ b/crates/fleet/src/rollouts.rs
@@ -16,15 +16,16 @@
 use std::time::{Duration, Instant};
 use wire::control::{Frame, MAX_ROLLOUTS, RolloutTally};
 
-/// Interval between evaluations of a roll-out and reports of its counts.
+/// Interval at which a roll-out is evaluated and its counts are sent to neighbours.
 ///
 /// The counts that a root decides by are a few intervals old.
 const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long after a completed roll-out calls still avoid the version that it replaced.
-const COMPLETED_GRACE: Duration = Duration::from_secs(10);
+/// Time for which a completed roll-out still applies, so that calls avoid the version that it
+/// replaced.
+const COMPLETED_RETENTION: Duration = Duration::from_secs(10);
 
-/// Where news of roll-outs comes from.
+/// Where updates of roll-outs come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Origin {
     /// A neighbour.
@@ -94,48 +95,48 @@
         !self.rollout.stage.is_final()
     }
 
-    /// Merges news of the same service; returns whether anything has changed.
-    fn merge(&mut self, now: Instant, news: &Rollout) -> bool {
+    /// Merges an update for the same service; returns whether anything has changed.
+    fn merge(&mut self, now: Instant, update: &Rollout) -> bool {
         let known = &self.rollout;
-        if is_newer_order(known, news) {
-            *self = Self::new(now, news);
+        if is_newer_order(known, update) {
+            *self = Self::new(now, update);
             return true;
         }
-        if known.target != news.target {
+        if known.target != update.target {
             return false;
         }
-        let update = Self::new(now, news);
-        self.ordered_at = self.ordered_at.min(update.ordered_at);
-        self.rollout.order = known.order.max(news.order);
-        if news.stage <= self.rollout.stage {
+        let new_entry = Self::new(now, update);
+        self.ordered_at = self.ordered_at.min(new_entry.ordered_at);
+        self.rollout.order = known.order.max(update.order);
+        if update.stage <= self.rollout.stage {
             return false;
         }
-        self.rollout.stage = news.stage;
+        self.rollout.stage = update.stage;
         self.changed_at = now;
         true
     }
 }
 
-/// Returns whether `news` is a newer order for the service than `known`.
+/// Returns whether `update` is a newer order for the service than `known`.
 ///
 /// An order for the same version is newer only if the known one has ended and the store has not
 /// been restored from a backup since: an order written again after a restore is the same order.
-fn is_newer_order(known: &Rollout, news: &Rollout) -> bool {
-    let is_later = news.order > known.order;
-    if known.target != news.target {
+fn is_newer_order(known: &Rollout, update: &Rollout) -> bool {
+    let is_later = update.order > known.order;
+    if known.target != update.target {
         return is_later;
     }
-    let is_repeated = known.stage.is_final() && news.order.era == known.order.era;
-    is_later && is_repeated && !news.stage.is_final()
+    let is_repeated = known.stage.is_final() && update.order.era == known.order.era;
+    is_later && is_repeated && !update.stage.is_final()
 }
 
 impl Node {
     /// Merges roll-outs and forwards those that have changed.
     pub(crate) fn on_rollouts(&mut self, now: Instant, origin: Origin, list: &[Rollout]) {
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for update in list.iter().take(MAX_ROLLOUTS) {
             let known = self.rollouts.known.get_mut(&update.service);
-            let is_news = if let Some(known) = known {
+            let is_changed = if let Some(known) = known {
                 known.merge(now, update)
             } else {
                 let known = Entry::new(now, update);
@@ -145,26 +146,27 @@
             let Some(known) = self.rollouts.known.get_mut(&update.service) else {
                 continue;
             };
-            // An order that was missing after a restore could not take a report; it can now.
+            // If the platform shows a stage that is not final, the completion must be written
+            // again: it can't be stored while the order is missing after a restore.
             known.is_completing &= origin != Origin::Platform || update.stage.is_final();
             let current = known.to_rollout(now);
-            if is_news {
-                news.push(current.clone());
+            if is_changed {
+                changed.push(current.clone());
             }
             // An outcome that the platform lacks was not written yet, or has been lost.
             let is_missing = match origin {
                 Origin::Platform => !update.stage.is_final() && current.target == update.target,
-                Origin::Link(_) => is_news && current.stage == Stage::Stopped,
+                Origin::Link(_) => is_changed && current.stage == Stage::Stopped,
             };
             if is_missing && self.lease.is_root() {
-                self.report_outcome(current);
+                self.write_outcome(current);
             }
         }
-        self.flood_rollouts(now, Some(origin), &news);
+        self.flood_rollouts(now, Some(origin), &changed);
     }
 
     /// Writes the outcome of a roll-out to the platform, if it has one.
-    fn report_outcome(&mut self, rollout: Rollout) {
+    fn write_outcome(&mut self, rollout: Rollout) {
         let stage = match rollout.stage {
             Stage::Stopped => Stage::RolledBack,
             stage if stage.is_final() => stage,
@@ -174,25 +176,25 @@
             .push(Action::WriteRollout(Rollout { stage, ..rollout }));
     }
 
-    /// Writes all outcomes again if this is the first root of its zone.
+    /// Writes all outcomes again, as the platform may have lost them.
     ///
-    /// The platform may have lost them.
+    /// Only the root with the lowest slot of its zone does so.
     pub(crate) fn rewrite_outcomes(&mut self, now: Instant) {
         if !self.lease.is_root() || !self.lease.has_lowest_slot(&self.settings.local) {
             return;
         }
         for rollout in self.rollouts.list(now) {
-            self.report_outcome(rollout);
+            self.write_outcome(rollout);
         }
     }
 
-    fn flood_rollouts(&mut self, now: Instant, origin: Option<Origin>, news: &[Rollout]) {
-        if news.is_empty() {
+    fn flood_rollouts(&mut self, now: Instant, origin: Option<Origin>, changed: &[Rollout]) {
+        if changed.is_empty() {
             return;
         }
         for link in self.find_links(Link::is_established) {
             if origin != Some(Origin::Link(link)) {
-                self.send(link, Frame::Rollouts(news.to_vec()));
+                self.send(link, Frame::Rollouts(changed.to_vec()));
             }
         }
         self.rollouts.step_at.get_or_insert(now + STEP_INTERVAL);
@@ -203,8 +205,8 @@
     fn apply_rollouts(&mut self, now: Instant) {
         let known = self.rollouts.known.values();
         let followed = known.filter(|known| {
-            let is_past_grace = now >= known.changed_at + COMPLETED_GRACE;
-            known.rollout.stage != Stage::Completed || !is_past_grace
+            let is_past_retention = now >= known.changed_at + COMPLETED_RETENTION;
+            known.rollout.stage != Stage::Completed || !is_past_retention
         });
         let list = followed.map(|known| known.to_rollout(now)).collect();
         self.actions.push(Action::ApplyRollouts(list));
@@ -228,9 +230,9 @@
     }
 
     /// Records the counts of a neighbour's part of the fleet.
-    pub(crate) fn on_neighbour_tallies(&mut self, key: LinkKey, parts: Vec<RolloutTally>) {
+    pub(crate) fn on_neighbour_tallies(&mut self, key: LinkKey, tallies: Vec<RolloutTally>) {
         if let Some(link) = self.links.get_mut(&key) {
-            link.tallies = parts;
+            link.tallies = tallies;
         }
     }
 
@@ -247,7 +249,7 @@
             return;
         }
         let is_kept =
-            |known: &Entry| known.is_active() || now < known.changed_at + 2 * COMPLETED_GRACE;
+            |known: &Entry| known.is_active() || now < known.changed_at + 2 * COMPLETED_RETENTION;
         let is_needed = self.rollouts.known.values().any(is_kept);
         self.rollouts.step_at = is_needed.then_some(now + STEP_INTERVAL);
         let known = self.rollouts.known.iter();
@@ -292,8 +294,8 @@
             Decision::Advance(_) | Decision::Remain => return,
         };
         if next == Stage::Completed {
-            // Completion takes effect once the platform has stored it. It is requested only once:
-            // a request at each step would replace the pending one, and a slow platform would
+            // Completion takes effect once the platform has stored it. It is written only once:
+            // a write at each step would replace the pending one, and a slow platform would
             // never finish it.
             if std::mem::replace(&mut known.is_completing, true) {
                 return;
@@ -307,11 +309,11 @@
         }
         known.rollout.stage = next;
         known.changed_at = now;
-        let news = known.to_rollout(now);
+        let changed = known.to_rollout(now);
         if is_root {
-            self.report_outcome(news.clone());
+            self.write_outcome(changed.clone());
         }
-        self.flood_rollouts(now, None, &[news]);
+        self.flood_rollouts(now, None, &[changed]);
     }
 
     /// Sends the counts of this part of the fleet to parents and other roots.
@@ -330,7 +332,7 @@
                     self.subtree_tally(service)
                 }
             };
-            let parts = services.iter().filter_map(|service| {
+            let tallies = services.iter().filter_map(|service| {
                 let known = self.rollouts.known.get(service)?;
                 Some(RolloutTally {
                     service: service.clone(),
@@ -338,38 +340,38 @@
                     tally: sum(service),
                 })
             });
-            let parts = parts.collect::<Vec<_>>();
-            if parts != link.sent_tallies {
-                self.send(key, Frame::Tallies(parts.clone()));
+            let tallies = tallies.collect::<Vec<_>>();
+            if tallies != link.sent_tallies {
+                self.send(key, Frame::Tallies(tallies.clone()));
                 if let Some(link) = self.links.get_mut(&key) {
-                    link.sent_tallies = parts;
+                    link.sent_tallies = tallies;
                 }
             }
         }
     }
 
-    fn sum_parts<F>(&self, service: &SmolStr, is_wanted: F) -> Tally
+    fn sum_tallies<F>(&self, service: &SmolStr, is_wanted: F) -> Tally
     where
         F: Fn(&Link) -> bool,
     {
         let mut sum = Tally::default();
         for link in self.links.values().filter(|link| is_wanted(link)) {
-            if let Some(part) = self.find_part(link, service) {
-                sum.add(&part.tally);
+            if let Some(reported) = self.find_tally(link, service) {
+                sum.add(&reported.tally);
             }
         }
         sum
     }
 
-    fn find_part<'a>(&self, link: &'a Link, service: &SmolStr) -> Option<&'a RolloutTally> {
+    fn find_tally<'a>(&self, link: &'a Link, service: &SmolStr) -> Option<&'a RolloutTally> {
         let target = &self.rollouts.known.get(service)?.rollout.target;
-        let mut parts = link.tallies.iter();
-        parts.find(|part| part.service == *service && part.target == *target)
+        let mut tallies = link.tallies.iter();
+        tallies.find(|reported| reported.service == *service && reported.target == *target)
     }
 
     /// Sums up the counts of this node and its descendants.
     fn subtree_tally(&self, service: &SmolStr) -> Tally {
-        let mut sum = self.sum_parts(service, |link| link.role == Role::Child);
+        let mut sum = self.sum_tallies(service, |link| link.role == Role::Child);
         if let Some(known) = self.rollouts.known.get(service) {
             sum.add(&known.local_tally);
         }
@@ -379,7 +381,7 @@
     /// Sums up the counts of this zone, on a root.
     fn zone_tally(&self, service: &SmolStr) -> Tally {
         let zone = &self.settings.local.zone;
-        let mut sum = self.sum_parts(service, |link| {
+        let mut sum = self.sum_tallies(service, |link| {
             let peer = link.peer.as_ref();
             link.role == Role::RootPeer && peer.is_some_and(|peer| peer.zone == *zone)
         });
@@ -389,7 +391,7 @@
 
     /// Sums up the counts of all zones, on a root.
     ///
-    /// If several roots report on one zone, the largest count is used.
+    /// If several roots report on one zone, the report with the most ended trial calls is used.
     fn fleet_tally(&self, service: &SmolStr) -> Tally {
         let own_zone = &self.settings.local.zone;
         let mut zones: BTreeMap<&SmolStr, &Tally> = BTreeMap::new();
@@ -398,17 +400,17 @@
             .values()
             .filter(|link| link.role == Role::RootPeer)
         {
-            let (Some(peer), Some(part)) = (&link.peer, self.find_part(link, service)) else {
+            let (Some(peer), Some(reported)) = (&link.peer, self.find_tally(link, service)) else {
                 continue;
             };
             let known = zones.get(&peer.zone).map_or(0, |tally| tally.trial_ended());
-            if peer.zone != *own_zone && part.tally.trial_ended() >= known {
-                zones.insert(&peer.zone, &part.tally);
+            if peer.zone != *own_zone && reported.tally.trial_ended() >= known {
+                zones.insert(&peer.zone, &reported.tally);
             }
         }
         let mut sum = self.zone_tally(service);
-        for part in zones.into_values() {
-            sum.add(part);
+        for tally in zones.into_values() {
+            sum.add(tally);
         }
         sum
     }
--- a/crates/fleet/src/root_duties.rs
+++ b/crates/fleet/src/root_duties.rs
@@ -27,7 +27,7 @@
         if self.lease.is_root() {
             self.link_to_roots(now);
             self.nominate_child(now);
-            if !self.is_synced {
+            if !self.has_synced_endpoints {
                 self.lease.read_soon(now);
             }
             return;
@@ -70,15 +70,15 @@
     fn link_to_roots(&mut self, now: Instant) {
         let links = &self.links;
         let own_zone = &self.settings.local.zone;
-        let (own, is_new) = (&self.settings.local, !self.is_synced);
+        let (own, is_new) = (&self.settings.local, !self.has_synced_endpoints);
         let wanted = self.lease.roots_to_dial(own, is_new, now, |holder| {
-            let is_same = |peer: &wire::control::Peer| {
+            let covers_holder = |peer: &wire::control::Peer| {
                 peer.node == holder.node || (holder.zone != *own_zone && peer.zone == holder.zone)
             };
             links
                 .values()
                 .filter(|link| matches!(link.role, Role::RootPeer))
-                .any(|link| link.peer.as_ref().is_some_and(is_same))
+                .any(|link| link.peer.as_ref().is_some_and(covers_holder))
         });
         for peer in wanted {
             self.dial(peer.address, Purpose::Meet, now);
@@ -198,9 +198,9 @@
 
     pub(crate) fn on_latest_version(&mut self, now: Instant, version: Version) {
         self.gate.record_platform_version(version);
-        self.sync.platform_head = self.sync.platform_head.max(version);
+        self.sync.platform_version = self.sync.platform_version.max(version);
         if self.lease.is_root() {
-            self.sync_without_roots(now);
+            self.limit_endpoint_sync(now);
         }
     }
 
@@ -234,7 +234,7 @@
     }
 
     pub(crate) fn on_platform_full(&mut self, now: Instant, version: Version, mesh: Mesh) {
-        match self.replica.apply_newest(version, mesh) {
+        match self.replica.apply_and_diff(version, mesh) {
             (outcome, Some(step)) => self.finish_step(now, outcome, &step),
             (outcome, None) => self.handle_outcome(now, outcome),
         }
--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -16,7 +16,7 @@
 /// any root, each waiting half the maximum on average, read 1,400 times per second.
 const READ_BACKOFF: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(20));
 
-/// Attempts in a row without a wait; each refusal names other nodes that have room.
+/// Attempts in a row without a wait; each refusal names other nodes that have capacity.
 const MAX_ATTEMPTS: u32 = 6;
 
 /// Maximum random delay before the first attempt of a new process.
@@ -58,7 +58,8 @@
     /// Consistency required of that read.
     freshness: Freshness,
     pending_dial: Option<(LinkKey, SocketAddr)>,
-    leave_at: Option<Instant>,
+    /// When to leave a parent that has no path to a root.
+    leave_parent_at: Option<Instant>,
     rootless_timeout: Duration,
     /// Whether the last parent was lost without sending a `Leave` frame.
     pub(crate) was_parent_lost: bool,
@@ -78,7 +79,7 @@
             wants_leases: true,
             freshness: Freshness::MaybeStale,
             pending_dial: None,
-            leave_at: None,
+            leave_parent_at: None,
             rootless_timeout: ROOTLESS_TIMEOUT.0,
             was_parent_lost: false,
         }
@@ -86,7 +87,10 @@
 
     pub(crate) fn deadline(&self) -> Option<Instant> {
         let next_attempt_at = self.next_attempt_at.filter(|_| self.pending_dial.is_none());
-        [next_attempt_at, self.leave_at].into_iter().flatten().min()
+        [next_attempt_at, self.leave_parent_at]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Returns whether this node is looking for a parent.
@@ -122,9 +126,9 @@
     {
         let wait = self.rootless_timeout + (self.rootless_timeout / 2).mul_f64(rng.random::<f64>());
         if has_root {
-            self.leave_at = None;
+            self.leave_parent_at = None;
         } else {
-            self.leave_at.get_or_insert(now + wait);
+            self.leave_parent_at.get_or_insert(now + wait);
         }
     }
 
@@ -138,7 +142,7 @@
 
     /// Schedules an exact read of the leases if the last one may have been stale.
     ///
-    /// Returns whether it did.
+    /// Returns whether a read was scheduled.
     pub(crate) fn require_exact_leases(&mut self, now: Instant) -> bool {
         if self.freshness == Freshness::Exact || !self.is_active() {
             return false;
@@ -152,7 +156,7 @@
     pub(crate) fn stop(&mut self) {
         self.freshness = Freshness::MaybeStale;
         self.next_attempt_at = None;
-        self.leave_at = None;
+        self.leave_parent_at = None;
         self.attempts = 0;
         self.rootless_timeout = ROOTLESS_TIMEOUT.0;
         self.backoff.reset();
@@ -172,7 +176,7 @@
     }
 
     pub(crate) fn step_search(&mut self, now: Instant) {
-        if self.search.leave_at.is_some_and(|at| now >= at) {
+        if self.search.leave_parent_at.is_some_and(|at| now >= at) {
             self.leave_parent(now);
         }
         let is_due = self.search.next_attempt_at.is_some_and(|at| now >= at);
@@ -234,7 +238,7 @@
 
     /// Leaves a parent that has had no path to a root for too long.
     fn leave_parent(&mut self, now: Instant) {
-        self.search.leave_at = None;
+        self.search.leave_parent_at = None;
         let rootless_timeout = (self.search.rootless_timeout * 2).min(ROOTLESS_TIMEOUT.1);
         for parent in self.find_links(|link| link.role == Role::Parent) {
             let parents = Vec::new();
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -12,7 +12,7 @@
 /// Maximum number of versions counted separately; a healthy fleet holds one or two.
 pub const MAX_VERSION_COUNTS: usize = 8;
 
-/// Maximum number of laggards, and of refusals, in a status.
+/// Maximum number of laggards (nodes below the highest version) in a status, and of refusals.
 pub const MAX_LISTED_NODES: usize = 8;
 
 /// Maximum length of the reason of a refusal, in bytes.
@@ -30,13 +30,13 @@
 
 /// Aggregates statuses, each given with the name of the node that reported it.
 #[must_use]
-pub fn aggregate<'a, I>(parts: I) -> Status
+pub fn aggregate<'a, I>(statuses: I) -> Status
 where
     I: IntoIterator<Item = (&'a SmolStr, &'a Status)> + Clone,
 {
     let mut counts = BTreeMap::new();
-    for (_, part) in parts.clone() {
-        for count in &part.counts {
+    for (_, status) in statuses.clone() {
+        for count in &status.counts {
             *counts.entry(count.version).or_insert(0) += count.nodes;
         }
     }
@@ -45,11 +45,11 @@
         counts: bound_counts(counts),
         ..Status::default()
     };
-    for (name, part) in parts {
-        total.refusals.extend(part.refusals.iter().cloned());
-        total.laggards.extend(part.laggards.iter().cloned());
-        let is_single = part.counts.len() == 1 && part.counts[0].nodes == 1;
-        if is_single && Some(part.counts[0].version) < highest {
+    for (name, status) in statuses {
+        total.refusals.extend(status.refusals.iter().cloned());
+        total.laggards.extend(status.laggards.iter().cloned());
+        let is_single = status.counts.len() == 1 && status.counts[0].nodes == 1;
+        if is_single && Some(status.counts[0].version) < highest {
             total.laggards.push(name.clone());
         }
     }
--- a/crates/fleet/src/sync.rs
+++ b/crates/fleet/src/sync.rs
@@ -21,7 +21,7 @@
 ///
 /// Linking to another root takes two reads of the leases, and the leases of a zone that is down
 /// stay live for some seconds.
-const ROOT_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
+const ENDPOINT_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for a missing step to arrive by itself, before it is requested.
 const REQUEST_DELAY: Duration = Duration::from_millis(150);
@@ -29,7 +29,7 @@
 /// Bounds of the time between repeated requests: a full configuration takes long to send.
 const REQUEST_RETRY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_mins(1));
 
-/// Time for which endpoint updates are batched: six hops then take 120 ms.
+/// Time for which a node batches endpoint updates: six hops then add up to 120 ms.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
 
 /// Delay of a view built for endpoint updates alone, and so the time between such views.
@@ -48,9 +48,9 @@
     request_at: Option<Instant>,
     request_wait: Duration,
     /// When a root stops waiting for the endpoints that other roots know.
-    sync_deadline: Option<Instant>,
+    endpoint_sync_deadline: Option<Instant>,
     /// Highest version that the platform has reported.
-    pub(crate) platform_head: Version,
+    pub(crate) platform_version: Version,
 }
 
 impl Default for SyncState {
@@ -61,8 +61,8 @@
             view_at: None,
             request_at: None,
             request_wait: REQUEST_RETRY.0,
-            sync_deadline: None,
-            platform_head: Version::ZERO,
+            endpoint_sync_deadline: None,
+            platform_version: Version::ZERO,
         }
     }
 }
@@ -73,7 +73,7 @@
             self.flush_at,
             self.view_at,
             self.request_at,
-            self.sync_deadline,
+            self.endpoint_sync_deadline,
         ];
         all.into_iter().flatten().min()
     }
@@ -95,7 +95,12 @@
         }
     }
 
-    pub(crate) fn on_version_source(&mut self, key: LinkKey, version: Version, is_ready: bool) {
+    pub(crate) fn report_version_to_gate(
+        &mut self,
+        key: LinkKey,
+        version: Version,
+        is_ready: bool,
+    ) {
         let peer = self.links.get(&key).and_then(|link| link.peer.as_ref());
         if let Some(peer) = peer.filter(|_| is_ready) {
             let is_same_zone = peer.zone == self.settings.local.zone;
@@ -108,9 +113,9 @@
         self.sync.request_at.get_or_insert(now + REQUEST_DELAY);
     }
 
-    fn send_updates_after(&mut self, key: LinkKey, after: Version, whole: bool) {
-        let whole = whole || self.settings.sends_full;
-        let frames = self.replica.frames_after(after, whole);
+    fn send_updates_after(&mut self, key: LinkKey, after: Version, full: bool) {
+        let full = full || self.settings.sends_full;
+        let frames = self.replica.frames_after(after, full);
         if frames.len() > 1 {
             // The heartbeat announces the final version, so that the peer builds one view at the end.
             self.send_heartbeat(key);
@@ -129,30 +134,31 @@
     }
 
     pub(crate) fn on_step(&mut self, now: Instant, key: LinkKey, step: &Step) {
-        self.note_peer_version(key, step.version);
+        self.raise_link_version(key, step.version);
         let outcome = self.replica.apply_step(step.clone());
         self.finish_step(now, outcome, step);
     }
 
     pub(crate) fn on_chunk(&mut self, now: Instant, key: LinkKey, chunk: &Chunk) {
-        self.note_peer_version(key, chunk.version);
+        self.raise_link_version(key, chunk.version);
         let outcome = self.replica.apply_chunk(chunk);
         self.handle_outcome(now, outcome);
     }
 
-    fn note_peer_version(&mut self, key: LinkKey, version: Version) {
+    fn raise_link_version(&mut self, key: LinkKey, version: Version) {
         if let Some(link) = self.links.get_mut(&key) {
             link.version = link.version.max(version);
         }
     }
 
-    /// Handles the outcome of a step. One that this node can't apply is still sent to its children.
+    /// Handles the outcome of a step. A step that this node can't apply is still sent to its
+    /// children, so that it doesn't block them.
     pub(crate) fn finish_step(&mut self, now: Instant, outcome: ApplyOutcome, step: &Step) {
         let is_stuck = outcome == ApplyOutcome::Gap && self.replica.refused().is_some();
         if outcome == ApplyOutcome::Refused || is_stuck {
             let behind = |link: &Link| link.role == Role::Child && link.version < step.version;
             for child in self.find_links(behind) {
-                self.note_peer_version(child, step.version);
+                self.raise_link_version(child, step.version);
                 self.send(child, step.frame());
             }
         }
@@ -190,7 +196,7 @@
         }
         let links = self.links.values().filter(|link| link.is_established());
         let highest = links.map(|link| link.version).max();
-        if self.sync.platform_head.max(highest.unwrap_or_default()) > held {
+        if self.sync.platform_version.max(highest.unwrap_or_default()) > held {
             // A higher version exists and will replace this one shortly.
             self.sync.view_at.get_or_insert(now + VIEW_DELAY);
         } else {
@@ -236,8 +242,8 @@
     /// Refutes an announcement about this node that it didn't make itself.
     fn refute(&mut self, now: Instant, endpoint: &Endpoint) {
         let Some(own) = &mut self.local_endpoint else {
-            // Made by a former process of this VM. It is superseded once the backend server
-            // announces itself.
+            // The announcement was made by a former process of this VM. It is superseded once the
+            // backend server announces itself.
             let merged = self.table.merge(&Arc::new(endpoint.clone()), now);
             self.propagate_endpoint(now, &endpoint.node, merged, None);
             return;
@@ -330,41 +336,41 @@
             self.send(key, Frame::Endpoints(list));
         }
         if is_reply {
-            self.set_synced();
+            self.mark_endpoints_synced();
         } else {
             self.send_checksums(key, true);
         }
     }
 
-    fn set_synced(&mut self) {
-        self.is_synced = true;
-        self.sync.sync_deadline = None;
+    fn mark_endpoints_synced(&mut self) {
+        self.has_synced_endpoints = true;
+        self.sync.endpoint_sync_deadline = None;
     }
 
     /// Limits the wait for the endpoints that other roots know; ends it at once if no other root
     /// is known.
     ///
-    /// Guards against a restarted root that serves by the platform's version with no endpoint but
-    /// its own: until it was linked to another root, callers at its VM were told that no service
-    /// but its own had an endpoint.
-    pub(crate) fn sync_without_roots(&mut self, now: Instant) {
+    /// Guards against a restarted root that serves the platform's version with no endpoint but
+    /// its own: until such a root was linked to another one, callers at its VM were told that no
+    /// service but its own had an endpoint.
+    pub(crate) fn limit_endpoint_sync(&mut self, now: Instant) {
         let own = &self.settings.local.node;
         let mut leases = self.lease.leases().iter();
-        if self.is_synced {
+        if self.has_synced_endpoints {
             return;
         }
         if leases.any(|lease| lease.is_live && lease.holder.node != *own) {
             self.sync
-                .sync_deadline
-                .get_or_insert(now + ROOT_SYNC_TIMEOUT);
+                .endpoint_sync_deadline
+                .get_or_insert(now + ENDPOINT_SYNC_TIMEOUT);
         } else {
-            self.set_synced();
+            self.mark_endpoints_synced();
         }
     }
 
     pub(crate) fn step_gate(&mut self, now: Instant) {
-        if self.sync.sync_deadline.is_some_and(|at| now >= at) {
-            self.set_synced();
+        if self.sync.endpoint_sync_deadline.is_some_and(|at| now >= at) {
+            self.mark_endpoints_synced();
         }
         let was_open = self.gate.is_open();
         let held = self.version();
@@ -409,8 +415,8 @@
                 .filter(|(_, from)| **from != Some(key))
                 .filter_map(|(node, _)| self.table.get(node).cloned())
                 .collect();
-            for part in list.chunks(MAX_ENDPOINTS) {
-                self.send(key, Frame::Endpoints(part.to_vec()));
+            for chunk in list.chunks(MAX_ENDPOINTS) {
+                self.send(key, Frame::Endpoints(chunk.to_vec()));
             }
         }
     }
--- a/crates/fleet/src/tree.rs
+++ b/crates/fleet/src/tree.rs
@@ -27,7 +27,7 @@
         let frame = match purpose {
             Purpose::Join => Frame::Join { address, version },
             Purpose::Meet => Frame::Meet { address, version },
-            Purpose::Ask => Frame::QueryVersion,
+            Purpose::QueryVersion => Frame::QueryVersion,
         };
         self.send(key, frame);
     }
@@ -85,7 +85,7 @@
                 },
                 Purpose::Join,
             ) => {
-                self.on_version_source(key, version, is_ready);
+                self.report_version_to_gate(key, version, is_ready);
                 self.add_hints(now, parents);
                 self.adopt_parent(now, key, path, version);
             }
@@ -95,7 +95,7 @@
                 },
                 Purpose::Meet,
             ) if self.lease.is_root() => {
-                self.on_version_source(key, version, is_ready);
+                self.report_version_to_gate(key, version, is_ready);
                 self.establish_link(now, key, Role::RootPeer, version);
                 self.send_checksums(key, false);
             }
@@ -108,7 +108,7 @@
                 },
                 _,
             ) => {
-                self.on_version_source(key, version, is_ready);
+                self.report_version_to_gate(key, version, is_ready);
                 self.add_hints(now, parents);
                 self.on_refused(now, key, Duration::from_millis(wait_ms.into()));
             }
@@ -119,7 +119,7 @@
     fn on_refused(&mut self, now: Instant, key: LinkKey, wait: Duration) {
         self.close(key);
         if let Some(address) = self.search.finish_dial(key) {
-            // Up to half as much again, so that nodes refused together don't retry together.
+            // Jitter of up to half the wait, so that nodes refused together don't retry together.
             let wait = wait + self.jitter(wait / 2);
             self.candidates.postpone(address, now + wait);
             self.search.continue_after_attempt(true, now);
@@ -158,7 +158,7 @@
         let parent = parent.and_then(|link| link.peer.as_ref().map(|peer| peer.address));
         let source = self.candidates.pick_version_source(parent);
         if let Some(address) = source.filter(|address| self.is_eligible_parent(*address)) {
-            self.dial(address, Purpose::Ask, now);
+            self.dial(address, Purpose::QueryVersion, now);
         }
     }
 
--- a/crates/fleet/tests/converge.rs
+++ b/crates/fleet/tests/converge.rs
@@ -97,14 +97,16 @@
     world.partitions.clear();
     world.platform.silent_watchers.clear();
     let follow = world.propose();
-    world.run_until(6 * S, "after the cut", |world| world.all_serve(follow));
+    world.run_until(6 * S, "after the partition", |world| {
+        world.all_serve(follow)
+    });
     let behind = &world.vms[2].installed;
     assert!(behind.len() <= 4, "caught up in steps: {behind:?}");
 }
 
 // All VMs of a zone restart in the same second and look for parents at once.
 #[test]
-fn herd_restart() {
+fn zone_restart() {
     let mut world = started(3, 60, 5);
     for _ in 0..20 {
         world.propose();
@@ -131,7 +133,7 @@
 // continue to serve. When it ends, the nodes must not overload the platform, and the next version
 // reaches all of them.
 #[test]
-fn platform_out() {
+fn platform_outage() {
     let mut world = started(3, 10, 6);
     world.platform.is_down = true;
     world.run(600 * S);
@@ -268,8 +270,8 @@
 }
 
 // All VMs lose power in the same second and start again. Calls were refused for two seconds longer
-// than the start takes, as each VM served only by its own backend server: each had read the leases
-// before the others were roots again, and read them again only 5 s later.
+// than the start takes, as each VM knew no endpoint but its own: each had read the leases before
+// the others were roots again, and read them again only 5 s later.
 #[test]
 fn all_restarted() {
     let mut world = started(3, 3, 13);
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -57,12 +57,12 @@
 /// Three partitioned zones that see one crash each must all hold the request.
 #[test]
 fn partitioned_zones() {
-    for warning in [10 * S, Duration::ZERO] {
+    for delay in [10 * S, Duration::ZERO] {
         let mut world = World::serving_nodes(6);
         world.partition(0, 1);
         world.partition(1, 2);
         world.partition(0, 2);
-        world.run(warning);
+        world.run(delay);
         for (id, vm) in (1..).zip([0, 1, 2]) {
             world.crash(vm, crashing_request(), id);
         }
@@ -147,7 +147,7 @@
         world.crash(vm, crashing_request(), id);
     }
     world.run(S);
-    world.restore_from_copy();
+    world.restore_from_backup();
     world.run(2 * S);
     assert!(!world.platform.crashes().is_empty());
 }
--- a/crates/fleet/tests/endpoints.rs
+++ b/crates/fleet/tests/endpoints.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use config::{Endpoint, State};
-use fleet::departure::{DepartureGuard, GRACE};
+use fleet::departure::{DepartureGuard, REAPPEAR_TIMEOUT};
 use fleet::endpoints::{ENDPOINT_TTL, EndpointTable, MergeOutcome};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -41,18 +41,18 @@
         Just(State::Leaving),
         Just(State::Gone)
     ];
-    let news = (0..4_usize, 1..3_u64, 1..4_u64, state);
-    let all = prop::collection::vec(news, 1..24);
+    let announcement = (0..4_usize, 1..3_u64, 1..4_u64, state);
+    let all = prop::collection::vec(announcement, 1..24);
     let shuffled = all.prop_flat_map(|all| (Just(all.clone()), Just(all).prop_shuffle()));
-    let verdict = runner.run(&shuffled, |(one, other)| {
+    let result = runner.run(&shuffled, |(one, other)| {
         let now = Instant::now();
-        let fill = |news: &[(usize, u64, u64, State)]| {
+        let fill = |announcements: &[(usize, u64, u64, State)]| {
             let mut table = EndpointTable::default();
             // Both tables know all nodes, as a tombstone of an unknown node is dropped.
             for node in 0..4 {
                 table.merge(&endpoint(node, 0, 0, State::Serving), now);
             }
-            for (node, started_ms, sequence, state) in news {
+            for (node, started_ms, sequence, state) in announcements {
                 table.merge(&endpoint(*node, *started_ms, *sequence, *state), now);
             }
             table
@@ -63,7 +63,7 @@
         prop_assert!(one.differing_endpoints(other.bucket_checksums()).is_empty());
         Ok(())
     });
-    verdict.expect("order and repetition don't matter");
+    result.expect("order and repetition don't matter");
 }
 
 #[test]
@@ -119,7 +119,7 @@
 #[test]
 fn many_nodes_lost() {
     let now = Instant::now();
-    let later = now + GRACE;
+    let later = now + REAPPEAR_TIMEOUT;
     let lose = |count: usize, neighbours: usize, has_root: bool| {
         let mut guard = DepartureGuard::default();
         for node in 0..count {
@@ -139,7 +139,7 @@
     assert_eq!(
         lose(1, 20, false),
         0,
-        "a node that is cut off itself judges nobody"
+        "a node without a path to a root declares no node departed"
     );
 }
 
@@ -164,7 +164,7 @@
 // A backend server announces that it is leaving. Nodes in all zones must learn
 // it within 300 ms, to stop sending it work.
 #[test]
-fn leaving_spreads() {
+fn leaving_propagates() {
     let mut world = started(21);
     let vm = leaf(&world);
     world.set_backend(vm, State::Leaving);
@@ -201,14 +201,14 @@
     let mut world = started(22);
     let vm = leaf(&world);
     world.kill(vm, true);
-    let everybody = |world: &World, count: usize| {
+    let all_others_see = |world: &World, count: usize| {
         (0..36)
             .filter(|other| *other != vm)
             .all(|other| world.serving_count(other) == count)
     };
-    world.run_until(10 * S, "declared gone", |world| everybody(world, 35));
+    world.run_until(10 * S, "declared gone", |world| all_others_see(world, 35));
     world.spawn(vm);
-    world.run_until(3 * S, "back", |world| everybody(world, 36));
+    world.run_until(3 * S, "back", |world| all_others_see(world, 36));
 }
 
 // A parent no longer hears from a slow node, which then finds another parent. Its
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -29,15 +29,15 @@
 fn bounded_admission() {
     let start = Instant::now();
     let mut limiter = LeakyBucket::new(1_600 * MS);
-    let taken = |limiter: &mut LeakyBucket, at| {
-        let tries = (0..1_000).map(|_| limiter.admit(at, 200 * MS));
-        tries.flatten().count()
+    let admitted = |limiter: &mut LeakyBucket, at| {
+        let attempts = (0..1_000).map(|_| limiter.admit(at, 200 * MS));
+        attempts.flatten().count()
     };
-    assert_eq!(taken(&mut limiter, start), 8);
+    assert_eq!(admitted(&mut limiter, start), 8);
     let wait = limiter.admit(start, 200 * MS).expect_err("full");
     assert!(wait <= 200 * MS);
-    assert_eq!(taken(&mut limiter, start + wait), 1);
-    assert_eq!(taken(&mut limiter, start + Duration::from_hours(1)), 8);
+    assert_eq!(admitted(&mut limiter, start + wait), 1);
+    assert_eq!(admitted(&mut limiter, start + Duration::from_hours(1)), 8);
 }
 
 // All twenty nodes of a zone restart and join the same root, which sends 20 kB to
@@ -281,7 +281,7 @@
 // A root's VM is restarted under load and acquires its lease again. It served at once
 // with the platform's version but only its own backend server: until it was linked to
 // another root, its callers were told that no other service had an endpoint. The
-// platform's answer about the version was taken for one about endpoints.
+// platform's answer about the version also counted as one about endpoints.
 #[yare::parameterized(
     met = { true, true },
     silent = { true, false },
@@ -356,13 +356,13 @@
     let later = now + 100 * MS;
     let mut actions = node.handle(now, leases());
     actions.extend(node.handle(later, Event::Wake));
-    let asks = |actions: &[Action], wanted: PlatformRequest| {
+    let queries = |actions: &[Action], wanted: PlatformRequest| {
         let is_wanted =
             |action: &Action| matches!(action, Action::QueryPlatform(asked) if *asked == wanted);
         actions.iter().any(is_wanted)
     };
     let exact = PlatformRequest::Leases { is_exact: true };
-    let takes = |action: &Action| {
+    let acquires = |action: &Action| {
         matches!(
             action,
             Action::QueryPlatform(PlatformRequest::AcquireLease { .. })
@@ -370,10 +370,10 @@
     };
     let dials = |action: &Action| matches!(action, Action::Connect { .. });
     assert_eq!(actions.iter().any(dials), dials_root, "{actions:?}");
-    assert_eq!(asks(&actions, exact), !dials_root, "{actions:?}");
-    assert!(!actions.iter().any(takes), "{actions:?}");
+    assert_eq!(queries(&actions, exact), !dials_root, "{actions:?}");
+    assert!(!actions.iter().any(acquires), "{actions:?}");
     if !dials_root {
         let actions = node.handle(later, leases());
-        assert!(actions.iter().any(takes), "{actions:?}");
+        assert!(actions.iter().any(acquires), "{actions:?}");
     }
 }
--- a/crates/fleet/tests/randomised.rs
+++ b/crates/fleet/tests/randomised.rs
@@ -1,6 +1,6 @@
 //! Long runs of kills, partitions, freezes, outages and races, with fixed seeds.
 //!
-//! The world checks every view that a VM serves by: its version is never lower than the one
+//! The world checks every view that a VM installs: its version is never lower than that of the view
 //! before, also across restarts, and its configuration is complete. A view checks by itself that it
 //! has no dangling references.
 
--- a/crates/fleet/tests/refusal.rs
+++ b/crates/fleet/tests/refusal.rs
@@ -186,7 +186,7 @@
 #[test]
 fn bounded_status() {
     let name = |index: u64| SmolStr::from(format!("vm-{index}"));
-    let parts: Vec<(SmolStr, Status)> = (0..14_000)
+    let statuses: Vec<(SmolStr, Status)> = (0..14_000)
         .map(|index| {
             let refusal = (index % 1_000 == 7)
                 .then(|| status::refusal(&name(index), Version(90), &"long ".repeat(500)));
@@ -198,7 +198,7 @@
             (name(index), status::single_node(version, refusal))
         })
         .collect();
-    let total = status::aggregate(parts.iter().map(|(name, part)| (name, part)));
+    let total = status::aggregate(statuses.iter().map(|(name, status)| (name, status)));
     assert_eq!(status::node_count(&total), 14_000);
     assert_eq!(
         total.counts.first().map(|count| count.version),
@@ -217,7 +217,7 @@
     assert!(buffer.len() < 2_000, "{} bytes", buffer.len());
 }
 
-// An operator's tool writes whole configurations with gaps in their numbers. The
+// An operator's tool writes full configurations with gaps in their numbers. The
 // descendants of the node that reads them must get only the changes instead of
 // everything each time, and a node that missed a step must not apply the next one.
 #[test]
@@ -229,10 +229,10 @@
         })
     };
     let mut source = Replica::default();
-    source.apply_newest(Version(3), mesh(2));
+    source.apply_and_diff(Version(3), mesh(2));
     let (first, second) = (
-        source.apply_newest(Version(9), mesh(3)),
-        source.apply_newest(Version(10), mesh(4)),
+        source.apply_and_diff(Version(9), mesh(3)),
+        source.apply_and_diff(Version(10), mesh(4)),
     );
     let (Some(first), Some(second)) = (first.1, second.1) else {
         panic!("a step leads to each version after the first");
@@ -244,7 +244,7 @@
     }
     assert_eq!(child.version(), Version(10));
     let mut behind = Replica::default();
-    behind.apply_newest(Version(3), mesh(2));
+    behind.apply_and_diff(Version(3), mesh(2));
     assert_eq!(behind.apply_step(second.clone()), ApplyOutcome::Gap);
     assert_eq!(behind.version(), Version(3));
     let frames = source.frames_after(Version(3), false);
@@ -254,7 +254,7 @@
     }
     assert_eq!(behind.held(), source.held());
     assert_eq!(
-        source.apply_newest(Version(9), mesh(1)).0,
+        source.apply_and_diff(Version(9), mesh(1)).0,
         ApplyOutcome::Stale
     );
 }
@@ -285,14 +285,14 @@
         mesh.routes.insert(prefix.into(), route);
     }
     let mut root = Replica::default();
-    let (outcome, _) = root.apply_newest(Version(7), mesh.clone());
+    let (outcome, _) = root.apply_and_diff(Version(7), mesh.clone());
     assert_eq!(outcome, ApplyOutcome::Applied);
     let frames = root.frames_after(Version::ZERO, false);
     let bytes: usize = frames
         .iter()
         .map(|frame| match frame {
             Frame::Chunk(chunk) => chunk.bytes.len(),
-            frame => panic!("not whole: {frame:?}"),
+            frame => panic!("not a chunk: {frame:?}"),
         })
         .sum();
     // 16 children then get it within 0.31 s at 5 Mbit/s.
--- a/crates/fleet/tests/rollouts.rs
+++ b/crates/fleet/tests/rollouts.rs
@@ -57,7 +57,7 @@
     let took = run_with_calls(&mut world, 12, 0, Stage::Completed);
     assert!(took.is_some(), "{:?}", world.stage(0, SERVICE));
     assert_eq!(
-        (world.platform.outcome_writes, world.stopped_versions),
+        (world.platform.outcome_writes, world.stopped_rollouts),
         (1, 0)
     );
 }
@@ -99,8 +99,8 @@
     assert_eq!(world.platform.outcome_writes, 1);
 }
 
-/// A good version must not be completed while the platform is down, or the old endpoints would live
-/// on.
+/// A good version must not be completed while the platform is down, or the old endpoints would keep
+/// running.
 #[test]
 fn completion_waits_for_platform() {
     let mut world = World::serving_nodes(6);
@@ -108,10 +108,11 @@
     world.run(S);
     world.platform.is_down = true;
     assert_eq!(run_with_calls(&mut world, 14, 0, Stage::Completed), None);
-    // The first root of each zone goes on reporting by itself, three times per second here.
-    let before = world.report_attempts;
+    // In each zone, the simulation retries the write of the root with the lowest slot, about three
+    // times per second.
+    let before = world.rollout_write_attempts;
     world.run(S);
-    assert!((1..=12).contains(&(world.report_attempts - before)));
+    assert!((1..=12).contains(&(world.rollout_write_attempts - before)));
     assert!(
         all_at(&world, Stage::Whole),
         "{:?}",
@@ -132,12 +133,12 @@
     world.run(500 * MS);
     assert!(run_with_calls(&mut world, 14, failed_percent, end).is_some());
     let calls = world.platform.calls;
-    world.restore_from_copy();
+    world.restore_from_backup();
     world.run(2 * S);
     assert!(all_at(&world, end));
     let rollouts = world.platform.rollouts();
     assert_eq!(rollouts.first().map(|rollout| rollout.stage), Some(end));
-    assert!(world.platform.calls - calls <= 60, "a storm");
+    assert!(world.platform.calls - calls <= 60, "too many calls");
 }
 
 /// A node that starts must know of a roll-out before it serves, also when all nodes start at once.
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -36,7 +36,7 @@
     Frame { conn: usize, frame: Box<Frame> },
     Platform(PlatformResponse),
     Crashes(Vec<Crash>),
-    Report(Rollout),
+    RetryRolloutWrite(Rollout),
     Tally(SmolStr, Tally),
     BackendChanged,
     Wake,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A VM: its process, if it runs, and the views that it served by.
+/// A VM: its process, if it runs, and the views that the process installed.
 #[derive(Debug)]
 pub struct Vm {
     pub peer: Peer,
@@ -76,9 +76,9 @@
     pub node: Option<Node>,
     pub incarnation: u64,
     pub view: Option<Arc<View>>,
-    /// Highest version that the VM ever served by, across all its processes.
+    /// Highest version that the VM ever had in force, across all its processes.
     pub served: Version,
-    /// When the VM began to serve by each version.
+    /// When each version came into force on the VM.
     pub installed: BTreeMap<Version, Duration>,
     frozen_inputs: Option<VecDeque<(u64, Input)>>,
     /// Crashes that the process knows of.
@@ -124,9 +124,9 @@
     /// Bytes of frames with roll-outs and tallies.
     pub rollout_bytes: u64,
     /// Number of times that a node stopped the roll-out of a version.
-    pub stopped_versions: u64,
+    pub stopped_rollouts: u64,
     /// Number of attempts to write the state of a roll-out to the platform.
-    pub report_attempts: u64,
+    pub rollout_write_attempts: u64,
     /// Whether processes start with seeds in their settings.
     pub has_seeds: bool,
     start: Instant,
@@ -195,8 +195,8 @@
             bytes: 0,
             crash_report_bytes: 0,
             rollout_bytes: 0,
-            stopped_versions: 0,
-            report_attempts: 0,
+            stopped_rollouts: 0,
+            rollout_write_attempts: 0,
             has_seeds,
             start: Instant::now(),
             rng: SmallRng::seed_from_u64(seed),
@@ -251,25 +251,25 @@
         let seeds = seeds.into_iter().filter(|_| self.has_seeds);
         let seeds = seeds.map(|other| self.vms[other].peer.address).collect();
         let seed = self.rng.random();
-        let slot = &mut self.vms[vm];
-        slot.incarnation += 1;
+        let vm_state = &mut self.vms[vm];
+        vm_state.incarnation += 1;
         let settings = Settings {
-            local: slot.peer.clone(),
+            local: vm_state.peer.clone(),
             region: "north".into(),
-            incarnation: slot.incarnation,
-            started_ms: u64::try_from(self.now.saturating_sub(slot.clock_offset).as_millis())
+            incarnation: vm_state.incarnation,
+            started_ms: u64::try_from(self.now.saturating_sub(vm_state.clock_offset).as_millis())
                 .unwrap(),
             seeds,
             follows_rollouts: true,
             sends_full: false,
         };
-        slot.node = Some(Node::new(settings, seed, now));
-        slot.view = None;
-        slot.frozen_inputs = None;
-        slot.crash_history = CrashHistory::default();
-        slot.rollouts.clear();
-        slot.backend = State::Serving;
-        slot.wake_at = Duration::MAX;
+        vm_state.node = Some(Node::new(settings, seed, now));
+        vm_state.view = None;
+        vm_state.frozen_inputs = None;
+        vm_state.crash_history = CrashHistory::default();
+        vm_state.rollouts.clear();
+        vm_state.backend = State::Serving;
+        vm_state.wake_at = Duration::MAX;
         self.schedule(vm, Duration::ZERO, Input::BackendChanged);
     }
 
@@ -320,8 +320,8 @@
         }
     }
 
-    /// Drops all that a VM sends over its present links, and the closing of these; what comes to it
-    /// still arrives.
+    /// Drops all that a VM sends over its present links, and the notice when one of them is closed.
+    /// Frames that are sent to the VM still arrive.
     pub fn drop_outgoing(&mut self, vm: usize) {
         for conn in &mut self.connections {
             for side in 0..2 {
@@ -396,12 +396,12 @@
         if number.is_multiple_of(4) {
             changes.push(service(format!("x{number}")));
         }
-        self.accept(Patch::from(changes))
+        self.publish(Patch::from(changes))
     }
 
     /// Publishes a patch and sends it to the watchers.
-    pub fn accept(&mut self, patch: Patch) -> Version {
-        let version = self.platform.accept(patch);
+    pub fn publish(&mut self, patch: Patch) -> Version {
+        let version = self.platform.publish(patch);
         self.notify_watchers();
         version
     }
@@ -453,7 +453,7 @@
         self.now.saturating_sub(begun)
     }
 
-    /// Returns whether all running processes serve by `version` or a later one.
+    /// Returns whether `version` or a later one is in force on all running processes.
     pub fn all_serve(&self, version: Version) -> bool {
         self.vms
             .iter()
@@ -566,7 +566,7 @@
             Input::Platform(response) => Event::Platform(response),
             Input::Crashes(list) => Event::LocalCrashes(list),
             Input::Tally(service, tally) => Event::LocalTallies(vec![(service, tally)]),
-            Input::Report(rollout) => {
+            Input::RetryRolloutWrite(rollout) => {
                 self.write_rollout(vm, rollout);
                 return;
             }
@@ -671,13 +671,13 @@
                         self.close_connection(conn, vm);
                     }
                 }
-                Action::QueryPlatform(request) => self.ask_platform(vm, request),
+                Action::QueryPlatform(request) => self.query_platform(vm, request),
                 Action::InstallView(view) => self.install_view(vm, view),
                 Action::UpdateQuarantine(list) => self.record_crashes(vm, &list),
                 Action::WriteCrashes { slot, list } => self.write_crashes(vm, slot, list),
                 Action::ApplyRollouts(list) => self.apply_rollouts(vm, list),
                 Action::WriteRollout(rollout) => self.write_rollout(vm, rollout),
-                Action::RolloutStopped { .. } => self.stopped_versions += 1,
+                Action::RolloutStopped { .. } => self.stopped_rollouts += 1,
             }
         }
     }
@@ -695,12 +695,12 @@
     }
 
     fn write_rollout(&mut self, vm: usize, rollout: Rollout) {
-        self.report_attempts += 1;
+        self.rollout_write_attempts += 1;
         let zone = self.vms[vm].peer.zone.to_string();
-        let Some((current, readers)) = self.platform.report(&zone, &rollout) else {
+        let Some((current, readers)) = self.platform.write_rollout(&zone, &rollout) else {
             // Retried until it is written.
             let incarnation = self.vms[vm].incarnation;
-            self.schedule_for(vm, incarnation, 300 * MS, Input::Report(rollout));
+            self.schedule_for(vm, incarnation, 300 * MS, Input::RetryRolloutWrite(rollout));
             return;
         };
         let response = PlatformResponse::Rollouts(vec![current]);
@@ -718,8 +718,8 @@
         }
     }
 
-    /// Restores the platform from a copy that lacks all outcomes of roll-outs and all crashes.
-    pub fn restore_from_copy(&mut self) {
+    /// Restores the platform from a backup that lacks all outcomes of roll-outs and all crashes.
+    pub fn restore_from_backup(&mut self) {
         for reader in self.platform.lose_recent_writes() {
             self.schedule(reader, 3 * MS, Input::Platform(PlatformResponse::Restored));
             let response = PlatformResponse::Rollouts(self.platform.rollouts());
@@ -876,7 +876,7 @@
         }
     }
 
-    fn ask_platform(&mut self, vm: usize, request: PlatformRequest) {
+    fn query_platform(&mut self, vm: usize, request: PlatformRequest) {
         let peer = self.vms[vm].peer.clone();
         let responses = self.platform.handle(vm, &peer, request, self.now);
         for (wait, response) in responses {
@@ -887,12 +887,12 @@
     /// Installs a view on a VM and checks the invariants of all views.
     fn install_view(&mut self, vm: usize, view: Arc<View>) {
         let now = self.now;
-        let slot = &mut self.vms[vm];
+        let vm_state = &mut self.vms[vm];
         assert!(
-            view.version() >= slot.served,
+            view.version() >= vm_state.served,
             "{}: the version in force went back from {} to {}",
-            slot.peer.node,
-            slot.served,
+            vm_state.peer.node,
+            vm_state.served,
             view.version()
         );
         let digest = self.platform.digest(view.version());
@@ -901,9 +901,9 @@
             digest,
             "the view holds exactly the published version"
         );
-        slot.served = view.version();
-        slot.installed.entry(view.version()).or_insert(now);
-        slot.view = Some(view);
+        vm_state.served = view.version();
+        vm_state.installed.entry(view.version()).or_insert(now);
+        vm_state.view = Some(view);
     }
 }
 
--- a/crates/fleet/tests/world/platform.rs
+++ b/crates/fleet/tests/world/platform.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone)]
 struct Lease {
     holder: Peer,
-    until: Duration,
+    expires_at: Duration,
     revision: u64,
 }
 
@@ -67,11 +67,11 @@
         let live = self
             .leases
             .iter()
-            .filter(|((at, _), lease)| at == zone && lease.until > now);
+            .filter(|((at, _), lease)| at == zone && lease.expires_at > now);
         live.map(|(_, lease)| lease.holder.clone()).collect()
     }
 
-    pub fn accept(&mut self, patch: Patch) -> Version {
+    pub fn publish(&mut self, patch: Patch) -> Version {
         let next = patch.apply(self.held.mesh()).expect("a valid patch");
         let version = self.head().next();
         let digest = Digest::of(&next);
@@ -117,7 +117,11 @@
 
     /// Stores the stage of a roll-out; returns the roll-out as it is then and the watchers to
     /// notify, if the platform responds.
-    pub fn report(&mut self, zone: &str, rollout: &Rollout) -> Option<(Rollout, Vec<usize>)> {
+    pub fn write_rollout(
+        &mut self,
+        zone: &str,
+        rollout: &Rollout,
+    ) -> Option<(Rollout, Vec<usize>)> {
         self.calls += 1;
         if self.is_down || self.unreachable_zones.contains(zone) {
             return None;
@@ -131,7 +135,7 @@
         Some((current, self.reachable_watchers().collect()))
     }
 
-    /// Removes all outcomes of roll-outs and all crashes, as a restore from an older copy does.
+    /// Removes all outcomes of roll-outs and all crashes, as a restore from an older backup does.
     pub fn lose_recent_writes(&mut self) -> Vec<usize> {
         for rollout in self.rollouts.values_mut() {
             rollout.stage = Stage::Canary;
@@ -229,7 +233,7 @@
                     .get(&vm)
                     .and_then(|seen| seen.get(&key))
                     .copied();
-                self.take_lease(peer, slot, seen.filter(|_| is_forced), now)
+                self.acquire_lease(peer, slot, seen.filter(|_| is_forced), now)
             }
             PlatformRequest::LatestVersion { .. } => PlatformResponse::LatestVersion(self.head()),
             PlatformRequest::RenewLease { slot } => self.renew_lease(peer, slot, now),
@@ -276,13 +280,14 @@
         let leases = self.leases.iter().map(|((_, slot), lease)| RootLease {
             slot: *slot,
             holder: lease.holder.clone(),
-            is_live: lease.until > now,
+            is_live: lease.expires_at > now,
         });
         leases.collect()
     }
 
-    /// Takes a lease; one that has not expired is taken only if its revision is the one `seen`.
-    fn take_lease(
+    /// Grants a lease. One that another node holds and that has not expired is granted only if its
+    /// revision is still `seen`.
+    fn acquire_lease(
         &mut self,
         peer: &Peer,
         slot: u8,
@@ -291,7 +296,7 @@
     ) -> PlatformResponse {
         let key = (peer.zone.to_string(), slot);
         let is_held = self.leases.get(&key).is_some_and(|lease| {
-            lease.until > now && lease.holder != *peer && Some(lease.revision) != seen
+            lease.expires_at > now && lease.holder != *peer && Some(lease.revision) != seen
         });
         if is_held {
             return PlatformResponse::LeaseLost { slot };
@@ -316,7 +321,7 @@
         self.writes += 1;
         let lease = Lease {
             holder: peer.clone(),
-            until: now + fleet::lease::LEASE_DURATION,
+            expires_at: now + fleet::lease::LEASE_DURATION,
             revision: self.writes,
         };
         self.leases.insert(key, lease);
