--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: HTTP/1.1 over kept connections to one address.
+//! An HTTP/1.1 client with keep-alive connections to one address.
 
 use crate::error::Error;
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// An answer, whole.
+/// A complete HTTP response.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// Status.
@@ -23,14 +23,14 @@
 }
 
 impl Answer {
-    /// Gives a header as text, or nothing.
+    /// Returns a header's value, if it is present and visible ASCII.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// What to send.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// Method.
@@ -44,13 +44,13 @@
 }
 
 impl Call {
-    /// Makes a call that reads.
+    /// Creates a GET call without headers and body.
     #[must_use]
     pub fn get(path: &str) -> Self {
         Self::new(Method::GET, path)
     }
 
-    /// Makes a call without headers and body.
+    /// Creates a call without headers and body.
     #[must_use]
     pub fn new(method: Method, path: &str) -> Self {
         Self {
@@ -76,7 +76,7 @@
     }
 }
 
-/// A caller with kept connections; clones share them.
+/// An HTTP client with a pool of keep-alive connections. Clones share the pool.
 #[derive(Debug, Clone)]
 pub struct Caller {
     address: SocketAddr,
@@ -84,7 +84,7 @@
 }
 
 impl Caller {
-    /// Makes a caller of `address`; connections are opened as they are needed.
+    /// Creates a client for `address`. Connections are opened on demand.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Sends a call and takes the whole answer.
+    /// Sends a call and reads the complete response.
     ///
     /// # Errors
     ///
-    /// When the connection fails, or the answer breaks off.
+    /// When the connection fails, or the response is incomplete.
     pub async fn send(&self, call: &Call) -> Result<Answer, Error> {
-        let mut connection = self.take_connection().await?;
+        let mut connection = self.get_connection().await?;
         let mut request = Request::builder()
             .method(call.method.clone())
             .uri(call.path.as_str())
@@ -119,11 +119,11 @@
         })
     }
 
-    /// As [`send`](Self::send), with a bound on the time.
+    /// Like [`send`](Self::send), with a time limit.
     ///
     /// # Errors
     ///
-    /// As `send`, and when `limit` has passed; the connection is then dropped.
+    /// As for `send`, and when `limit` has passed; the connection is then closed.
     pub async fn send_within(&self, call: &Call, limit: Duration) -> Result<Answer, Error> {
         match tokio::time::timeout(limit, self.send(call)).await {
             Ok(answer) => answer,
@@ -131,13 +131,13 @@
         }
     }
 
-    async fn take_connection(&self) -> Result<SendRequest<Full<Bytes>>, Error> {
+    async fn get_connection(&self) -> Result<SendRequest<Full<Bytes>>, Error> {
         loop {
             let idle = self.idle_connections().pop();
             let Some(mut connection) = idle else {
                 return self.connect().await;
             };
-            // Fails when the other side has closed the connection meanwhile.
+            // Fails when the peer has closed the connection in the meantime.
             if connection.ready().await.is_ok() {
                 return Ok(connection);
             }
@@ -153,7 +153,7 @@
         stream.set_nodelay(true)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
-            // The error reaches whoever sends on the connection.
+            // Whoever sends on the connection gets the error.
             drop(connection.await);
         });
         Ok(sender)
--- a/crates/bench/src/converge.rs
+++ b/crates/bench/src/converge.rs
@@ -1,8 +1,9 @@
-//! How long an accepted version takes to be in force on every node, and what that costs.
+//! Measures how long an accepted version takes to come into force on every node, and what that costs.
 //!
-//! Real node processes in a few availability zones, each with an announced
-//! endpoint. The time counts from before the proposal is sent, so that the
-//! platform's write is in it, and ends with the log line of the last node.
+//! The fleet consists of real node processes in a few availability zones, each
+//! with an announced endpoint. Convergence is measured from right before the
+//! proposal, so that it includes the platform's write, to the log line with
+//! which the last node puts the version into force.
 
 use crate::converge_fault::Fault;
 use crate::count::to_f64;
@@ -19,92 +20,94 @@
 use std::time::{Duration, Instant};
 use store::memory::Counts;
 
-/// Services that the nodes' endpoints belong to; the others have none.
-const SERVED: usize = 12;
+/// Number of services that the nodes' endpoints belong to; the other services have no endpoints.
+const SERVICES_WITH_ENDPOINTS: usize = 12;
 
-/// Time between two versions.
-const PERIOD: Duration = Duration::from_millis(400);
+/// Interval between proposals.
+const PROPOSAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for the tree to settle, and then for the idle figures.
-pub(crate) const SETTLE: Duration = Duration::from_secs(10);
+/// Time for the tree to become stable, duration of the idle measurement after that, and
+/// duration of a platform outage.
+pub(crate) const SETTLE_TIME: Duration = Duration::from_secs(10);
 
-/// Longest wait for the fleet to hold a version.
-const LIMIT: Duration = Duration::from_secs(40);
+/// Time limit for the fleet to put a version into force, and for other awaited conditions.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Time between two looks at the fleet.
-const POLL: Duration = Duration::from_millis(100);
+/// Interval at which nodes are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What to measure.
+/// Options of the experiment.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Node processes.
+    /// Number of node processes.
     pub nodes: usize,
-    /// Availability zones that they are spread over.
+    /// Number of availability zones that they are spread over.
     pub zones: usize,
-    /// Versions to propose.
+    /// Number of versions to propose.
     pub versions: usize,
-    /// Services and routes of the configuration.
+    /// Number of services, and of routes, in the configuration.
     pub services: usize,
-    /// How versions come: tree, whole or watch.
+    /// How versions reach the nodes: tree, whole or watch.
     pub distribution: String,
-    /// What goes wrong, if anything.
+    /// Fault to inject, if any.
     pub fault: Option<Fault>,
 }
 
-/// What was measured.
+/// Results of the experiment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Node processes.
+    /// Number of node processes.
     pub nodes: usize,
-    /// Versions measured.
+    /// Number of versions measured.
     pub versions: usize,
-    /// From before the proposal to in force, over all nodes and versions, median.
+    /// Time from right before the proposal until the version is in force, over all nodes and versions: median.
     pub convergence_p50_ms: f64,
     /// The same, 99th percentile.
     pub convergence_p99_ms: f64,
-    /// The same, last node of the slowest version.
+    /// The same, maximum: the last node of the slowest version.
     pub convergence_max_ms: f64,
-    /// How long the proposals took, mean: part of the times above.
+    /// Mean duration of a proposal, which is part of the times above.
     pub propose_mean_ms: f64,
-    /// A version's patch as JSON.
+    /// Mean size of a version's patch as JSON, in bytes.
     pub patch_bytes: f64,
-    /// Bytes received between nodes, without the idle ones, per node and version;
-    /// unknown where the fault ends processes, as their counts end with them.
+    /// Bytes received between nodes per node and version, less the idle traffic.
+    /// Unknown if the fault kills nodes, as their counters are lost.
     pub control_bytes_per_node_per_version: Option<f64>,
-    /// Bytes received between nodes while nothing changes.
+    /// Bytes received between nodes per node and second while nothing changes.
     pub idle_control_bytes_per_node_s: f64,
-    /// Calls to the platform from the first process's start until all has settled.
+    /// Calls to the platform from the start of the first process until the fleet is stable.
     pub platform_calls_start: u64,
-    /// Calls to the platform while nothing changes.
+    /// Calls to the platform per second while nothing changes.
     pub platform_calls_per_s: f64,
     /// Writes among these.
     pub platform_writes_per_s: f64,
     /// Watches opened among these.
     pub platform_watches_per_s: f64,
-    /// Most memory of a node, in MB.
+    /// Largest resident memory of a node, in MB.
     pub node_rss_mb_max: f64,
-    /// Processor time of a node from start to end, mean, in per cent of a core.
+    /// Mean CPU use of a node over the whole experiment, in per cent of a core.
     pub node_cpu_pct_mean: f64,
-    /// Times that a VM served by a lower version after a higher one.
+    /// Times that a VM put a lower version into force after a higher one.
     pub reverts: usize,
-    /// Nodes whose routes aren't those of the version that they serve by.
+    /// Nodes whose version or routes are not those of the last accepted version, or that count a revert.
     pub partial: usize,
-    /// Routes in force whose services the node does not know.
+    /// Routes in force whose services have no endpoints known to the node.
     pub dangling: usize,
-    /// Versions that some node did not come to hold in time.
+    /// Rounds in which a node did not reach the version in time, plus pairs of node and version
+    /// without a log line.
     pub not_converged: usize,
 }
 
 /// A running experiment.
 pub(crate) struct Experiment {
-    pub(crate) plot: Options,
+    pub(crate) options: Options,
     pub(crate) deployment: Deployment,
     proposer: Proposer,
-    pub(crate) cut: relay::Relay,
+    pub(crate) platform_relay: relay::Relay,
     pub(crate) not_converged: usize,
 }
 
-/// Reads what to measure from the command line.
+/// Parses the options from the command line.
 #[must_use]
 pub fn parse() -> impl Parser<Options> {
     let nodes = long("nodes")
@@ -144,111 +147,120 @@
     })
 }
 
-/// Starts the fleet, proposes the versions and gives the figures.
+/// Starts the fleet, proposes the versions and returns the measurements.
 ///
 /// # Errors
 ///
-/// When a program can't be started or the fleet doesn't come up.
-pub async fn run(plot: Options) -> Result<Report, Error> {
-    let begun = Instant::now();
-    let mut run = start(plot).await?;
-    run.wait_version().await?;
-    run.wait_endpoints().await?;
-    tokio::time::sleep(SETTLE).await;
-    let (first, before) = (run.count_calls().await?, run.sum_received().await?);
-    tokio::time::sleep(SETTLE).await;
-    let last = run.count_calls().await?;
-    let idle = run.sum_received().await? - before;
-    let rate = |count: u64| to_f64(count) / SETTLE.as_secs_f64();
-    let nodes = to_f64(run.plot.nodes);
+/// When a program can't be started, or the fleet doesn't become ready.
+pub async fn run(options: Options) -> Result<Report, Error> {
+    let started = Instant::now();
+    let mut experiment = start(options).await?;
+    experiment.wait_version().await?;
+    experiment.wait_endpoints().await?;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let (first, before) = (
+        experiment.count_calls().await?,
+        experiment.sum_received().await?,
+    );
+    tokio::time::sleep(SETTLE_TIME).await;
+    let last = experiment.count_calls().await?;
+    let idle = experiment.sum_received().await? - before;
+    let rate = |count: u64| to_f64(count) / SETTLE_TIME.as_secs_f64();
+    let nodes = to_f64(experiment.options.nodes);
     let mut report = Report {
-        nodes: run.plot.nodes,
+        nodes: experiment.options.nodes,
         platform_calls_start: sum_calls(first),
         platform_calls_per_s: rate(sum_calls(last) - sum_calls(first)),
         platform_writes_per_s: rate(last.writes - first.writes),
         platform_watches_per_s: rate(last.watches - first.watches),
-        idle_control_bytes_per_node_s: idle / SETTLE.as_secs_f64() / nodes,
+        idle_control_bytes_per_node_s: idle / SETTLE_TIME.as_secs_f64() / nodes,
         ..Report::default()
     };
-    let (before, start) = (run.sum_received().await?, Instant::now());
-    match run.plot.fault {
-        None => run.propose_all().await?,
-        Some(fault) => run.suffer(fault).await?,
+    let (before, start) = (experiment.sum_received().await?, Instant::now());
+    match experiment.options.fault {
+        None => experiment.propose_all().await?,
+        Some(fault) => experiment.run_fault_rounds(fault).await?,
     }
-    let spent = run.sum_received().await? - before;
+    let received = experiment.sum_received().await? - before;
     let idle = report.idle_control_bytes_per_node_s * nodes * start.elapsed().as_secs_f64();
-    let versions = to_f64(run.proposer.proposed.len().max(1));
-    let is_counted = !run.plot.fault.is_some_and(Fault::ends_nodes);
+    let versions = to_f64(experiment.proposer.proposed.len().max(1));
+    let keeps_counters = !experiment.options.fault.is_some_and(Fault::kills_nodes);
     report.control_bytes_per_node_per_version =
-        is_counted.then(|| (spent - idle) / nodes / versions);
-    report.patch_bytes = to_f64(run.proposer.patch_bytes) / versions;
-    report.versions = run.proposer.proposed.len();
-    run.fill_times(&mut report)?;
-    run.fill_nodes(&mut report, begun.elapsed()).await?;
+        keeps_counters.then(|| (received - idle) / nodes / versions);
+    report.patch_bytes = to_f64(experiment.proposer.patch_bytes) / versions;
+    report.versions = experiment.proposer.proposed.len();
+    experiment.report_times(&mut report)?;
+    experiment
+        .report_nodes(&mut report, started.elapsed())
+        .await?;
     Ok(report)
 }
 
-async fn start(plot: Options) -> Result<Experiment, Error> {
+async fn start(options: Options) -> Result<Experiment, Error> {
     let mut deployment = Deployment::spawn(Vec::new(), &[]).await?;
-    let cut = relay::bind(deployment.platform_address).await?;
-    for index in 0..plot.nodes {
-        let zone = format!("zone-{}", index % plot.zones + 1);
-        let mut plan = VmSpec::new(&format!("vm-{index}"), &zone, None);
-        let line = format!("distribution = {}", plot.distribution);
-        plan.settings.push(("fleet".to_owned(), line));
-        if index % plot.zones == plot.zones - 1 {
-            plan.platform = Some(cut.address);
+    let platform_relay = relay::bind(deployment.platform_address).await?;
+    for index in 0..options.nodes {
+        let zone = format!("zone-{}", index % options.zones + 1);
+        let mut spec = VmSpec::new(&format!("vm-{index}"), &zone, None);
+        let line = format!("distribution = {}", options.distribution);
+        spec.settings.push(("fleet".to_owned(), line));
+        if index % options.zones == options.zones - 1 {
+            spec.platform = Some(platform_relay.address);
         }
-        deployment.add(plan)?;
+        deployment.add(spec)?;
     }
-    let mut run = Experiment {
+    let mut experiment = Experiment {
         proposer: Proposer::open(deployment.platform_address),
-        plot,
+        options,
         deployment,
-        cut,
+        platform_relay,
         not_converged: 0,
     };
-    run.proposer.propose_services(run.plot.services).await?;
-    for vm in 0..run.plot.nodes {
-        run.announce(vm).await?;
+    experiment
+        .proposer
+        .propose_services(experiment.options.services)
+        .await?;
+    for vm in 0..experiment.options.nodes {
+        experiment.announce(vm).await?;
     }
-    Ok(run)
+    Ok(experiment)
 }
 
 impl Experiment {
     pub(crate) async fn announce(&self, index: usize) -> Result<(), Error> {
-        let service = service_name(index % SERVED.min(self.plot.services));
-        let begun = Instant::now();
+        let service = service_name(index % SERVICES_WITH_ENDPOINTS.min(self.options.services));
+        let started = Instant::now();
         loop {
             match node::announce(&self.deployment.vms[index], &service).await {
-                Err(error) if begun.elapsed() > LIMIT => return Err(error),
-                Err(_) => tokio::time::sleep(POLL).await,
+                Err(error) if started.elapsed() > WAIT_TIMEOUT => return Err(error),
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
                 Ok(()) => return Ok(()),
             }
         }
     }
 
-    /// Proposes a version as an operator would: a share of a route goes elsewhere.
+    /// Proposes a version as an operator would: a route gets another target service.
     pub(crate) async fn propose_next(&mut self) -> Result<(), Error> {
-        let index = self.proposer.proposed.len() % self.plot.services;
-        let other = service_name((index + 1 + self.proposer.proposed.len()) % self.plot.services);
+        let index = self.proposer.proposed.len() % self.options.services;
+        let other =
+            service_name((index + 1 + self.proposer.proposed.len()) % self.options.services);
         let prefix = format!("/{}", service_name(index));
         let change = put_route(&prefix, &other, Class::Refresh, Repeat::ByMethod);
         self.proposer.propose(vec![change]).await
     }
 
     async fn propose_all(&mut self) -> Result<(), Error> {
-        for _ in 0..self.plot.versions {
-            let begun = Instant::now();
+        for _ in 0..self.options.versions {
+            let started = Instant::now();
             self.propose_next().await?;
-            tokio::time::sleep(PERIOD.saturating_sub(begun.elapsed())).await;
+            tokio::time::sleep(PROPOSAL_INTERVAL.saturating_sub(started.elapsed())).await;
         }
         self.wait_version().await
     }
 
-    /// Waits until all running nodes serve by the last version.
+    /// Waits until all running nodes have put the last accepted version into force.
     pub(crate) async fn wait_version(&mut self) -> Result<(), Error> {
-        let begun = Instant::now();
+        let started = Instant::now();
         for vm in &mut self.deployment.vms {
             while vm.node.is_running() {
                 let installed = node::read_installed(&vm.node.log)?;
@@ -258,11 +270,14 @@
                 {
                     break;
                 }
-                if begun.elapsed() > LIMIT {
-                    let what = format!("version {} at {}", self.proposer.version, vm.spec.name);
+                if started.elapsed() > WAIT_TIMEOUT {
+                    let what = format!(
+                        "waiting for version {} at {}",
+                        self.proposer.version, vm.spec.name
+                    );
                     return Err(Error::Timeout(what));
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -270,17 +285,20 @@
 
     /// Waits until all nodes know all endpoints.
     async fn wait_endpoints(&self) -> Result<(), Error> {
-        let begun = Instant::now();
+        let started = Instant::now();
         for vm in &self.deployment.vms {
             loop {
                 let status = node::read_status(vm).await?;
-                if status.endpoints.values().sum::<usize>() == self.plot.nodes {
+                if status.endpoints.values().sum::<usize>() == self.options.nodes {
                     break;
                 }
-                if begun.elapsed() > LIMIT {
-                    return Err(Error::Timeout(format!("endpoints at {}", vm.spec.name)));
+                if started.elapsed() > WAIT_TIMEOUT {
+                    return Err(Error::Timeout(format!(
+                        "waiting for all endpoints at {}",
+                        vm.spec.name
+                    )));
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -300,7 +318,7 @@
         Ok(sum)
     }
 
-    fn fill_times(&self, report: &mut Report) -> Result<(), Error> {
+    fn report_times(&self, report: &mut Report) -> Result<(), Error> {
         let logs = self.deployment.vms.iter();
         let logs = logs.map(|vm| node::read_installed(&vm.node.log));
         let logs = logs.collect::<Result<Vec<_>, _>>()?;
@@ -332,11 +350,11 @@
         Ok(())
     }
 
-    async fn fill_nodes(&self, report: &mut Report, elapsed: Duration) -> Result<(), Error> {
-        let mut processor = 0.0;
+    async fn report_nodes(&self, report: &mut Report, elapsed: Duration) -> Result<(), Error> {
+        let mut cpu_seconds = 0.0;
         for vm in &self.deployment.vms {
             let usage = vm.node.usage()?;
-            processor += usage.cpu_time.as_secs_f64();
+            cpu_seconds += usage.cpu_time.as_secs_f64();
             let resident = to_f64(usage.resident_bytes) / f64::from(1 << 20);
             report.node_rss_mb_max = report.node_rss_mb_max.max(resident);
             let (partial, dangling) = self.check_routes(vm).await?;
@@ -344,35 +362,37 @@
             report.dangling += dangling;
         }
         report.node_cpu_pct_mean =
-            100.0 * processor / elapsed.as_secs_f64() / to_f64(self.plot.nodes);
+            100.0 * cpu_seconds / elapsed.as_secs_f64() / to_f64(self.options.nodes);
         Ok(())
     }
 
-    /// Sets a node's routes against those of the configuration and the services it knows.
+    /// Compares a node's routes with those of the configuration and with the services whose
+    /// endpoints it knows. Returns whether the node deviates from the configuration, and the number
+    /// of dangling routes.
     async fn check_routes(&self, vm: &Vm) -> Result<(bool, usize), Error> {
         let status = node::read_status(vm).await?;
         let metrics: Metrics = node::read_metrics(vm).await?;
-        let is_known = |route: &config::Route| {
+        let has_endpoints = |route: &config::Route| {
             let mut targets = route.targets.iter();
             targets.any(|target| status.endpoints.contains_key(&target.service))
         };
-        let known = self
+        let expected = self
             .proposer
             .mesh
             .routes
             .values()
-            .filter(|route| is_known(route));
-        let known = known.count();
+            .filter(|route| has_endpoints(route));
+        let expected = expected.count();
         let in_force = to_usize(metrics.get("bluebellpick_routes"));
         let withheld = to_usize(metrics.get("bluebellpick_withheld_routes"));
         let is_partial = in_force + withheld != self.proposer.mesh.routes.len()
             || status.version != self.proposer.version
             || metrics.get("bluebellpick_config_reverts_total") > 0.0;
-        Ok((is_partial, in_force.saturating_sub(known)))
+        Ok((is_partial, in_force.saturating_sub(expected)))
     }
 }
 
-/// Counts how often a VM served by a lower version after a higher one.
+/// Counts how often a VM put a lower version into force after a higher one.
 fn count_reverts(log: &[InstalledVersion]) -> usize {
     let pairs = log.windows(2);
     pairs
@@ -387,7 +407,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a count that a node told as a decimal number"
+    reason = "a count that a node reports as a decimal number"
 )]
 fn to_usize(count: f64) -> usize {
     count as usize
--- a/crates/bench/src/converge_fault.rs
+++ b/crates/bench/src/converge_fault.rs
@@ -1,30 +1,30 @@
-//! What goes wrong while versions converge.
+//! Faults that are injected while versions converge.
 
-use crate::converge::{Experiment, SETTLE};
+use crate::converge::{Experiment, SETTLE_TIME};
 use crate::error::Error;
 use crate::node;
 use rustix::process::Signal;
 use std::str::FromStr;
 
-/// Rounds of a fault.
+/// Number of times that a fault is injected.
 const ROUNDS: usize = 4;
 
-/// What goes wrong.
+/// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The platform answers nobody for a while; the version comes right after.
+    /// The platform answers nobody for a while; the version is proposed right after.
     PlatformOutage,
-    /// All roots of a zone are killed right before the version.
+    /// All roots of a zone are killed right before the version is proposed.
     RootsKilled,
-    /// A zone is cut from the platform, not from the other zones.
+    /// A zone is cut off from the platform, but not from the other zones.
     Partition,
-    /// All nodes of a zone are killed and started again right before the version.
+    /// All nodes of a zone are killed and started again right before the version is proposed.
     ZoneRestart,
 }
 
 impl Fault {
-    /// Tells whether it ends processes, whose counts of bytes end with them.
-    pub(crate) fn ends_nodes(self) -> bool {
+    /// Returns whether the fault kills nodes, whose byte counters are lost with them.
+    pub(crate) fn kills_nodes(self) -> bool {
         matches!(self, Self::RootsKilled | Self::ZoneRestart)
     }
 }
@@ -38,27 +38,29 @@
             "roots-killed" => Ok(Self::RootsKilled),
             "partition" => Ok(Self::Partition),
             "herd-restart" => Ok(Self::ZoneRestart),
-            _ => Err("want platform-outage, roots-killed, partition or herd-restart".to_owned()),
+            _ => {
+                Err("expected platform-outage, roots-killed, partition or herd-restart".to_owned())
+            }
         }
     }
 }
 
 impl Experiment {
-    /// Lets the fault happen, round after round, each with a version right after.
-    pub(crate) async fn suffer(&mut self, fault: Fault) -> Result<(), Error> {
+    /// Injects the fault in several rounds, each followed by a proposal.
+    pub(crate) async fn run_fault_rounds(&mut self, fault: Fault) -> Result<(), Error> {
         for round in 0..ROUNDS {
-            let zone = format!("zone-{}", round % self.plot.zones + 1);
+            let zone = format!("zone-{}", round % self.options.zones + 1);
             let mut killed = Vec::new();
             match fault {
                 Fault::PlatformOutage => {
-                    self.set_down(true).await?;
-                    tokio::time::sleep(SETTLE).await;
-                    self.set_down(false).await?;
+                    self.set_platform_down(true).await?;
+                    tokio::time::sleep(SETTLE_TIME).await;
+                    self.set_platform_down(false).await?;
                 }
                 Fault::Partition => {
-                    self.cut.set_stalled(true);
-                    // Long enough for watches to be given up and leases to lapse.
-                    tokio::time::sleep(SETTLE + SETTLE / 2).await;
+                    self.platform_relay.set_stalled(true);
+                    // Long enough for watches to time out and leases to expire.
+                    tokio::time::sleep(SETTLE_TIME + SETTLE_TIME / 2).await;
                 }
                 Fault::RootsKilled => killed = self.kill(&zone, true).await?,
                 Fault::ZoneRestart => {
@@ -74,30 +76,30 @@
             if fault == Fault::RootsKilled {
                 self.restart(&killed).await?;
             }
-            self.cut.set_stalled(false);
-            tokio::time::sleep(SETTLE).await;
+            self.platform_relay.set_stalled(false);
+            tokio::time::sleep(SETTLE_TIME).await;
         }
         Ok(())
     }
 
-    async fn set_down(&self, is_down: bool) -> Result<(), Error> {
+    async fn set_platform_down(&self, is_down: bool) -> Result<(), Error> {
         let fault = format!("{{\"down\": {is_down}}}");
         self.deployment.set_platform_fault(&fault).await?;
         Ok(())
     }
 
-    /// Kills the nodes of a zone, or its roots alone.
-    async fn kill(&mut self, zone: &str, roots: bool) -> Result<Vec<usize>, Error> {
+    /// Kills all nodes of a zone, or only its roots. Returns their indexes.
+    async fn kill(&mut self, zone: &str, only_roots: bool) -> Result<Vec<usize>, Error> {
         let mut killed = Vec::new();
         for (index, vm) in self.deployment.vms.iter().enumerate() {
             if vm.spec.zone == zone {
                 let status = node::read_status(vm).await?;
-                if !roots || status.distribution.path.len() == 1 {
+                if !only_roots || status.distribution.path.len() == 1 {
                     killed.push(index);
                 }
             }
         }
-        // All signals first, so that they die as one.
+        // Signals all before reaping any, so that they die at the same time.
         for index in &killed {
             self.deployment.vms[*index].node.signal(Signal::KILL)?;
         }
--- a/crates/bench/src/count.rs
+++ b/crates/bench/src/count.rs
@@ -1,6 +1,6 @@
-//! Counts as numbers to reckon with.
+//! Conversion of counts to floating point.
 
-/// Turns a count into a number to reckon with; one over 4 billion counts as infinite.
+/// Converts a count to `f64`. A count that does not fit in a `u32` (over 4 billion) becomes infinity.
 #[must_use]
 pub fn to_f64<N>(count: N) -> f64
 where
--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -1,8 +1,8 @@
-//! The main job on stand-ins, for people to watch.
+//! A demonstration of the main features on stand-ins.
 //!
-//! Tenaga's three services come up in three availability zones, two patches
-//! are proposed, calls are served while a VM is killed and another drained,
-//! and the operators' reports are shown. The last line holds the figures.
+//! Starts three services of the example company Tenaga in three availability
+//! zones, proposes two patches, sends calls while one VM is killed and another
+//! drained, and prints the operators' reports. The last line contains the results.
 
 use crate::caller::{Call, Caller};
 use crate::deployment::{Deployment, OPERATOR_TOKEN, Vm, service_vms};
@@ -15,23 +15,23 @@
 use std::fs;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Tenaga's first configuration.
+/// Patch with Tenaga's initial configuration.
 const FIRST_PATCH: &str = include_str!("../../../examples/tenaga.jsonl");
 
-/// A further patch, of a change of shares between two services.
+/// Patch that splits a route between two services.
 const NEXT_PATCH: &str = r#"{"put_route": {"prefix": "/parts", "route": {"targets": [{"service": "records", "percent": 80}, {"service": "claims", "percent": 20}]}}}"#;
 
-/// Longest wait for the fleet to do what the demo waits for.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Time limit of each step that the demo waits for.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Longest wait for one answer.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time between two looks at a node's version: fine beside a convergence of tens of milliseconds.
-const POLL: Duration = Duration::from_millis(2);
+/// Interval at which a node's status is polled: short compared with a convergence of tens of milliseconds.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// How long calls are sent.
-const LOAD: Duration = Duration::from_secs(8);
+const LOAD_DURATION: Duration = Duration::from_secs(8);
 
 /// When a VM is killed, from the start of the calls.
 const KILL_AT: Duration = Duration::from_secs(2);
@@ -39,85 +39,92 @@
 /// When another VM is drained, from the start of the calls.
 const DRAIN_AT: Duration = Duration::from_secs(5);
 
-/// Time between two look-ups that enter at one node: 50 a second.
+/// Interval between look-ups that enter at one node: 50 per second.
 const LOOKUP_PERIOD: Duration = Duration::from_millis(20);
 
-/// Time between two bookings that enter at one node: 10 a second.
+/// Interval between bookings that enter at one node: 10 per second.
 const BOOKING_PERIOD: Duration = Duration::from_millis(100);
 
-/// Names of the load's series, by their numbers.
-const SERIES: [&str; 2] = ["look-ups", "bookings"];
+/// Names of the series of calls, by index.
+const SERIES_NAMES: [&str; 2] = ["look-ups", "bookings"];
 
-/// VM that is killed: records in the second availability zone.
-const KILLED: usize = 3;
+/// Index of the VM that is killed: records in the second availability zone.
+const KILLED_VM: usize = 3;
 
-/// VM that is drained: jobs in the third availability zone.
-const DRAINED: usize = 8;
+/// Index of the VM that is drained: jobs in the third availability zone.
+const DRAINED_VM: usize = 8;
 
-/// What was seen.
+/// Results of the demo.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// Nodes that came up.
+    /// Number of nodes.
     pub nodes: usize,
-    /// From the second patch's write to its being in force on the last node, in milliseconds.
+    /// Time from the write of the second patch until it is in force on the last node, in milliseconds.
     pub convergence_ms: u64,
-    /// Control bytes sent between nodes meanwhile, a node.
+    /// Control bytes sent between nodes in that time, per node.
     pub control_bytes_per_node: u64,
     /// Calls sent.
     pub calls: u64,
-    /// Calls answered by a backend server.
+    /// Calls answered with success by a backend server.
     pub answered: u64,
-    /// Calls refused, sure not to have run.
+    /// Calls refused with the assurance that they did not run.
     pub not_run: u64,
-    /// Calls that may have run, as the VM was killed under them.
+    /// Calls that may have run, as their VM was killed.
     pub may_have_run: u64,
-    /// Calls that ended in any other way.
+    /// Calls with any other result.
     pub others: u64,
 }
 
-/// How the calls of one series ended.
+/// Latencies of the calls of one series, and the number of calls by their result.
 #[derive(Debug)]
-struct Sum {
-    series: LatencySeries,
+struct SeriesSummary {
+    latencies: LatencySeries,
     endings: BTreeMap<String, u64>,
 }
 
-/// Shows the main job.
+/// Runs the demo.
 ///
 /// # Errors
 ///
-/// When a program can't be started, or the fleet does not do its job.
+/// When a program can't be started, or a step of the demo fails or times out.
 pub async fn run() -> Result<Report, Error> {
-    say("Starting Tenaga: records, claims and jobs, each in three availability zones.");
+    print_line("Starting Tenaga: records, claims and jobs, each in three availability zones.");
     let start = Instant::now();
-    let plans = service_vms(&["records", "claims", "jobs"], 1);
-    let mut deployment = Deployment::spawn(plans, &[]).await?;
-    wait_announced(&deployment).await?;
+    let specs = service_vms(&["records", "claims", "jobs"], 1);
+    let mut deployment = Deployment::spawn(specs, &[]).await?;
+    wait_backends(&deployment).await?;
     let nodes = deployment.vms.len();
-    say(&format!(
+    print_line(&format!(
         "{nodes} nodes, {nodes} backend servers and a platform run after {} ms.",
         start.elapsed().as_millis()
     ));
 
-    converge(&deployment, FIRST_PATCH, 0).await?;
-    deployment.wait_served("/records/gearbox", LIMIT).await?;
-    let (convergence_ms, control_bytes) = converge(&deployment, NEXT_PATCH, 1).await?;
+    propose_and_wait(&deployment, FIRST_PATCH, 0).await?;
+    deployment
+        .wait_served("/records/gearbox", WAIT_TIMEOUT)
+        .await?;
+    let (convergence_ms, control_bytes) = propose_and_wait(&deployment, NEXT_PATCH, 1).await?;
 
-    say(&format!(
+    print_line(&format!(
         "\nCalls at six nodes for {} s; after {} s a VM of records is killed, after {} s one of jobs is drained.",
-        LOAD.as_secs(),
+        LOAD_DURATION.as_secs(),
         KILL_AT.as_secs(),
         DRAIN_AT.as_secs()
     ));
-    let sums = load(&mut deployment).await?;
-    print_sums(&sums);
-    show_reports(&deployment)?;
+    let summaries = load(&mut deployment).await?;
+    print_summaries(&summaries);
+    print_reports(&deployment)?;
 
     let count = |ending: &str| {
-        let counts = sums.iter().filter_map(|sum| sum.endings.get(ending));
+        let counts = summaries
+            .iter()
+            .filter_map(|summary| summary.endings.get(ending));
         counts.sum::<u64>()
     };
-    let calls = sums.iter().flat_map(|sum| sum.endings.values()).sum();
+    let calls = summaries
+        .iter()
+        .flat_map(|summary| summary.endings.values())
+        .sum();
     let (answered, not_run, may_have_run) =
         (count("answered"), count("not-run"), count("may-have-run"));
     Ok(Report {
@@ -132,46 +139,54 @@
     })
 }
 
-fn say(text: &str) {
+fn print_line(text: &str) {
     println!("{text}");
 }
 
-/// Waits until every node knows its backend server.
-async fn wait_announced(deployment: &Deployment) -> Result<(), Error> {
+/// Waits until every node's own backend server has announced itself.
+async fn wait_backends(deployment: &Deployment) -> Result<(), Error> {
     for vm in &deployment.vms {
         wait_status(vm, |status| !status["backend"].is_null()).await?;
     }
     Ok(())
 }
 
-/// Polls a node's status until it is as wanted, and gives the time of day.
-async fn wait_status<F>(vm: &Vm, is_wanted: F) -> Result<SystemTime, Error>
+/// Polls a node's status until it meets the condition, and returns the wall-clock time.
+async fn wait_status<F>(vm: &Vm, condition: F) -> Result<SystemTime, Error>
 where
     F: Fn(&Value) -> bool,
 {
     let caller = Caller::new(vm.operators_address());
     let call = Call::get("/v1/status");
-    let deadline = Instant::now() + LIMIT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
-        if let Ok(answer) = caller.send_within(&call, CALL_LIMIT).await
+        if let Ok(answer) = caller.send_within(&call, CALL_TIMEOUT).await
             && let Ok(status) = serde_json::from_slice::<Value>(&answer.body)
-            && is_wanted(&status)
+            && condition(&status)
         {
             return Ok(SystemTime::now());
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(Error::Timeout(format!("the status of {}", vm.spec.name)))
+    Err(Error::Timeout(format!(
+        "waiting for the status of {}",
+        vm.spec.name
+    )))
 }
 
-/// Proposes a patch, and gives the time until the last node has it, and the bytes that it took.
-async fn converge(deployment: &Deployment, patch: &str, base: u64) -> Result<(u64, u64), Error> {
+/// Proposes a patch. Returns the milliseconds until it is in force on the last node, and the
+/// control bytes sent in that time.
+async fn propose_and_wait(
+    deployment: &Deployment,
+    patch: &str,
+    base: u64,
+) -> Result<(u64, u64), Error> {
     let file = deployment.folder().join(format!("patch-{base}.jsonl"));
     fs::write(&file, patch)?;
     let (file, platform) = (file.display().to_string(), deployment.platform_address);
     let (platform, base_text) = (platform.to_string(), base.to_string());
     let before = sum_control_bytes(deployment).await?;
-    say(&format!(
+    print_line(&format!(
         "\n$ bluebellpick propose {base}.jsonl --base {base}"
     ));
     let arguments = [
@@ -182,31 +197,31 @@
         "--platform",
         &platform,
     ];
-    let (code, output) = deployment.run_cli(&arguments, LIMIT)?;
+    let (code, output) = deployment.run_cli(&arguments, WAIT_TIMEOUT)?;
     print!("{output}");
     if code != 0 {
-        return Err(Error::Unexpected(format!("propose ended with {code}")));
+        return Err(Error::Unexpected(format!("propose exited with {code}")));
     }
     let mut last = UNIX_EPOCH;
     for vm in &deployment.vms {
         let seen = wait_status(vm, |status| status["version"].as_u64() > Some(base)).await?;
         last = last.max(seen);
     }
-    let elapsed = last.duration_since(read_proposed(deployment)?);
+    let elapsed = last.duration_since(read_proposal_time(deployment)?);
     let millis = u64::try_from(elapsed.unwrap_or_default().as_millis()).unwrap_or(u64::MAX);
     let bytes = sum_control_bytes(deployment).await? - before;
-    say(&format!(
+    print_line(&format!(
         "in force on all {} nodes {millis} ms after it was proposed; {bytes} control bytes between nodes",
         deployment.vms.len()
     ));
     Ok((millis, bytes))
 }
 
-/// Reads when the last version was proposed.
-fn read_proposed(deployment: &Deployment) -> Result<SystemTime, Error> {
+/// Reads when the last version was written, from the output of `bluebellpick log`.
+fn read_proposal_time(deployment: &Deployment) -> Result<SystemTime, Error> {
     let platform = deployment.platform_address.to_string();
     let arguments = ["log", "--limit", "1", "--json", "--platform", &platform];
-    let (_, output) = deployment.run_cli(&arguments, LIMIT)?;
+    let (_, output) = deployment.run_cli(&arguments, WAIT_TIMEOUT)?;
     let log = serde_json::from_str::<Value>(&output);
     let log = log.map_err(|error| Error::Unexpected(format!("{error}: {output}")))?;
     let at_ms = log[0]["entry"]["at_ms"].as_u64();
@@ -219,7 +234,7 @@
     for vm in &deployment.vms {
         let caller = Caller::new(vm.operators_address());
         let answer = caller
-            .send_within(&Call::get("/metrics"), CALL_LIMIT)
+            .send_within(&Call::get("/metrics"), CALL_TIMEOUT)
             .await?;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         let sent = "bluebellpick_control_bytes_total{direction=\"sent\"} ";
@@ -229,25 +244,27 @@
     Ok(sum)
 }
 
-/// Sends calls at all nodes that stay, while one VM is killed and another drained.
-async fn load(deployment: &mut Deployment) -> Result<Vec<Sum>, Error> {
+/// Sends calls to nodes that stay up, while one VM is killed and another drained.
+async fn load(deployment: &mut Deployment) -> Result<Vec<SeriesSummary>, Error> {
     let planned = plan_load(deployment);
-    let (outcomes, disturbed) =
-        tokio::join!(send_planned(planned, CALL_LIMIT), disturb(deployment));
-    disturbed?;
-    Ok(sum_up(outcomes))
+    let (outcomes, kill_result) = tokio::join!(
+        send_planned(planned, CALL_TIMEOUT),
+        kill_and_drain(deployment)
+    );
+    kill_result?;
+    Ok(summarize(outcomes))
 }
 
 fn plan_load(deployment: &Deployment) -> Vec<PlannedCall> {
     let mut planned = Vec::new();
-    // The zone of the killed VM keeps callers too, but they use the node of another VM.
+    // Callers in the killed VM's zone use the node of another VM.
     let entries = deployment.vms.iter().enumerate();
-    let entries = entries.filter(|(index, _)| ![KILLED, DRAINED].contains(index));
+    let entries = entries.filter(|(index, _)| ![KILLED_VM, DRAINED_VM].contains(index));
     for (index, vm) in entries.take(6) {
         let caller = Caller::new(vm.callers_address());
         for (series, period) in [LOOKUP_PERIOD, BOOKING_PERIOD].into_iter().enumerate() {
             let mut at = Duration::from_millis(u64::try_from(index).unwrap_or(0));
-            while at < LOAD {
+            while at < LOAD_DURATION {
                 let call = make_call(series, index, at);
                 let caller = caller.clone();
                 planned.push(PlannedCall {
@@ -271,45 +288,46 @@
     Call::new(Method::POST, "/jobs/book").header("idempotency-key", &key)
 }
 
-/// Kills one VM and drains another, each at its time.
-async fn disturb(deployment: &mut Deployment) -> Result<(), Error> {
+/// Kills one VM and drains another, at `KILL_AT` and `DRAIN_AT`.
+async fn kill_and_drain(deployment: &mut Deployment) -> Result<(), Error> {
     tokio::time::sleep(KILL_AT).await;
-    let vm = &mut deployment.vms[KILLED];
+    let vm = &mut deployment.vms[KILLED_VM];
     vm.node.kill()?;
     if let Some(backend) = &mut vm.backend {
         backend.kill()?;
     }
     let name = &vm.spec.name;
-    say(&format!("killed {name}: its node and its backend server"));
+    print_line(&format!("killed {name}: its node and its backend server"));
     tokio::time::sleep(DRAIN_AT.saturating_sub(KILL_AT)).await;
-    let vm = &deployment.vms[DRAINED];
+    let vm = &deployment.vms[DRAINED_VM];
     let token = deployment.folder().join("token");
     fs::write(&token, OPERATOR_TOKEN)?;
     let (token, address) = (
         token.display().to_string(),
         vm.operators_address().to_string(),
     );
-    say(&format!("$ bluebellpick drain {}", vm.spec.name));
-    let (_, output) = deployment.run_cli(&["drain", &address, "--token-file", &token], LIMIT)?;
+    print_line(&format!("$ bluebellpick drain {}", vm.spec.name));
+    let (_, output) =
+        deployment.run_cli(&["drain", &address, "--token-file", &token], WAIT_TIMEOUT)?;
     print!("{output}");
     Ok(())
 }
 
-fn sum_up(outcomes: Vec<Outcome>) -> Vec<Sum> {
-    let new_sum = |_| Sum {
-        series: LatencySeries::new(),
+fn summarize(outcomes: Vec<Outcome>) -> Vec<SeriesSummary> {
+    let new_summary = |_| SeriesSummary {
+        latencies: LatencySeries::new(),
         endings: BTreeMap::new(),
     };
-    let mut sums = SERIES.iter().map(new_sum).collect::<Vec<_>>();
+    let mut summaries = SERIES_NAMES.iter().map(new_summary).collect::<Vec<_>>();
     for outcome in outcomes {
-        let sum = &mut sums[outcome.series];
-        *sum.endings.entry(name_ending(&outcome)).or_default() += 1;
-        sum.series.record(outcome.latency);
+        let summary = &mut summaries[outcome.series];
+        *summary.endings.entry(ending_of(&outcome)).or_default() += 1;
+        summary.latencies.record(outcome.latency);
     }
-    sums
+    summaries
 }
 
-fn name_ending(outcome: &Outcome) -> String {
+fn ending_of(outcome: &Outcome) -> String {
     match &outcome.result {
         Ok(answer) if answer.status.is_success() => "answered".to_owned(),
         Ok(answer) => match answer.header("bluebellpick-verdict") {
@@ -320,20 +338,20 @@
     }
 }
 
-fn print_sums(sums: &[Sum]) {
-    for (name, sum) in SERIES.iter().zip(sums) {
-        let endings = sum.endings.iter();
+fn print_summaries(summaries: &[SeriesSummary]) {
+    for (name, summary) in SERIES_NAMES.iter().zip(summaries) {
+        let endings = summary.endings.iter();
         let endings = endings.map(|(ending, count)| format!("{count} {ending}"));
-        say(&format!(
+        print_line(&format!(
             "{name}: {}; p50 {:.1} ms, p99 {:.1} ms",
             endings.collect::<Vec<_>>().join(", "),
-            sum.series.quantile_ms(0.5),
-            sum.series.quantile_ms(0.99)
+            summary.latencies.quantile_ms(0.5),
+            summary.latencies.quantile_ms(0.99)
         ));
     }
 }
 
-fn show_reports(deployment: &Deployment) -> Result<(), Error> {
+fn print_reports(deployment: &Deployment) -> Result<(), Error> {
     let platform = deployment.platform_address.to_string();
     let nodes = deployment
         .vms
@@ -342,11 +360,11 @@
     let nodes = nodes.map(|address| format!("--node={address}"));
     let nodes = nodes.collect::<Vec<_>>();
     for verb in ["status", "burn"] {
-        say(&format!("\n$ bluebellpick {verb}"));
+        print_line(&format!("\n$ bluebellpick {verb}"));
         let mut arguments = vec![verb, "--platform", &platform, "--timeout", "1"];
         arguments.extend(nodes.iter().map(String::as_str));
-        // Ends with 1, since the killed VM does not answer; its line says so.
-        let (_, output) = deployment.run_cli(&arguments, LIMIT)?;
+        // The exit code is 1, since the killed VM does not answer, which its line of the report shows.
+        let (_, output) = deployment.run_cli(&arguments, WAIT_TIMEOUT)?;
         print!("{output}");
     }
     Ok(())
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on loopback addresses, one address a VM.
+//! A fleet of real processes on loopback addresses, with one address per VM.
 
 use crate::caller::{Answer, Call, Caller};
 use crate::error::Error;
@@ -11,34 +11,34 @@
 use tempfile::TempDir;
 
 /// Port of a node's listener for callers.
-const CALLERS: u16 = 7001;
-/// Port of a node's listener for its backend server.
-const BACKEND: u16 = 7002;
-/// Port of a node's listener for nodes.
-const NODES: u16 = 7003;
+const CALLERS_PORT: u16 = 7001;
+/// Port of a node's listener for announcements of its backend server.
+const ANNOUNCE_PORT: u16 = 7002;
+/// Port of a node's listener for other nodes.
+const NODES_PORT: u16 = 7003;
 /// Port of a node's listener for operators.
-const OPERATORS: u16 = 7004;
-/// Port of a backend server.
-const SERVER: u16 = 7005;
-/// Port of the platform.
-const PLATFORM: u16 = 7000;
+const OPERATORS_PORT: u16 = 7004;
+/// Port on which a backend server takes calls.
+const BACKEND_PORT: u16 = 7005;
+/// Port of the platform stand-in.
+const PLATFORM_PORT: u16 = 7000;
 
-/// VMs of one deployment in a block of 256 addresses.
-const VMS_A_BLOCK: usize = 200;
+/// VMs of one deployment per block of 256 addresses.
+const VMS_PER_BLOCK: usize = 200;
 
-/// Longest wait for a call to a listener of the deployment.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit of a call to a listener of the deployment.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time between two looks at something that is to come about.
-const POLL: Duration = Duration::from_millis(20);
+/// Interval at which awaited conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time for a call of a route, in milliseconds.
+/// Timeout of the calls of a route, in milliseconds.
 const ROUTE_TIMEOUT_MS: u32 = 5_000;
 
-/// Token of the deployment's operators.
+/// Bearer token of the deployment's operators.
 pub const OPERATOR_TOKEN: &str = "bench-operators-token";
 
-/// One VM to start.
+/// Description of a VM to start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VmSpec {
     /// Name of its node.
@@ -47,18 +47,18 @@
     pub zone: String,
     /// Region.
     pub region: String,
-    /// Service of its backend server; without one the node runs alone.
+    /// Service of its backend server. Without it, the VM runs only a node.
     pub service: Option<String>,
-    /// Further arguments of the backend server's stand-in.
+    /// Additional arguments of the backend server's stand-in.
     pub backend_args: Vec<String>,
-    /// Address of the platform, if it is another than the deployment's.
+    /// Address at which the node reaches the platform, if it is not the deployment's platform address.
     pub platform: Option<SocketAddr>,
-    /// Further lines of the node's settings, by section.
+    /// Additional lines of the node's settings file, as pairs of section and line.
     pub settings: Vec<(String, String)>,
 }
 
 impl VmSpec {
-    /// Plans a VM of one region.
+    /// Describes a VM in the region `region-1`.
     #[must_use]
     pub fn new(name: &str, zone: &str, service: Option<&str>) -> Self {
         Self {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Plans `services` in three availability zones, with `per_zone` VMs each.
+/// Describes VMs for `services`: `per_zone` VMs of each service in each of three availability zones.
 #[must_use]
 pub fn service_vms(services: &[&str], per_zone: usize) -> Vec<VmSpec> {
     let mut specs = Vec::new();
@@ -91,50 +91,50 @@
 /// A VM with its processes.
 #[derive(Debug)]
 pub struct Vm {
-    /// What it was started from.
+    /// The description that it was started from.
     pub spec: VmSpec,
-    /// Its address.
+    /// Its loopback address.
     pub ip: IpAddr,
-    /// The node.
+    /// The node's process.
     pub node: Process,
-    /// The backend server.
+    /// The backend server's process, if the VM has one.
     pub backend: Option<Process>,
     settings: PathBuf,
     programs: PathBuf,
 }
 
 impl Vm {
-    /// Where callers connect.
+    /// Address of the node's listener for callers.
     #[must_use]
     pub fn callers_address(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, CALLERS)
+        SocketAddr::new(self.ip, CALLERS_PORT)
     }
 
-    /// Where other nodes connect.
+    /// Address of the node's listener for other nodes.
     #[must_use]
     pub fn nodes_address(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, NODES)
+        SocketAddr::new(self.ip, NODES_PORT)
     }
 
-    /// Where the backend server announces itself.
+    /// Address of the node's listener where the backend server announces itself.
     #[must_use]
     pub fn announce_address(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, BACKEND)
+        SocketAddr::new(self.ip, ANNOUNCE_PORT)
     }
 
-    /// Where operators connect.
+    /// Address of the node's listener for operators.
     #[must_use]
     pub fn operators_address(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, OPERATORS)
+        SocketAddr::new(self.ip, OPERATORS_PORT)
     }
 
-    /// Where the backend server takes calls.
+    /// Address on which the backend server takes calls.
     #[must_use]
     pub fn backend_address(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, SERVER)
+        SocketAddr::new(self.ip, BACKEND_PORT)
     }
 
-    /// Starts the node again, after its process has ended.
+    /// Starts the node again after its process has ended.
     ///
     /// # Errors
     ///
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Starts the backend server again, after its process has ended.
+    /// Starts the backend server again after its process has ended.
     ///
     /// # Errors
     ///
@@ -159,23 +159,24 @@
     }
 }
 
-/// A running fleet; its processes end with it.
+/// A running fleet. Dropping it kills its processes.
 #[derive(Debug)]
 pub struct Deployment {
     folder: TempDir,
-    /// The platform's stand-in.
+    /// The platform stand-in's process.
     pub platform: Process,
-    /// Where the platform listens.
+    /// Address of the platform stand-in.
     pub platform_address: SocketAddr,
-    /// The VMs, in the order of their plans.
+    /// The VMs, in the order of their descriptions.
     pub vms: Vec<Vm>,
+    /// Second and third byte of the deployment's first block of loopback addresses.
     base: [u8; 2],
-    /// Where the programs are; empty for beside this one.
+    /// Folder of the programs; empty for this program's own folder.
     programs: PathBuf,
 }
 
 impl Deployment {
-    /// Starts a platform stand-in and then every planned VM.
+    /// Starts a platform stand-in and then the described VMs.
     ///
     /// # Errors
     ///
@@ -184,7 +185,7 @@
         Self::spawn_from(Path::new(""), specs, platform_arguments).await
     }
 
-    /// Starts a fleet as [`Deployment::spawn`] does, from the programs in another folder.
+    /// Like [`Deployment::spawn`], with the programs of another folder.
     ///
     /// # Errors
     ///
@@ -195,9 +196,9 @@
         platform_arguments: &[&str],
     ) -> Result<Self, Error> {
         let folder = tempfile::Builder::new().prefix("bluebellpick-").tempdir()?;
-        // Deployments that run side by side each take their own block of loopback addresses.
+        // A random block of loopback addresses, so that deployments can run side by side.
         let base = [rand::random_range(1..=254), rand::random_range(0..=250)];
-        let address = SocketAddr::new(ip_of(base, 0), PLATFORM);
+        let address = SocketAddr::new(loopback_address(base, 0), PLATFORM_PORT);
         let programs = programs.to_owned();
         let platform = spawn_platform(&programs, address, platform_arguments, folder.path())?;
         let mut deployment = Self {
@@ -215,13 +216,13 @@
         Ok(deployment)
     }
 
-    /// Gives the address that the next VM will have.
+    /// Returns the address of the VM that is added next.
     #[must_use]
     pub fn next_ip(&self) -> IpAddr {
-        ip_of(self.base, self.vms.len() + 1)
+        loopback_address(self.base, self.vms.len() + 1)
     }
 
-    /// Starts one more VM.
+    /// Starts another VM.
     ///
     /// # Errors
     ///
@@ -237,7 +238,7 @@
             .collect::<Vec<_>>();
         std::fs::write(
             &settings,
-            write_settings(
+            format_settings(
                 &spec,
                 ip,
                 spec.platform.unwrap_or(self.platform_address),
@@ -264,30 +265,30 @@
         Ok(())
     }
 
-    /// Where settings and logs are, as long as the deployment runs.
+    /// Returns the folder of settings and logs, which is removed with the deployment.
     #[must_use]
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Runs the operators' program with the deployment's platform and gives its exit code and output.
+    /// Runs the operators' command-line program and returns its exit code and output.
     ///
     /// # Errors
     ///
-    /// When it can't be started, or doesn't end within `limit`.
+    /// When the program can't be started or doesn't end within `limit`.
     pub fn run_cli(&self, arguments: &[&str], limit: Duration) -> Result<(i32, String), Error> {
         let log = self
             .folder
             .path()
             .join(format!("operate-{:016x}.log", rand::random::<u64>()));
-        let program = name_program(&self.programs, "bluebellpick");
+        let program = program_path(&self.programs, "bluebellpick");
         let mut process = Process::spawn(&program, arguments, &log)?;
         let status = process.wait(limit)?;
         let output = std::fs::read_to_string(&log)?;
         Ok((status.code().unwrap_or(-1), output))
     }
 
-    /// Proposes changes with the operators' program.
+    /// Proposes changes with the operators' command-line program.
     ///
     /// # Errors
     ///
@@ -303,11 +304,13 @@
         if code == 0 {
             Ok(output)
         } else {
-            Err(Error::Unexpected(format!("propose ended {code}: {output}")))
+            Err(Error::Unexpected(format!(
+                "propose exited with {code}: {output}"
+            )))
         }
     }
 
-    /// Gives the platform stand-in a fault, or takes it back.
+    /// Sets or clears a fault of the platform stand-in.
     ///
     /// # Errors
     ///
@@ -316,17 +319,17 @@
         send_fault(self.platform_address, fault).await
     }
 
-    /// Waits until `path` is answered with success at every node.
+    /// Waits until every node answers a GET of `path` with success.
     ///
     /// # Errors
     ///
-    /// When one of them doesn't within `limit`; its last answer is told.
+    /// When a node does not within `limit`. The error contains its last answer.
     pub async fn wait_served(&self, path: &str, limit: Duration) -> Result<(), Error> {
         let start = Instant::now();
         for vm in &self.vms {
             let caller = Caller::new(vm.callers_address());
             loop {
-                let answer = caller.send_within(&Call::get(path), CALL_LIMIT).await;
+                let answer = caller.send_within(&Call::get(path), CALL_TIMEOUT).await;
                 if answer
                     .as_ref()
                     .is_ok_and(|answer| answer.status.is_success())
@@ -337,7 +340,7 @@
                     let what = format!("{path} at {}: {answer:?}", vm.spec.name);
                     return Err(Error::Timeout(what));
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -346,24 +349,28 @@
     async fn wait_platform(&self) -> Result<(), Error> {
         let caller = Caller::new(self.platform_address);
         let start = Instant::now();
-        while start.elapsed() < CALL_LIMIT {
+        while start.elapsed() < CALL_TIMEOUT {
             if caller.send(&Call::get("/counts")).await.is_ok() {
                 return Ok(());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(Error::Timeout("the platform's stand-in".to_owned()))
+        Err(Error::Timeout(
+            "no answer from the platform stand-in".to_owned(),
+        ))
     }
 }
 
-/// Gives a stand-in a fault by its control path.
+/// Sets or clears a fault of a stand-in through its control path, `/fault`.
 ///
 /// # Errors
 ///
 /// When the stand-in refuses it.
 pub async fn send_fault(address: SocketAddr, fault: &str) -> Result<Answer, Error> {
     let call = Call::new(Method::POST, "/fault").body(fault.to_owned().into());
-    let answer = Caller::new(address).send_within(&call, CALL_LIMIT).await?;
+    let answer = Caller::new(address)
+        .send_within(&call, CALL_TIMEOUT)
+        .await?;
     if answer.status.is_success() {
         Ok(answer)
     } else {
@@ -371,32 +378,32 @@
     }
 }
 
-/// Writes a patch file: a change a line.
+/// Encodes changes as the text of a patch file, one JSON object per line.
 ///
 /// # Errors
 ///
-/// When a change has no JSON form.
+/// When a change can't be represented in JSON.
 pub fn encode_patch(changes: &[Change]) -> Result<String, Error> {
     let mut text = String::new();
     for change in changes {
-        let as_error = |error: serde_json::Error| Error::Unexpected(error.to_string());
-        let mut line = serde_json::to_value(change).map_err(as_error)?;
-        drop_nulls(&mut line);
+        let to_error = |error: serde_json::Error| Error::Unexpected(error.to_string());
+        let mut line = serde_json::to_value(change).map_err(to_error)?;
+        remove_nulls(&mut line);
         text += &line.to_string();
         text.push('\n');
     }
     Ok(text)
 }
 
-/// Leaves out what is not set: programs of an earlier build may not know its name.
-fn drop_nulls(value: &mut serde_json::Value) {
+/// Removes null fields: programs of an earlier build may not know a field that is not set.
+fn remove_nulls(value: &mut serde_json::Value) {
     if let serde_json::Value::Object(fields) = value {
         fields.retain(|_, field| !field.is_null());
-        fields.values_mut().for_each(drop_nulls);
+        fields.values_mut().for_each(remove_nulls);
     }
 }
 
-/// Gives the change that adds a service without objectives.
+/// Returns the change that adds a service without objectives.
 #[must_use]
 pub fn put_service(name: &str) -> Change {
     Change::PutService {
@@ -405,7 +412,7 @@
     }
 }
 
-/// Gives the change that routes all calls under `prefix` to one service.
+/// Returns the change that routes all calls under `prefix` to one service.
 #[must_use]
 pub fn put_route(prefix: &str, service: &str, class: Class, repeat: Repeat) -> Change {
     let targets = vec![Target {
@@ -426,13 +433,18 @@
     }
 }
 
-fn ip_of(base: [u8; 2], index: usize) -> IpAddr {
-    let block = u8::try_from(index / VMS_A_BLOCK).unwrap_or(u8::MAX);
-    let last = u8::try_from(index % VMS_A_BLOCK + 1).unwrap_or(u8::MAX);
+fn loopback_address(base: [u8; 2], index: usize) -> IpAddr {
+    let block = u8::try_from(index / VMS_PER_BLOCK).unwrap_or(u8::MAX);
+    let last = u8::try_from(index % VMS_PER_BLOCK + 1).unwrap_or(u8::MAX);
     Ipv4Addr::new(127, base[0], base[1].saturating_add(block), last).into()
 }
 
-fn write_settings(spec: &VmSpec, ip: IpAddr, platform: SocketAddr, seeds: &[SocketAddr]) -> String {
+fn format_settings(
+    spec: &VmSpec,
+    ip: IpAddr,
+    platform: SocketAddr,
+    seeds: &[SocketAddr],
+) -> String {
     let seeds = seeds
         .iter()
         .map(ToString::to_string)
@@ -449,7 +461,7 @@
         (
             "listen",
             format!(
-                "callers = {ip}:{CALLERS}\nbackend = {ip}:{BACKEND}\nnodes = {ip}:{NODES}\noperators = {ip}:{OPERATORS}"
+                "callers = {ip}:{CALLERS_PORT}\nbackend = {ip}:{ANNOUNCE_PORT}\nnodes = {ip}:{NODES_PORT}\noperators = {ip}:{OPERATORS_PORT}"
             ),
         ),
         ("fleet", format!("platform = {platform}\nseeds = {seeds}")),
@@ -460,14 +472,14 @@
     for (section, lines) in sections {
         text.push(format!("[{section}]"));
         text.push(lines);
-        let further = spec.settings.iter().filter(|(name, _)| name == section);
-        text.extend(further.map(|(_, line)| line.clone()));
+        let additional = spec.settings.iter().filter(|(name, _)| name == section);
+        text.extend(additional.map(|(_, line)| line.clone()));
     }
     text.join("\n")
 }
 
-/// Names a program in a folder, or beside this one where that is empty.
-fn name_program(programs: &Path, name: &str) -> String {
+/// Returns the path of a program in `programs`, or its bare name if `programs` is empty.
+fn program_path(programs: &Path, name: &str) -> String {
     programs.join(name).display().to_string()
 }
 
@@ -480,13 +492,13 @@
     let listen = address.to_string();
     let mut all = vec!["platform", "--listen", &listen];
     all.extend(arguments);
-    let program = name_program(programs, "bluebellpick-standin");
+    let program = program_path(programs, "bluebellpick-standin");
     Process::spawn(&program, all, &folder.join("platform.log"))
 }
 
 fn spawn_node(programs: &Path, settings: &Path, log: &Path) -> Result<Process, Error> {
     let settings = settings.display().to_string();
-    let program = name_program(programs, "bluebellpick-node");
+    let program = program_path(programs, "bluebellpick-node");
     Process::spawn(&program, ["--settings", &settings], log)
 }
 
@@ -497,11 +509,11 @@
     spec: &VmSpec,
     log: &Path,
 ) -> Result<Process, Error> {
-    let listen = SocketAddr::new(ip, SERVER).to_string();
-    let announce = SocketAddr::new(ip, BACKEND).to_string();
+    let listen = SocketAddr::new(ip, BACKEND_PORT).to_string();
+    let announce = SocketAddr::new(ip, ANNOUNCE_PORT).to_string();
     let mut arguments = vec!["backend", "--listen", &listen, "--announce", &announce];
     arguments.extend(["--service", service]);
     arguments.extend(spec.backend_args.iter().map(String::as_str));
-    let program = name_program(programs, "bluebellpick-standin");
+    let program = program_path(programs, "bluebellpick-standin");
     Process::spawn(&program, arguments, log)
 }
--- a/crates/bench/src/error.rs
+++ b/crates/bench/src/error.rs
@@ -1,46 +1,46 @@
-//! Why a run can't be made.
+//! The error type of the bench.
 
 use quick_error::quick_error;
 use std::io;
 use std::path::PathBuf;
 
 quick_error! {
-    /// Why a run can't be made.
+    /// Why an experiment failed to run.
     #[derive(Debug)]
     pub enum Error {
-        /// A file or socket failed.
+        /// A file or socket operation failed.
         Io(source: io::Error) {
             from()
             display("{}", source)
             source(source)
         }
-        /// A program is not where it is looked for.
+        /// A program under test does not exist at its expected path.
         ProgramNotFound(program: PathBuf) {
-            display("{} is not there: run `cargo build --release --workspace` first", program.display())
+            display("{} does not exist: run `cargo build --release --workspace` first", program.display())
         }
-        /// A call failed below HTTP.
+        /// An HTTP connection failed, or a response was invalid or incomplete.
         Http(source: hyper::Error) {
             from()
             display("http: {}", source)
             source(source)
         }
-        /// A request could not be put together.
+        /// A request could not be built.
         Request(source: http::Error) {
             from()
             display("request: {}", source)
             source(source)
         }
-        /// A link between nodes failed.
+        /// A link to a node failed.
         Wire(source: wire::Error) {
             from()
             display("link: {}", source)
             source(source)
         }
-        /// Something did not come about in time.
+        /// An awaited condition did not hold in time.
         Timeout(what: String) {
             display("timed out: {}", what)
         }
-        /// A program answered what it should not.
+        /// A program, or the platform, returned an unexpected result.
         Unexpected(what: String) {
             display("{}", what)
         }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,8 +1,9 @@
-//! Load, experiments and failures against real processes.
+//! Load tests, experiments and fault injection against real processes.
 //!
-//! A [`deployment::Deployment`] starts the programs themselves, each VM on a
-//! loopback address of its own; [`load`] sends calls at times fixed beforehand
-//! and counts latency from those times, so that a stall is not left out.
+//! A [`deployment::Deployment`] starts the real programs, each VM on its own
+//! loopback address. [`load`] sends calls on a fixed schedule and measures
+//! latency from the scheduled time, so that a stall counts for every call that
+//! it delays (no coordinated omission).
 
 pub mod caller;
 pub mod converge;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: send times are fixed beforehand.
+//! Open-loop load: calls are sent on a fixed schedule, however slow the answers are.
 
 use crate::caller::{Answer, Call, Caller};
 use crate::error::Error;
@@ -6,21 +6,21 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Longest latency that a histogram tells apart, in microseconds.
-const HIGHEST_US: u64 = 60_000_000;
+/// Largest latency that a histogram records, in microseconds; longer ones count as this.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Significant digits of a histogram.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of a histogram's values.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Time before a send at which the pacer stops sleeping and spins: the
-/// runtime's timer has a granularity of 1 ms and fires up to one late.
-const SPIN: Duration = Duration::from_micros(2_500);
+/// Time before a send at which the pacer stops sleeping and busy-waits: the
+/// runtime's timer has a granularity of 1 ms and fires up to 1 ms late.
+const BUSY_WAIT: Duration = Duration::from_micros(2_500);
 
-/// Latencies of one series, from the intended send times.
+/// Latencies of a series of calls, measured from their scheduled send times.
 #[derive(Debug, Clone)]
 pub struct LatencySeries {
     histogram: Histogram<u64>,
-    /// Calls that got no good answer.
+    /// Calls that failed or were not answered with success.
     pub errors: u64,
 }
 
@@ -31,66 +31,67 @@
 }
 
 impl LatencySeries {
-    /// Makes an empty series.
+    /// Creates an empty series.
     ///
     /// # Panics
     ///
-    /// Never: the bounds are constants that the histogram takes.
+    /// Never: the histogram accepts these constant bounds.
     #[must_use]
     pub fn new() -> Self {
         Self {
-            histogram: Histogram::new_with_bounds(1, HIGHEST_US, DIGITS)
+            histogram: Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
                 .expect("the bounds are in order"),
             errors: 0,
         }
     }
 
-    /// Counts an answer.
+    /// Records the latency of a call.
     pub fn record(&mut self, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         self.histogram.saturating_record(micros);
     }
 
-    /// Gives the number of answers.
+    /// Returns the number of recorded latencies.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.histogram.len()
     }
 
-    /// Gives a quantile, in milliseconds.
+    /// Returns a quantile of the latencies, in milliseconds.
     #[must_use]
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         Duration::from_micros(self.histogram.value_at_quantile(quantile)).as_secs_f64() * 1e3
     }
 }
 
-/// A call to be sent at a time fixed beforehand.
+/// A call with its scheduled send time.
 #[derive(Debug, Clone)]
 pub struct PlannedCall {
-    /// When, from the start of the run.
+    /// Scheduled send time, since the start of the run.
     pub at: Duration,
-    /// Which series it counts for.
+    /// Index of the series that it belongs to.
     pub series: usize,
-    /// Who sends it.
+    /// Client that sends it.
     pub caller: Caller,
-    /// What is sent.
+    /// Request to send.
     pub call: Call,
 }
 
-/// What became of a planned call.
+/// Result of a planned call.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Which series it counts for.
+    /// Index of the series that it belongs to.
     pub series: usize,
-    /// When it was to be sent, from the start of the run.
+    /// Scheduled send time, since the start of the run.
     pub at: Duration,
-    /// Time from then to the whole answer.
+    /// Time from the scheduled send time to the complete answer or the error.
     pub latency: Duration,
-    /// The answer.
+    /// The answer, or why there is none.
     pub result: Result<Answer, Error>,
 }
 
-/// Sends every planned call at its time, however late the answers are, and gives what became of them.
+/// Sends every call at its scheduled time, however late the answers are, and returns the results
+/// in the order in which they came in.
 pub async fn send_planned(plan: Vec<PlannedCall>, limit: Duration) -> Vec<Outcome> {
     send_planned_with(plan, move |planned| async move {
         planned.caller.send_within(&planned.call, limit).await
@@ -98,7 +99,7 @@
     .await
 }
 
-/// As [`send_planned`], with `send` for sending one call.
+/// Like [`send_planned`], with `send` to send one call.
 pub async fn send_planned_with<F, S>(mut plan: Vec<PlannedCall>, send: F) -> Vec<Outcome>
 where
     F: Fn(PlannedCall) -> S,
@@ -114,15 +115,15 @@
         let (series, at) = (planned.series, planned.at);
         let answer = send(planned);
         tokio::spawn(async move {
-            let answer = answer.await;
+            let result = answer.await;
             let latency = start.elapsed().saturating_sub(at);
             let outcome = Outcome {
                 series,
                 at,
                 latency,
-                result: answer,
+                result,
             };
-            // The receiver lives until every outcome is in.
+            // The receiver lives until it has every outcome.
             let _received = sender.send(outcome);
         });
     }
@@ -134,13 +135,14 @@
     outcomes
 }
 
-/// Sleeps most of the way and spins the rest, still serving the runtime's sockets.
+/// Sleeps until shortly before `due` and busy-waits the rest, yielding so that the runtime still
+/// serves its sockets.
 async fn wait_until(due: Instant) {
-    if let Some(long) = due
+    if let Some(sleep) = due
         .checked_duration_since(Instant::now())
-        .and_then(|left| left.checked_sub(SPIN))
+        .and_then(|left| left.checked_sub(BUSY_WAIT))
     {
-        tokio::time::sleep(long).await;
+        tokio::time::sleep(sleep).await;
     }
     while Instant::now() < due {
         tokio::task::yield_now().await;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,6 +1,6 @@
-//! `bluebellpick-bench`: load, experiments and failures against real processes.
+//! `bluebellpick-bench`: load tests, experiments and fault injection against real processes.
 //!
-//! Every experiment prints one JSON object with its figures as its last line.
+//! The last line that an experiment prints is a JSON object with its results.
 
 use bench::error::Error;
 use bench::{converge, deadly, demo, faults, overload, path, rolling, soak, soak_repeat, state};
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Which experiment to run.
+/// The experiment to run, with its options.
 #[derive(Debug, Clone)]
 enum Command {
     Demo,
@@ -25,7 +25,7 @@
 fn parse_command() -> impl Parser<Command> {
     let demo = bpaf::pure(Command::Demo)
         .to_options()
-        .descr("Shows the main job on stand-ins")
+        .descr("Runs a demonstration on stand-ins: proposals, calls, a killed and a drained VM, reports")
         .command("demo");
     let path = path::parse()
         .map(Command::Path)
@@ -72,22 +72,23 @@
     ])
 }
 
-// One thread: the pacer must see the sockets of its own calls at once.
+// Single-threaded: the task that waits for the next send time yields to the tasks
+// of its calls on the same thread, so that their sockets are served without delay.
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     let command = parse_command()
         .to_options()
         .descr("Load, experiments and failures against real processes")
         .run();
-    // A run that is ended early drops its processes, which ends them.
-    let ended = tokio::select! {
+    // A signal drops the run and with it its process handles, which kills the processes.
+    let result = tokio::select! {
         report = run(command) => report,
-        () = wait_signal() => Err(Error::Unexpected("ended early by a signal".to_owned())),
+        () = wait_signal() => Err(Error::Unexpected("interrupted by a signal".to_owned())),
     };
-    match ended {
-        Ok((report, is_clean)) => {
+    match result {
+        Ok((report, passed)) => {
             println!("{report}");
-            if is_clean {
+            if passed {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
@@ -113,45 +114,45 @@
     }
 }
 
-/// Gives the report, and whether nothing that must hold was violated.
+/// Runs the experiment. Returns its report as JSON, and whether all its checks passed.
 async fn run(command: Command) -> Result<(String, bool), Error> {
     match command {
-        Command::Demo => Ok((print_json(&demo::run().await?)?, true)),
-        Command::Path(plot) => {
-            let report = match &plot.against {
-                Some(against) => print_json(&path::run_pair(&plot, against).await?)?,
-                None => print_json(&path::run(&plot).await?)?,
+        Command::Demo => Ok((to_json(&demo::run().await?)?, true)),
+        Command::Path(options) => {
+            let report = match &options.against {
+                Some(against) => to_json(&path::run_pair(&options, against).await?)?,
+                None => to_json(&path::run(&options).await?)?,
             };
             Ok((report, true))
         }
-        Command::Deadly(plot) => Ok((print_json(&deadly::run(plot).await?)?, true)),
-        Command::Faults(plot) => {
-            let report = faults::run(plot).await?;
-            Ok((print_json(&report)?, report.is_clean()))
+        Command::Deadly(options) => Ok((to_json(&deadly::run(options).await?)?, true)),
+        Command::Faults(options) => {
+            let report = faults::run(options).await?;
+            Ok((to_json(&report)?, report.is_clean()))
         }
-        Command::State(plot) => Ok((print_json(&state::run(plot).await?)?, true)),
-        Command::Overload(plot) => Ok((print_json(&overload::run(plot).await?)?, true)),
-        Command::Rolling(plot) => {
-            let report = rolling::run(plot).await?;
-            Ok((print_json(&report)?, report.is_clean()))
+        Command::State(options) => Ok((to_json(&state::run(options).await?)?, true)),
+        Command::Overload(options) => Ok((to_json(&overload::run(options).await?)?, true)),
+        Command::Rolling(options) => {
+            let report = rolling::run(options).await?;
+            Ok((to_json(&report)?, report.is_clean()))
         }
-        Command::Soak(plot) if plot.shrink => {
-            let tally = soak_repeat::shrink(&plot).await?;
-            Ok((print_json(&tally)?, tally.failed == 0))
+        Command::Soak(options) if options.shrink => {
+            let tally = soak_repeat::shrink(&options).await?;
+            Ok((to_json(&tally)?, tally.failed == 0))
         }
-        Command::Soak(plot) if plot.repeat > 1 => {
-            let tally = soak_repeat::run(&plot).await?;
-            Ok((print_json(&tally)?, tally.failed == 0))
+        Command::Soak(options) if options.repeat > 1 => {
+            let tally = soak_repeat::run(&options).await?;
+            Ok((to_json(&tally)?, tally.failed == 0))
         }
-        Command::Soak(plot) => {
-            let report = soak::run(plot).await?;
-            Ok((print_json(&report)?, report.is_clean()))
+        Command::Soak(options) => {
+            let report = soak::run(options).await?;
+            Ok((to_json(&report)?, report.is_clean()))
         }
-        Command::Converge(plot) => Ok((print_json(&converge::run(plot).await?)?, true)),
+        Command::Converge(options) => Ok((to_json(&converge::run(options).await?)?, true)),
     }
 }
 
-fn print_json<T>(report: &T) -> Result<String, Error>
+fn to_json<T>(report: &T) -> Result<String, Error>
 where
     T: serde::Serialize,
 {
--- a/crates/bench/src/node.rs
+++ b/crates/bench/src/node.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself: status, metrics and log.
+//! Reads a node's status, metrics and log, and sends it announcements.
 
 use crate::caller::{Call, Caller};
 use crate::deployment::Vm;
@@ -12,40 +12,40 @@
 use std::time::Duration;
 use store::memory::Counts;
 
-/// Longest wait for an answer.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Time limit of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads how a node stands.
+/// Reads a node's status.
 ///
 /// # Errors
 ///
-/// When it does not answer, or not as a node.
+/// When the node does not answer, or its answer is not a status.
 pub async fn read_status(vm: &Vm) -> Result<Status, Error> {
     let call = Call::get("/v1/status");
     let answer = Caller::new(vm.operators_address())
-        .send_within(&call, LIMIT)
+        .send_within(&call, CALL_TIMEOUT)
         .await?;
     serde_json::from_slice(&answer.body).map_err(|error| Error::Unexpected(error.to_string()))
 }
 
-/// A node's metrics by name with labels.
+/// A node's metrics, by name including labels.
 #[derive(Debug, Clone, Default)]
 pub struct Metrics(BTreeMap<String, f64>);
 
 impl Metrics {
-    /// Gives a metric, or zero.
+    /// Returns a metric's value, or zero if it is absent.
     #[must_use]
     pub fn get(&self, name: &str) -> f64 {
         self.0.get(name).copied().unwrap_or_default()
     }
 
-    /// Gives all control bytes that the node has sent.
+    /// Returns the total of control bytes that the node has sent.
     #[must_use]
     pub fn control_sent(&self) -> f64 {
         self.get("bluebellpick_control_bytes_total{direction=\"sent\"}")
     }
 
-    /// Gives all control bytes that the node has received.
+    /// Returns the total of control bytes that the node has received.
     #[must_use]
     pub fn control_received(&self) -> f64 {
         self.get("bluebellpick_control_bytes_total{direction=\"received\"}")
@@ -60,7 +60,7 @@
 pub async fn read_metrics(vm: &Vm) -> Result<Metrics, Error> {
     let call = Call::get("/metrics");
     let answer = Caller::new(vm.operators_address())
-        .send_within(&call, LIMIT)
+        .send_within(&call, CALL_TIMEOUT)
         .await?;
     let text = String::from_utf8_lossy(&answer.body);
     let lines = text.lines().filter(|line| !line.starts_with('#'));
@@ -71,11 +71,11 @@
     Ok(Metrics(pairs.collect()))
 }
 
-/// Announces a backend server that takes no calls at a node.
+/// Announces a backend server to a node. Nothing listens at its address unless the VM runs one.
 ///
 /// # Errors
 ///
-/// When the node does not take it.
+/// When the node does not accept the announcement.
 pub async fn announce(vm: &Vm, service: &str) -> Result<(), Error> {
     let body =
         serde_json::json!({ "service": service, "address": vm.backend_address(), "slots": 6 });
@@ -83,7 +83,7 @@
         .header("content-type", "application/json")
         .body(body.to_string().into());
     let answer = Caller::new(vm.announce_address())
-        .send_within(&call, LIMIT)
+        .send_within(&call, CALL_TIMEOUT)
         .await?;
     if answer.status.is_success() {
         Ok(())
@@ -94,48 +94,50 @@
     }
 }
 
-/// Reads how many calls the platform's stand-in has counted.
+/// Reads the numbers of calls that the platform stand-in has counted.
 ///
 /// # Errors
 ///
 /// When it does not answer.
 pub async fn read_counts(platform: SocketAddr) -> Result<Counts, Error> {
     let call = Call::get("/counts");
-    let answer = Caller::new(platform).send_within(&call, LIMIT).await?;
+    let answer = Caller::new(platform)
+        .send_within(&call, CALL_TIMEOUT)
+        .await?;
     serde_json::from_slice(&answer.body).map_err(|error| Error::Unexpected(error.to_string()))
 }
 
-/// A version that a node began to serve by, and when, in milliseconds of the Unix epoch.
+/// A version that a node put into force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstalledVersion {
     /// The version.
     pub version: Version,
-    /// When.
+    /// When it came into force, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// Reads from a node's log what it served by, over all its processes.
+/// Reads the versions that a node put into force from its log, which covers all its processes.
 ///
 /// # Errors
 ///
 /// When the log can't be read.
 pub fn read_installed(log: &Path) -> Result<Vec<InstalledVersion>, Error> {
     let text = std::fs::read_to_string(log)?;
-    Ok(text.lines().filter_map(scan_installed).collect())
+    Ok(text.lines().filter_map(parse_installed).collect())
 }
 
-fn scan_installed(line: &str) -> Option<InstalledVersion> {
+fn parse_installed(line: &str) -> Option<InstalledVersion> {
     let rest = line.split_once("version_installed")?.1;
     let version = rest.split_once("version=")?.1.split_whitespace().next()?;
-    let at_ms = scan_time(line.trim_start_matches('[').split_whitespace().next()?)?;
+    let at_ms = parse_time_ms(line.trim_start_matches('[').split_whitespace().next()?)?;
     Some(InstalledVersion {
         version: Version(version.parse().ok()?),
         at_ms,
     })
 }
 
-/// Reads a time such as `2026-01-31T12:00:00.123Z`.
-fn scan_time(text: &str) -> Option<u64> {
+/// Parses a time such as `2026-01-31T12:00:00.123Z` to milliseconds since the Unix epoch.
+fn parse_time_ms(text: &str) -> Option<u64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let mut date = date.split('-').map(str::parse::<u64>);
     let (year, month, day) = (date.next()?.ok()?, date.next()?.ok()?, date.next()?.ok()?);
@@ -146,7 +148,7 @@
         clock.next()?.ok()?,
         clock.next()?.ok()?,
     );
-    // Days since the epoch by the count of a year that begins in March.
+    // Counts days in years that begin in March, so that a leap day is the last day of its year.
     let (year, month) = if month > 2 {
         (year, month - 3)
     } else {
--- a/crates/bench/src/options.rs
+++ b/crates/bench/src/options.rs
@@ -1,9 +1,9 @@
-//! Flags that several experiments share.
+//! Command-line flags that several experiments share.
 
 use bpaf::{Parser, long};
 use std::time::Duration;
 
-/// Reads how long to measure.
+/// Parses `--seconds`: how long to measure.
 pub fn parse_seconds(default: u64) -> impl Parser<Duration> {
     long("seconds")
         .help("How long to measure, in seconds")
@@ -13,10 +13,10 @@
         .map(Duration::from_secs)
 }
 
-/// Services of the fleet that the project is designed for.
-const SERVICES: usize = 410;
+/// Number of services in the fleet that the project is designed for.
+const DEFAULT_SERVICES: usize = 410;
 
-/// Reads how many services the configuration has.
+/// Parses `--services`: the number of services in the configuration.
 #[must_use]
 pub fn parse_services() -> impl Parser<usize> {
     long("services")
@@ -26,11 +26,11 @@
             |services| (2..=2_000).contains(services),
             "between 2 and 2000",
         )
-        .fallback(SERVICES)
+        .fallback(DEFAULT_SERVICES)
         .display_fallback()
 }
 
-/// Reads the seed of an experiment, 1 where none is given.
+/// Parses `--seed`: the seed of an experiment, 1 by default.
 pub(crate) fn parse_seed() -> impl Parser<u64> {
     long("seed")
         .help("Seed of all faults and calls")
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -1,12 +1,12 @@
-//! What both proxies add to a call, beside direct calls in the same run.
+//! Measures the latency that the proxies add to a call, compared with direct calls in the same run.
 //!
-//! Three series run interleaved: direct calls to a backend server, calls that
-//! enter at the node on its own VM, and calls that enter at the node of
-//! another VM. Whatever the machine does meanwhile, it does to all three.
+//! Three series of calls are interleaved: direct calls to a backend server,
+//! calls that enter at the node on the backend server's VM, and calls that
+//! enter at the node of another VM. Disturbances of the machine affect all three.
 //!
-//! On a shared machine one run proves little: the same programs added 0.6 and 4.9 ms
-//! within minutes. With `--against` a second fleet of other programs stands beside
-//! the first, and both are measured by turns.
+//! On a shared machine a single run proves little: the same programs added 0.6 ms and,
+//! within minutes, 4.9 ms. With `--against`, a second fleet runs the programs of another
+//! folder at the same time, and the two fleets are measured alternately.
 
 use crate::caller::{Call, Caller};
 use crate::count::to_f64;
@@ -21,85 +21,88 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What to measure.
+/// Options of the experiment.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Calls a second of each series and VM.
+    /// Calls per second of each series and VM.
     pub rate: u32,
-    /// How long.
+    /// Duration of a measurement.
     pub duration: Duration,
-    /// VMs with a backend server each.
+    /// Number of VMs, with a backend server each.
     pub vms: usize,
-    /// Folder of other programs that are measured by turns with those beside this one.
+    /// Folder of other programs, measured alternately with those in this program's folder.
     pub against: Option<PathBuf>,
-    /// Turns.
+    /// Number of measurements of each fleet, with `against`.
     pub turns: u32,
 }
 
-/// What was measured of both, and the first over the second.
+/// Results of both fleets, and ratios of the first to the second.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Pair {
-    /// The programs beside this one.
+    /// Results of the programs in this program's folder.
     pub here: Report,
-    /// Those of the other folder.
+    /// Results of the programs in the other folder.
     pub there: Report,
-    /// Processor time for a call here over there, as the median of the turns.
+    /// Ratio of the CPU times per call, here to there: median of the turns.
     pub cpu_ratio: f64,
-    /// Least and largest of the turns.
+    /// The same, smallest and largest of the turns.
     pub cpu_ratio_range: [f64; 2],
-    /// What both nodes add at the median here over there, as the median of the turns.
+    /// Ratio of the latencies that two nodes add at the median, here to there: median of the turns.
     pub added_remote_p50_ratio: f64,
     /// The same at the 99th percentile.
     pub added_remote_p99_ratio: f64,
-    /// Calls without a good answer, of both.
+    /// Calls of both fleets that failed or were not answered with success.
     pub errors: u64,
 }
 
-/// What was measured.
+/// Results of the experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Report {
     /// Direct calls, median in milliseconds.
     pub direct_p50_ms: f64,
     /// Direct calls, 99th percentile in milliseconds.
     pub direct_p99_ms: f64,
-    /// Calls by the backend server's own node, median.
+    /// Calls through the node of the backend server's VM, median in milliseconds.
     pub local_p50_ms: f64,
-    /// Calls by the backend server's own node, 99th percentile.
+    /// Calls through the node of the backend server's VM, 99th percentile in milliseconds.
     pub local_p99_ms: f64,
-    /// Calls by another VM's node, median.
+    /// Calls through another VM's node, median in milliseconds.
     pub remote_p50_ms: f64,
-    /// Calls by another VM's node, 99th percentile.
+    /// Calls through another VM's node, 99th percentile in milliseconds.
     pub remote_p99_ms: f64,
-    /// What the own node adds at the 99th percentile.
+    /// Latency that the node of the backend server's VM adds at the 99th percentile, in milliseconds.
     pub added_local_p99_ms: f64,
-    /// What both nodes add at the 99th percentile.
+    /// Latency that two nodes add at the 99th percentile, in milliseconds.
     pub added_remote_p99_ms: f64,
-    /// Processor time of all nodes for one call through them, in microseconds.
+    /// CPU time of all nodes per call through them, in microseconds.
     pub node_cpu_us_a_call: f64,
-    /// Times that a thread of all nodes waited, for one call through them.
+    /// Voluntary context switches of all nodes per call through them.
     pub node_switches_a_call: f64,
     /// Largest resident memory of a node, in megabytes.
     pub node_rss_mb_max: f64,
-    /// Calls answered.
+    /// Calls answered with success.
     pub calls: u64,
-    /// Calls without a good answer.
+    /// Calls that failed or were not answered with success.
     pub errors: u64,
 }
 
-/// Calls that open connections and warm caches before the measured ones, a second.
+/// How long unmeasured calls are sent at first, to open connections and warm caches.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// Longest wait for an answer.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest wait for the fleet to serve.
-const START_LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for the fleet to start serving.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Index of the series of direct calls.
 const DIRECT: usize = 0;
+/// Index of the series through the node of the backend server's VM.
 const LOCAL: usize = 1;
+/// Index of the series through another VM's node.
 const REMOTE: usize = 2;
 
-/// Reads what to measure from the command line.
+/// Parses the options from the command line.
 #[must_use]
 pub fn parse() -> impl Parser<Options> {
     let rate = long("rate")
@@ -120,7 +123,7 @@
         .argument::<PathBuf>("FOLDER")
         .optional();
     let turns = long("turns")
-        .help("Turns that a pair is measured in, each as long as told")
+        .help("With --against: how often each fleet is measured, each time for --seconds")
         .argument::<u32>("COUNT")
         .guard(|turns| (1..=100).contains(turns), "between 1 and 100")
         .fallback(5)
@@ -134,35 +137,35 @@
     })
 }
 
-/// Starts the fleet, sends the three series and gives what they took.
+/// Starts the fleet, sends the three series of calls and returns their latencies and costs.
 ///
 /// # Errors
 ///
-/// When a program can't be started, or the fleet doesn't come to serve.
-pub async fn run(plot: &Options) -> Result<Report, Error> {
-    let deployment = start(plot, Path::new("")).await?;
-    measure(&deployment, plot).await
+/// When a program can't be started, or the fleet doesn't start serving.
+pub async fn run(options: &Options) -> Result<Report, Error> {
+    let deployment = start(options, Path::new("")).await?;
+    measure(&deployment, options).await
 }
 
-/// Measures the programs beside this one and those of another folder by turns.
+/// Measures the programs in this program's folder and those in another folder alternately.
 ///
 /// # Errors
 ///
-/// When a program can't be started, or a fleet doesn't come to serve.
-pub async fn run_pair(plot: &Options, against: &Path) -> Result<Pair, Error> {
-    let here = start(plot, Path::new("")).await?;
-    let there = start(plot, against).await?;
+/// When a program can't be started, or a fleet doesn't start serving.
+pub async fn run_pair(options: &Options, against: &Path) -> Result<Pair, Error> {
+    let here = start(options, Path::new("")).await?;
+    let there = start(options, against).await?;
     let mut turns = Vec::new();
-    for turn in 0..plot.turns {
-        // Whoever comes first meets other caches: that goes by turns, too.
+    for turn in 0..options.turns {
+        // The first of a turn finds the caches in another state, so the order alternates.
         let is_first = turn % 2 == 0;
         let (first, second) = if is_first {
             (&here, &there)
         } else {
             (&there, &here)
         };
-        let first = measure(first, plot).await?;
-        let second = measure(second, plot).await?;
+        let first = measure(first, options).await?;
+        let second = measure(second, options).await?;
         turns.push(if is_first {
             (first, second)
         } else {
@@ -172,22 +175,26 @@
     Ok(compare(&turns))
 }
 
-async fn start(plot: &Options, programs: &Path) -> Result<Deployment, Error> {
-    let plans = (0..plot.vms).map(plan_vm).collect();
-    let deployment = Deployment::spawn_from(programs, plans, &[]).await?;
-    deployment.propose(&plan_changes(plot.vms), 0)?;
-    for index in 0..plot.vms {
+async fn start(options: &Options, programs: &Path) -> Result<Deployment, Error> {
+    let specs = (0..options.vms).map(vm_spec).collect();
+    let deployment = Deployment::spawn_from(programs, specs, &[]).await?;
+    deployment.propose(&initial_changes(options.vms), 0)?;
+    for index in 0..options.vms {
         deployment
-            .wait_served(&format!("/service-{index}/ready"), START_LIMIT)
+            .wait_served(&format!("/service-{index}/ready"), START_TIMEOUT)
             .await?;
     }
-    send_planned(plan_calls(&deployment, plot, WARM_UP), CALL_LIMIT).await;
+    send_planned(plan_calls(&deployment, options, WARM_UP), CALL_TIMEOUT).await;
     Ok(deployment)
 }
 
-async fn measure(deployment: &Deployment, plot: &Options) -> Result<Report, Error> {
+async fn measure(deployment: &Deployment, options: &Options) -> Result<Report, Error> {
     let before = read_usage(deployment)?;
-    let outcomes = send_planned(plan_calls(deployment, plot, plot.duration), CALL_LIMIT).await;
+    let outcomes = send_planned(
+        plan_calls(deployment, options, options.duration),
+        CALL_TIMEOUT,
+    )
+    .await;
     let after = read_usage(deployment)?;
     let mut series = [
         LatencySeries::new(),
@@ -202,12 +209,12 @@
             _ => series[outcome.series].errors += 1,
         }
     }
-    let mut report = report(&series);
-    let spent = after.cpu_time.saturating_sub(before.cpu_time);
-    let through = to_f64((series[LOCAL].count() + series[REMOTE].count()).max(1));
-    report.node_cpu_us_a_call = spent.as_secs_f64() * 1e6 / through;
+    let mut report = make_report(&series);
+    let cpu_time = after.cpu_time.saturating_sub(before.cpu_time);
+    let proxied_calls = to_f64((series[LOCAL].count() + series[REMOTE].count()).max(1));
+    report.node_cpu_us_a_call = cpu_time.as_secs_f64() * 1e6 / proxied_calls;
     report.node_switches_a_call =
-        to_f64(after.voluntary_switches - before.voluntary_switches) / through;
+        to_f64(after.voluntary_switches - before.voluntary_switches) / proxied_calls;
     report.node_rss_mb_max = to_f64(after.resident_bytes) / f64::from(1 << 20);
     Ok(report)
 }
@@ -219,15 +226,15 @@
         ratios.sort_by(f64::total_cmp);
         ratios
     };
-    let middle = |mut reports: Vec<Report>| {
+    let median_report = |mut reports: Vec<Report>| {
         reports.sort_by(|one, other| one.node_cpu_us_a_call.total_cmp(&other.node_cpu_us_a_call));
         reports[reports.len() / 2]
     };
     let cpu = ratios(|report| report.node_cpu_us_a_call);
     let median = |of| ratios(of)[turns.len() / 2];
     Pair {
-        here: middle(turns.iter().map(|turn| turn.0).collect()),
-        there: middle(turns.iter().map(|turn| turn.1).collect()),
+        here: median_report(turns.iter().map(|turn| turn.0).collect()),
+        there: median_report(turns.iter().map(|turn| turn.1).collect()),
         cpu_ratio: cpu[turns.len() / 2],
         cpu_ratio_range: [cpu[0], cpu[turns.len() - 1]],
         added_remote_p50_ratio: median(|report| report.remote_p50_ms - report.direct_p50_ms),
@@ -239,31 +246,31 @@
     }
 }
 
-/// Gives the processor time of all nodes, and the largest resident memory of one.
+/// Sums the CPU time and context switches of all nodes, and takes the largest resident memory.
 fn read_usage(deployment: &Deployment) -> Result<Usage, Error> {
-    let mut all = Usage {
+    let mut total = Usage {
         resident_bytes: 0,
         cpu_time: Duration::ZERO,
         voluntary_switches: 0,
     };
     for vm in &deployment.vms {
-        let one = vm.node.usage()?;
-        all.cpu_time += one.cpu_time;
-        all.voluntary_switches += one.voluntary_switches;
-        all.resident_bytes = all.resident_bytes.max(one.resident_bytes);
+        let usage = vm.node.usage()?;
+        total.cpu_time += usage.cpu_time;
+        total.voluntary_switches += usage.voluntary_switches;
+        total.resident_bytes = total.resident_bytes.max(usage.resident_bytes);
     }
-    Ok(all)
+    Ok(total)
 }
 
-fn plan_vm(index: usize) -> VmSpec {
+fn vm_spec(index: usize) -> VmSpec {
     let service = format!("service-{index}");
-    let mut plan = VmSpec::new(&format!("vm-{index}"), "zone-1", Some(&service));
-    plan.backend_args = vec!["--work-ms".to_owned(), "0".to_owned()];
-    plan
+    let mut spec = VmSpec::new(&format!("vm-{index}"), "zone-1", Some(&service));
+    spec.backend_args = vec!["--work-ms".to_owned(), "0".to_owned()];
+    spec
 }
 
-/// A service and a route for each VM, so that each call has one place to go.
-fn plan_changes(vms: usize) -> Vec<Change> {
+/// Returns a service and a route for each VM, so that each call has exactly one possible endpoint.
+fn initial_changes(vms: usize) -> Vec<Change> {
     let mut changes = Vec::new();
     for index in 0..vms {
         let name = format!("service-{index}");
@@ -274,8 +281,8 @@
     changes
 }
 
-fn plan_calls(deployment: &Deployment, plot: &Options, duration: Duration) -> Vec<PlannedCall> {
-    let period = Duration::from_secs(1) / plot.rate;
+fn plan_calls(deployment: &Deployment, options: &Options, duration: Duration) -> Vec<PlannedCall> {
+    let period = Duration::from_secs(1) / options.rate;
     let mut planned = Vec::new();
     for (index, vm) in deployment.vms.iter().enumerate() {
         let other = &deployment.vms[(index + 1) % deployment.vms.len()];
@@ -287,7 +294,7 @@
         for (series, address) in entries.into_iter().enumerate() {
             let caller = Caller::new(address);
             let call = Call::get(&format!("/service-{index}/item"));
-            // Spread over the period, so that the series don't wait for each other.
+            // Offsets within the period, so that the series don't queue behind each other.
             let slot = index * entries.len() + series;
             let offset = period * u32::try_from(slot).unwrap_or(0)
                 / u32::try_from(deployment.vms.len() * entries.len()).unwrap_or(1);
@@ -306,7 +313,7 @@
     planned
 }
 
-fn report(series: &[LatencySeries; 3]) -> Report {
+fn make_report(series: &[LatencySeries; 3]) -> Report {
     let p50 = |index: usize| series[index].quantile_ms(0.5);
     let p99 = |index: usize| series[index].quantile_ms(0.99);
     Report {
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -1,4 +1,4 @@
-//! Programs under test as child processes.
+//! Child processes that run the programs under test.
 
 use crate::error::Error;
 use rustix::process::{Pid, Signal, kill_process};
@@ -9,40 +9,40 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// Environment variable that names the folder of the programs.
-const PROGRAMS: &str = "BLUEBELLPICK_PROGRAMS";
+/// Environment variable with the folder of the programs under test.
+const PROGRAMS_VARIABLE: &str = "BLUEBELLPICK_PROGRAMS";
 
-/// Time between two looks at a process that is to end.
-const POLL: Duration = Duration::from_millis(10);
+/// Poll interval while waiting for a process to end.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Clock ticks a second of `/proc/PID/stat`; fixed by the kernel's interface.
+/// Clock ticks per second in `/proc/PID/stat` (`USER_HZ`); fixed by the kernel's interface.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// A child process that ends with its handle.
+/// A child process. Dropping the handle kills it.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// Where its standard output and error go.
+    /// File that receives its standard output and error.
     pub log: PathBuf,
 }
 
-/// What a process has used.
+/// Resources that a process has used.
 #[derive(Debug, Clone, Copy)]
 pub struct Usage {
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
-    /// Processor time since its start.
+    /// CPU time since its start.
     pub cpu_time: Duration,
-    /// Times that one of its threads gave the processor up since its start.
+    /// Voluntary context switches of its live threads since they started.
     pub voluntary_switches: u64,
 }
 
 impl Process {
-    /// Starts a program of this workspace, with its output in `log`.
+    /// Starts a program of this workspace and appends its output to `log`.
     ///
     /// # Errors
     ///
-    /// When the program is not there or can't be started.
+    /// When the program does not exist or can't be started.
     pub fn spawn<I, S>(program: &str, arguments: I, log: &Path) -> Result<Self, Error>
     where
         I: IntoIterator<Item = S>,
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Gives the process id.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
@@ -79,18 +79,18 @@
         kill_process(pid, signal).map_err(|errno| Error::Io(errno.into()))
     }
 
-    /// Kills the process at once and reaps it.
+    /// Kills the process and reaps it.
     ///
     /// # Errors
     ///
-    /// When the system refuses.
+    /// When the system call fails.
     pub fn kill(&mut self) -> Result<(), Error> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits for the process to end on its own.
     ///
     /// # Errors
     ///
@@ -101,23 +101,23 @@
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        Err(Error::Timeout(format!("process {} to end", self.id())))
+        Err(Error::Timeout(format!("process {} did not end", self.id())))
     }
 
-    /// Tells whether a process that has ended was ended by `signal`.
+    /// Returns whether the process has ended and `signal` ended it.
     pub fn was_ended_by(&mut self, signal: Signal) -> bool {
         let ended = self.child.try_wait().ok().flatten();
         ended.is_some_and(|status| status.signal() == Some(signal.as_raw()))
     }
 
-    /// Tells whether the process still runs.
+    /// Returns whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Reads what the process has used so far.
+    /// Reads the resources that the process has used so far.
     ///
     /// # Errors
     ///
@@ -125,21 +125,21 @@
     pub fn usage(&self) -> Result<Usage, Error> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id()))?;
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.id()))?;
-        let usage = scan_ticks(&stat).zip(scan_resident(&status));
+        let usage = parse_cpu_ticks(&stat).zip(parse_resident(&status));
         let (ticks, resident) =
             usage.ok_or_else(|| Error::Unexpected("unreadable process status".to_owned()))?;
         Ok(Usage {
             resident_bytes: resident,
-            cpu_time: self.read_scheduled().unwrap_or_else(|| {
-                // The kernel may not keep nanoseconds.
+            cpu_time: self.read_cpu_time().unwrap_or_else(|| {
+                // A kernel without schedstats has no nanosecond figures.
                 Duration::from_secs_f64(ticks / TICKS_PER_SECOND)
             }),
-            voluntary_switches: self.count_switches()?,
+            voluntary_switches: self.count_voluntary_switches()?,
         })
     }
 
-    /// Reads the processor time of all threads, to the nanosecond.
-    fn read_scheduled(&self) -> Option<Duration> {
+    /// Reads the CPU time of all live threads from `schedstat`, in nanosecond resolution.
+    fn read_cpu_time(&self) -> Option<Duration> {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.id())).ok()?;
         let mut all = Duration::ZERO;
         for task in tasks.flatten() {
@@ -150,15 +150,15 @@
         Some(all).filter(|time| !time.is_zero())
     }
 
-    /// Counts the times that a thread of the process waited for something.
-    fn count_switches(&self) -> Result<u64, Error> {
+    /// Sums the voluntary context switches of all live threads.
+    fn count_voluntary_switches(&self) -> Result<u64, Error> {
         let mut all = 0;
         for task in std::fs::read_dir(format!("/proc/{}/task", self.id()))? {
-            // A thread may end between the listing and the look at it.
+            // A thread may end between the listing and the read.
             let Ok(status) = std::fs::read_to_string(task?.path().join("status")) else {
                 continue;
             };
-            all += scan_switches(&status).unwrap_or_default();
+            all += parse_voluntary_switches(&status).unwrap_or_default();
         }
         Ok(all)
     }
@@ -166,15 +166,17 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // A run that fails half way must leave no process behind.
+        // A run that fails midway must not leave processes behind.
         if self.is_running() && self.kill().is_err() {
-            eprintln!("process {} could not be ended", self.id());
+            eprintln!("process {} could not be killed", self.id());
         }
     }
 }
 
-/// Sums user and system ticks of `/proc/PID/stat`; the name in brackets may hold spaces.
-fn scan_ticks(stat: &str) -> Option<f64> {
+/// Sums the user and system ticks in `/proc/PID/stat`.
+///
+/// Fields are counted from the last `)`, as the program name in parentheses may contain spaces.
+fn parse_cpu_ticks(stat: &str) -> Option<f64> {
     let fields = stat.rsplit_once(')')?.1;
     let mut ticks = fields.split_whitespace().skip(11);
     let user = ticks.next()?.parse::<f64>().ok()?;
@@ -182,24 +184,25 @@
     Some(user + system)
 }
 
-fn scan_switches(status: &str) -> Option<u64> {
+fn parse_voluntary_switches(status: &str) -> Option<u64> {
     let line = status
         .lines()
         .find(|line| line.starts_with("voluntary_ctxt_switches:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-fn scan_resident(status: &str) -> Option<u64> {
+fn parse_resident(status: &str) -> Option<u64> {
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     let kilobytes = line.split_whitespace().nth(1)?.parse::<u64>().ok()?;
     Some(kilobytes * 1024)
 }
 
-/// Finds a program beside this one, where cargo puts them all.
+/// Finds a program in the folder of [`PROGRAMS_VARIABLE`] or, without it, in this program's folder,
+/// where cargo puts all programs of the workspace.
 fn find_program(name: &str) -> Result<PathBuf, Error> {
-    let folder = match std::env::var_os(PROGRAMS) {
+    let folder = match std::env::var_os(PROGRAMS_VARIABLE) {
         Some(folder) => PathBuf::from(folder),
-        None => own_folder()?,
+        None => current_folder()?,
     };
     let path = folder.join(name);
     if path.is_file() {
@@ -209,10 +212,10 @@
     }
 }
 
-fn own_folder() -> Result<PathBuf, Error> {
+fn current_folder() -> Result<PathBuf, Error> {
     let mut folder = std::env::current_exe()?;
     folder.pop();
-    // Tests run one folder below the programs.
+    // Cargo puts test executables in the subfolder `deps`.
     if folder.ends_with("deps") {
         folder.pop();
     }
--- a/crates/bench/src/proposer.rs
+++ b/crates/bench/src/proposer.rs
@@ -1,4 +1,4 @@
-//! An operator who proposes one version after another.
+//! Proposes one configuration version after another, as an operator would.
 
 use crate::deployment::{put_route, put_service};
 use crate::error::Error;
@@ -12,26 +12,26 @@
 use store::propose::{Outcome, Proposal, propose};
 use store::version::{Id, JOURNAL};
 
-/// Changes in one proposal of the first configuration.
-const FIRST_CHANGES: usize = 400;
+/// Changes per proposal of the initial configuration.
+const INITIAL_BATCH_SIZE: usize = 400;
 
-/// An operator, and what was accepted so far.
+/// A proposer with the configuration that was accepted so far.
 #[derive(Debug)]
 pub struct Proposer {
-    /// The last version.
+    /// The last accepted version.
     pub version: Version,
     /// Its configuration.
     pub mesh: Mesh,
-    /// When each version was about to be proposed, in milliseconds of the Unix
-    /// epoch, and how long that took.
+    /// For each version, the time right before its proposal in milliseconds
+    /// since the Unix epoch, and how long the proposal took.
     pub proposed: BTreeMap<Version, (u64, Duration)>,
-    /// Bytes of all patches as JSON.
+    /// Total size of these versions' patches as JSON, in bytes.
     pub patch_bytes: usize,
     journal: Journal<Client, System>,
 }
 
 impl Proposer {
-    /// Starts with the platform's empty journal.
+    /// Opens the platform's journal, which must be empty.
     #[must_use]
     pub fn open(platform: SocketAddr) -> Self {
         let store = Client::open(platform, platform::client::Limits::default());
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Proposes `count` services with a route each; they don't count as proposed.
+    /// Proposes `count` services with a route each. They are not counted in `proposed` and `patch_bytes`.
     ///
     /// # Errors
     ///
@@ -57,7 +57,7 @@
             let prefix = format!("/{name}");
             changes.push(put_route(&prefix, &name, Class::Lookup, Repeat::ByMethod));
         }
-        for part in changes.chunks(FIRST_CHANGES) {
+        for part in changes.chunks(INITIAL_BATCH_SIZE) {
             self.propose(part.to_vec()).await?;
         }
         self.proposed.clear();
@@ -65,7 +65,7 @@
         Ok(())
     }
 
-    /// Proposes changes against the last version.
+    /// Proposes changes based on the last accepted version.
     ///
     /// # Errors
     ///
@@ -79,28 +79,30 @@
             author: "bench".into(),
             patch,
         };
-        let (at_ms, begun) = (wall_ms(), Instant::now());
+        let (at_ms, start) = (unix_time_ms(), Instant::now());
         match propose(&self.journal, &proposal).await {
             Outcome::Accepted(version) => {
                 self.version = version;
-                self.proposed.insert(version, (at_ms, begun.elapsed()));
+                self.proposed.insert(version, (at_ms, start.elapsed()));
                 self.patch_bytes += json.len();
                 let next = proposal.patch.apply(&self.mesh);
                 self.mesh = next.map_err(|error| Error::Unexpected(error.to_string()))?;
                 Ok(())
             }
-            outcome => Err(Error::Unexpected(format!("not accepted: {outcome:?}"))),
+            outcome => Err(Error::Unexpected(format!(
+                "proposal not accepted: {outcome:?}"
+            ))),
         }
     }
 }
 
-/// Names a service of the first configuration.
+/// Returns the name of a service of the initial configuration.
 #[must_use]
 pub fn service_name(index: usize) -> String {
     format!("service-{index}")
 }
 
-fn wall_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(wall.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -1,4 +1,4 @@
-//! A forwarder of TCP connections that can fall silent, to cut a zone from the platform.
+//! A TCP relay that can stall its connections, to cut a zone off from the platform.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -7,73 +7,73 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes taken at once.
-const CHUNK: usize = 16 << 10;
+/// Size of a read buffer, in bytes.
+const BUFFER_SIZE: usize = 16 << 10;
 
-/// A running forwarder.
+/// A running relay.
 #[derive(Debug)]
 pub struct Relay {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    silent: watch::Sender<bool>,
+    stalled: watch::Sender<bool>,
 }
 
-/// Forwards connections to `target` until the handle is dropped.
+/// Relays connections to `target` until the returned handle is dropped.
 ///
 /// # Errors
 ///
-/// When no address is free.
+/// When the listener can't be bound.
 pub async fn bind(target: SocketAddr) -> io::Result<Relay> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
-    let (silent, silence) = watch::channel(false);
-    tokio::spawn(accept(listener, target, silence));
-    Ok(Relay { address, silent })
+    let (stalled, stall) = watch::channel(false);
+    tokio::spawn(accept(listener, target, stall));
+    Ok(Relay { address, stalled })
 }
 
 impl Relay {
-    /// Holds all bytes back, on open connections and new ones, or lets them go on.
-    pub fn set_stalled(&self, is_silent: bool) {
-        self.silent.send_replace(is_silent);
+    /// Holds back all bytes, on open and new connections, or forwards them again.
+    pub fn set_stalled(&self, is_stalled: bool) {
+        self.stalled.send_replace(is_stalled);
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, mut silence: watch::Receiver<bool>) {
+async fn accept(listener: TcpListener, target: SocketAddr, mut stall: watch::Receiver<bool>) {
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    tokio::spawn(forward(stream, target, silence.clone()));
+                    tokio::spawn(forward(stream, target, stall.clone()));
                 }
             }
-            changed = silence.changed() => if changed.is_err() { return },
+            changed = stall.changed() => if changed.is_err() { return },
         }
     }
 }
 
-async fn forward(stream: TcpStream, target: SocketAddr, silence: watch::Receiver<bool>) {
-    let Ok(other) = TcpStream::connect(target).await else {
+async fn forward(stream: TcpStream, target: SocketAddr, stall: watch::Receiver<bool>) {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let (from, to) = stream.into_split();
-    let (back, forth) = other.into_split();
+    let (request_source, response_sink) = stream.into_split();
+    let (response_source, request_sink) = upstream.into_split();
     tokio::select! {
-        () = copy(from, forth, silence.clone()) => {}
-        () = copy(back, to, silence) => {}
+        () = copy(request_source, request_sink, stall.clone()) => {}
+        () = copy(response_source, response_sink, stall) => {}
     }
 }
 
 async fn copy(
     mut source: OwnedReadHalf,
     mut sink: OwnedWriteHalf,
-    mut silence: watch::Receiver<bool>,
+    mut stall: watch::Receiver<bool>,
 ) {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; BUFFER_SIZE];
     loop {
         let Ok(count @ 1..) = source.read(&mut buffer).await else {
             return;
         };
-        if silence.wait_for(|is_silent| !is_silent).await.is_err() {
+        if stall.wait_for(|is_stalled| !is_stalled).await.is_err() {
             return;
         }
         if sink.write_all(&buffer[..count]).await.is_err() {
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -1,7 +1,8 @@
-//! What a large fleet's state and churn cost one node: memory, processor time and control bytes.
+//! Measures what a large fleet's state and churn cost one node: memory, CPU time and control bytes.
 //!
-//! One real node is fed by a link of this tool's, which plays a child that
-//! knows the whole fleet, while further links play children that are relayed to.
+//! The experiment runs one real node. A link of the bench, the feeder, acts as a
+//! child that knows the whole fleet and sends its state to the node. Further links
+//! act as children to which the node relays that state.
 
 use crate::deployment::{Deployment, VmSpec, put_route};
 use crate::error::Error;
@@ -22,75 +23,75 @@
 use wire::control::{Frame, Heartbeat, MAX_ENDPOINTS};
 use wire::{Hello, LinkKind, PROTOCOL_VERSION, codec};
 
-/// Versions a day.
-const VERSIONS_A_DAY: f64 = 3_700.0;
+/// Configuration versions per day.
+const VERSIONS_PER_DAY: f64 = 3_700.0;
 
-/// Announcements a day: 4,800 VMs restart or are replaced, each leaves and
-/// comes, and some are lost.
-const EVENTS_A_DAY: f64 = 10_000.0;
+/// Changes of endpoints per day: 4,800 VMs restart or are replaced, each with
+/// a leave and a new announcement, and some are lost.
+const EVENTS_PER_DAY: f64 = 10_000.0;
 
-/// Seconds between two refreshes of one endpoint.
-const REFRESH_S: f64 = 21_600.0;
+/// Interval at which an endpoint is announced again, in seconds.
+const REFRESH_INTERVAL_S: f64 = 21_600.0;
 
-const DAY_S: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Time for all state to arrive and be served by.
-const SETTLE: Duration = Duration::from_secs(5);
+/// Time for the node to put the state into force after it has arrived.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// Longest wait for the state to arrive.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for the state to arrive, and for a child to be admitted.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks.
-const POLL: Duration = Duration::from_millis(100);
+/// Interval at which the node is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Endpoint events taken together in one tick of the feeder.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which the feeder sends the events that have become due.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Children that can be played: the node is a root, which takes sixteen, and
-/// one link is there for the fleet's state.
-const MOST_CHILDREN: usize = 15;
+/// Maximum number of simulated children: the node is a root, which takes sixteen children, and
+/// the feeder is one of them.
+const MAX_CHILDREN: usize = 15;
 
-/// What to measure.
+/// Options of the experiment.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Services, and routes, of the configuration.
+    /// Number of services, and of routes, in the configuration.
     pub services: usize,
-    /// Endpoints of the fleet.
+    /// Number of endpoints of the fleet.
     pub endpoints: usize,
-    /// Children that the node relays to, besides the feeder.
+    /// Number of children that the node relays to, besides the feeder.
     pub children: usize,
     /// Times the churn of 14,000 nodes.
     pub speed: f64,
-    /// How long.
+    /// Duration of the measurement.
     pub duration: Duration,
 }
 
-/// What was measured.
+/// Results of the experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Report {
-    /// Services of the configuration.
+    /// Number of services in the configuration.
     pub services: usize,
-    /// Endpoints that the node knows.
+    /// Number of endpoints that the node knows.
     pub endpoints: usize,
-    /// Children that it relays to, besides the feeder.
+    /// Number of children that it relays to, besides the feeder.
     pub children: usize,
     /// Times the churn of 14,000 nodes.
     pub speed: f64,
-    /// Versions that came while it was measured.
+    /// Versions accepted during the measurement.
     pub versions: usize,
-    /// Announcements that came while it was measured.
+    /// Announcements sent during the measurement.
     pub announcements: u32,
-    /// Memory before the state came, in MB.
+    /// Resident memory before the state arrived, in MB.
     pub node_rss_empty_mb: f64,
-    /// Memory at the end, in MB.
+    /// Resident memory at the end, in MB.
     pub node_rss_mb: f64,
-    /// Processor time, in per cent of a core.
+    /// CPU use, in per cent of a core.
     pub node_cpu_pct: f64,
-    /// Bytes between nodes, both ways.
+    /// Control bytes per second, sent and received.
     pub control_bytes_s: f64,
 }
 
-/// Reads what to measure from the command line.
+/// Parses the options from the command line.
 #[must_use]
 pub fn parse() -> impl Parser<Options> {
     let services = options::parse_services();
@@ -107,7 +108,7 @@
         .help("Children that the node relays to")
         .argument::<usize>("COUNT")
         .guard(
-            |children| *children <= MOST_CHILDREN,
+            |children| *children <= MAX_CHILDREN,
             "at most 15: the node is its zone's root",
         )
         .fallback(0)
@@ -127,95 +128,96 @@
     })
 }
 
-/// Starts the node, fills it and gives what its state costs.
+/// Starts the node, loads it with the fleet's state, applies churn and returns what that costs.
 ///
 /// # Errors
 ///
 /// When a program can't be started or the state doesn't arrive.
-pub async fn run(plot: Options) -> Result<Report, Error> {
-    let plans = vec![VmSpec::new("vm-0", "zone-1", None)];
-    let deployment = Deployment::spawn(plans, &[]).await?;
+pub async fn run(options: Options) -> Result<Report, Error> {
+    let specs = vec![VmSpec::new("vm-0", "zone-1", None)];
+    let deployment = Deployment::spawn(specs, &[]).await?;
     let vm = &deployment.vms[0];
     let mut proposer = Proposer::open(deployment.platform_address);
     proposer.propose_services(1).await?;
-    wait(|| async { Ok(node::read_status(vm).await?.version == proposer.version) }).await?;
-    let empty = vm.node.usage()?.resident_bytes;
-    proposer.propose_services(plot.services).await?;
+    wait_until(|| async { Ok(node::read_status(vm).await?.version == proposer.version) }).await?;
+    let resident_empty = vm.node.usage()?.resident_bytes;
+    proposer.propose_services(options.services).await?;
     let mut links = Vec::new();
-    for index in 0..=plot.children {
-        links.push(join(vm.nodes_address(), index).await?);
+    for index in 0..=options.children {
+        links.push(connect_child(vm.nodes_address(), index).await?);
     }
     let feeder = Arc::clone(&links[0]);
-    let mut endpoints: Vec<_> = (0..plot.endpoints)
-        .map(|index| make_endpoint(index, plot.services))
+    let mut endpoints: Vec<_> = (0..options.endpoints)
+        .map(|index| make_endpoint(index, options.services))
         .collect();
-    for part in endpoints.chunks(MAX_ENDPOINTS) {
-        let list = part.iter().cloned().map(Arc::new).collect();
-        send(&feeder, Frame::Endpoints(list)).await?;
+    for chunk in endpoints.chunks(MAX_ENDPOINTS) {
+        let list = chunk.iter().cloned().map(Arc::new).collect();
+        send_frame(&feeder, Frame::Endpoints(list)).await?;
     }
-    wait(|| async {
+    wait_until(|| async {
         let status = node::read_status(vm).await?;
         let known = status.endpoints.values().sum::<usize>();
-        Ok(known == plot.endpoints && status.version == proposer.version)
+        Ok(known == options.endpoints && status.version == proposer.version)
     })
     .await?;
-    tokio::time::sleep(SETTLE).await;
-    let (before, bytes) = (vm.node.usage()?, node::read_metrics(vm).await?);
-    let begun = Instant::now();
-    let announcements = churn(plot, &feeder, &mut endpoints, &mut proposer).await?;
-    let elapsed = begun.elapsed().as_secs_f64();
-    let (after, total) = (vm.node.usage()?, node::read_metrics(vm).await?);
-    let processor = after.cpu_time.saturating_sub(before.cpu_time);
-    let sum = |metrics: &node::Metrics| metrics.control_received() + metrics.control_sent();
+    tokio::time::sleep(SETTLE_TIME).await;
+    let (before, metrics_before) = (vm.node.usage()?, node::read_metrics(vm).await?);
+    let started = Instant::now();
+    let announcements = churn(options, &feeder, &mut endpoints, &mut proposer).await?;
+    let elapsed = started.elapsed().as_secs_f64();
+    let (after, metrics_after) = (vm.node.usage()?, node::read_metrics(vm).await?);
+    let cpu_time = after.cpu_time.saturating_sub(before.cpu_time);
+    let control_bytes =
+        |metrics: &node::Metrics| metrics.control_received() + metrics.control_sent();
     Ok(Report {
-        services: plot.services,
-        endpoints: plot.endpoints,
-        children: plot.children,
-        speed: plot.speed,
+        services: options.services,
+        endpoints: options.endpoints,
+        children: options.children,
+        speed: options.speed,
         versions: proposer.proposed.len(),
         announcements,
-        node_rss_empty_mb: to_mb(empty),
+        node_rss_empty_mb: to_mb(resident_empty),
         node_rss_mb: to_mb(after.resident_bytes),
-        node_cpu_pct: 100.0 * processor.as_secs_f64() / elapsed,
-        control_bytes_s: (sum(&total) - sum(&bytes)) / elapsed,
+        node_cpu_pct: 100.0 * cpu_time.as_secs_f64() / elapsed,
+        control_bytes_s: (control_bytes(&metrics_after) - control_bytes(&metrics_before)) / elapsed,
     })
 }
 
-/// Sends announcements and proposes versions at the rates of 14,000 nodes times the speed.
+/// Sends announcements and proposes versions at the rates of a fleet of 14,000 nodes, times the speed.
 async fn churn(
-    plot: Options,
+    options: Options,
     feeder: &Arc<Mutex<OwnedWriteHalf>>,
     endpoints: &mut [Endpoint],
     proposer: &mut Proposer,
 ) -> Result<u32, Error> {
     let count = f64::from(u32::try_from(endpoints.len()).unwrap_or(u32::MAX));
-    let event_rate = EVENTS_A_DAY / DAY_S * plot.speed;
-    let refresh_rate = count / REFRESH_S * plot.speed;
-    let version_rate = VERSIONS_A_DAY / DAY_S * plot.speed;
-    let begun = Instant::now();
-    let mut ticks = tokio::time::interval(TICK);
+    let event_rate = EVENTS_PER_DAY / SECONDS_PER_DAY * options.speed;
+    let refresh_rate = count / REFRESH_INTERVAL_S * options.speed;
+    let version_rate = VERSIONS_PER_DAY / SECONDS_PER_DAY * options.speed;
+    let started = Instant::now();
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (mut events, mut refreshes, mut versions) = (0_u32, 0_u32, 0_u32);
-    while begun.elapsed() < plot.duration {
+    while started.elapsed() < options.duration {
         ticks.tick().await;
-        let elapsed = begun.elapsed().as_secs_f64();
+        let elapsed = started.elapsed().as_secs_f64();
         while f64::from(events) < event_rate * elapsed {
-            // A VM that is replaced under its name: a view has to be made.
-            let endpoint = pick(endpoints, events + refreshes);
+            // A new incarnation under the same name: the node has to build a new view.
+            let endpoint = pick_endpoint(endpoints, events + refreshes);
             endpoint.incarnation += 1;
             endpoint.started_ms += 1;
-            send(feeder, Frame::Endpoints(vec![Arc::new(endpoint.clone())])).await?;
+            send_frame(feeder, Frame::Endpoints(vec![Arc::new(endpoint.clone())])).await?;
             events += 1;
         }
         while f64::from(refreshes) < refresh_rate * elapsed {
-            let endpoint = pick(endpoints, events + refreshes);
+            let endpoint = pick_endpoint(endpoints, events + refreshes);
             endpoint.sequence += 1;
-            send(feeder, Frame::Endpoints(vec![Arc::new(endpoint.clone())])).await?;
+            send_frame(feeder, Frame::Endpoints(vec![Arc::new(endpoint.clone())])).await?;
             refreshes += 1;
         }
         if f64::from(versions) < version_rate * elapsed {
-            let index = usize::try_from(versions).unwrap_or(0) % plot.services;
-            let other = service_name((index + 1) % plot.services);
+            let index = usize::try_from(versions).unwrap_or(0) % options.services;
+            let other = service_name((index + 1) % options.services);
             let prefix = format!("/{}", service_name(index));
             let change = put_route(&prefix, &other, Class::Refresh, Repeat::ByMethod);
             proposer.propose(vec![change]).await?;
@@ -225,8 +227,8 @@
     Ok(events + refreshes)
 }
 
-/// Gives an endpoint far from the ones before.
-fn pick(endpoints: &mut [Endpoint], index: u32) -> &mut Endpoint {
+/// Picks an endpoint so that successive picks are far apart in the list.
+fn pick_endpoint(endpoints: &mut [Endpoint], index: u32) -> &mut Endpoint {
     let index = usize::try_from(index).unwrap_or(0) * 7_919 % endpoints.len();
     &mut endpoints[index]
 }
@@ -253,21 +255,26 @@
     }
 }
 
-/// Joins the node as a child that answers its beats.
-async fn join(address: SocketAddr, index: usize) -> Result<Arc<Mutex<OwnedWriteHalf>>, Error> {
-    let begun = Instant::now();
+/// Joins the node as a child that answers its heartbeats.
+async fn connect_child(
+    address: SocketAddr,
+    index: usize,
+) -> Result<Arc<Mutex<OwnedWriteHalf>>, Error> {
+    let started = Instant::now();
     loop {
-        if let Some(link) = try_join(address, index).await? {
+        if let Some(link) = try_connect_child(address, index).await? {
             return Ok(link);
         }
-        if begun.elapsed() > LIMIT {
-            return Err(Error::Timeout(format!("child {index} to be taken")));
+        if started.elapsed() > WAIT_TIMEOUT {
+            return Err(Error::Timeout(format!(
+                "waiting for the node to admit child {index}"
+            )));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn try_join(
+async fn try_connect_child(
     address: SocketAddr,
     index: usize,
 ) -> Result<Option<Arc<Mutex<OwnedWriteHalf>>>, Error> {
@@ -302,17 +309,20 @@
             match frame {
                 Frame::Step { version: next, .. } => version = next,
                 Frame::Chunk(chunk) => version = chunk.version,
-                Frame::Heartbeat(beat) => {
-                    let beat = Heartbeat {
-                        count: beat.count,
-                        echo: beat.count,
+                Frame::Heartbeat(heartbeat) => {
+                    let heartbeat = Heartbeat {
+                        count: heartbeat.count,
+                        echo: heartbeat.count,
                         version,
                         is_ready: true,
-                        endpoints_checksum: beat.endpoints_checksum,
+                        endpoints_checksum: heartbeat.endpoints_checksum,
                         child_capacity: 0,
                         status: None,
                     };
-                    if send(&echo, Frame::Heartbeat(beat)).await.is_err() {
+                    if send_frame(&echo, Frame::Heartbeat(heartbeat))
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                 }
@@ -323,24 +333,24 @@
     Ok(Some(sink))
 }
 
-async fn send(link: &Mutex<OwnedWriteHalf>, frame: Frame) -> Result<(), Error> {
+async fn send_frame(link: &Mutex<OwnedWriteHalf>, frame: Frame) -> Result<(), Error> {
     let mut buffer = Vec::new();
     codec::encode(&wire::Frame::Control(frame), &mut buffer)?;
     link.lock().await.write_all(&buffer).await?;
     Ok(())
 }
 
-async fn wait<F, R>(is_there: F) -> Result<(), Error>
+async fn wait_until<F, R>(condition: F) -> Result<(), Error>
 where
     F: Fn() -> R,
     R: Future<Output = Result<bool, Error>>,
 {
-    let begun = Instant::now();
-    while !is_there().await.unwrap_or(false) {
-        if begun.elapsed() > LIMIT {
-            return Err(Error::Timeout("the state to arrive".to_owned()));
+    let started = Instant::now();
+    while !condition().await.unwrap_or(false) {
+        if started.elapsed() > WAIT_TIMEOUT {
+            return Err(Error::Timeout("waiting for the state to arrive".to_owned()));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
