--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -224,7 +224,10 @@
     C: Clock,
 {
     /// Polls for the next part of the body; `None` marks its end.
-    pub(crate) fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Error>>> {
+    pub(crate) fn poll_chunk(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, Error>>> {
         loop {
             let mut next = Pin::new(&mut self.incoming).poll_frame(cx);
             if next.is_pending()
--- a/crates/node/src/inbound/deliver.rs
+++ b/crates/node/src/inbound/deliver.rs
@@ -67,7 +67,7 @@
     loop {
         let chunk = match std::mem::replace(&mut next, Poll::Pending) {
             Poll::Ready(chunk) => chunk,
-            Poll::Pending => poll_fn(|cx| backend_response.poll_part(cx)).await,
+            Poll::Pending => poll_fn(|cx| backend_response.poll_chunk(cx)).await,
         };
         match chunk {
             Some(Ok(bytes)) => call.add_chunk(bytes),
@@ -136,5 +136,5 @@
 where
     C: Clock,
 {
-    poll_fn(|cx| Poll::Ready(backend_response.poll_part(cx))).await
+    poll_fn(|cx| Poll::Ready(backend_response.poll_chunk(cx))).await
 }
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -502,8 +502,11 @@
     C: Clock,
 {
     /// Polls for the next chunk of the body; `None` is its end.
-    pub(crate) fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Error>>> {
-        let part = self.reply.poll_part(cx);
+    pub(crate) fn poll_chunk(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, Error>>> {
+        let part = self.reply.poll_chunk(cx);
         if matches!(part, Poll::Ready(Some(Err(_)))) {
             self.permit.outcome = Outcome::Failed;
             self.in_flight.detect_crash_later();
--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -1,6 +1,7 @@
 //! The outbound proxy: accepts calls over HTTP and forwards them to backend servers.
 
 pub(crate) mod attempt;
+pub(crate) mod call_log;
 pub(crate) mod hedge;
 pub(crate) mod keyed;
 pub(crate) mod link;
@@ -13,7 +14,6 @@
 pub(crate) mod send;
 pub(crate) mod serve;
 pub(crate) mod service;
-pub(crate) mod tell;
 pub(crate) mod tried;
 
 use crate::inbound;
--- a/crates/node/src/outbound/attempt.rs
+++ b/crates/node/src/outbound/attempt.rs
@@ -203,7 +203,7 @@
     }
 
     /// Polls for the next part of the response body; `None` is its end.
-    pub(crate) fn poll_part(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Refusal>>> {
+    pub(crate) fn poll_chunk(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Refusal>>> {
         let mut state = self.state.lock();
         if let Some(part) = state.parts.pop_front() {
             state.consumed += part.len();
--- a/crates/node/src/outbound/remote_attempt.rs
+++ b/crates/node/src/outbound/remote_attempt.rs
@@ -80,12 +80,12 @@
     }
 
     /// Polls for the next part of the response body, and sends more of the request body meanwhile.
-    pub(crate) fn poll_part(
+    pub(crate) fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Refusal>>> {
         self.send_body(cx);
-        self.attempt.poll_part(cx)
+        self.attempt.poll_chunk(cx)
     }
 
     /// Returns whether the whole response has been read.
--- a/crates/node/src/outbound/response.rs
+++ b/crates/node/src/outbound/response.rs
@@ -81,10 +81,10 @@
                 Some(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
                 None => Pin::new(&mut **rest).poll_frame(cx),
             },
-            Self::Remote(Remote(attempt)) => attempt.poll_part(cx).map(|part| {
+            Self::Remote(Remote(attempt)) => attempt.poll_chunk(cx).map(|part| {
                 part.map(|result| result.map(Frame::data).map_err(|_refusal| Error::Truncated))
             }),
-            Self::Local(Local(running)) => running.poll_part(cx).map(|part| {
+            Self::Local(Local(running)) => running.poll_chunk(cx).map(|part| {
                 part.map(|result| match result {
                     Ok(bytes) => Ok(Frame::data(bytes)),
                     Err(backend::Error::Connect | backend::Error::Broken) => Err(Error::Truncated),
--- a/crates/node/src/outbound/serve.rs
+++ b/crates/node/src/outbound/serve.rs
@@ -3,6 +3,9 @@
 use crate::inbound::run::Refused;
 use crate::metrics::Ending;
 use crate::outbound::Inner;
+use crate::outbound::call_log::{
+    AnsweredCall, log_answer, log_failed_attempt, log_refused_call, log_unrouted_call,
+};
 use crate::outbound::hedge::send_with_hedge;
 use crate::outbound::keyed::serve_keyed;
 use crate::outbound::pick::{pick, pick_owner, pick_trial};
@@ -11,9 +14,6 @@
 use crate::outbound::response::{Body, refuse, reject};
 use crate::outbound::send::{AttemptHistory, AttemptResult, PendingAttempt, send_attempt};
 use crate::outbound::service::{BodySize, PickedEndpoint};
-use crate::outbound::tell::{
-    AnsweredCall, log_answer, log_failed_attempt, log_refused_call, log_unrouted_call,
-};
 use crate::outbound::tried::TriedEndpoints;
 use call::Verdict;
 use clock::Clock;
