--- a/crates/node/src/inbound.rs
+++ b/crates/node/src/inbound.rs
@@ -125,9 +125,9 @@
         let mut links = self.inner.links.lock();
         links.retain(|known| known.strong_count() > 0);
         links.push(Arc::downgrade(&sender));
-        // Checked under the lock that `announce_leaving` also takes. Otherwise, the peer could
-        // receive the announcement of a backend server that is back before this frame, and would
-        // regard it as leaving for as long as the link is open.
+        // Checked under the lock that `announce_leaving` also takes. Otherwise, `announce_leaving`
+        // could send `Leaving(false)` before this frame, and the peer would take this node for
+        // leaving for as long as the link is open.
         if self.inner.is_leaving() {
             drop(sender.send([Frame::Leaving(true)]));
         }
@@ -151,7 +151,7 @@
     pub(crate) async fn call_local(
         &self,
         request: Request,
-        upload: ForwardedBody,
+        body: ForwardedBody,
         deadline: Instant,
     ) -> Result<http::Response<BackendResponse<C>>, Refused> {
         let started = AtomicBool::new(false);
@@ -160,7 +160,7 @@
             true
         };
         let received_at = self.inner.shared.clock.now();
-        let run = run::run(&self.inner, request, upload, deadline, received_at, start);
+        let run = run::run(&self.inner, request, body, deadline, received_at, start);
         tokio::select! {
             biased;
             ended = run => ended,
@@ -172,19 +172,19 @@
         }
     }
 
-    /// Runs a call that entered on this VM. It may continue past its deadline, for as long as the
-    /// receiver is held.
+    /// Runs a call that entered on this VM. It may run past its deadline by `MAX_COMMIT_OVERRUN`, for
+    /// as long as the receiver is held.
     pub(crate) fn spawn_local(
         &self,
         request: Request,
-        upload: ForwardedBody,
+        body: ForwardedBody,
         deadline: Instant,
     ) -> oneshot::Receiver<Result<http::Response<BackendResponse<C>>, Refused>> {
         let (mut sender, receiver) = oneshot::channel();
         let inner = Arc::clone(&self.inner);
         tokio::spawn(async move {
             let received_at = inner.shared.clock.now();
-            let run = run::run(&inner, request, upload, deadline, received_at, || true);
+            let run = run::run(&inner, request, body, deadline, received_at, || true);
             let overdue = async {
                 run::sleep_until(&inner, deadline).await;
                 tokio::time::sleep(run::MAX_COMMIT_OVERRUN).await;
@@ -210,7 +210,7 @@
         let ended = async {
             drop(active.wait_for(|count| *count == 0).await);
             drop(answers.wait_for(|count| *count == 0).await);
-            // A peer that reads nothing is abandoned, as its responses are.
+            // Peers that read nothing are given up, as are their responses.
             drop(tokio::time::timeout(MAX_FLUSH_WAIT, self.flush()).await);
         };
         if tokio::time::timeout(timeout, ended).await.is_ok() {
@@ -345,7 +345,7 @@
     }
 }
 
-/// Records a crash if another process has replaced one of the backend server that didn't announce
+/// Records a crash if a new process of the backend server has replaced one that hadn't announced
 /// that it leaves.
 fn record_replaced_process<C>(
     inner: &Inner<C>,
--- a/crates/node/src/inbound/admission_gate.rs
+++ b/crates/node/src/inbound/admission_gate.rs
@@ -164,7 +164,7 @@
         self.state.lock().admission.expected_duration(route)
     }
 
-    /// Returns the number of running and waiting calls over the number of slots.
+    /// Returns the number of running and waiting calls, divided by the number of slots.
     pub(crate) fn load(&self) -> f64 {
         self.state.lock().admission.load()
     }
@@ -219,7 +219,7 @@
 where
     C: Clock,
 {
-    /// Returns the number of running and waiting calls over the number of slots.
+    /// Returns the number of running and waiting calls, divided by the number of slots.
     pub(crate) fn load(&self) -> f64 {
         self.gate.load()
     }
--- a/crates/node/src/inbound/body_receiver.rs
+++ b/crates/node/src/inbound/body_receiver.rs
@@ -1,5 +1,5 @@
-//! Receives request bodies from other nodes: runs `policy::body_scheduler`, which decides whose
-//! sender gets credit.
+//! Receives request bodies from other nodes: runs `policy::body_scheduler`, which decides which
+//! senders get credit.
 
 use crate::inbound::inbound_call::InboundCall;
 use call::Id;
@@ -73,7 +73,7 @@
     }
 }
 
-/// Waits for a body; dropping it gives the body up.
+/// Gives a body up if it is dropped before the body was received.
 struct ReceiveGuard<'a, C>
 where
     C: Clock,
@@ -117,8 +117,8 @@
 where
     C: Clock,
 {
-    /// Starts with the link's `rate` in bytes per second, if it is known, and a limit of
-    /// `max_held` bytes in memory.
+    /// Starts a receiver that holds up to `max_held` bytes in memory. `rate` is the link's capacity
+    /// in bytes per second, if it is known.
     pub(crate) fn spawn(clock: C, rate: Option<f64>, max_held: u64, seed: u64) -> Arc<Self> {
         let receiver = Arc::new(Self {
             state: Mutex::new(State {
@@ -191,8 +191,8 @@
         self.finish(id, Err(Error::Aborted));
     }
 
-    /// Returns the number of waiting and incoming bodies over the number at which the link counts
-    /// as full.
+    /// Returns the number of waiting and incoming bodies, divided by the number at which the link
+    /// counts as full.
     pub(crate) fn load(&self) -> f64 {
         self.state.lock().scheduler.load()
     }
--- a/crates/node/src/inbound/crash.rs
+++ b/crates/node/src/inbound/crash.rs
@@ -15,13 +15,13 @@
 use tokio::sync::OwnedSemaphorePermit;
 use wire::call::{Reason, Request};
 
-/// Time until a backend server that broke off a call and still listens is checked again: the
-/// operating system closes the sockets of a process that ends one by one.
+/// Time until a backend server that broke off a call and still listens is checked again. When a
+/// process ends, the operating system closes its sockets one by one.
 const RECHECK_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest wait of a nested call for another suspect, which may be its own parent and wait for it
-/// in turn.
-const MAX_NESTED_WAIT: Duration = Duration::from_millis(50);
+/// Longest time that a nested suspect waits for another suspect to end, before it runs anyway. The
+/// other one may be its own parent, which in turn waits for it.
+const MAX_NESTED_SUSPECT_WAIT: Duration = Duration::from_millis(50);
 
 /// Retry-after of a suspect request that is refused because another one is in flight.
 const SUSPECT_RETRY_AFTER_MS: u32 = 100;
@@ -53,9 +53,9 @@
 impl SuspectPermit {
     /// If this request is a suspect, waits until no other suspect is in flight.
     ///
-    /// Guards against holding an innocent request: next to one that crashes backend servers, it
-    /// would be part of as many crashes. A crash with a single suspect in flight identifies the
-    /// cause.
+    /// Guards against holding an innocent request: if it ran next to a request that crashes backend
+    /// servers, it would be in flight at as many crashes as that request. A crash with a single
+    /// suspect in flight identifies the cause.
     pub(crate) async fn acquire<C>(inner: &Inner<C>, request: &Request) -> Result<Self, Refused>
     where
         C: Clock,
@@ -68,7 +68,7 @@
             });
         }
         let max_wait = match request.nested {
-            Some(_) => MAX_NESTED_WAIT,
+            Some(_) => MAX_NESTED_SUSPECT_WAIT,
             None => Duration::MAX,
         };
         let permit = Arc::clone(&inner.suspect_permits).acquire_owned();
--- a/crates/node/src/inbound/deliver.rs
+++ b/crates/node/src/inbound/deliver.rs
@@ -5,7 +5,7 @@
 use crate::header::collect_end_to_end;
 use crate::inbound::Inner;
 use crate::inbound::inbound_call::{InboundCall, ReaderStalled};
-use crate::inbound::response_stream::MAX_CHUNK;
+use crate::inbound::response_stream::MAX_CHUNK_BYTES;
 use crate::inbound::run::{BackendResponse, abandon_call, percent_of};
 use crate::millis::whole_ms;
 use bytes::Bytes;
@@ -21,13 +21,14 @@
 
 /// Bytes of a response that are read from the backend server beyond the reader's credit.
 ///
-/// *Load pattern:* readers whose process was killed, or that stall in the middle of a response.
-/// *Without it*, each such response over 64 kB holds a slot of the backend server until its
-/// reader is given up: with six slots, six callers of one dead node block a backend server for
-/// 5 s. Responses of 320 kB, such as pages and lists, are held in full this way.
-const MAX_READ_AHEAD: usize = 256 << 10;
+/// Guards against readers whose process was killed, or that stall in the middle of a response.
+/// Without reading ahead, each such response over 64 kB holds a slot of the backend server until
+/// its reader is given up: with six slots, six callers of one dead node block a backend server
+/// for 5 s. Responses of up to 320 kB, such as pages and lists, are buffered in full.
+const MAX_READ_AHEAD_BYTES: usize = 256 << 10;
 
-/// Number of responses that may be read ahead at the same time: 4 MB of the 32 MB of a node.
+/// Number of responses that may be read ahead at the same time. They take up to 4 MB of a node's
+/// 32 MB.
 pub(crate) const MAX_READ_AHEAD_RESPONSES: usize = 16;
 
 /// Streams a response from the backend server, whose connection is released at its end.
@@ -45,7 +46,7 @@
     let mut next = poll_now(&mut backend_response).await;
     let mut first = None;
     if let Poll::Ready(Some(Ok(bytes))) = &next
-        && bytes.len() <= MAX_CHUNK
+        && bytes.len() <= MAX_CHUNK_BYTES
     {
         first = Some(bytes.clone());
         next = poll_now(&mut backend_response).await;
@@ -86,7 +87,7 @@
                 .ok();
         }
         let max_waiting = if read_ahead.is_some() {
-            MAX_READ_AHEAD
+            MAX_READ_AHEAD_BYTES
         } else {
             0
         };
--- a/crates/node/src/inbound/inbound_call.rs
+++ b/crates/node/src/inbound/inbound_call.rs
@@ -55,8 +55,8 @@
 }
 
 impl InboundCall {
-    /// Creates a call; `length` is the known length of its body, and `is_complete` means that
-    /// none follows.
+    /// Creates a call; `length` is the known length of its body, and `is_complete` means that no
+    /// body follows the head.
     pub(crate) fn new(id: Id, link: Arc<Sender>, is_complete: bool, length: u64) -> Arc<Self> {
         // A short body follows the head without being requested.
         let eager = if length <= MAX_EAGER_BODY as u64 {
@@ -175,7 +175,7 @@
         Poll::Pending
     }
 
-    /// Adds credit of the outbound proxy for more of the response.
+    /// Adds credit that the outbound proxy has granted for more of the response.
     pub(crate) fn add_credit(&self, bytes: u32) {
         self.response.lock().add_credit(bytes);
     }
@@ -250,7 +250,7 @@
     /// Continues the response over another link, from the position that the outbound proxy
     /// reports.
     ///
-    /// Returns false if a part that it still needs is no longer held.
+    /// Returns false if bytes that the outbound proxy still needs are no longer held.
     pub(crate) fn resume(
         &self,
         link: Arc<Sender>,
--- a/crates/node/src/inbound/link.rs
+++ b/crates/node/src/inbound/link.rs
@@ -20,27 +20,31 @@
 ) where
     C: Clock,
 {
-    let uploads = Mutex::default();
+    let uploading_calls = Mutex::default();
     let mut reader = Reader {
         inner: &inner,
         sender: &sender,
         origin,
         link: None,
-        uploads: &uploads,
+        uploading_calls: &uploading_calls,
     };
-    let watch = || {
-        if uploads.lock().iter().any(|upload| upload.expects_body()) {
+    let expected = || {
+        if uploading_calls
+            .lock()
+            .iter()
+            .any(|call| call.expects_body())
+        {
             Expected::Body
         } else {
             Expected::Nothing
         }
     };
     receiver
-        .run(|frame| reader.handle_frame(frame), watch)
+        .run(|frame| reader.handle_frame(frame), expected)
         .await;
-    for upload in uploads.into_inner() {
-        upload.abort_request_body();
-        inner.body_receiver.abort(upload.id);
+    for call in uploading_calls.into_inner() {
+        call.abort_request_body();
+        inner.body_receiver.abort(call.id);
     }
 }
 
@@ -55,7 +59,7 @@
     /// Number of the link, from its `Open` frame.
     link: Option<u64>,
     /// Calls whose request body is incomplete.
-    uploads: &'a Mutex<Vec<Arc<InboundCall>>>,
+    uploading_calls: &'a Mutex<Vec<Arc<InboundCall>>>,
 }
 
 impl<C> Reader<'_, C>
@@ -146,21 +150,21 @@
             return ControlFlow::Break(());
         }
         if !request.end {
-            let mut uploads = self.uploads.lock();
-            uploads.retain(|upload| upload.expects_body());
-            uploads.push(Arc::clone(&call));
+            let mut uploading_calls = self.uploading_calls.lock();
+            uploading_calls.retain(|call| call.expects_body());
+            uploading_calls.push(Arc::clone(&call));
         }
         run::spawn(Arc::clone(self.inner), call, request);
         ControlFlow::Continue(())
     }
 
     fn receive_chunk(&mut self, id: Id, bytes: bytes::Bytes, end: bool) -> ControlFlow<()> {
-        let uploads = self.uploads.lock();
-        let Some(upload) = uploads.iter().find(|upload| upload.id == id) else {
+        let uploading_calls = self.uploading_calls.lock();
+        let Some(call) = uploading_calls.iter().find(|call| call.id == id) else {
             return ControlFlow::Continue(());
         };
         let length = bytes.len();
-        if !upload.receive_chunk(bytes, end) {
+        if !call.receive_chunk(bytes, end) {
             return ControlFlow::Break(());
         }
         self.inner.body_receiver.record_received(id, length, end);
--- a/crates/node/src/inbound/load_probe.rs
+++ b/crates/node/src/inbound/load_probe.rs
@@ -35,14 +35,14 @@
             accepts: false,
             wait: Duration::ZERO,
             run: None,
-            // Reports full load: reported as idle, this node would attract the calls that are
-            // sent without a probe.
+            // Full load, because a node that reports itself as idle would attract the calls that
+            // are sent without a probe.
             load: 1.0,
         };
     };
     let request = admission::Request {
         class: probe.class,
-        // No particular caller: fair shares are enforced when the call arrives.
+        // The caller doesn't matter: fair shares are enforced when the call arrives.
         caller: 0,
         key: 0,
         route: probe.route,
--- a/crates/node/src/inbound/response_stream.rs
+++ b/crates/node/src/inbound/response_stream.rs
@@ -13,8 +13,8 @@
 use std::task::{Context, Poll, Waker};
 use wire::call::{Answer, Frame, INITIAL_WINDOW, Refusal};
 
-/// Largest part of a body in one frame: small enough that calls on one link take turns.
-pub(crate) const MAX_CHUNK: usize = 16 << 10;
+/// Largest chunk of a body in one frame. Small chunks let the calls on one link take turns.
+pub(crate) const MAX_CHUNK_BYTES: usize = 16 << 10;
 
 /// A response on its way to the outbound proxy.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
 }
 
 impl ResponseStream {
-    /// Creates a response of which nothing has been received.
+    /// Creates a response of which nothing has been sent.
     pub(super) fn new(id: Id, link: Arc<Sender>) -> Self {
         Self {
             id,
@@ -117,7 +117,7 @@
         drop(self.link.send([Frame::Refusal(refusal)]));
     }
 
-    /// Adds credit of the outbound proxy.
+    /// Adds credit that the outbound proxy has granted.
     pub(super) fn add_credit(&mut self, bytes: u32) {
         self.credit_limit += u64::from(bytes);
         let confirmed = self.credit_limit.saturating_sub(INITIAL_WINDOW as u64);
@@ -137,7 +137,7 @@
 
     /// Continues over another link, from the position that the outbound proxy reports.
     ///
-    /// Returns false if a part that it still needs is no longer held.
+    /// Returns false if bytes that the outbound proxy still needs are no longer held.
     pub(super) fn resume(
         &mut self,
         link: Arc<Sender>,
@@ -195,7 +195,9 @@
     /// Takes the next chunk that the credit allows.
     fn next_chunk(&mut self) -> Option<Bytes> {
         let credit = self.credit_limit.saturating_sub(self.sent);
-        let credit = usize::try_from(credit).unwrap_or(MAX_CHUNK).min(MAX_CHUNK);
+        let credit = usize::try_from(credit)
+            .unwrap_or(MAX_CHUNK_BYTES)
+            .min(MAX_CHUNK_BYTES);
         let first = self.waiting.front_mut().filter(|_| credit > 0)?;
         let chunk = first.split_to(first.len().min(credit));
         if first.is_empty() {
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -36,7 +36,7 @@
 /// servers.
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("bluebellpick-timeout-ms");
 
-/// How long a commit may run past its deadline; most stops of a process are shorter.
+/// How long a commit may run past its deadline; most pauses of a process are shorter.
 pub(crate) const MAX_COMMIT_OVERRUN: Duration = Duration::from_secs(30);
 
 /// Why a call has no response.
@@ -53,7 +53,7 @@
 where
     C: Clock,
 {
-    reply: ResponseBody<C>,
+    body: ResponseBody<C>,
     permit: Permit<C>,
     /// Time that the call waited for its body and its slot, in milliseconds.
     queue_wait_ms: u32,
@@ -177,15 +177,15 @@
             return None;
         }
     };
-    let upload = match call.take_complete_body() {
-        Some(upload) => upload,
+    let body = match call.take_complete_body() {
+        Some(body) => body,
         None => ForwardedBody {
             prefix: None,
             rest: Rest::Link(Arc::clone(call)),
         },
     };
     let start = || inner.attempt_table(call.id.origin).lock().start(call.id);
-    let read_ahead = match run(inner, request, upload, deadline, received_at, start).await {
+    let read_ahead = match run(inner, request, body, deadline, received_at, start).await {
         Ok(response) => send_response(inner, call, response).await,
         Err(refused) => {
             call.refuse(refused.verdict, refused.reason, refused.retry_after_ms);
@@ -196,12 +196,12 @@
     read_ahead
 }
 
-/// Longest part of a body that is received before its call gets a slot.
+/// Number of bytes of a body that are received before its call gets a slot.
 ///
-/// A slot that is taken earlier is held while the body arrives: at 8 Mbit/s, a photograph of
-/// 60 kB takes as long as the work on it. Longer bodies are streams; a VM of 160 MB can't hold
-/// dozens of them.
-const MAX_HELD_BODY: u64 = 1 << 20;
+/// If the call got its slot earlier, the slot would be held while the body arrives: at 8 Mbit/s, a
+/// photograph of 60 kB takes as long as the work on it. The rest of a longer body is streamed,
+/// because a VM of 160 MB can't hold dozens of such bodies.
+const MAX_HELD_BODY_BYTES: u64 = 1 << 20;
 
 /// Waits until the body of a call has been received, if the call may get a slot afterwards. A
 /// body that arrived with its head needs no wait.
@@ -227,7 +227,7 @@
     }
     let offer = body_scheduler::BodyOffer {
         call: gate_request,
-        length: request.length.min(MAX_HELD_BODY),
+        length: request.length.min(MAX_HELD_BODY_BYTES),
         run: inner.gate.expected_duration(request.route),
     };
     let received = tokio::select! {
@@ -248,7 +248,7 @@
 pub(crate) async fn run<C, S>(
     inner: &Arc<Inner<C>>,
     request: Request,
-    upload: ForwardedBody,
+    body: ForwardedBody,
     deadline: Instant,
     received_at: Instant,
     start: S,
@@ -257,31 +257,31 @@
     C: Clock,
     S: FnOnce() -> bool,
 {
-    let find = || {
+    let find_backend = || {
         inner
             .find_backend(&request.service)
             .map_err(|reason| Refused::not_run(reason, 0))
     };
     let counted = inner.shared.count(|shared| &shared.in_flight);
     let suspect_permit = SuspectPermit::acquire(inner, &request).await?;
-    let gate_entered = inner.shared.clock.now();
-    let mut permit = wait_admission(inner, &request, deadline, find()?.slots).await?;
-    let entered = inner.shared.clock.now();
-    let waited = entered.saturating_duration_since(received_at);
-    let gate_wait = entered.saturating_duration_since(gate_entered);
+    let offered_at = inner.shared.clock.now();
+    let mut permit = wait_admission(inner, &request, deadline, find_backend()?.slots).await?;
+    let admitted_at = inner.shared.clock.now();
+    let queue_wait = admitted_at.saturating_duration_since(received_at);
+    let gate_wait = admitted_at.saturating_duration_since(offered_at);
     inner.shared.metrics.failures.record_gate_wait(gate_wait);
     let parent_key = parent_key(inner, &request);
     let is_large_body = request.length > MAX_EAGER_BODY as u64;
-    let is_repeat = |header: &Header| header.name == retry::HEADER;
+    let is_retry_header = |header: &Header| header.name == retry::HEADER;
     let running_call = RunningCall {
         class: request.class,
-        is_retry: request.headers.iter().any(is_repeat),
+        is_retry: request.headers.iter().any(is_retry_header),
     };
-    let backend = find()?;
+    let backend = find_backend()?;
     let suspect_permit = suspect_permit.recheck(inner, &request)?;
     let digest = request.digest;
     let mut in_flight = InFlightCall::new(inner, &backend, &request, suspect_permit);
-    let mut request = make_request(request, upload, time_left(inner, deadline))
+    let mut request = make_request(request, body, time_left(inner, deadline))
         .ok_or(Refused::not_run(Reason::Backend, 0))?;
     let attempt = platform::header::attempt_id(request.headers());
     if inner.shared.uses_platform_interface() {
@@ -306,10 +306,10 @@
                 return Err(refused);
             }
             permit.outcome = outcome_of(response.status());
-            Ok(response.map(|reply| BackendResponse {
-                reply,
+            Ok(response.map(|body| BackendResponse {
+                body,
                 permit,
-                queue_wait_ms: whole_ms(waited),
+                queue_wait_ms: whole_ms(queue_wait),
                 link_percent: if is_large_body {
                     percent_of(inner.body_receiver.load())
                 } else {
@@ -377,9 +377,8 @@
     attempt: Option<&HeaderValue>,
     response: &Response<B>,
 ) -> Result<(), (Refused, Outcome)> {
-    let judged =
-        platform::header::classify_response(attempt, response.status(), response.headers());
-    let refused = match judged {
+    let kind = platform::header::classify_response(attempt, response.status(), response.headers());
+    let refused = match kind {
         header::ResponseKind::Complete => return Ok(()),
         header::ResponseKind::NotExecuted { retry_after } => {
             let wait = retry_after.unwrap_or_default().as_millis();
@@ -463,7 +462,7 @@
     refused
 }
 
-/// Logs that the gate refused a call, with the current load.
+/// Counts and logs a call that the gate refused, with the current load.
 fn log_turned_away<C>(inner: &Inner<C>, request: &Request, refused: Refused, left: Duration)
 where
     C: Clock,
@@ -506,17 +505,17 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Error>>> {
-        let part = self.reply.poll_chunk(cx);
-        if matches!(part, Poll::Ready(Some(Err(_)))) {
+        let chunk = self.body.poll_chunk(cx);
+        if matches!(chunk, Poll::Ready(Some(Err(_)))) {
             self.permit.outcome = Outcome::Failed;
             self.in_flight.detect_crash_later();
         }
-        part
+        chunk
     }
 
     /// Returns whether the body has ended.
     pub(crate) fn is_end(&self) -> bool {
-        self.reply.is_end()
+        self.body.is_end()
     }
 
     /// Returns the load figures that the outbound proxy receives with the response.
@@ -533,7 +532,7 @@
     C: Clock,
 {
     fn drop(&mut self) {
-        if self.reply.is_end() {
+        if self.body.is_end() {
             self.in_flight.set_outcome(in_flight::Outcome::Answered);
         }
     }
@@ -550,10 +549,10 @@
 
 fn make_request(
     request: Request,
-    upload: ForwardedBody,
+    body: ForwardedBody,
     left: Duration,
 ) -> Option<http::Request<ForwardedBody>> {
-    let mut made = http::Request::new(upload);
+    let mut made = http::Request::new(body);
     *made.method_mut() = Method::from_bytes(request.method.as_bytes()).ok()?;
     *made.uri_mut() = Uri::try_from(request.path.as_str()).ok()?;
     append_headers(request.headers, made.headers_mut());
--- a/crates/node/src/inbound/running_calls.rs
+++ b/crates/node/src/inbound/running_calls.rs
@@ -6,13 +6,14 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The calls that the backend server is running, by the hash of their name.
+/// The calls that the backend server is running, by the key under which their nested calls find
+/// them: the hash of the name that a nested call gives for its parent.
 #[derive(Debug, Default)]
 pub(crate) struct RunningCalls {
     running: Mutex<HashMap<u64, Entry>>,
 }
 
-/// Properties of a running call that its nested calls take into account.
+/// Properties of a running call that matter for its nested calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RunningCall {
     /// Class of the call's route.
@@ -21,48 +22,48 @@
     pub(crate) is_retry: bool,
 }
 
-/// The running calls with the same name.
+/// The running calls with the same key.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     count: u32,
-    run: RunningCall,
+    call: RunningCall,
 }
 
 /// Registers a running call until it is dropped.
 #[derive(Debug)]
 pub(crate) struct RunningCallGuard {
     calls: Arc<RunningCalls>,
-    name: u64,
+    key: u64,
 }
 
 impl RunningCalls {
     /// Registers a running call.
-    pub(crate) fn register(self: &Arc<Self>, name: u64, run: RunningCall) -> RunningCallGuard {
+    pub(crate) fn register(self: &Arc<Self>, key: u64, call: RunningCall) -> RunningCallGuard {
         let mut running = self.running.lock();
-        let entry = running.entry(name).or_insert(Entry { count: 0, run });
+        let entry = running.entry(key).or_insert(Entry { count: 0, call });
         entry.count += 1;
-        entry.run.is_retry |= run.is_retry;
+        entry.call.is_retry |= call.is_retry;
         drop(running);
         RunningCallGuard {
             calls: Arc::clone(self),
-            name,
+            key,
         }
     }
 
-    /// Returns the running call with this name, if there is one.
-    pub(crate) fn find(&self, name: u64) -> Option<RunningCall> {
+    /// Returns the running call with this key, if there is one.
+    pub(crate) fn find(&self, key: u64) -> Option<RunningCall> {
         let running = self.running.lock();
-        running.get(&name).map(|entry| entry.run)
+        running.get(&key).map(|entry| entry.call)
     }
 }
 
 impl Drop for RunningCallGuard {
     fn drop(&mut self) {
         let mut running = self.calls.running.lock();
-        if let Some(entry) = running.get_mut(&self.name) {
+        if let Some(entry) = running.get_mut(&self.key) {
             entry.count -= 1;
             if entry.count == 0 {
-                running.remove(&self.name);
+                running.remove(&self.key);
             }
         }
     }
--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -54,8 +54,8 @@
 /// connection closes.
 const LAME_DUCK_DURATION: Duration = Duration::from_secs(1);
 
-/// How long a closing node waits for the first request on a connection: many
-/// round trips even to the farthest callers, which are 8 ms away.
+/// How long a closing node waits for the first request on a connection: long
+/// enough for many round trips to the farthest callers, which are 8 ms away.
 ///
 /// The first request of a connection that was just accepted is usually already
 /// on the way. If the connection is closed at once, the caller can't tell
@@ -64,8 +64,8 @@
 
 /// Maximum time for which a caller may read nothing of its response.
 ///
-/// Without it, a caller that stopped reading in the middle of a response held
-/// the slot of the local backend server for as long as the connection lived.
+/// Without this limit, a caller that stopped reading in the middle of a response
+/// held the slot of the local backend server until its connection was closed.
 /// Five seconds is also the limit for nodes that read responses over a link.
 const CALLER_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -158,11 +158,12 @@
 
 /// Starts serving callers on the address that `socket` is bound to as soon as routes are known.
 ///
-/// When a node restarts under load, its callers return with the first accepted
-/// connection. Before the configuration has arrived, the node could only refuse
-/// their calls. A refused connection tells them that nothing was sent, so they
-/// go to another node. A node that gets no configuration starts accepting after
-/// `[limits] routes_wait` and refuses calls with the reason `no-routes-yet`.
+/// The callers of a node that restarts under load call it again as soon as it
+/// accepts connections. A node without a configuration could only refuse their
+/// calls. While it doesn't listen, their connections are refused, so they know
+/// that nothing was sent and go to another node. A node that gets no
+/// configuration starts accepting after `[limits] routes_wait` and refuses calls
+/// with the reason `no-routes-yet`.
 ///
 /// # Errors
 ///
@@ -263,7 +264,9 @@
         self.address
     }
 
-    /// Closes callers' connections as their responses end. Returns how many are open at `timeout`.
+    /// Closes callers' connections as their responses end, and waits until none is open and no call
+    /// with an idempotency key runs. Returns 0 then; at `timeout`, returns the larger of the two
+    /// numbers.
     pub async fn drain(&self, timeout: Duration) -> usize {
         self.inner.advance(Stage::LameDuck);
         let max_connections = u32::from(self.inner.shared.settings.connections);
--- a/crates/node/src/outbound/attempt.rs
+++ b/crates/node/src/outbound/attempt.rs
@@ -10,7 +10,8 @@
 use std::task::{Context, Poll, Waker};
 use wire::call::{Answer, Frame, INITIAL_WINDOW, Reason, Refusal};
 
-/// An attempt that was sent over a link and has not finished.
+/// An attempt that was sent over a link. The link's table holds it until its response is complete
+/// or refused.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) id: Id,
@@ -30,7 +31,7 @@
     head_end: u64,
     head: Option<Answer>,
     head_received: bool,
-    parts: VecDeque<Bytes>,
+    chunks: VecDeque<Bytes>,
     /// Bytes of the response body received so far.
     received: u64,
     /// Bytes that the caller has read since the last credit was sent.
@@ -57,7 +58,7 @@
 
 impl State {
     fn buffered(&self) -> usize {
-        self.parts.iter().map(Bytes::len).sum()
+        self.chunks.iter().map(Bytes::len).sum()
     }
 }
 
@@ -79,7 +80,7 @@
                 head_end: 0,
                 head: None,
                 head_received: false,
-                parts: VecDeque::new(),
+                chunks: VecDeque::new(),
                 received: 0,
                 consumed: 0,
                 ended: false,
@@ -106,7 +107,8 @@
         state.link.bytes_written() >= state.head_end
     }
 
-    /// Moves the attempt to a new link to the same peer.
+    /// Moves the attempt to a new link to the same peer. Returns what it received over the earlier
+    /// links.
     pub(crate) fn move_to(&self, link: Arc<Sender>) -> ReceiveProgress {
         let mut state = self.state.lock();
         state.link = link;
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Returns whether nothing waits for the response any more.
+    /// Returns whether the response is no longer awaited.
     pub(crate) fn is_abandoned(&self) -> bool {
         self.state.lock().abandoned
     }
@@ -147,7 +149,7 @@
                 state.received += bytes.len() as u64;
                 state.ended = end;
                 if !bytes.is_empty() {
-                    state.parts.push_back(bytes);
+                    state.chunks.push_back(bytes);
                 }
             }
             Frame::Refusal(refusal) => state.refusal = Some(refusal),
@@ -171,10 +173,10 @@
     /// Returns whether the whole response has been read.
     pub(crate) fn is_consumed(&self) -> bool {
         let state = self.state.lock();
-        state.ended && state.parts.is_empty()
+        state.ended && state.chunks.is_empty()
     }
 
-    /// Finishes the attempt without a response.
+    /// Finishes the attempt without a complete response, unless it has already finished.
     pub(crate) fn fail(&self, verdict: Verdict, reason: Reason) {
         let mut state = self.state.lock();
         if !state.ended && state.refusal.is_none() {
@@ -202,11 +204,11 @@
         Poll::Pending
     }
 
-    /// Polls for the next part of the response body; `None` is its end.
+    /// Polls for the next chunk of the response body; `None` is its end.
     pub(crate) fn poll_chunk(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Refusal>>> {
         let mut state = self.state.lock();
-        if let Some(part) = state.parts.pop_front() {
-            state.consumed += part.len();
+        if let Some(chunk) = state.chunks.pop_front() {
+            state.consumed += chunk.len();
             if state.consumed >= INITIAL_WINDOW / 2 && !state.ended {
                 let bytes = u32::try_from(state.consumed).unwrap_or(u32::MAX);
                 state.consumed = 0;
@@ -214,7 +216,7 @@
                 // If the link is closed, its end resolves the attempt.
                 drop(state.link.send([credit]));
             }
-            return Poll::Ready(Some(Ok(part)));
+            return Poll::Ready(Some(Ok(chunk)));
         }
         if state.ended {
             return Poll::Ready(None);
@@ -245,8 +247,8 @@
         state.credit = state.credit.saturating_sub(bytes);
     }
 
-    /// Sends a part of the request body. It must not exceed the credit.
-    pub(crate) fn send_part(&self, bytes: Bytes, end: bool) {
+    /// Sends a chunk of the request body. It must not exceed the credit.
+    pub(crate) fn send_chunk(&self, bytes: Bytes, end: bool) {
         let mut state = self.state.lock();
         state.credit = state.credit.saturating_sub(bytes.len());
         let id = self.id;
--- a/crates/node/src/outbound/call_log.rs
+++ b/crates/node/src/outbound/call_log.rs
@@ -9,7 +9,7 @@
 use log::info;
 use std::time::{Duration, Instant};
 
-/// Logs an attempt that the backend server did not answer, with the node it was sent to.
+/// Counts and logs an attempt that the backend server did not answer, with the node it was sent to.
 pub(crate) fn log_failed_attempt<C>(
     inner: &Inner<C>,
     plan: &Plan,
@@ -105,7 +105,7 @@
 
 /// Logs an answer that missed its latency target or is a server error.
 ///
-/// Timely answers are not logged: there are hundreds per second, and nobody needs the lines.
+/// Other answers are not logged: there are hundreds per second, and nobody needs the lines.
 pub(crate) fn log_answer<C>(inner: &Inner<C>, plan: &Plan, answer: &AnsweredCall<'_>)
 where
     C: Clock,
--- a/crates/node/src/outbound/hedge.rs
+++ b/crates/node/src/outbound/hedge.rs
@@ -28,15 +28,15 @@
 
 /// Sends the first attempt of a call, and a hedge to another endpoint if the first is slow.
 ///
-/// Returns the result that counts and the endpoint that it is from. The hedge's
-/// backend server is added to `visited`.
+/// Returns the result for the caller and the endpoint that it came from. The
+/// hedge's endpoint is added to `tried`.
 pub(crate) async fn send_with_hedge<C>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
     head: &request::Parts,
     body: remote_attempt::RequestBody,
     first: PickedEndpoint<C>,
-    visited: &mut TriedEndpoints,
+    tried: &mut TriedEndpoints,
     history: AttemptHistory,
 ) -> (AttemptResult<C>, PickedEndpoint<C>)
 where
@@ -56,12 +56,12 @@
         match tokio::time::timeout(wait, first_attempt.as_mut()).await {
             Ok(result) => return (record_first(inner, plan, started, result), first),
             Err(_elapsed) => {
-                if let Some(picked) = pick_hedge(inner, plan, visited) {
+                if let Some(picked) = pick_hedge(inner, plan, tried) {
                     let hedge = Hedge {
                         picked,
                         body: hedge_body,
                     };
-                    return race(inner, plan, head, first_attempt, first, hedge, visited).await;
+                    return race(inner, plan, head, first_attempt, first, hedge, tried).await;
                 }
             }
         }
@@ -70,7 +70,7 @@
     (record_first(inner, plan, started, result), first)
 }
 
-/// Runs the hedge concurrently with the first attempt. The first response counts.
+/// Runs the hedge concurrently with the first attempt, and returns the first response.
 async fn race<C, F>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
@@ -78,7 +78,7 @@
     mut first_attempt: Pin<&mut F>,
     mut first: PickedEndpoint<C>,
     hedge: Hedge<C>,
-    visited: &mut TriedEndpoints,
+    tried: &mut TriedEndpoints,
 ) -> (AttemptResult<C>, PickedEndpoint<C>)
 where
     C: Clock,
@@ -114,7 +114,7 @@
             }
             hedge.outcome = outcome_of_result(&result);
             if hedge.outcome == Outcome::Full {
-                visited.mark_full(hedge.key);
+                tried.mark_full(hedge.key);
             }
             drop(hedge);
             let last = record_first(inner, plan, started, first_attempt.await);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Combines the result of a refused attempt with that of the attempt that ended after it.
+/// Combines the result of an unanswered attempt with that of the attempt that ended after it.
 ///
 /// The caller may be told "not run" only if neither attempt may have run.
 fn combine_results<C>(refused: AttemptResult<C>, last: AttemptResult<C>) -> AttemptResult<C>
@@ -155,16 +155,16 @@
 fn pick_hedge<C>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
-    visited: &mut TriedEndpoints,
+    tried: &mut TriedEndpoints,
 ) -> Option<PickedEndpoint<C>>
 where
     C: Clock,
 {
-    let hedge = pick_without_probes(inner, plan, visited.keys(), &[])?;
+    let hedge = pick_without_probes(inner, plan, tried.keys(), &[])?;
     if !plan.client.spend(inner.shared.clock.now()) {
         return None;
     }
-    visited.add(hedge.key);
+    tried.add(hedge.key);
     Some(hedge)
 }
 
--- a/crates/node/src/outbound/keyed.rs
+++ b/crates/node/src/outbound/keyed.rs
@@ -23,8 +23,8 @@
 /// Header that marks a stored response to a repeated call.
 const REPLAYED_HEADER: HeaderName = HeaderName::from_static("idempotent-replayed");
 
-/// Retry delay for a key that another call holds, in milliseconds. Most calls end within this time.
-const IN_USE_RETRY_MS: u32 = 1_000;
+/// Retry delay for callers whose key is in use by another call. Most calls end within this time.
+const KEY_IN_USE_RETRY_AFTER_MS: u32 = 1_000;
 
 /// Serves a call with an idempotency key.
 ///
@@ -62,7 +62,7 @@
 /// Waits past the deadline for the outcome of a call, so that repeats with its key get it.
 ///
 /// A node that was stopped for seconds knows the outcome once it resumes.
-/// Without waiting for it, every repeat would be told "may have run" forever.
+/// Without this wait, every repeat would be told "may have run" forever.
 async fn resolve_pending<C>(inner: &Inner<C>, grant: Grant, pending: PendingAttempt<C>)
 where
     C: Clock,
@@ -89,7 +89,7 @@
             inner.reserve.release(grant);
             response
         }
-        // The outcome is unknown, and the reservation keeps saying so.
+        // The outcome is unknown: the key stays reserved, and repeats are told "may have run".
         Some(Verdict::MayHaveRun) | None => response,
     }
 }
@@ -200,7 +200,7 @@
                 StatusCode::CONFLICT,
                 Verdict::MayHaveRun,
                 "key-in-use",
-                IN_USE_RETRY_MS,
+                KEY_IN_USE_RETRY_AFTER_MS,
             ),
             ending: Ending::Refused(Verdict::MayHaveRun),
             pending: None,
--- a/crates/node/src/outbound/link.rs
+++ b/crates/node/src/outbound/link.rs
@@ -25,15 +25,16 @@
 /// retransmitted after one second; callers should not wait longer than that.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Growth of the peer table after which it is swept for peers without a link or a call.
-const PEER_SWEEP_INTERVAL: usize = 512;
+/// Number of peers whose addition triggers a sweep of the peer table, which removes the peers that
+/// have neither a link nor a call.
+const PEERS_PER_SWEEP: usize = 512;
 
 /// Maximum number of finished attempts kept to be reported to the peer with the next request.
 ///
 /// The peer drops attempts beyond that by age, which only costs it memory.
-const MAX_FINISHED: usize = 256;
+const MAX_FINISHED_ATTEMPTS: usize = 256;
 
-/// Shards of a link's attempt table, each with its own lock.
+/// Number of shards of a link's attempt table, each with its own lock.
 const SHARD_COUNT: usize = 8;
 
 /// The links of one outbound proxy, at most one open link per peer.
@@ -164,7 +165,7 @@
     fn handle_frame(&self, frame: Frame) -> ControlFlow<()> {
         if let Frame::Estimate(estimate) = frame {
             if let Some(sender) = self.pending_probes.lock().remove(&estimate.serial) {
-                // The prober may have timed out already.
+                // The call that sent the probe may no longer wait for the reply.
                 drop(sender.send(estimate));
             }
             return ControlFlow::Continue(());
@@ -188,7 +189,7 @@
         if attempt.is_finished() {
             self.forget(id);
             let mut finished = self.finished.lock();
-            if finished.len() < MAX_FINISHED {
+            if finished.len() < MAX_FINISHED_ATTEMPTS {
                 finished.push(id.sequence);
             }
         }
@@ -223,7 +224,7 @@
             return Arc::clone(peer);
         }
         let mut peers = self.peers.write();
-        if peers.len() % PEER_SWEEP_INTERVAL == PEER_SWEEP_INTERVAL - 1 {
+        if peers.len() % PEERS_PER_SWEEP == PEERS_PER_SWEEP - 1 {
             peers.retain(|_, peer| Arc::strong_count(peer) > 1);
         }
         let peer = peers.entry(address).or_insert_with(|| Peer::new(address));
@@ -341,7 +342,7 @@
                 .insert(id.sequence, Arc::clone(&attempt));
             registered = Some(attempt);
             let (request, body) = make(id);
-            // Sent along with a request, they need no write of their own.
+            // Finished attempts are reported along with a request, which saves a write.
             let finished = std::mem::take(&mut *link.finished.lock());
             let finished = (!finished.is_empty()).then_some(Frame::Done(finished));
             finished
@@ -388,7 +389,7 @@
     let unresolved = resolve_known(link.take_attempts());
     if !unresolved.is_empty() {
         let incarnation = link.incarnation;
-        // Fails only when the proxy is gone, and with it everyone who waits.
+        // Fails only after the proxy was dropped, when no call waits any more.
         drop(ended.send(EndedLink {
             peer,
             incarnation,
--- a/crates/node/src/outbound/peer.rs
+++ b/crates/node/src/outbound/peer.rs
@@ -1,4 +1,4 @@
-//! A node that calls are sent to, with its current link and recent connection failures.
+//! A node that calls are sent to, with its current link and the last failure to connect.
 
 use crate::outbound::link::Link;
 use parking_lot::Mutex;
@@ -8,14 +8,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for which a failure to connect is returned to all who ask for the link.
+/// Time for which a failure to connect is returned to all calls that need the link.
 ///
-/// One connection attempt every quarter of a second costs nothing, and notices
-/// soon enough for callers that the node is back.
+/// One attempt to connect every quarter of a second costs almost nothing and
+/// detects soon enough for callers that the node is reachable again.
 const FAILURE_TTL: Duration = Duration::from_millis(250);
 
-/// Age from which an abandoned attempt to connect counts as failed.
-const MIN_CONNECT_TIME: Duration = Duration::from_millis(100);
+/// Age from which an abandoned attempt to connect counts as timed out.
+const ABANDONED_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A node that calls are sent to.
 #[derive(Debug)]
@@ -70,8 +70,8 @@
     }
 }
 
-/// An attempt to connect in progress; dropped unfinished, it counts as timed out
-/// once it is old enough.
+/// An attempt to connect. If it is dropped before it has finished, it counts as
+/// timed out, provided that it is at least [`ABANDONED_CONNECT_TIMEOUT`] old.
 ///
 /// Callers with short deadlines give up before the attempt ends. If abandoned
 /// attempts were ignored, each such caller would begin a new one and none would
@@ -82,7 +82,8 @@
 }
 
 impl ConnectAttempt<'_> {
-    /// Ends the attempt, whether it succeeded or failed.
+    /// Finishes the attempt, whether it succeeded or failed. As its start time is
+    /// reset, `drop` doesn't count it as abandoned.
     pub(crate) fn finish(mut self) {
         self.started = Instant::now();
     }
@@ -90,7 +91,7 @@
 
 impl Drop for ConnectAttempt<'_> {
     fn drop(&mut self) {
-        if self.started.elapsed() >= MIN_CONNECT_TIME {
+        if self.started.elapsed() >= ABANDONED_CONNECT_TIMEOUT {
             *self.peer.last_failure.lock() = Some((Instant::now(), io::ErrorKind::TimedOut));
         }
     }
--- a/crates/node/src/outbound/plan.rs
+++ b/crates/node/src/outbound/plan.rs
@@ -37,13 +37,14 @@
 // A digest is the same at every node only if all of the body that it covers is held in memory.
 const _: () = assert!(call::MAX_DIGEST_BODY <= INITIAL_WINDOW);
 
-/// Attempts for a call whose route has no retry rule, including the first.
-const DEFAULT_ATTEMPTS: u8 = 3;
+/// Maximum number of attempts, including the first, for a call whose route has no retry rule.
+const DEFAULT_MAX_ATTEMPTS: u8 = 3;
 
 /// What the attempts of a call need to know about it.
 #[derive(Debug)]
 pub(crate) struct Plan {
-    /// Identifies the call in the log: the caller's name for the call, or else the name of the caller.
+    /// Identifies the call in the log: the attempt ID in its headers, if the node uses the
+    /// platform's interface; otherwise the name or address of its caller.
     pub(crate) id: SmolStr,
     pub(crate) service: SmolStr,
     pub(crate) client: Arc<ServiceClient>,
@@ -57,7 +58,7 @@
     host: SmolStr,
     pub(crate) retry_rule: Option<Retry>,
     pub(crate) deadline: Instant,
-    /// Latency target: time by which the answer should be there.
+    /// Latency target: time by which the answer should arrive.
     pub(crate) target: Option<Instant>,
     /// Whether the call may run more than once.
     pub(crate) repeatable: bool,
@@ -76,7 +77,7 @@
 impl Plan {
     pub(crate) fn max_attempts(&self) -> u8 {
         let attempts = self.retry_rule.as_ref().map(|rule| rule.attempts);
-        attempts.unwrap_or(DEFAULT_ATTEMPTS).max(1)
+        attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS).max(1)
     }
 
     /// Returns whether a hedge may be sent while the first attempt is late.
@@ -124,11 +125,12 @@
     let origin = find_origin(inner, &head.headers);
     let nested = match origin {
         Origin::Caller => None,
-        Origin::Nested(run) => Some(run.class),
+        Origin::Nested(parent) => Some(parent.class),
     };
     client.record_call(now, origin);
     let hash = policy::hash(&route.prefix) ^ policy::hash(head.method.as_str());
-    // The time left of a running call does not show when it made this nested call.
+    // The timeout of a nested call is what its parent has left, which doesn't show how long the
+    // nested call itself has waited.
     let elapsed = requested
         .filter(|_| nested.is_none())
         .map_or(Duration::ZERO, |left| client.estimate_elapsed(hash, left));
@@ -156,7 +158,7 @@
     Some((plan, target.service.objective))
 }
 
-/// Returns the caller's name for a call that has no plan; empty when there is none.
+/// Returns the caller's name for a call that has no plan; empty if the request names no caller.
 pub(crate) fn caller_name<C>(inner: &Inner<C>, head: &request::Parts) -> SmolStr
 where
     C: Clock,
@@ -195,9 +197,10 @@
     }
 }
 
-/// Returns whether the local backend server makes the call on behalf of one that it runs.
+/// Determines the source of a call: nested if the local backend server makes it on behalf of a call
+/// that it runs.
 ///
-/// The header is trusted only if the call that it names is running now.
+/// The parent header is trusted only if the call that it names is running now.
 fn find_origin<C>(inner: &Inner<C>, headers: &HeaderMap) -> Origin
 where
     C: Clock,
@@ -209,8 +212,8 @@
             .get(PARENT_HEADER)
             .and_then(|name| name.to_str().ok())
     };
-    let run = parent.and_then(|name| inner.inbound.find_running(name));
-    run.map_or(Origin::Caller, Origin::Nested)
+    let parent_call = parent.and_then(|name| inner.inbound.find_running(name));
+    parent_call.map_or(Origin::Caller, Origin::Nested)
 }
 
 fn timeout_of(headers: &HeaderMap) -> Option<Duration> {
--- a/crates/node/src/outbound/remote_attempt.rs
+++ b/crates/node/src/outbound/remote_attempt.rs
@@ -1,6 +1,6 @@
 //! An attempt that was sent over a link, and the request body that is streamed after it.
 
-use crate::inbound::response_stream::MAX_CHUNK;
+use crate::inbound::response_stream::MAX_CHUNK_BYTES;
 use crate::outbound::attempt::Attempt;
 use crate::outbound::link::Link;
 use bytes::Bytes;
@@ -79,7 +79,7 @@
         self.attempt.poll_head(cx)
     }
 
-    /// Polls for the next part of the response body, and sends more of the request body meanwhile.
+    /// Polls for the next chunk of the response body, and sends more of the request body meanwhile.
     pub(crate) fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
@@ -102,25 +102,25 @@
                 continue;
             }
             let mut credit = 0;
-            // An empty part that only marks the end needs no credit.
+            // An empty chunk that only marks the end needs no credit.
             if !self.body.prefix.is_empty() {
                 match self.attempt.poll_credit(cx) {
-                    Poll::Ready(Some(available)) => credit = available.min(MAX_CHUNK),
+                    Poll::Ready(Some(available)) => credit = available.min(MAX_CHUNK_BYTES),
                     Poll::Ready(None) => self.sending_done = true,
                     Poll::Pending => return,
                 }
             }
             if !self.sending_done {
-                self.send_part(credit);
+                self.send_chunk(credit);
             }
         }
     }
 
-    fn send_part(&mut self, credit: usize) {
+    fn send_chunk(&mut self, credit: usize) {
         let length = self.body.prefix.len().min(credit);
-        let part = self.body.prefix.split_to(length);
+        let chunk = self.body.prefix.split_to(length);
         self.sending_done = self.body.prefix.is_empty() && self.body.rest.is_none();
-        self.attempt.send_part(part, self.sending_done);
+        self.attempt.send_chunk(chunk, self.sending_done);
     }
 
     /// Polls the caller's stream for more of the body. Returns false if nothing is available now.
--- a/crates/node/src/outbound/resolve.rs
+++ b/crates/node/src/outbound/resolve.rs
@@ -55,9 +55,9 @@
 /// Asks the peer, over a new link, for the outcome of the attempts of the ended link.
 ///
 /// A link that stopped responding may have delivered its requests or lost them.
-/// The peer's call table has the answer, but only within the process that
-/// received the requests. After a restart it is impossible to say that a call
-/// has not run.
+/// The peer's attempt table records the outcome, but only in the process that
+/// received the requests. After that process has ended, it can't be said of any
+/// of these calls that it has not run.
 async fn resolve(links: Arc<LinkPool>, ended: EndedLink) {
     let EndedLink {
         peer,
@@ -78,7 +78,7 @@
                 return;
             }
             Err(wire::Error::Io(error)) if error.kind() == io::ErrorKind::TimedOut => {}
-            // The process that received the requests has ended, and its call table is lost.
+            // The process that received the requests has ended, and its attempt table is lost.
             Ok(_) | Err(_) => break,
         }
         tokio::time::sleep(delay).await;
--- a/crates/node/src/outbound/response.rs
+++ b/crates/node/src/outbound/response.rs
@@ -19,7 +19,8 @@
 /// Header with the [`Verdict`] on a call.
 pub const VERDICT_HEADER: HeaderName = HeaderName::from_static(Verdict::HEADER);
 
-/// Retry delay in milliseconds, sent along with `Retry-After`, which has a resolution of one second.
+/// Header with the retry delay in milliseconds; `Retry-After`, sent along with it, has a resolution
+/// of one second.
 pub const RETRY_AFTER_HEADER: HeaderName = HeaderName::from_static("bluebellpick-retry-after-ms");
 
 /// Minimum retry delay for callers when no better estimate is known. Within a second, endpoint
@@ -81,11 +82,11 @@
                 Some(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
                 None => Pin::new(&mut **rest).poll_frame(cx),
             },
-            Self::Remote(Remote(attempt)) => attempt.poll_chunk(cx).map(|part| {
-                part.map(|result| result.map(Frame::data).map_err(|_refusal| Error::Truncated))
+            Self::Remote(Remote(attempt)) => attempt.poll_chunk(cx).map(|chunk| {
+                chunk.map(|result| result.map(Frame::data).map_err(|_refusal| Error::Truncated))
             }),
-            Self::Local(Local(running)) => running.poll_chunk(cx).map(|part| {
-                part.map(|result| match result {
+            Self::Local(Local(response)) => response.poll_chunk(cx).map(|chunk| {
+                chunk.map(|result| match result {
                     Ok(bytes) => Ok(Frame::data(bytes)),
                     Err(backend::Error::Connect | backend::Error::Broken) => Err(Error::Truncated),
                 })
@@ -98,7 +99,7 @@
             Self::Full(bytes) => bytes.is_none(),
             Self::Prefixed(first, rest) => first.is_none() && rest.is_end_stream(),
             Self::Remote(Remote(attempt)) => attempt.is_end(),
-            Self::Local(Local(running)) => running.is_end(),
+            Self::Local(Local(response)) => response.is_end(),
         }
     }
 
@@ -139,14 +140,14 @@
         _ => StatusCode::BAD_GATEWAY,
     };
     let wait = match (refused.verdict, refused.retry_after_ms) {
-        (Verdict::NotRun, 0) => jittered_retry_after(),
+        (Verdict::NotRun, 0) => jittered_retry_after_ms(),
         (_, wait) => wait,
     };
     respond(status, refused.verdict, reason_name(refused.reason), wait)
 }
 
 /// Returns a random retry delay, so that callers refused at the same time don't retry together.
-fn jittered_retry_after() -> u32 {
+fn jittered_retry_after_ms() -> u32 {
     let wait = policy::backoff::add_jitter(MIN_RETRY_AFTER, &mut rand::rng());
     whole_ms(wait)
 }
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -70,11 +70,11 @@
     pub(crate) async fn wait(self) -> Result<Response<Body<C>>, Refused> {
         match self {
             Self::Remote(mut remote) => match poll_fn(|cx| remote.poll_head(cx)).await {
-                Ok(answer) => Ok(remote_response(read_head(answer), remote)),
+                Ok(answer) => Ok(remote_response(response_head(answer), remote)),
                 Err(refusal) => Err(refusal.into()),
             },
             Self::Local(receiver) => match receiver.await {
-                Ok(ended) => ended.map(local_response),
+                Ok(result) => result.map(local_response),
                 Err(_dropped) => Err(Refused::may_have_run(Reason::Backend)),
             },
         }
@@ -123,25 +123,25 @@
 {
     let prefix = body.prefix.clone();
     let is_buffered = body.rest.is_none();
-    let upload = ForwardedBody {
+    let forwarded = ForwardedBody {
         prefix: (!body.prefix.is_empty()).then_some(body.prefix),
         rest: body.rest.map_or(Rest::Done, Rest::Caller),
     };
     let id = inner.links.next_id();
     set_attempt_id(&mut request, id);
-    let ended = if plan.key.is_some() {
-        let mut call = inner.inbound.spawn_local(request, upload, plan.deadline);
+    let result = if plan.key.is_some() {
+        let mut call = inner.inbound.spawn_local(request, forwarded, plan.deadline);
         match tokio::time::timeout(time_left(inner, plan.deadline), &mut call).await {
-            Ok(Ok(ended)) => ended,
+            Ok(Ok(result)) => result,
             Ok(Err(_dropped)) => Err(Refused::may_have_run(Reason::Backend)),
             Err(_) => return AttemptResult::TimedOut(PendingAttempt::Local(call)),
         }
     } else {
-        let call = inner.inbound.call_local(request, upload, plan.deadline);
+        let call = inner.inbound.call_local(request, forwarded, plan.deadline);
         call.await
     };
     let returned = is_buffered.then_some(remote_attempt::RequestBody { prefix, rest: None });
-    match ended {
+    match result {
         Ok(response) => {
             let report = response.body().load_report();
             match shed_refusal(&response, id) {
@@ -204,12 +204,12 @@
         set_attempt_id(&mut request, id);
         request.length = length;
         request.end = eager.is_empty() && end;
-        let part = (!eager.is_empty()).then(|| Frame::Body {
+        let chunk = (!eager.is_empty()).then(|| Frame::Body {
             id,
             bytes: eager.clone(),
             end,
         });
-        (request, part)
+        (request, chunk)
     });
     let attempt = match sent {
         Ok(attempt) => attempt,
@@ -229,7 +229,7 @@
                 queue_wait: Duration::from_millis(answer.queue_wait_ms.into()),
             };
             let id = answer.id;
-            let head = read_head(answer);
+            let head = response_head(answer);
             match shed_refusal(&head, id) {
                 Some(refused) => AttemptResult::Refused(refused, remote.take_back(prefix)),
                 None => AttemptResult::Answered(remote_response(head, remote), Some(report)),
@@ -240,7 +240,7 @@
     }
 }
 
-fn read_head(answer: wire::call::Answer) -> Response<()> {
+fn response_head(answer: wire::call::Answer) -> Response<()> {
     let mut head = Response::new(());
     *head.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     append_headers(answer.headers, head.headers_mut());
@@ -258,7 +258,7 @@
 where
     C: Clock,
 {
-    set_verdict(response.map(|running| Body::Local(Local(running))))
+    set_verdict(response.map(|body| Body::Local(Local(body))))
 }
 
 /// Creates the request of an attempt, except for its ID and body. Each attempt gets its own timeout.
@@ -276,8 +276,8 @@
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let mut headers = collect_end_to_end(&head.headers);
     if inner.shared.uses_platform_interface() {
-        let origin = inner.shared.settings.service.as_deref().unwrap_or_default();
-        mark_origin(&mut headers, origin);
+        let service = inner.shared.settings.service.as_deref().unwrap_or_default();
+        set_caller_service(&mut headers, service);
     }
     if history.dispatched > 0 && !plan.retried_by_caller {
         headers.push(Header {
@@ -311,7 +311,7 @@
 
 /// Sets the header with the service on whose VM a request originated, after removing all reserved
 /// headers that the sender set.
-fn mark_origin(headers: &mut Vec<Header>, service: &str) {
+fn set_caller_service(headers: &mut Vec<Header>, service: &str) {
     headers.retain(|header| !platform::header::is_reserved(&header.name));
     headers.push(Header {
         name: SmolStr::new_static(platform::header::CALLER_SERVICE),
--- a/crates/node/src/outbound/serve.rs
+++ b/crates/node/src/outbound/serve.rs
@@ -179,14 +179,13 @@
     C: Clock,
 {
     let started = inner.shared.clock.now();
-    let mut visited = TriedEndpoints::default();
+    let mut tried = TriedEndpoints::default();
     let mut history = AttemptHistory::default();
     let mut last_cause = None;
     // The refusal for the caller if no attempt is answered.
     let mut final_refusal = Refused::not_run(Reason::NoService, 0);
     for attempts in 1.. {
-        let mut picked = match pick_next(inner, plan, &mut visited, last_cause, &mut history).await
-        {
+        let mut picked = match pick_next(inner, plan, &mut tried, last_cause, &mut history).await {
             Ok(Some(picked)) => picked,
             Ok(None) => break,
             Err(refused) => {
@@ -194,10 +193,10 @@
                 break;
             }
         };
-        visited.add(picked.key);
+        tried.add(picked.key);
         let result = if attempts == 1 {
             let (first_result, winner) =
-                send_with_hedge(inner, plan, head, body, picked, &mut visited, history).await;
+                send_with_hedge(inner, plan, head, body, picked, &mut tried, history).await;
             picked = winner;
             first_result
         } else {
@@ -237,7 +236,7 @@
         picked.outcome = outcome_of_cause(cause);
         log_failed_attempt(inner, plan, &picked.endpoint.node, refused, attempts);
         if cause == Cause::Full {
-            visited.mark_full(picked.key);
+            tried.mark_full(picked.key);
         }
         last_cause = Some(cause);
         drop(picked);
@@ -258,7 +257,7 @@
             retried_by_caller: plan.retried_by_caller,
             has_alternative: cause != Cause::Full
                 || plan.nested.is_some()
-                || plan.client.has_room(now, plan.body_size, visited.keys()),
+                || plan.client.has_room(now, plan.body_size, tried.keys()),
             deadline: plan.deadline,
             expected_duration: plan.client.expected_duration(plan.route, plan.body_size),
         };
@@ -268,7 +267,7 @@
             Decision::GiveUp(_) => break,
         }
     }
-    log_refused_call(inner, plan, final_refusal, started, visited.count());
+    log_refused_call(inner, plan, final_refusal, started, tried.count());
     final_refusal.into()
 }
 
@@ -326,7 +325,8 @@
     shared.quarantine.status(shared.clock.now(), plan.digest)
 }
 
-/// Combines the refusals of two attempts for the caller. One that may have run takes precedence.
+/// Combines the refusals of two attempts for the caller. The refusal of an attempt that may have run
+/// takes precedence.
 fn combine_refusals(earlier: Refused, later: Refused) -> Refused {
     match earlier.verdict {
         Verdict::NotRun => later,
@@ -334,14 +334,14 @@
     }
 }
 
-/// Picks the endpoint for the next attempt. After a failed attempt, endpoints that were full before
-/// are considered again.
+/// Picks the endpoint for the next attempt. If none is left and the last attempt failed for another
+/// reason than a full endpoint, the endpoints that were full earlier are considered again.
 ///
-/// Returns an error if the request has been quarantined in the meantime.
+/// Returns an error if the request is held in quarantine by now.
 async fn pick_next<C>(
     inner: &Arc<Inner<C>>,
     plan: &Plan,
-    visited: &mut TriedEndpoints,
+    tried: &mut TriedEndpoints,
     last_cause: Option<Cause>,
     history: &mut AttemptHistory,
 ) -> Result<Option<PickedEndpoint<C>>, Refused>
@@ -354,16 +354,16 @@
         RequestStatus::Held { wait } => return Err(Refused::held(wait)),
     }
     if history.is_suspect {
-        return Ok(pick_owner(inner, plan, visited.keys()));
+        return Ok(pick_owner(inner, plan, tried.keys()));
     }
     if last_cause.is_none()
         && let Some(picked) = pick_trial(inner, plan)
     {
         return Ok(Some(picked));
     }
-    let picked = pick(inner, plan, visited.keys()).await;
-    if picked.is_none() && last_cause != Some(Cause::Full) && visited.readmit_full() {
-        return Ok(pick(inner, plan, visited.keys()).await);
+    let picked = pick(inner, plan, tried.keys()).await;
+    if picked.is_none() && last_cause != Some(Cause::Full) && tried.readmit_full() {
+        return Ok(pick(inner, plan, tried.keys()).await);
     }
     Ok(picked)
 }
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(crate) struct ServiceClients {
     clients: RwLock<HashMap<SmolStr, Arc<ServiceClient>>>,
-    /// Limits on repeats for the whole fleet, if configured.
+    /// Fleet-wide limit on retries, if configured.
     fleet_limits: Option<FleetLimits>,
 }
 
@@ -45,7 +45,7 @@
     balancers: [Balancer; 2],
     budget: RetryBudget,
     hedge: HedgePolicy,
-    /// Longest timeout that callers of each route start with.
+    /// Estimates how long callers have already waited, from the longest timeout seen on each route.
     elapsed: elapsed::Estimator,
     /// View that the balancers were last synchronized with.
     synced_view: Weak<View>,
@@ -91,7 +91,7 @@
 where
     C: Clock,
 {
-    service: Arc<ServiceClient>,
+    client: Arc<ServiceClient>,
     clock: C,
     pub(crate) started: Instant,
     route: u64,
@@ -307,7 +307,7 @@
         let endpoint = find_endpoint(view, service, balancer.identity(key)?)?;
         let rollout_call = context.rollouts.begin_call(&endpoint);
         Some(PickedEndpoint {
-            service: Arc::clone(self),
+            client: Arc::clone(self),
             clock: clock.clone(),
             started: now,
             route: context.args.route,
@@ -325,12 +325,12 @@
         self.state.lock().elapsed.observe(route, left)
     }
 
-    /// Counts a call towards the fleet-wide limit on repeats.
+    /// Counts a call towards the fleet-wide limit on retries.
     pub(crate) fn record_call(&self, now: Instant, origin: Origin) {
         let mut state = self.state.lock();
         match origin {
             Origin::Caller => state.budget.record_request(now),
-            Origin::Nested(run) if run.is_retry => state.budget.record_retry(now),
+            Origin::Nested(parent) if parent.is_retry => state.budget.record_retry(now),
             Origin::Nested(_) => {}
         }
     }
@@ -353,7 +353,8 @@
         state.budget.record_success();
     }
 
-    /// Returns the delay after which a hedge is sent, if one is; `allowed` tells whether the call may be hedged.
+    /// Returns the delay after which a hedge may be sent; `None` if none may be. `allowed` is whether
+    /// the plan of the call permits hedges.
     pub(crate) fn hedge_delay(&self, now: Instant, allowed: bool) -> Option<Duration> {
         self.state.lock().hedge.delay(now, allowed)
     }
@@ -401,17 +402,22 @@
 {
     /// Reports the result of a call of `kind` to the roll-out of the service, if there is one.
     ///
-    /// `ran` is the time that the backend server took, if it has answered. A slow answer of a
+    /// `run_time` is the time that the backend server took, if it has answered. A slow answer of a
     /// backend server that is still warming up does not count against its version.
-    pub(crate) fn record_rollout_result(&self, kind: usize, failed: bool, ran: Option<Duration>) {
+    pub(crate) fn record_rollout_result(
+        &self,
+        kind: usize,
+        failed: bool,
+        run_time: Option<Duration>,
+    ) {
         let Some(rollout_call) = &self.rollout_call else {
             return;
         };
         let now = self.clock.now();
-        let state = self.service.state.lock();
+        let state = self.client.state.lock();
         let balancer = &state.balancers[self.body_size as usize];
         let expected = balancer.expected_duration(self.route);
-        let is_slow = ran.is_none_or(|ran| ran > expected.mul_f64(SLOW_FACTOR));
+        let is_slow = run_time.is_none_or(|run_time| run_time > expected.mul_f64(SLOW_FACTOR));
         let is_warming_up = balancer.is_cold(now, self.key);
         drop(state);
         let result = match (failed, is_slow && !is_warming_up) {
@@ -433,7 +439,7 @@
         }
         let now = self.clock.now();
         let took = now.saturating_duration_since(self.started);
-        let mut state = self.service.state.lock();
+        let mut state = self.client.state.lock();
         let state = &mut *state;
         state.balancers[self.body_size as usize].finish(
             now,
--- a/crates/node/src/outbound/tried.rs
+++ b/crates/node/src/outbound/tried.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct TriedEndpoints {
     keys: Vec<Key>,
-    /// Those that were full and did not run the call.
+    /// The endpoints that refused the call because they were full.
     full: Vec<Key>,
 }
 
@@ -30,9 +30,9 @@
 
     /// Allows endpoints that were full to be tried again; returns whether there are any.
     ///
-    /// Otherwise a call could fail although a backend server could run it: an
-    /// attempt gets no response, and by the time that is detected, about a second
-    /// later, the endpoint that was full has capacity again.
+    /// Guards against failing a call that a backend server could run: one endpoint
+    /// is full, and the attempt at another one gets no response. By the time that
+    /// this is detected, about a second later, the first has capacity again.
     pub(crate) fn readmit_full(&mut self) -> bool {
         let full = std::mem::take(&mut self.full);
         self.keys.retain(|key| !full.contains(key));
--- a/crates/node/tests/calls/early_end.rs
+++ b/crates/node/tests/calls/early_end.rs
@@ -49,14 +49,14 @@
     Far,
 }
 
-fn entry_of(entry: Entry, near: &Node, far: &Node) -> SocketAddr {
+fn entry_address(entry: Entry, near: &Node, far: &Node) -> SocketAddr {
     match entry {
         Entry::Near => near.outbound.address(),
         Entry::Far => far.outbound.address(),
     }
 }
 
-// The node next to the last backend server of a service restarts, and the backend server stays.
+// The node of a service's only backend server restarts, and the backend server keeps running.
 // Calls from all other nodes were refused from the start of the stop, although the node served
 // its own callers for another second. It must accept calls from other nodes for as long, and
 // break none of them off.
@@ -87,7 +87,7 @@
 #[test_macro(tokio::test)]
 async fn cancelled(entry: Entry) {
     let (near, far, record) = spawn_pair().await;
-    let address = entry_of(entry, &near, &far);
+    let address = entry_address(entry, &near, &far);
     let mut caller = TcpStream::connect(address).await.unwrap();
     let head = "POST /jobs/1 HTTP/1.1\r\nhost: m\r\nx-request: r1\r\nx-work-ms: 4000\r\ncontent-length: 0\r\n\r\n";
     caller.write_all(head.as_bytes()).await.unwrap();
@@ -103,7 +103,7 @@
 #[test_macro(tokio::test)]
 async fn deadline(entry: Entry) {
     let (near, far, record) = spawn_pair().await;
-    let address = entry_of(entry, &near, &far);
+    let address = entry_address(entry, &near, &far);
     let started = Instant::now();
     let running = tokio::spawn(async move { post(address, "r1", "4000", "400").await });
     wait_recorded(&record, |run| run.request == "r1").await;
@@ -241,7 +241,7 @@
         let half = format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n5\r\nhello\r\n");
         stream.write_all(half.as_bytes()).await.unwrap();
     });
-    let address = entry_of(entry, &near, &far);
+    let address = entry_address(entry, &near, &far);
     let answer = call(address, Method::GET, "/jobs/1", &[], Bytes::new()).await;
     assert!(answer.is_err(), "{answer:?}");
 }
@@ -260,7 +260,7 @@
         drop(stream);
         drop(listener);
     });
-    let address = entry_of(entry, &near, &far);
+    let address = entry_address(entry, &near, &far);
     let first = post(address, "r1", "0", "1000").await;
     assert_eq!(
         (first.status, first.verdict()),
@@ -329,7 +329,7 @@
         (StatusCode::SERVICE_UNAVAILABLE, "not-run")
     );
     set_leaving(false);
-    // The view that announces its return.
+    // Installs the view that says that the backend server is back.
     near.set_route(
         "jobs",
         Repeat::Never,
@@ -406,7 +406,7 @@
         let endpoints = [far.endpoint("jobs", far.nodes_address), spare.clone()];
         node.set_route("jobs", Repeat::Never, &endpoints);
     }
-    let got = post(entry_of(entry, &near, &far), "r1", "0", "2000").await;
+    let got = post(entry_address(entry, &near, &far), "r1", "0", "2000").await;
     assert_eq!((got.status.as_u16(), got.verdict()), (status, verdict));
     assert_eq!(record.entries().len(), runs);
 }
--- a/crates/node/tests/calls/hedge.rs
+++ b/crates/node/tests/calls/hedge.rs
@@ -17,7 +17,7 @@
 
 /// Duration of the call that occupies the second backend server's slot: longer than a look-up
 /// waits for a slot (0.3 s), shorter than the time to detect a silent link (1 s).
-const OCCUPIED_MS: &str = "500";
+const OCCUPANT_WORK_MS: &str = "500";
 
 fn hedged_mesh() -> Mesh {
     let mut mesh = Mesh::default();
@@ -94,7 +94,7 @@
 // The link to the first backend server has gone silent, and the hedge is
 // refused because the second one's only slot is occupied. By the time the
 // silence is detected, that slot is free again, and the call must be answered.
-// It failed when the refusal by the full backend server counted as a used attempt.
+// The call failed when the refusal by the full backend server counted as a used attempt.
 #[tokio::test(flavor = "multi_thread")]
 async fn hedge_refused() {
     let (caller, first, second) = tokio::join!(
@@ -128,7 +128,7 @@
     for _ in 0..WARM_UP_CALLS {
         assert_eq!(look_up(&caller, "0").await.status, StatusCode::OK);
     }
-    let occupant = tokio::spawn(look_up(&second, OCCUPIED_MS));
+    let occupant = tokio::spawn(look_up(&second, OCCUPANT_WORK_MS));
     forwarder.set(Mode::Hold, Mode::Hold);
     let answer = look_up(&caller, "0").await;
     assert_eq!(answer.status, StatusCode::OK, "{:?}", answer.body);
--- a/crates/node/tests/calls/keyed.rs
+++ b/crates/node/tests/calls/keyed.rs
@@ -339,7 +339,7 @@
 
 // The node that owns the key has received the request and is reserving the key
 // when its replies begin to be lost. The caller is told "not run" in the end,
-// but the reservation stands. The repeat must run, rather than be told "may
+// but the key has been reserved. The repeat must run, rather than be told "may
 // have run" because of a call that never runs.
 #[tokio::test]
 async fn reservation_reply_lost() {
--- a/crates/node/tests/calls/mesh.rs
+++ b/crates/node/tests/calls/mesh.rs
@@ -111,8 +111,8 @@
     /// Announces another process of the backend server.
     pub fn announce_process(&self, service: &str, address: SocketAddr, process: u64) {
         self.announce(service, address, 6);
-        self.shared.backend.send_modify(|own| {
-            own.as_mut().unwrap().incarnation = Some(process);
+        self.shared.backend.send_modify(|backend| {
+            backend.as_mut().unwrap().incarnation = Some(process);
         });
     }
 
@@ -140,7 +140,7 @@
         self.set_route_of_class(Class::Lookup, service, repeat, endpoints);
     }
 
-    /// Configures a single route of that class to the service of the same name.
+    /// Configures a single route of `class` to the service of the same name.
     pub fn set_route_of_class(
         &self,
         class: Class,
@@ -168,7 +168,7 @@
     }
 }
 
-/// Starts a backend server with that many slots; its record lists what it ran.
+/// Starts a backend server with `slots` slots; its record lists the calls that it ran.
 pub async fn spawn_server(slots: u16) -> (SocketAddr, RunLog) {
     let (listener, address) = bind().await;
     let record = RunLog::open(None).unwrap();
--- a/crates/node/tests/calls/misbehaving_peer.rs
+++ b/crates/node/tests/calls/misbehaving_peer.rs
@@ -10,11 +10,11 @@
 use wire::call::Frame;
 use wire::codec::{self, MAX_FRAME};
 
-/// Calls of well-behaved callers beside each misbehaving peer.
-const CALLS: usize = 20;
+/// Number of ordinary calls that are made while a peer misbehaves.
+const CALL_COUNT: usize = 20;
 
 /// Time limit for one of these calls, which takes a millisecond or two.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn unknown_id(sequence: u64) -> ::call::Id {
     ::call::Id {
@@ -23,7 +23,7 @@
     }
 }
 
-/// The length prefix of a frame that never follows.
+/// Returns the length prefix of a frame, which never follows.
 fn length_prefix(length: usize) -> Vec<u8> {
     u32::try_from(length).unwrap().to_le_bytes().to_vec()
 }
@@ -89,15 +89,15 @@
         }
     };
     let calling = async {
-        for _ in 0..CALLS {
+        for _ in 0..CALL_COUNT {
             let near = near.outbound.address();
             let answer = call(near, Method::POST, "/jobs/1", &[], Bytes::new());
-            let answer = tokio::time::timeout(CALL_LIMIT, answer).await.unwrap();
+            let answer = tokio::time::timeout(CALL_TIMEOUT, answer).await.unwrap();
             assert_eq!(answer.unwrap().status, StatusCode::OK);
         }
     };
     tokio::join!(sending, calling);
-    assert_eq!(record.entries().len(), CALLS);
+    assert_eq!(record.entries().len(), CALL_COUNT);
     if is_slow {
         let mut scratch = Vec::new();
         let pong = codec::read::<_, wire::Frame>(&mut stream, &mut scratch).await;
@@ -109,7 +109,7 @@
     }
     if is_too_long {
         let mut rest = Vec::new();
-        let ended = tokio::time::timeout(CALL_LIMIT, stream.read_to_end(&mut rest)).await;
+        let ended = tokio::time::timeout(CALL_TIMEOUT, stream.read_to_end(&mut rest)).await;
         assert!(ended.is_ok(), "a length over the limit closes the link");
     }
 }
--- a/crates/node/tests/calls/round_trip.rs
+++ b/crates/node/tests/calls/round_trip.rs
@@ -218,7 +218,7 @@
         let got = call(address, Method::GET, "/jobs/2", &[], Bytes::new()).await;
         assert_eq!(got.unwrap().status, StatusCode::OK);
     }
-    // Nothing is lost of the bytes that were held back.
+    // None of the bytes that were held back are lost.
     let mut rest = 0;
     let mut buffer = vec![0; 1 << 20];
     while rest < 29_999_000 {
@@ -312,8 +312,8 @@
 }
 
 // A body is sent to a backend server without free slots, and then to one with free slots. A
-// refused attempt must transfer the head only: with the bodies of all attempts that it refuses, a
-// slow link carries nothing else.
+// refused attempt must transfer the head only. If the bodies of all refused attempts were
+// transferred, a slow link would carry nothing else.
 #[tokio::test]
 async fn refused_without_body() {
     let near = spawn_node("near").await;
@@ -375,13 +375,13 @@
 }
 
 // A faulty peer keeps sending requests and never reads the replies. The node must close that link
-// instead of keeping the replies for ever, and serve the others. Seen as a node that grew until
-// it was killed.
+// instead of keeping the replies for ever, and serve the other links. The memory of a node grew
+// until it was killed.
 #[tokio::test]
 async fn unread_replies() {
     let far = spawn_node("far").await;
     let mut stream = TcpStream::connect(far.nodes_address).await.unwrap();
-    let hello = make_hello(&spawn_node("deaf").await.shared, wire::LinkKind::Call);
+    let hello = make_hello(&spawn_node("bad").await.shared, wire::LinkKind::Call);
     codec::write(&mut stream, &hello).await.unwrap();
     let open = wire::Frame::Call(Frame::Open { link: 1 });
     codec::write(&mut stream, &open).await.unwrap();
--- a/crates/node/tests/calls/silent_link.rs
+++ b/crates/node/tests/calls/silent_link.rs
@@ -201,12 +201,12 @@
 }
 
 // A link has been idle for a while when a call of half a second is sent over it. It must not be
-// taken for silent: the peer owed nothing until then. Look-ups were answered with "may have run"
-// for this reason.
+// taken for silent: until then, nothing was expected of the peer. Look-ups were answered with
+// "may have run" because of such a mistake.
 #[tokio::test]
 async fn idle_is_not_silent() {
     let pair = spawn_pair(Repeat::Always).await;
-    // The link measures its time in ticks of its own, so real time has to pass.
+    // The link counts the checks of its own timer, so real time has to pass.
     tokio::time::sleep(Duration::from_millis(1_300)).await;
     let answer = pair.post("r1", "500").await;
     assert_eq!((answer.status, answer.verdict()), (StatusCode::OK, "ran"));
@@ -214,9 +214,9 @@
 }
 
 // An availability zone is unreachable: connections to a node there are never answered. Twenty
-// callers call at the same time. All must be told "not run" when the first connection attempt is
-// given up, and the next caller immediately. Each used to wait for the attempt of the caller
-// before it, and then make its own.
+// callers call at the same time. All must be told "not run" when the first attempt to connect is
+// given up, and a later caller must be told so immediately. Each call used to wait for the
+// attempts of the calls before it, and then made one of its own.
 #[tokio::test]
 async fn unreachable_zone() {
     let near = spawn_node("near").await;
--- a/crates/node/tests/calls/unread_answers.rs
+++ b/crates/node/tests/calls/unread_answers.rs
@@ -14,10 +14,10 @@
 use wire::codec;
 
 /// Size of a response that the node holds in full.
-const SHORT: usize = 200_000;
+const SHORT_RESPONSE_BYTES: usize = 200_000;
 
 /// Size of a response that exceeds all buffers on its way.
-const LONG: usize = 40 << 20;
+const LONG_RESPONSE_BYTES: usize = 40 << 20;
 
 /// Longest time that an unread response may hold a slot or delay a stop.
 const STALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -63,13 +63,13 @@
 // A node was killed while a large response was being sent to it. 65,296 bytes of the response
 // remained unread at the node next to the backend server, and the slot stayed taken for 32 s:
 // only the reader grants credit, and the wait for it ended at the deadline plus the 30 s that a
-// commit may run past it. A stop of that node was delayed by as much (`Node(3) to end`, without a
-// `cut_off` line).
+// commit may run past it. A stop of that node was delayed by as much, without a `cut_off` line in
+// its log.
 #[yare::parameterized(
-    killed_short = { PeerState::Killed, SHORT, Duration::ZERO },
-    stalled_short = { PeerState::Stalled, SHORT, Duration::ZERO },
-    killed_long = { PeerState::Killed, LONG, STALL_TIMEOUT },
-    stalled_long = { PeerState::Stalled, LONG, STALL_TIMEOUT },
+    killed_short = { PeerState::Killed, SHORT_RESPONSE_BYTES, Duration::ZERO },
+    stalled_short = { PeerState::Stalled, SHORT_RESPONSE_BYTES, Duration::ZERO },
+    killed_long = { PeerState::Killed, LONG_RESPONSE_BYTES, STALL_TIMEOUT },
+    stalled_long = { PeerState::Stalled, LONG_RESPONSE_BYTES, STALL_TIMEOUT },
 )]
 #[test_macro(tokio::test)]
 async fn slot_freed(state: PeerState, answer: usize, limit: Duration) {
@@ -100,9 +100,9 @@
     );
 }
 
-// A caller stalls in the middle of a response. Its connection was kept, and with it the slot of
-// the backend server; without any limit if the caller's node is the one next to the server, as
-// nothing bounds how long a caller may stall.
+// A caller stalls in the middle of a response. Its connection was kept open, and the slot of the
+// backend server stayed taken: without any limit if the call entered on the backend server's own
+// VM, because nothing limited how long a caller may stall.
 #[yare::parameterized(local = { true }, remote = { false })]
 #[test_macro(tokio::test)]
 async fn caller_reads_nothing(is_local: bool) {
@@ -110,7 +110,7 @@
     let entry = if is_local { &far } else { &near };
     let mut stream = TcpStream::connect(entry.outbound.address()).await.unwrap();
     let request = format!(
-        "POST /jobs/1 HTTP/1.1\r\nhost: mesh\r\nx-answer-bytes: {LONG}\r\n\
+        "POST /jobs/1 HTTP/1.1\r\nhost: mesh\r\nx-answer-bytes: {LONG_RESPONSE_BYTES}\r\n\
          bluebellpick-timeout-ms: 60000\r\ncontent-length: 0\r\n\r\n"
     );
     stream.write_all(request.as_bytes()).await.unwrap();
@@ -130,18 +130,18 @@
     let (_near, far, _record) = spawn_pair().await;
     let peer = spawn_node("peer").await;
     let mut stream = open_link(&peer, &far).await;
-    let request = make_request(&peer, Class::Lookup, SHORT, 300);
+    let request = make_request(&peer, Class::Lookup, SHORT_RESPONSE_BYTES, 300);
     let id = request.id;
     stream
         .write_all(&encode(Frame::Request(request)))
         .await
         .unwrap();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let room = encode(Frame::Credit {
+    let credit = encode(Frame::Credit {
         id,
-        bytes: u32::try_from(SHORT).unwrap(),
+        bytes: u32::try_from(SHORT_RESPONSE_BYTES).unwrap(),
     });
-    stream.write_all(&room).await.unwrap();
+    stream.write_all(&credit).await.unwrap();
     let mut received = 0;
     loop {
         match read_frame(&mut stream).await {
@@ -155,11 +155,12 @@
             other => panic!("{other:?} after {received} bytes"),
         }
     }
-    assert!(received >= SHORT, "{received}");
+    assert!(received >= SHORT_RESPONSE_BYTES, "{received}");
 }
 
 // A backend server restarts. Its node kept the half-closed sockets of the previous process until
-// the next call: 1 to 6 of them 2 s after all faults had ended.
+// the next call. In a fault experiment, 1 to 6 such sockets were left 2 s after all faults had
+// ended.
 #[tokio::test]
 async fn idle_sockets_closed() {
     let far = spawn_node("far").await;
@@ -195,8 +196,8 @@
 }
 
 // A peer's process restarted, and the socket of its previous link stayed half closed (CLOSE-WAIT)
-// for as long as a call's response or the peer's last link was remembered: up to 4 of them at a
-// node for 20 s, each of them a file descriptor here and a half-closed connection there.
+// for as long as a call's response or the peer's last link was remembered. A node had up to 4 such
+// sockets for 20 s, each a file descriptor here and a half-closed connection at the peer.
 #[tokio::test]
 async fn peer_socket_closed() {
     let near = spawn_node("near").await;
@@ -228,7 +229,7 @@
 }
 
 // A VM loses power while it sends a large request body. Nothing closes its connection, and the
-// backend server waited for the rest, with a slot taken, until the call's deadline and 30 s more.
+// backend server waited for the rest until 30 s after the call's deadline, with a slot taken.
 #[tokio::test]
 async fn incomplete_upload() {
     let (near, far, record) = spawn_pair().await;
@@ -245,7 +246,7 @@
     let mut sent = 0;
     while sent < 3 << 20 {
         let Frame::Credit { bytes, .. } = read_frame(&mut stream).await else {
-            panic!("no room for the body");
+            panic!("no credit for the body");
         };
         sent += bytes;
         for part in vec![7; bytes as usize].chunks(16 << 10) {
