--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -4,8 +4,8 @@
 //! and [`tree`] does the I/O. With `distribution = watch` in the settings it watches the platform
 //! directly instead, as a baseline for measurements.
 
-pub(crate) mod desk;
 pub(crate) mod link;
+pub(crate) mod platform_worker;
 pub(crate) mod removal;
 pub(crate) mod rollout;
 pub(crate) mod tree;
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -1,7 +1,7 @@
 //! Drives the distribution state machine: connects it to sockets, timers and the platform.
 
-use crate::control::desk::{self, Command};
 use crate::control::link::{self, Sender};
+use crate::control::platform_worker::{self, Command};
 use crate::shared::Shared;
 use clock::Clock;
 use config::rollout::{Counts, Tally};
@@ -55,7 +55,7 @@
     S: Store,
 {
     let (commands, command_receiver) = mpsc::unbounded_channel();
-    let worker = desk::run(Arc::clone(&shared), store, command_receiver, sender.clone());
+    let worker = platform_worker::run(Arc::clone(&shared), store, command_receiver, sender.clone());
     let worker = tokio::spawn(worker);
     let mut backend = shared.backend.subscribe();
     // The backend server may have announced itself before this task ran. The value at the time of
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Environment variable with the log level, in the syntax of `env_logger`.
-pub const VARIABLE: &str = "BLUEBELLPICK_LOG";
+pub const LEVEL_VARIABLE: &str = "BLUEBELLPICK_LOG";
 
 /// Maximum number of queued lines: 200 kB at about 200 bytes per line.
 const QUEUE_LENGTH: usize = 1_024;
@@ -35,12 +35,12 @@
     pending: Arc<AtomicU64>,
 }
 
-/// Starts the log on standard output, at level `info` unless [`VARIABLE`] sets another.
+/// Starts the log on standard output, at level `info` unless [`LEVEL_VARIABLE`] sets another.
 #[must_use]
 pub fn open() -> Handle {
     let pending = Arc::new(AtomicU64::new(0));
     let writer = QueuedWriter::spawn(io::stdout(), Arc::clone(&pending));
-    Builder::from_env(Env::new().filter_or(VARIABLE, "info"))
+    Builder::from_env(Env::new().filter_or(LEVEL_VARIABLE, "info"))
         .format_timestamp_millis()
         .target(Target::Pipe(Box::new(writer)))
         .init();
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -2,7 +2,7 @@
 //!
 //! The call path fetches a [`Service`] handle once per view and service, and
 //! then uses only atomics and one short lock. Label values come only from the
-//! configuration; services beyond [`MAX_SERVICES`] share one label.
+//! configuration; services beyond [`MAX_SERVICE_LABELS`] share one label.
 
 pub(crate) mod control;
 pub(crate) mod failures;
@@ -31,9 +31,9 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of services with their own label: twice the 410 that the fleet is designed for.
-pub const MAX_SERVICES: usize = 820;
+pub const MAX_SERVICE_LABELS: usize = 820;
 
-/// Label of all services beyond [`MAX_SERVICES`].
+/// Label of all services beyond [`MAX_SERVICE_LABELS`].
 pub const OTHER_SERVICES: &str = "other";
 
 /// Bucket bounds of duration histograms, in seconds: finest around the 0.36 ms
@@ -237,7 +237,7 @@
             return Arc::clone(known);
         }
         let mut services = self.services.write();
-        let name = if services.len() < MAX_SERVICES {
+        let name = if services.len() < MAX_SERVICE_LABELS {
             name
         } else {
             OTHER_SERVICES
--- a/crates/node/tests/operate.rs
+++ b/crates/node/tests/operate.rs
@@ -4,7 +4,7 @@
 
 use call::Verdict;
 use config::{Endpoint, Mesh, Patch, State, Version, View};
-use node::metrics::{Ending, GaugeValues, MAX_SERVICES, Metrics};
+use node::metrics::{Ending, GaugeValues, MAX_SERVICE_LABELS, Metrics};
 use node::operate;
 use status::Status;
 use std::sync::Arc;
@@ -177,7 +177,7 @@
 #[test]
 fn bounded_labels() {
     let metrics = Metrics::new(Instant::now());
-    for index in 0..2 * MAX_SERVICES {
+    for index in 0..2 * MAX_SERVICE_LABELS {
         let counters = metrics.service(&format!("service-{index}"));
         counters.record(Instant::now(), Ending::Answered(200), Duration::ZERO, None);
     }
@@ -185,8 +185,8 @@
     let services = text
         .lines()
         .filter(|line| line.starts_with("bluebellpick_call_duration_seconds_count"));
-    assert_eq!(services.count(), MAX_SERVICES + 1);
-    let others = format!("ending=\"served\"}} {MAX_SERVICES}");
+    assert_eq!(services.count(), MAX_SERVICE_LABELS + 1);
+    let others = format!("ending=\"served\"}} {MAX_SERVICE_LABELS}");
     assert!(
         text.lines()
             .any(|line| line.contains("\"other\"") && line.ends_with(&others))
