--- a/crates/node/src/announce.rs
+++ b/crates/node/src/announce.rs
@@ -38,10 +38,10 @@
 const LISTENER: &str = "backend";
 
 /// Maximum length of a service name in bytes, that of a DNS label.
-const MAX_SERVICE_LENGTH: usize = 63;
+const MAX_SERVICE_NAME_BYTES: usize = 63;
 
 /// Maximum length of a backend server's software version in bytes.
-const MAX_VERSION_LENGTH: usize = 64;
+const MAX_VERSION_BYTES: usize = 64;
 
 /// Body of an announcement: the backend server's description of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -263,13 +263,13 @@
 }
 
 fn find_violation(announcement: &Announcement) -> Option<&'static str> {
-    if announcement.service.is_empty() || announcement.service.len() > MAX_SERVICE_LENGTH {
+    if announcement.service.is_empty() || announcement.service.len() > MAX_SERVICE_NAME_BYTES {
         return Some("service: must be 1 to 63 bytes long");
     }
     if !announcement.address.ip().is_loopback() || announcement.address.port() == 0 {
         return Some("address: must be a loopback address with a port, such as 127.0.0.1:9000");
     }
-    if announcement.version.len() > MAX_VERSION_LENGTH {
+    if announcement.version.len() > MAX_VERSION_BYTES {
         return Some("version: must be at most 64 bytes long");
     }
     if announcement.slots == 0 {
--- a/crates/node/src/announce/process.rs
+++ b/crates/node/src/announce/process.rs
@@ -12,9 +12,10 @@
 /// Maximum number of former processes that are remembered; enough for the restarts of an hour.
 const MAX_FORMER_PROCESSES: usize = 32;
 
-/// Number of announcements after which a process that was replaced counts as the running one again.
-/// A message that was delayed by a partition comes once; the heartbeats of a running process go on.
-const MESSAGES_TO_RETURN: u8 = 2;
+/// Number of messages after which a former process that has not left counts as the current one
+/// again. A message that was delayed by a partition comes once; the heartbeats of a running process
+/// go on.
+const MESSAGES_TO_BECOME_CURRENT: u8 = 2;
 
 /// Time after a leave request during which announcements of unnamed processes are ignored.
 ///
@@ -33,15 +34,15 @@
     /// Name of the process; empty if it gives none.
     name: SmolStr,
     /// Start time by the clock of its VM, if it is given.
-    born: Option<u64>,
+    started_ms: Option<u64>,
 }
 
 impl Process {
     /// Identifies a process that announces itself in the platform's format.
-    pub(super) fn from_platform(instance: SmolStr, born: Option<u64>) -> Self {
+    pub(super) fn from_platform(instance: SmolStr, started_ms: Option<u64>) -> Self {
         Self {
             name: instance,
-            born,
+            started_ms,
         }
     }
 
@@ -49,7 +50,7 @@
     pub(super) fn from_incarnation(incarnation: Option<u64>) -> Self {
         Self {
             name: incarnation.map_or_else(SmolStr::default, |number| number.to_smolstr()),
-            born: None,
+            started_ms: None,
         }
     }
 
@@ -61,8 +62,8 @@
     ///
     /// This is only a hint, since the clock may have been set back in between.
     fn started_before(&self, other: &Self) -> bool {
-        match (self.born, other.born) {
-            (Some(born), Some(other)) => born < other,
+        match (self.started_ms, other.started_ms) {
+            (Some(started), Some(other)) => started < other,
             _ => false,
         }
     }
@@ -95,7 +96,7 @@
     process: Process,
     /// Whether it sent a leave request; otherwise another process replaced it.
     has_left: bool,
-    /// Number of messages from it since then.
+    /// Number of messages received from it since it has counted as gone.
     messages: u8,
 }
 
@@ -145,7 +146,8 @@
         current.cloned().unwrap_or(process)
     }
 
-    /// Returns whether a message is newer than what is known of its process.
+    /// Returns whether a message is newer than what is known of its process; counts the messages of
+    /// former processes.
     ///
     /// A message that was delayed by a partition or a pause may come after its sender has left or
     /// crashed and another process has its address. If it were applied, calls would be addressed to
@@ -161,7 +163,7 @@
             // A leave request doesn't show that the process keeps running. When it counted, a late
             // heartbeat was the second message and brought the leaving process back.
             former.has_left |= message.is_leave;
-            if former.has_left || former.messages < MESSAGES_TO_RETURN {
+            if former.has_left || former.messages < MESSAGES_TO_BECOME_CURRENT {
                 return false;
             }
             self.former.remove(index);
@@ -183,8 +185,8 @@
     /// Returns whether an unknown process seems to have started before the current one.
     ///
     /// Such a process is accepted from its second message on. A late message of a former process
-    /// comes alone, while the heartbeats of a process whose clock was set back before it started
-    /// go on.
+    /// comes alone, while a process that started after its clock was set back keeps sending
+    /// heartbeats.
     fn seems_outdated(&self, process: &Process) -> bool {
         let current = self.current.as_ref();
         current.is_some_and(|current| current != process && process.started_before(current))
--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -32,7 +32,7 @@
 
 /// Maximum number of idle connections: over twice a backend server's usual 6 slots, and far
 /// below the 110 connections of a backend server.
-const MAX_IDLE: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// Timeout for connecting on loopback, which takes about 1 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -108,7 +108,7 @@
     fn put_idle(&self, mut connection: Box<Connection>) {
         connection.idle_since = self.clock.now();
         let mut idle = self.idle.lock();
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -28,7 +28,7 @@
 /// Capacity of the state machine's inbox in inputs; readers of links wait when it is full.
 const INBOX_CAPACITY: usize = 1_024;
 
-/// Handle to the running control part of a node; clones share it.
+/// Handle to the running control component of a node; clones share it.
 #[derive(Debug, Clone)]
 pub struct Handle<C>
 where
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Tells the other nodes that this node leaves, within `limit`, and stops the control part.
+    /// Tells the other nodes that this node leaves, waiting at most `limit`, and stops the control
+    /// component.
     pub async fn leave(&self, limit: Duration) {
         match &self.inbox {
             None => {
--- a/crates/node/src/control/link.rs
+++ b/crates/node/src/control/link.rs
@@ -25,7 +25,7 @@
 const MAX_BATCH_LENGTH: usize = 32;
 
 /// Maximum size in bytes of a buffer that is kept between frames; larger ones are freed.
-const MAX_KEPT_BUFFER: usize = 16 << 10;
+const MAX_KEPT_BUFFER_BYTES: usize = 16 << 10;
 
 /// Timeout for one write to a link's socket.
 ///
@@ -125,7 +125,7 @@
             }
         }
         buffer.drain(..used);
-        if buffer.is_empty() && buffer.capacity() > MAX_KEPT_BUFFER {
+        if buffer.is_empty() && buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
             buffer = Vec::new();
         }
     }
@@ -139,8 +139,9 @@
             if let Err(error) = codec::encode(&wire::Frame::Control(frame), &mut buffer) {
                 log::warn!(error:%; "control_frame_too_long");
             }
-            // Otherwise a batch of long frames would be held in memory twice.
-            if buffer.len() >= MAX_KEPT_BUFFER
+            // Long frames are written at once: a whole batch of them would otherwise be held in
+            // memory twice.
+            if buffer.len() >= MAX_KEPT_BUFFER_BYTES
                 && flush(&mut sink, &mut buffer, &sent).await.is_err()
             {
                 return;
@@ -164,7 +165,7 @@
     }
     sent.inc_by(buffer.len() as u64);
     buffer.clear();
-    buffer.shrink_to(MAX_KEPT_BUFFER);
+    buffer.shrink_to(MAX_KEPT_BUFFER_BYTES);
     Ok(())
 }
 
--- a/crates/node/src/control/platform_worker.rs
+++ b/crates/node/src/control/platform_worker.rs
@@ -1,4 +1,7 @@
-//! Executes the state machine's platform operations, one after the other.
+//! Executes the platform operations that the state machine requests.
+//!
+//! Reads and lease operations run one after the other. Watches, and the writes of crashes and
+//! roll-outs, run in tasks of their own.
 
 use crate::control::tree::Input;
 use crate::control::{removal, rollout as rollout_store};
@@ -26,8 +29,8 @@
 /// Name prefix of the leases of roots.
 const ROOT_LEASE_PREFIX: &str = "roots/";
 
-/// Backoff before the crashes are written again. Zones that are partitioned from each other have to
-/// learn of them within 3 s.
+/// Backoff between attempts to write crashes to the platform. Zones that are partitioned from each
+/// other have to learn of each other's crashes within 3 s.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
 const BACKOFF_CAP: Duration = Duration::from_millis(800);
 
@@ -59,7 +62,8 @@
             command = commands.recv() => command,
             Ok(()) = eras.changed() => {
                 let former = std::mem::replace(&mut era, *eras.borrow_and_update());
-                // The first era is only learned. A later change means a restored platform.
+                // The first era that becomes known is no change. A later one means that the
+                // platform was restored from a backup.
                 if former.is_some() {
                     worker.send_response(PlatformResponse::Restored).await;
                 }
@@ -88,7 +92,8 @@
     Query(PlatformRequest),
     /// Writes the crashes that the holder of a root lease remembers, until that succeeds.
     WriteCrashes { slot: u8, list: Vec<Crash> },
-    /// Writes the progress of a roll-out, until that succeeds or another outcome is stored.
+    /// Writes the progress of a roll-out; retries until this progress, a final stage or a newer
+    /// order is stored.
     WriteRollout(Rollout),
 }
 
@@ -169,8 +174,9 @@
     /// Reads the highest version; the journal is read only from the known version `after`.
     async fn read_latest_version(&self, after: config::Version) -> Result<PlatformResponse, Error> {
         if self.shared.uses_platform_interface() {
-            // The version is nearly always the known one. After a restart of all nodes, parsing
-            // and applying the full configuration on each VM took 0.6 s on a tenth of a core.
+            // Parses only the version first, since it is nearly always the known one. After a
+            // restart of all nodes, parsing and applying the full configuration on each VM took
+            // 0.6 s on a tenth of a core.
             let text = self.read_configuration().await?;
             let version = platform::mesh::parse_version(&text).map_err(as_invalid)?;
             if version <= after {
@@ -189,8 +195,9 @@
         )))
     }
 
-    /// Reads all that leads to the latest version; sends all responses but the last, which it
-    /// returns.
+    /// Reads the steps from `after` to the latest version, or the full configuration.
+    ///
+    /// Sends all responses but the last, which it returns.
     async fn fetch_latest(&self, after: config::Version) -> Result<PlatformResponse, Error> {
         let mut responses = if self.shared.uses_platform_interface() {
             let text = self.read_configuration().await?;
@@ -242,7 +249,7 @@
         Ok(PlatformResponse::Leases(root_leases))
     }
 
-    /// Returns since when this process has seen the lease unchanged.
+    /// Returns the time since which this process has seen the lease unchanged.
     fn observe_lease(&mut self, record: &LeaseRecord, now: Instant) -> Instant {
         let observed = ObservedLease {
             revision: record.revision,
@@ -326,7 +333,7 @@
     }
 
     /// Forwards the crashes that roots write. One reader per zone is enough, since its links carry
-    /// them to the others.
+    /// them to the other nodes.
     fn watch_crashes(&self, is_primary: bool) -> impl Future<Output = ()> + use<C, S> {
         let (crash_store, inbox) = (self.crash_store.clone(), self.inbox.clone());
         let mut objects =
@@ -347,10 +354,10 @@
 
     /// Forwards the roll-outs that operators order, with their reported progress.
     ///
-    /// Every root reads them: one that is not connected to another root yet would otherwise
-    /// continue with outdated ones.
+    /// Every root reads the roll-outs: a root that is not connected to another root yet would
+    /// otherwise continue with outdated roll-outs.
     fn watch_rollouts(&self, is_primary: bool) -> impl Future<Output = ()> + use<C, S> {
-        let is_on = self.shared.settings.canary_share.is_some();
+        let follows_rollouts = self.shared.settings.canary_share.is_some();
         let (shared, inbox) = (Arc::clone(&self.shared), self.inbox.clone());
         let store = if is_primary {
             self.store.clone()
@@ -360,15 +367,15 @@
         let mut objects = ObjectWatcher::open_folder(store, rollout::FOLDER);
         let rollouts = self.open_rollout_store();
         async move {
-            if !is_on {
+            if !follows_rollouts {
                 return;
             }
             loop {
                 let object = objects.next().await;
-                let Some(standing) = rollout_store::read(&shared, &object) else {
+                let Some(stored) = rollout_store::decode(&shared, &object) else {
                     continue;
                 };
-                let rollout = rollouts.mark_in_progress(standing, object.revision).await;
+                let rollout = rollouts.mark_in_progress(stored, object.revision).await;
                 let response = Input::Response(PlatformResponse::Rollouts(vec![rollout]));
                 if inbox.send(response).await.is_err() {
                     return;
@@ -388,12 +395,13 @@
         rollout_store::RolloutStore::open(Arc::clone(&self.shared), self.store.clone())
     }
 
-    /// Writes the progress of a roll-out, with retries until it or another outcome is stored.
+    /// Writes the progress of a roll-out; retries until this progress, a final stage or a newer
+    /// order is stored.
     fn write_rollout(&mut self, rollout: Rollout) {
         let (rollouts, inbox) = (self.open_rollout_store(), self.inbox.clone());
         let service = rollout.service.clone();
         let task = tokio::spawn(async move {
-            let stored = rollouts.report(rollout).await;
+            let stored = rollouts.write_with_retries(rollout).await;
             drop(
                 inbox
                     .send(Input::Response(PlatformResponse::Rollouts(stored)))
--- a/crates/node/src/control/rollout.rs
+++ b/crates/node/src/control/rollout.rs
@@ -40,7 +40,7 @@
     pub(crate) async fn list(&self) -> Result<Vec<Rollout>, Error> {
         let page = self.store.list(rollout::FOLDER, "", PAGE_SIZE).await?;
         let objects = page.items.iter();
-        let stored_rollouts = objects.filter_map(|object| read(&self.shared, object));
+        let stored_rollouts = objects.filter_map(|object| decode(&self.shared, object));
         Ok(stored_rollouts.map(|stored| stored.rollout).collect())
     }
 
@@ -61,15 +61,16 @@
         stored.rollout
     }
 
-    /// Writes the progress of a roll-out, with retries until it or another outcome is stored.
+    /// Writes the progress of a roll-out; retries until this progress, a final stage or a newer
+    /// order is stored.
     ///
     /// Each write is conditional on the revision just read, so that of two concurrent outcomes only
-    /// one is stored. Returns what is stored then, which may be a newer order, or nothing if the
-    /// order is gone or can't be read.
-    pub(crate) async fn report(&self, wanted: Rollout) -> Vec<Rollout> {
+    /// one is stored. Returns the stored roll-out, which may be a newer order, or nothing if the
+    /// order is gone or can't be decoded.
+    pub(crate) async fn write_with_retries(&self, wanted: Rollout) -> Vec<Rollout> {
         let mut backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP);
         loop {
-            match self.try_report(&wanted).await {
+            match self.try_write(&wanted).await {
                 Ok(stored) => return stored.into_iter().collect(),
                 Err(error) => {
                     warn!(service = wanted.service.as_str(), error:%; "rollout_not_written");
@@ -80,12 +81,12 @@
         }
     }
 
-    async fn try_report(&self, wanted: &Rollout) -> Result<Option<Rollout>, Error> {
+    async fn try_write(&self, wanted: &Rollout) -> Result<Option<Rollout>, Error> {
         let name = format!("{}{}", rollout::FOLDER, wanted.service);
         let Some(object) = self.store.get(&name).await? else {
             return Ok(None);
         };
-        let Some(stored) = read(&self.shared, &object) else {
+        let Some(stored) = decode(&self.shared, &object) else {
             return Ok(None);
         };
         let is_replaced = stored.rollout.target != wanted.target;
@@ -111,7 +112,7 @@
 }
 
 /// Decodes one roll-out; one that can't be decoded is logged and skipped.
-pub(crate) fn read<C>(shared: &Shared<C>, object: &Object) -> Option<StoredRollout>
+pub(crate) fn decode<C>(shared: &Shared<C>, object: &Object) -> Option<StoredRollout>
 where
     C: Clock,
 {
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// Logs why a version gets no more calls, with the counts of both versions.
+/// Logs why a roll-out was stopped, with the call counts of its new version and of the others.
 fn log_stopped_rollout(rollout: &Rollout, reason: StopReason, tally: &Tally) {
     let sum = |kinds: &[Counts]| {
         let ended: u32 = kinds.iter().map(|counts| counts.ended).sum();
@@ -230,7 +230,7 @@
                     self.closing_writers.push(sender.close());
                 }
             }
-            // The worker that receives the commands ends after this task.
+            // Sending can't fail: the worker that receives the commands ends after this task.
             Action::QueryPlatform(request) => drop(self.commands.send(Command::Query(request))),
             Action::WriteCrashes { slot, list } => {
                 drop(self.commands.send(Command::WriteCrashes { slot, list }));
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -27,7 +27,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Capacity of the queue of changes that wait to be applied.
-const CHANGE_BUFFER: usize = 64;
+const CHANGE_QUEUE_LENGTH: usize = 64;
 
 /// A change from which a new view is built.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     C: Clock,
     S: Store,
 {
-    let (sender, mut changes) = mpsc::channel(CHANGE_BUFFER);
+    let (sender, mut changes) = mpsc::channel(CHANGE_QUEUE_LENGTH);
     let versions = watch_versions(Arc::clone(&shared), store.clone(), sender.clone());
     let endpoints = watch_endpoints(store.clone(), sender);
     let announcements = announce(Arc::clone(&shared), store);
@@ -79,7 +79,7 @@
     shared.view.store(Arc::new(view));
 }
 
-/// Merges an endpoint, of which only the latest announcement per node is kept.
+/// Adds an endpoint, unless an equally late or later announcement of its node is known.
 fn merge(endpoints: &mut BTreeMap<SmolStr, Arc<Endpoint>>, new: Endpoint) {
     let order =
         |endpoint: &Endpoint| (endpoint.started_ms, endpoint.incarnation, endpoint.sequence);
--- a/crates/node/src/forwarded_body.rs
+++ b/crates/node/src/forwarded_body.rs
@@ -64,8 +64,8 @@
                 Poll::Ready(frame.map(|got| got.map_err(Error::from)))
             }
             Rest::Link(call) => {
-                let part = ready!(call.poll_request_body(cx));
-                Poll::Ready(part.map(|got| got.map(Frame::data)))
+                let chunk = ready!(call.poll_request_body(cx));
+                Poll::Ready(chunk.map(|got| got.map(Frame::data)))
             }
         }
     }
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -26,17 +26,17 @@
 /// Bodies are bounded by their calls' windows; this bounds heads. At 1 Gbit/s,
 /// 1 MB of queued data delays a request by 10 ms, longer than any queueing that
 /// is worthwhile.
-const MAX_QUEUED: usize = 1 << 20;
+const MAX_UNSENT_BYTES_FOR_REQUESTS: usize = 1 << 20;
 
 /// Unsent bytes from which the link to a peer that does not read is closed.
 ///
 /// Queued bodies are limited to their windows, and a backend server runs some
 /// dozens of calls at once, 64 kB each. A larger queue means that the peer sends
 /// requests but never reads, and the queue would grow without bound.
-const MAX_BUFFERED: usize = 8 << 20;
+const MAX_UNSENT_BYTES: usize = 8 << 20;
 
 /// Size of a read from the socket; the buffer is held only during the read.
-const READ_CHUNK: usize = 16 << 10;
+const READ_BYTES: usize = 16 << 10;
 
 /// Capacity that an empty write buffer keeps: enough for the heads of a few calls.
 const RETAINED_CAPACITY: usize = 1 << 10;
@@ -115,7 +115,7 @@
 #[derive(Debug)]
 pub struct Sender {
     write_state: Mutex<WriteState>,
-    blocked: Notify,
+    wake_writer: Notify,
     closed: Notify,
     /// Whether the reader checks the link rarely because nothing is expected.
     reader_idle: AtomicBool,
@@ -141,7 +141,7 @@
 }
 
 impl WriteState {
-    fn queued(&self) -> usize {
+    fn unsent_bytes(&self) -> usize {
         self.buffer.len() - self.flushed
     }
 
@@ -196,7 +196,7 @@
         I: IntoIterator<Item = Frame>,
     {
         let mut write_state = self.write_state.lock();
-        if write_state.queued() > MAX_QUEUED {
+        if write_state.unsent_bytes() > MAX_UNSENT_BYTES_FOR_REQUESTS {
             return Err(Error::Full);
         }
         if write_state.socket.is_none() {
@@ -219,15 +219,15 @@
                 return Err(error.into());
             }
         }
-        let end = write_state.bytes_written + write_state.queued() as u64;
-        if write_state.queued() > MAX_BUFFERED {
+        let end = write_state.bytes_written + write_state.unsent_bytes() as u64;
+        if write_state.unsent_bytes() > MAX_UNSENT_BYTES {
             log::warn!("link_unread");
             self.close_locked(write_state);
             return Err(Error::Closed);
         }
         if !write_state.blocked {
             match write_state.flush() {
-                Ok(()) if write_state.blocked => self.blocked.notify_one(),
+                Ok(()) if write_state.blocked => self.wake_writer.notify_one(),
                 Ok(()) => {}
                 Err(_) => self.close_locked(write_state),
             }
@@ -235,7 +235,8 @@
         Ok(end)
     }
 
-    /// Makes the reader check for silence from now on, as an answer is expected to what was just sent.
+    /// Makes the reader check for silence from now on, since an answer to what was just sent is
+    /// expected.
     pub fn expect_answer(&self) {
         if self.reader_idle.swap(false, Ordering::AcqRel) {
             self.wake_reader.notify_one();
@@ -253,7 +254,7 @@
             write_state.buffer = Vec::new();
             write_state.flushed = 0;
             self.closed.notify_one();
-            self.blocked.notify_one();
+            self.wake_writer.notify_one();
         }
     }
 
@@ -280,7 +281,7 @@
         write_state
             .socket
             .clone()
-            .filter(|_| write_state.queued() > 0)
+            .filter(|_| write_state.unsent_bytes() > 0)
     }
 
     /// Returns the number of bytes that the socket has accepted; it no longer grows once the link is closed.
@@ -293,11 +294,11 @@
 /// Writes what the socket did not accept right away, until the link closes.
 async fn write_blocked(sender: Arc<Sender>) {
     loop {
-        sender.blocked.notified().await;
+        sender.wake_writer.notified().await;
         while let Some(socket) = sender.unflushed_socket() {
             tokio::select! {
                 _ = socket.writable() => {}
-                () = sender.blocked.notified() => {}
+                () = sender.wake_writer.notified() => {}
             }
             let mut write_state = sender.write_state.lock();
             if write_state.flush().is_err() {
@@ -334,7 +335,7 @@
     };
     let sender = Arc::new(Sender {
         write_state: Mutex::new(write_state),
-        blocked: Notify::new(),
+        wake_writer: Notify::new(),
         closed: Notify::new(),
         reader_idle: AtomicBool::new(false),
         wake_reader: Notify::new(),
@@ -380,14 +381,18 @@
                     check.as_mut().reset(Instant::now() + CHECK_INTERVAL);
                 }
                 () = &mut check => {
-                    let now = self.update_expected(&expect);
+                    let current = self.update_expected(&expect);
                     // Time in which nothing was expected does not count as silence.
-                    silent_checks = if now == expected { silent_checks + 1 } else { 0 };
-                    expected = now;
-                    if self.check_silence(silent_checks, now).is_break() {
+                    silent_checks = if current == expected { silent_checks + 1 } else { 0 };
+                    expected = current;
+                    if self.check_silence(silent_checks, current).is_break() {
                         break;
                     }
-                    let interval = if now == Expected::Nothing { IDLE_CHECK_INTERVAL } else { CHECK_INTERVAL };
+                    let interval = if current == Expected::Nothing {
+                        IDLE_CHECK_INTERVAL
+                    } else {
+                        CHECK_INTERVAL
+                    };
                     check.as_mut().reset(Instant::now() + interval);
                 }
             }
@@ -402,11 +407,11 @@
     {
         // Set first, so that a sender who expects an answer after this point wakes the reader.
         self.sender.reader_idle.store(true, Ordering::Release);
-        let now = expect();
-        if now != Expected::Nothing {
+        let current = expect();
+        if current != Expected::Nothing {
             self.sender.reader_idle.store(false, Ordering::Release);
         }
-        now
+        current
     }
 
     /// Reads what has arrived and passes on the complete frames.
@@ -419,7 +424,7 @@
     where
         T: FnMut(Frame) -> ControlFlow<()>,
     {
-        buffer.reserve(READ_CHUNK);
+        buffer.reserve(READ_BYTES);
         let has_received = match self.socket.try_read_buf(buffer) {
             Ok(1..) => true,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => false,
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -130,7 +130,7 @@
 
 /// Limits the lines per second of one kind of event about calls.
 ///
-/// *Load pattern:* an overload refuses hundreds of calls per second. *Without it*
+/// In an overload, a node refuses hundreds of calls per second. Without the limit,
 /// a node on a small VM would spend its CPU time on logging them.
 #[derive(Debug, Default)]
 pub struct RateLimiter {
@@ -140,8 +140,10 @@
 }
 
 impl RateLimiter {
-    /// Returns `None` if the line is over the limit of the current second. The first line of a
-    /// second returns how many lines were dropped in the last second with lines, others return 0.
+    /// Requests one line; returns `None` if it is over the limit of the current second.
+    ///
+    /// Otherwise returns a number of dropped lines to report: for the first line of a second those
+    /// that were dropped in the last second with lines, for other lines 0.
     pub fn admit(&self, elapsed: Duration) -> Option<u64> {
         let second = elapsed.as_secs();
         let mut dropped = 0;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -52,7 +52,7 @@
         handled.and_then(|runtime| runtime.block_on(async { signal(SignalKind::hangup()) }));
     if let Err(error) = handled {
         eprintln!(
-            "can't install a handler for SIGHUP, which ends the process until it serves: {error}"
+            "can't install a handler for SIGHUP; until the node serves, SIGHUP ends it: {error}"
         );
     }
 }
@@ -125,9 +125,9 @@
 
 /// Reads the settings file again, and logs whether it is valid and has changed.
 ///
-/// Changes take effect at the next start. All settings are the node's locality and addresses, by
-/// which callers and other nodes know it, or limits of what is open already. An invalid file is
-/// reported now, and not by a process that fails to start later.
+/// Changes take effect at the next start. Each setting is either part of the node's locality and
+/// addresses, by which callers and other nodes know it, or a limit of something that is open
+/// already. An invalid file is reported now, and not by a process that fails to start later.
 fn reload(current: Settings, path: &Path) -> Settings {
     match Settings::open(path) {
         Ok(next) if next == current => {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -164,9 +164,10 @@
 ///
 /// The node refuses calls of other nodes only after its lame-duck time, in which it sends its own
 /// callers away: the backend server stays, and is unavailable to other nodes for as long as its
-/// node refuses them. When both ended at once, a restart of the node next to the last backend
-/// server of a service made that service unavailable to everybody for 1.6 s to 2.5 s. Ending the
-/// calls of other nodes later saves 1 s of that.
+/// node refuses them. When the node sent its callers away and refused the calls of other nodes at
+/// the same time, a restart of the node next to the last backend server of a service made that
+/// service unavailable to all callers for 1.6 s to 2.5 s. Refusing the calls of other nodes later
+/// saves 1 s of that.
 pub async fn end_calls<C>(
     shared: &Shared<C>,
     inbound: &inbound::Handle<C>,
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -76,7 +76,7 @@
         "/metrics" | "/healthz" | "/readyz" | "/v1/status" | "/v1/burn" | "/v1/drain"
     );
     if is_known && *request.method() != expected {
-        let message = format!("want {expected}");
+        let message = format!("method not allowed; use {expected}");
         return error_response(StatusCode::METHOD_NOT_ALLOWED, &message);
     }
     match path {
@@ -220,7 +220,10 @@
 {
     if !is_authorized(request, shared.settings.token.0.as_deref()) {
         warn!("drain_unauthorized");
-        return error_response(StatusCode::UNAUTHORIZED, "want Authorization: Bearer TOKEN");
+        return error_response(
+            StatusCode::UNAUTHORIZED,
+            "unauthorized; use the header Authorization: Bearer TOKEN",
+        );
     }
     let changed = !shared.leaving.send_replace(true);
     if changed {
--- a/crates/node/src/reserve.rs
+++ b/crates/node/src/reserve.rs
@@ -44,17 +44,18 @@
 /// immediately that its call did not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Minimum delay that such a caller is told to wait; the maximum is twice as long.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Minimum delay that the caller of a refused claim is told to wait; the maximum
+/// is twice as long.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time for which claims of a shard are refused immediately after one of them
-/// was not answered within [`CLAIM_TIMEOUT`]. After that, claims are sent again.
+/// Time for which claims of a shard are refused without being sent, once one of
+/// them was not answered within [`CLAIM_TIMEOUT`].
 ///
 /// Without it, every caller would wait that long while the platform is slow.
-const STALL_TIMEOUT: Duration = Duration::from_secs(1);
+const STALL_REFUSAL_TIME: Duration = Duration::from_secs(1);
 
 /// Time for which nothing is sent to an owner that did not answer.
-const FAILED_TIMEOUT: Duration = Duration::from_secs(5);
+const FAILED_OWNER_PAUSE: Duration = Duration::from_secs(5);
 
 /// Maximum number of concurrent links from other nodes. At the design size, the
 /// fleet's keyed calls, distributed over the shards, keep about 350 open.
@@ -269,7 +270,7 @@
         let has_failed = |destination: &Destination| match destination {
             Destination::Remote(address) => failed_owners
                 .get(address)
-                .is_some_and(|at| at.elapsed() < FAILED_TIMEOUT),
+                .is_some_and(|at| at.elapsed() < FAILED_OWNER_PAUSE),
             Destination::Local => false,
         };
         destinations.retain(|destination| !has_failed(destination));
@@ -303,7 +304,7 @@
 
     fn is_stalled(&self, key: Key) -> bool {
         let stalled_at = self.stalled_at.lock()[usize::from(key.shard())];
-        stalled_at.is_some_and(|at| at.elapsed() < STALL_TIMEOUT)
+        stalled_at.is_some_and(|at| at.elapsed() < STALL_REFUSAL_TIME)
     }
 
     /// Marks the key's shard as stalled because a claim made at `start` timed out.
@@ -362,7 +363,7 @@
     fn record_failure(&self, destination: Destination) {
         if let Destination::Remote(address) = destination {
             let mut failed_owners = self.failed_owners.lock();
-            failed_owners.retain(|_, at| at.elapsed() < FAILED_TIMEOUT);
+            failed_owners.retain(|_, at| at.elapsed() < FAILED_OWNER_PAUSE);
             failed_owners.insert(address, Instant::now());
         }
     }
@@ -370,7 +371,7 @@
 
 /// Returns a refusal with a random delay, so that callers don't all retry at the same time.
 fn make_refusal() -> Reply {
-    let delay = RETRY_AFTER.mul_f64(rand::rng().random_range(1.0..2.0));
+    let delay = MIN_RETRY_AFTER.mul_f64(rand::rng().random_range(1.0..2.0));
     Reply::Refused {
         retry_after_ms: whole_ms(delay),
     }
--- a/crates/node/src/reserve/journal.rs
+++ b/crates/node/src/reserve/journal.rs
@@ -23,8 +23,8 @@
 /// Time for which a table counts as up to date after it was last read or written.
 ///
 /// Another node may have released or completed a key that is still held in this
-/// node's table. That errs on the safe side, but callers should not be told that
-/// such a key is held for long.
+/// node's table. No call runs twice because of that, but callers should not be
+/// told for long that such a key is held.
 const FRESH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A record whose write is not confirmed yet.
@@ -56,7 +56,7 @@
     abandoned: Vec<(Key, Holder)>,
     expiry: KeyExpiry,
     /// Number of the last record in the last snapshot.
-    snapshot: u64,
+    snapshot_number: u64,
     retention: RetentionTracker,
 }
 
@@ -78,7 +78,7 @@
             in_doubt: None,
             abandoned: Vec::new(),
             expiry: KeyExpiry::default(),
-            snapshot: 0,
+            snapshot_number: 0,
             retention: RetentionTracker::default(),
         }
     }
@@ -199,8 +199,9 @@
                     self.in_doubt = Some(record);
                 }
                 // `Error::Gone` means that this process was paused for so long
-                // that the record's number is at or below the floor. Loading
-                // again shows whether the record was committed.
+                // that the record's number is at or below the journal's floor, up to
+                // which records may have been removed. Loading again shows whether
+                // the record was committed.
                 self.loaded &= error != Error::Gone;
                 Err(error)
             }
@@ -235,7 +236,7 @@
             None => KeyTable::default(),
         };
         self.position = loaded.snapshot_number;
-        self.snapshot = loaded.snapshot_number;
+        self.snapshot_number = loaded.snapshot_number;
         for record in &loaded.tail.records {
             self.apply_record(record)?;
         }
@@ -249,13 +250,13 @@
     ///
     /// This only saves work; if it fails, the next round tries again.
     pub(crate) async fn compact(&mut self) {
-        if self.position >= self.snapshot + SNAPSHOT_INTERVAL {
+        if self.position >= self.snapshot_number + SNAPSHOT_INTERVAL {
             match self.write_snapshot().await {
-                Ok(()) => self.snapshot = self.position,
+                Ok(()) => self.snapshot_number = self.position,
                 Err(error) => log::warn!(error:%; "snapshot_failed"),
             }
         }
-        if self.snapshot > 0 && self.position.is_multiple_of(REMOVAL_INTERVAL) {
+        if self.snapshot_number > 0 && self.position.is_multiple_of(REMOVAL_INTERVAL) {
             let removed = self.journal.remove_old(&mut self.retention, 0).await;
             if let Err(error) = removed {
                 log::debug!(error:%; "removal_failed");
--- a/crates/node/src/reserve/key_expiry.rs
+++ b/crates/node/src/reserve/key_expiry.rs
@@ -9,14 +9,14 @@
 /// may repeat a request by hand within a working day.
 const KEY_TTL: Duration = Duration::from_hours(24);
 
-/// Time for which keys are held when the shard is nearly full. By then callers'
-/// automatic repeats have ended, and so has every call (five minutes at most).
+/// Time for which keys are held when the shard is nearly full. Within this time
+/// callers' automatic repeats end, and so does every call (five minutes at most).
 const REDUCED_KEY_TTL: Duration = Duration::from_mins(15);
 
 /// Fill level from which on [`REDUCED_KEY_TTL`] applies, in eighths of [`MAX_KEYS`].
 const NEARLY_FULL_EIGHTHS: usize = 7;
 
-/// Minimum time between two samples.
+/// Minimum time between the commits of two sampled records.
 const SAMPLE_INTERVAL: Duration = Duration::from_mins(1);
 
 /// Tracks when records were committed, to find those whose keys have expired.
@@ -27,12 +27,12 @@
 /// process starts without samples and therefore holds keys longer, never shorter.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct KeyExpiry {
-    /// Times and numbers of committed records, oldest first.
+    /// When sampled records were known to be committed, and their numbers, oldest first.
     samples: VecDeque<(Instant, u64)>,
 }
 
 impl KeyExpiry {
-    /// Records that record `number` is committed.
+    /// Notes that record `number` has been committed.
     pub(crate) fn record_commit<C>(&mut self, clock: &C, number: u64)
     where
         C: Clock,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Returns the last record whose keys have expired, if any, for a table of `key_count` keys.
+    /// Returns the number of the last record whose keys have expired, if any, for a table of
+    /// `key_count` keys.
     pub(crate) fn last_expired<C>(&self, clock: &C, key_count: usize) -> Option<u64>
     where
         C: Clock,
--- a/crates/node/src/reserve/shard.rs
+++ b/crates/node/src/reserve/shard.rs
@@ -26,7 +26,7 @@
 const COMMIT_INTERVAL: Duration =
     Duration::from_millis(SHARD_COUNT as u64 * 1000 / RECORDS_PER_SECOND);
 
-/// Number of records that a shard which was below that rate may write at once.
+/// Number of records that a shard may write in a burst while it is below the steady rate.
 ///
 /// Keyed calls rarely arrive evenly; without a burst, one in three would wait
 /// for no reason. A burst of all shards is 64 records, which the platform
@@ -44,15 +44,15 @@
 const MAX_PENDING_OUTCOMES: usize = 4_096;
 
 /// Upper bounds of the delay after the first failure and after many.
-const MIN_BACKOFF: Duration = Duration::from_millis(100);
-const MAX_BACKOFF: Duration = Duration::from_secs(2);
+const BACKOFF_BASE: Duration = Duration::from_millis(100);
+const BACKOFF_CAP: Duration = Duration::from_secs(2);
 
 /// Time without commands after which a shard's table is dropped from memory.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Maximum number of consecutive attempts to write a record while other nodes
 /// write to the same shard.
-const CONFLICT_ATTEMPTS: u32 = 8;
+const MAX_WRITE_ATTEMPTS: u32 = 8;
 
 /// Delay that a caller is told to wait when the shard is full.
 const FULL_DELAY: Duration = Duration::from_mins(1);
@@ -199,7 +199,7 @@
     /// Answers a claim with what is known about its key, or else refuses it.
     fn refuse(&self, pending: PendingClaim) {
         let known = self.log.table().find_reply(&pending.claim);
-        // If the call is given up now, a key granted to it would stay held.
+        // Never `Granted`: a key granted to a call that is given up now would stay held.
         let known = known.filter(|known| *known != Reply::Granted);
         pending.answer(known.unwrap_or_else(|| self.make_refusal()));
     }
@@ -226,7 +226,7 @@
     /// Returns a refusal with a random delay, so that callers don't all retry at the same time.
     fn make_refusal(&self) -> Reply {
         let until = self.backoff_until.unwrap_or_else(Instant::now);
-        let delay = until.saturating_duration_since(Instant::now()) + MIN_BACKOFF;
+        let delay = until.saturating_duration_since(Instant::now()) + BACKOFF_BASE;
         refuse_for(delay.mul_f64(rand::rng().random_range(1.0..2.0)))
     }
 
@@ -285,10 +285,10 @@
         if self.failures == 0 {
             log::warn!(error:%; "reservations_refused");
         }
-        let bound = MIN_BACKOFF.saturating_mul(1 << self.failures.min(8));
+        let bound = BACKOFF_BASE.saturating_mul(1 << self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
         let jitter = rand::rng().random_range(0.5..1.0);
-        self.backoff_until = Some(Instant::now() + bound.min(MAX_BACKOFF).mul_f64(jitter));
+        self.backoff_until = Some(Instant::now() + bound.min(BACKOFF_CAP).mul_f64(jitter));
         for pending in std::mem::take(&mut self.claims) {
             self.refuse(pending);
         }
@@ -299,7 +299,7 @@
             self.add_outcome(release);
         }
         self.log.expire_if_full().await?;
-        for attempt in 0..CONFLICT_ATTEMPTS {
+        for attempt in 0..MAX_WRITE_ATTEMPTS {
             let may_be_stale = |pending: &PendingClaim| {
                 let known = self.log.table().find_reply(&pending.claim);
                 known == Some(Reply::Unsettled) && !self.log.is_fresh()
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -35,9 +35,9 @@
     pub address: std::net::SocketAddr,
     /// Number of calls that it runs concurrently, as announced.
     pub slots: u16,
-    /// How long it was slow after its first announcement, in milliseconds, if announced.
+    /// Warm-up time that remained at its first announcement, in milliseconds, if announced.
     pub cold_ms: Option<u32>,
-    /// Whether it has asked to leave.
+    /// Whether it has sent a leave request.
     pub leaving: bool,
 }
 
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -10,9 +10,9 @@
 /// Interval between log lines about what a stop waits for.
 const LOG_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The time reserved for the steps after the calls is the stop's limit divided by this.
+/// The time reserved for the steps after the calls is the stop's limit divided by this number.
 ///
-/// If the node is killed after 6 s, it has 3.3 s for its stop, of which this reserves 0.4 s.
+/// If the node is killed after 6 s, it has 3.3 s for its stop, of which 0.4 s are reserved.
 /// Sending outcomes and a farewell takes some milliseconds.
 const CLEANUP_DIVISOR: u32 = 8;
 
@@ -32,8 +32,8 @@
 
 /// Time limits of a graceful stop.
 ///
-/// A stop that exceeds its limit is killed half way. Each step therefore has a
-/// limit, and time is reserved for the steps after the calls.
+/// A node whose stop exceeds its limit is killed before the stop is complete. Each
+/// step therefore has a limit, and time is reserved for the steps after the calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Plan {
     end: Instant,
@@ -119,7 +119,7 @@
         return;
     };
     while backend
-        .wait_for(|own| own.as_ref().is_some_and(|own| own.leaving))
+        .wait_for(|current| current.as_ref().is_some_and(|current| current.leaving))
         .await
         .is_ok()
     {
--- a/crates/node/tests/announcement_order.rs
+++ b/crates/node/tests/announcement_order.rs
@@ -86,7 +86,7 @@
         assert_eq!(
             listener.serving_slots(),
             Some(4),
-            "a restart is taken at once"
+            "a new process is accepted at once"
         );
     }
 }
@@ -181,8 +181,8 @@
 
 // A backend server that is killed and restarts at its address with the same slots must count as a
 // new process. Otherwise its node keeps half-closed connections to the former process until the
-// next calls, and the whole fleet sends the cold process the share of a warm one. The announcements
-// differ only in the incarnation, which was left out of the comparison.
+// next calls, and the whole fleet sends the new process a full share of calls without a slow start.
+// The announcements differ only in the incarnation, which was left out of the comparison.
 #[tokio::test]
 async fn restart_with_same_slots() {
     let listener = Listener::open().await;
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -22,7 +22,7 @@
     body_bytes: 1 << 10,
 };
 
-async fn spawn_both(shared: &Arc<Shared<clock::System>>) -> [Handle; 2] {
+async fn spawn_listeners(shared: &Arc<Shared<clock::System>>) -> [Handle; 2] {
     [
         announce::spawn_with_limits(bind().await, Arc::clone(shared), LIMITS).unwrap(),
         operate::spawn_with_limits(bind().await, Arc::clone(shared), LIMITS).unwrap(),
@@ -64,7 +64,7 @@
 #[test_macro(tokio::test)]
 async fn refused_or_closed(bytes: Vec<u8>) {
     let shared = make_shared();
-    for handle in spawn_both(&shared).await {
+    for handle in spawn_listeners(&shared).await {
         // Returns only when the listener closes the connection.
         let answer = exchange(handle.address(), &bytes).await;
         let (status, _) = split_answer(&answer);
@@ -84,7 +84,7 @@
 #[tokio::test]
 async fn endless_headers() {
     let shared = make_shared();
-    for handle in spawn_both(&shared).await {
+    for handle in spawn_listeners(&shared).await {
         let mut slow_clients = Vec::new();
         for _ in 0..LIMITS.connections {
             let mut stream = TcpStream::connect(handle.address()).await.unwrap();
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -32,8 +32,8 @@
     assert!(start.elapsed() < 4 * LIMIT, "{:?}", start.elapsed());
 }
 
-// Guards against a node that is killed in the middle of its farewell: the calls had used all of
-// the time for the stop, and the steps after them had independent limits or none.
+// Guards against a node that is killed while it announces to other nodes that it leaves: the calls
+// had used all of the time for the stop, and the steps after them had independent limits or none.
 #[parameterized(
     killed_after_6_s = { 3_300 },
     default = { 30_000 },
