--- a/crates/cli/src/session.rs
+++ b/crates/cli/src/session.rs
@@ -97,7 +97,7 @@
             "the platform's address is needed: give --platform ADDRESS, or platform in the settings file",
         ))?;
         let limits = client::Limits {
-            call: self.timeout,
+            call_timeout: self.timeout,
             ..client::Limits::default()
         };
         let client = Client::open(address, limits);
--- a/crates/node/src/inbound/inbound_call.rs
+++ b/crates/node/src/inbound/inbound_call.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::timeout;
-use wire::call::{Answer, Frame, INITIAL_WINDOW, MAX_EAGER_BODY, Reason, Refusal};
+use wire::call::{Answer, Frame, INITIAL_WINDOW, MAX_EAGER_BODY_BYTES, Reason, Refusal};
 
 /// Interval at which the progress of a response's reader is checked.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -59,8 +59,8 @@
     /// body follows the head.
     pub(crate) fn new(id: Id, link: Arc<Sender>, is_complete: bool, length: u64) -> Arc<Self> {
         // A short body follows the head without being requested.
-        let eager = if length <= MAX_EAGER_BODY as u64 {
-            MAX_EAGER_BODY
+        let eager = if length <= MAX_EAGER_BODY_BYTES as u64 {
+            MAX_EAGER_BODY_BYTES
         } else {
             0
         };
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -30,7 +30,7 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 use tokio::sync::OwnedSemaphorePermit;
-use wire::call::{Header, MAX_EAGER_BODY, Reason, Request};
+use wire::call::{Header, MAX_EAGER_BODY_BYTES, Reason, Request};
 
 /// Header with the time that a call has left, in milliseconds; sent by callers, and to backend
 /// servers.
@@ -271,7 +271,7 @@
     let gate_wait = admitted_at.saturating_duration_since(offered_at);
     inner.shared.metrics.failures.record_gate_wait(gate_wait);
     let parent_key = parent_key(inner, &request);
-    let is_large_body = request.length > MAX_EAGER_BODY as u64;
+    let is_large_body = request.length > MAX_EAGER_BODY_BYTES as u64;
     let is_retry_header = |header: &Header| header.name == retry::HEADER;
     let running_call = RunningCall {
         class: request.class,
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::oneshot;
-use wire::call::{Frame, Header, MAX_EAGER_BODY, Reason};
+use wire::call::{Frame, Header, MAX_EAGER_BODY_BYTES, Reason};
 
 /// Header that tells the backend server the ID of the attempt, for its logs.
 pub(crate) const CALL_HEADER: &str = "bluebellpick-call";
@@ -193,10 +193,10 @@
     };
     let prefix = body.prefix.clone();
     let length = body.length();
-    let credit = if length > MAX_EAGER_BODY as u64 {
+    let credit = if length > MAX_EAGER_BODY_BYTES as u64 {
         0
     } else {
-        MAX_EAGER_BODY
+        MAX_EAGER_BODY_BYTES
     };
     let eager = prefix.slice(..prefix.len().min(credit));
     let end = body.rest.is_none() && eager.len() == prefix.len();
--- a/crates/node/src/outbound/serve.rs
+++ b/crates/node/src/outbound/serve.rs
@@ -26,7 +26,7 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wire::call::{MAX_EAGER_BODY, Reason};
+use wire::call::{MAX_EAGER_BODY_BYTES, Reason};
 
 /// The response to a call, and its outcome for the statistics.
 pub(crate) struct ServedCall<C>
@@ -122,7 +122,7 @@
         Ok(Err(_)) => return reject(StatusCode::BAD_REQUEST, "body-cut-off"),
         Err(_) => return reject(StatusCode::REQUEST_TIMEOUT, "body-late"),
     };
-    if body.length() > MAX_EAGER_BODY as u64 {
+    if body.length() > MAX_EAGER_BODY_BYTES as u64 {
         plan.body_size = BodySize::Large;
     }
     plan.digest = digest_of(&plan, &head, &body);
--- a/crates/node/tests/calls/misbehaving_peer.rs
+++ b/crates/node/tests/calls/misbehaving_peer.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use wire::call::Frame;
-use wire::codec::{self, MAX_FRAME};
+use wire::codec::{self, MAX_FRAME_BYTES};
 
 /// Number of ordinary calls that are made while a peer misbehaves.
 const CALL_COUNT: usize = 20;
@@ -59,8 +59,8 @@
 // links share one listener and one table of calls.
 #[yare::parameterized(
     byte_by_byte = { encode(Frame::Ping), true },
-    never_ends = { length_prefix(MAX_FRAME), false },
-    too_long = { length_prefix(MAX_FRAME + 1), false },
+    never_ends = { length_prefix(MAX_FRAME_BYTES), false },
+    too_long = { length_prefix(MAX_FRAME_BYTES + 1), false },
     unknown_calls = { unknown_calls_frames(), false },
     endless_credit = { credit_frames(), false },
 )]
@@ -77,7 +77,7 @@
         &[far.endpoint("jobs", far.nodes_address)],
     );
     let mut stream = open_link(&bad, &far).await;
-    let is_too_long = input == length_prefix(MAX_FRAME + 1);
+    let is_too_long = input == length_prefix(MAX_FRAME_BYTES + 1);
     let sending = async {
         let size = if is_slow { 1 } else { input.len() };
         for part in input.chunks(size) {
--- a/crates/standin/tests/object_api.rs
+++ b/crates/standin/tests/object_api.rs
@@ -13,8 +13,8 @@
 use tokio::net::TcpListener;
 
 const SHORT_LIMITS: Limits = Limits {
-    call: Duration::from_millis(300),
-    watch: Duration::from_millis(300),
+    call_timeout: Duration::from_millis(300),
+    watch_hold_time: Duration::from_millis(300),
     batch_delay: Duration::from_millis(100),
 };
 
@@ -201,7 +201,7 @@
     let lost = client.create("a/10", &json!(1)).await;
     assert!(lost.is_err_and(|error| error.may_have_taken_effect()));
     assert!(
-        start.elapsed() < 2 * SHORT_LIMITS.call,
+        start.elapsed() < 2 * SHORT_LIMITS.call_timeout,
         "the timeout is as short as before"
     );
 }
@@ -301,7 +301,7 @@
 async fn slow_link() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = Client::open(listener.local_addr().unwrap(), SHORT_LIMITS);
-    tokio::spawn(serve_slowly(listener, SHORT_LIMITS.call / 4));
+    tokio::spawn(serve_slowly(listener, SHORT_LIMITS.call_timeout / 4));
     let object = client.get("a/1").await.unwrap().unwrap();
     assert_eq!(object.value, json!("x".repeat(1_000)));
 }
@@ -312,13 +312,13 @@
 async fn stalled_body() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = Client::open(listener.local_addr().unwrap(), SHORT_LIMITS);
-    tokio::spawn(serve_slowly(listener, SHORT_LIMITS.call * 20));
+    tokio::spawn(serve_slowly(listener, SHORT_LIMITS.call_timeout * 20));
     let start = std::time::Instant::now();
     assert!(matches!(
         client.get("a/1").await,
         Err(Error::Unavailable(_))
     ));
-    assert!(start.elapsed() < SHORT_LIMITS.call * 10);
+    assert!(start.elapsed() < SHORT_LIMITS.call_timeout * 10);
 }
 
 /// A client must detect from any response that the store was restored from a backup, and reject
--- a/crates/store/src/adaptive_timeout.rs
+++ b/crates/store/src/adaptive_timeout.rs
@@ -30,7 +30,7 @@
 
     /// Returns the timeout of the next call.
     #[must_use]
-    pub fn limit(&self) -> Duration {
+    pub fn current(&self) -> Duration {
         self.base * (1 << self.doublings.load(Ordering::Relaxed))
     }
 
@@ -38,13 +38,13 @@
     pub fn record_timeout(&self, limit: Duration) {
         let doublings = self.doublings.load(Ordering::Relaxed);
         // Concurrent calls that all timed out count as one.
-        if limit == self.limit() && doublings < MAX_DOUBLINGS {
+        if limit == self.current() && doublings < MAX_DOUBLINGS {
             self.doublings.store(doublings + 1, Ordering::Relaxed);
         }
     }
 
     /// Records that a call was answered after `time`; a fast response resets the timeout.
-    pub fn record_answer(&self, time: Duration) {
+    pub fn record_response(&self, time: Duration) {
         if time < self.base / 2 {
             self.doublings.store(0, Ordering::Relaxed);
         }
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -214,7 +214,7 @@
 ///
 /// If a call with a longer body is refused, only its head has been sent in vain. Forms and searches
 /// are a few hundred bytes; waiting for credit would only cost them another round trip.
-pub const MAX_EAGER_BODY: usize = 4 << 10;
+pub const MAX_EAGER_BODY_BYTES: usize = 4 << 10;
 
 /// Bytes of an answer's body that may be sent before the first [`Frame::Credit`].
 ///
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 /// Longest frame, in bytes: the platform's largest value (1 MB) and its envelope.
-pub const MAX_FRAME: usize = (1 << 20) + (64 << 10);
+pub const MAX_FRAME_BYTES: usize = (1 << 20) + (64 << 10);
 
 /// Length of a frame's length prefix, in bytes.
 pub const PREFIX_LEN: usize = 4;
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 ///
-/// If the frame is longer than [`MAX_FRAME`]; `buffer` is then unchanged.
+/// If the frame is longer than [`MAX_FRAME_BYTES`]; `buffer` is then unchanged.
 pub fn encode<T>(frame: &T, buffer: &mut Vec<u8>) -> Result<(), Error>
 where
     T: Serialize,
@@ -24,7 +24,7 @@
     buffer.extend_from_slice(&[0; PREFIX_LEN]);
     let mut encoded = postcard::to_extend(frame, std::mem::take(buffer))?;
     let length = encoded.len() - start - PREFIX_LEN;
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_BYTES {
         encoded.truncate(start);
         *buffer = encoded;
         return Err(Error::TooLong(length));
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// If the announced length is over [`MAX_FRAME`], which is checked before any
+/// If the announced length is over [`MAX_FRAME_BYTES`], which is checked before any
 /// memory is allocated for it, or the bytes are not a valid frame.
 pub fn decode<T>(bytes: &[u8]) -> Result<Option<(T, usize)>, Error>
 where
@@ -50,7 +50,7 @@
         return Ok(None);
     };
     let length = u32::from_le_bytes(*prefix) as usize;
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(Error::TooLong(length));
     }
     let Some(body) = rest.get(..length) else {
@@ -71,7 +71,7 @@
     R: AsyncRead + Unpin,
     T: DeserializeOwned,
 {
-    read_bounded(reader, scratch, MAX_FRAME).await
+    read_bounded(reader, scratch, MAX_FRAME_BYTES).await
 }
 
 async fn read_bounded<R, T>(reader: &mut R, scratch: &mut Vec<u8>, limit: usize) -> Result<T, Error>
@@ -110,19 +110,19 @@
 }
 
 /// Longest hello, in bytes: names of at most 255 bytes and a few numbers.
-pub const MAX_HELLO: usize = 1 << 10;
+pub const MAX_HELLO_BYTES: usize = 1 << 10;
 
 /// Reads the first frame of a link, from a peer that has not identified itself yet.
 ///
 /// # Errors
 ///
-/// As [`read`], with the limit [`MAX_HELLO`], and if the peer speaks another protocol version.
+/// As [`read`], with the limit [`MAX_HELLO_BYTES`], and if the peer speaks another protocol version.
 pub async fn read_hello<R>(reader: &mut R) -> Result<Hello, Error>
 where
     R: AsyncRead + Unpin,
 {
     let mut scratch = Vec::new();
-    let hello: Hello = read_bounded(reader, &mut scratch, MAX_HELLO).await?;
+    let hello: Hello = read_bounded(reader, &mut scratch, MAX_HELLO_BYTES).await?;
     if hello.protocol == PROTOCOL_VERSION {
         Ok(hello)
     } else {
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -15,7 +15,7 @@
         }
         /// A frame, or a configuration in chunks, exceeds its size limit.
         TooLong(length: usize) {
-            display("frame of {} bytes is over the limit of {}", length, crate::codec::MAX_FRAME)
+            display("frame of {} bytes is over the limit of {}", length, crate::codec::MAX_FRAME_BYTES)
         }
         /// The bytes are not a valid frame of this protocol.
         Malformed(source: postcard::Error) {
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -6,7 +6,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use tokio::io::AsyncReadExt;
 use wire::call::{Frame as CallFrame, Header, Reason, Refusal, Request};
-use wire::codec::{MAX_FRAME, PREFIX_LEN, decode, encode, read};
+use wire::codec::{MAX_FRAME_BYTES, PREFIX_LEN, decode, encode, read};
 use wire::{Error, Frame, Hello, LinkKind, PROTOCOL_VERSION};
 
 /// Number of random inputs per property.
@@ -190,7 +190,7 @@
 
 #[tokio::test]
 async fn truncated_stream() {
-    let length = u32::try_from(MAX_FRAME).unwrap().to_le_bytes();
+    let length = u32::try_from(MAX_FRAME_BYTES).unwrap().to_le_bytes();
     let mut reader = length.as_slice().chain(&[0; 64][..]);
     let mut scratch = Vec::new();
     let result = read::<_, Frame>(&mut reader, &mut scratch).await;
@@ -216,7 +216,7 @@
             origin: 1,
             sequence: 2,
         },
-        bytes: vec![0; MAX_FRAME].into(),
+        bytes: vec![0; MAX_FRAME_BYTES].into(),
         end: true,
     });
     let mut buffer = b"before".to_vec();
