--- a/crates/store/src/adaptive_timeout.rs
+++ b/crates/store/src/adaptive_timeout.rs
@@ -9,9 +9,9 @@
 
 /// Timeout of a call, which doubles while the platform is slow.
 ///
-/// With a short fixed timeout, a platform that takes slightly longer than that would serve
-/// nobody for as long as it is slow, although it answers every call. With a long fixed
-/// timeout, each silent connection would cost that long.
+/// With a short fixed timeout, every call to a platform whose responses take slightly longer
+/// would fail, although the platform answers all of them. With a long fixed timeout, a call on a
+/// silent connection would fail only after that long.
 #[derive(Debug)]
 pub struct AdaptiveTimeout {
     base: Duration,
@@ -34,16 +34,16 @@
         self.base * (1 << self.doublings.load(Ordering::Relaxed))
     }
 
-    /// Records that a call got no response within `limit`.
-    pub fn record_timeout(&self, limit: Duration) {
+    /// Records that a call got no response within `timeout`.
+    pub fn record_timeout(&self, timeout: Duration) {
         let doublings = self.doublings.load(Ordering::Relaxed);
         // Concurrent calls that all timed out count as one.
-        if limit == self.current() && doublings < MAX_DOUBLINGS {
+        if timeout == self.current() && doublings < MAX_DOUBLINGS {
             self.doublings.store(doublings + 1, Ordering::Relaxed);
         }
     }
 
-    /// Records that a call was answered after `time`; a fast response resets the timeout.
+    /// Records that a call got its response after `time`; a fast response resets the timeout.
     pub fn record_response(&self, time: Duration) {
         if time < self.base / 2 {
             self.doublings.store(0, Ordering::Relaxed);
--- a/crates/store/src/board.rs
+++ b/crates/store/src/board.rs
@@ -21,7 +21,8 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredCrashes {
     /// Time of writing, in milliseconds since the Unix epoch; the crashes' ages are relative to it.
-    told_ms: u64,
+    #[serde(rename = "told_ms")]
+    written_ms: u64,
     crashes: Vec<Value>,
 }
 
@@ -52,7 +53,7 @@
         let to_invalid = |error: serde_json::Error| Error::Invalid(error.to_string());
         let values = crashes.iter().map(serde_json::to_value);
         let stored = StoredCrashes {
-            told_ms: unix_millis(self.clock.wall()),
+            written_ms: unix_ms(self.clock.wall()),
             crashes: values.collect::<Result<_, _>>().map_err(to_invalid)?,
         };
         let value = serde_json::to_value(stored).map_err(to_invalid)?;
@@ -78,7 +79,7 @@
     /// Decodes the crashes of one object, with their ages as of now.
     ///
     /// Crashes that can't be decoded are left out: another version of the software may write
-    /// more kinds of evidence.
+    /// more kinds of data about a crash.
     #[must_use]
     pub fn decode(&self, object: &Object) -> Vec<Crash> {
         let stored = match StoredCrashes::deserialize(&object.value) {
@@ -88,7 +89,7 @@
                 return Vec::new();
             }
         };
-        let written_at = UNIX_EPOCH + Duration::from_millis(stored.told_ms);
+        let written_at = UNIX_EPOCH + Duration::from_millis(stored.written_ms);
         let elapsed = self
             .clock
             .wall()
@@ -109,7 +110,7 @@
     }
 }
 
-fn unix_millis(time: SystemTime) -> u64 {
+fn unix_ms(time: SystemTime) -> u64 {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/store/src/chunk.rs
+++ b/crates/store/src/envelope.rs
@@ -35,8 +35,8 @@
     parts: Option<PartsRef>,
 }
 
-fn part_name(directory: &str, nonce: &str, index: usize) -> String {
-    format!("{directory}.{nonce}.{index:04}")
+fn part_name(prefix: &str, nonce: &str, index: usize) -> String {
+    format!("{prefix}.{nonce}.{index:04}")
 }
 
 /// Splits `text` into parts of at most `length` bytes, at character boundaries.
@@ -70,14 +70,14 @@
     Err(Error::Unavailable(reason))
 }
 
-async fn write_parts<S>(store: &S, directory: &str, text: &str) -> Result<PartsRef, Error>
+async fn write_parts<S>(store: &S, prefix: &str, text: &str) -> Result<PartsRef, Error>
 where
     S: Store,
 {
     let nonce = format_smolstr!("{:016x}", rand::random::<u64>());
     let parts = split_text(text, MAX_PART_BYTES);
     for (index, part) in parts.iter().enumerate() {
-        write_part(store, &part_name(directory, &nonce, index), part).await?;
+        write_part(store, &part_name(prefix, &nonce, index), part).await?;
     }
     Ok(PartsRef {
         nonce,
@@ -85,10 +85,11 @@
     })
 }
 
-/// Wraps `value` in an envelope; a large value is first written as parts under `directory`.
+/// Wraps `value` in an envelope; a large value is first written as parts, whose names start with
+/// `prefix`.
 pub(crate) async fn make_envelope<S>(
     store: &S,
-    directory: &str,
+    prefix: &str,
     nonce: &str,
     value: &Value,
 ) -> Result<Value, Error>
@@ -106,7 +107,7 @@
         Envelope {
             nonce: nonce.into(),
             value: None,
-            parts: Some(write_parts(store, directory, &text).await?),
+            parts: Some(write_parts(store, prefix, &text).await?),
         }
     };
     serde_json::to_value(envelope).map_err(|error| Error::Invalid(error.to_string()))
@@ -117,7 +118,7 @@
 /// Fails with [`Error::Gone`] when the parts have been removed.
 pub(crate) async fn read_envelope<S>(
     store: &S,
-    directory: &str,
+    prefix: &str,
     object: Object,
 ) -> Result<(SmolStr, Value), Error>
 where
@@ -130,7 +131,7 @@
     };
     let mut text = String::new();
     for index in 0..parts.count {
-        let name = part_name(directory, &parts.nonce, index);
+        let name = part_name(prefix, &parts.nonce, index);
         let part = store.get(&name).await?.ok_or(Error::Gone)?;
         text.push_str(part.value.as_str().unwrap_or_default());
     }
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// First ceiling of the delay before the platform is called again.
+/// Ceiling of the first delay before the platform is called again.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
 
 /// Highest ceiling of the delay. The end of an outage of an hour must not cause a burst of
@@ -76,7 +76,8 @@
                     self.record_success();
                     return JournalUpdate::Reset(loaded);
                 }
-                // The events since are no longer available, but the records can be read again.
+                // The events since the watch's revision are no longer available, but the records
+                // can be read again.
                 Err(Error::Gone) => self.watch = None,
                 Err(error) => self.back_off(&error).await,
             }
@@ -125,7 +126,7 @@
         };
         let Some(tail) = tail else {
             let loaded = self.journal.load().await?;
-            // The platform's state is older than what has been returned already.
+            // The platform's state is older than the records that have been returned already.
             if self
                 .position
                 .is_some_and(|known| loaded.last_number() < known)
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -10,7 +10,7 @@
 //! [`crate::retention`]). The object `head` names the snapshot to start from and
 //! the floor: records up to the floor may have been removed.
 
-use crate::chunk::{make_envelope, read_envelope};
+use crate::envelope::{make_envelope, read_envelope};
 use crate::{Error, Object, Revision, Store};
 use clock::Clock;
 use serde::{Deserialize, Serialize};
@@ -18,23 +18,23 @@
 use smol_str::SmolStr;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Time since a number was read to be free after which a successful creation
-/// of its record is checked against the floor. Records are kept at least ten
+/// A writer that creates a record longer than this after it read the number as
+/// free checks the number against the floor. Records are kept at least ten
 /// times as long ([`crate::retention::RETENTION`]), which leaves a wide margin
 /// for clocks that differ.
 pub const FLOOR_CHECK_AFTER: Duration = Duration::from_mins(1);
 
 /// Attempts at a creation whose response is lost, before the caller gets the error.
-const CREATE_ATTEMPTS: u32 = 3;
+const MAX_CREATE_ATTEMPTS: u32 = 3;
 
 /// Pause before another attempt.
 const ATTEMPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Records read per list request.
-const PAGE: usize = 50;
+const PAGE_SIZE: usize = 50;
 
 /// Attempts to load a journal while records are being removed.
-const LOAD_ATTEMPTS: u32 = 8;
+const MAX_LOAD_ATTEMPTS: u32 = 8;
 
 /// A record of a journal.
 #[derive(Debug, Clone, PartialEq)]
@@ -47,7 +47,7 @@
     pub value: Value,
 }
 
-/// Result of an append that was decided.
+/// Result of an append whose outcome is certain.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AppendOutcome {
     /// The record is stored at the number.
@@ -56,7 +56,7 @@
     Taken(Record),
 }
 
-/// The records that follow those up to a number which the reader already has.
+/// The records after the last one that the reader already has.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tail {
     /// The records, in order and without gaps.
@@ -97,7 +97,7 @@
 /// A point in time, by the monotonic clock and by the wall clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timestamp {
-    now: Instant,
+    monotonic: Instant,
     wall: SystemTime,
 }
 
@@ -108,13 +108,13 @@
         C: Clock,
     {
         Self {
-            now: clock.now(),
+            monotonic: clock.now(),
             wall: clock.wall(),
         }
     }
 
-    /// Returns the time since then by the clock that shows more, for limits that must not be
-    /// exceeded.
+    /// Returns the time since this timestamp, by whichever clock shows more, for limits that must
+    /// not be exceeded.
     ///
     /// The monotonic clock stands still while a VM is suspended, and the wall
     /// clock may be set back. The result is too short only if both happen.
@@ -123,10 +123,11 @@
         C: Clock,
     {
         let wall = clock.wall().duration_since(self.wall).unwrap_or_default();
-        clock.now().duration_since(self.now).max(wall)
+        clock.now().duration_since(self.monotonic).max(wall)
     }
 
-    /// Returns the time since then by the monotonic clock, for waits that must not be cut short.
+    /// Returns the time since this timestamp by the monotonic clock, for waits that must not be cut
+    /// short.
     ///
     /// The wall clock may be set forward by hours in one step; the monotonic
     /// clock at worst stands still.
@@ -134,7 +135,7 @@
     where
         C: Clock,
     {
-        clock.now().duration_since(self.now)
+        clock.now().duration_since(self.monotonic)
     }
 }
 
@@ -161,7 +162,8 @@
         }
     }
 
-    /// Returns the current time; call it before reading that a number is free.
+    /// Returns the current time, for the `free_at` of [`Journal::append`]; call it before reading
+    /// the journal to find a free number.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         Timestamp::now(&self.clock)
@@ -194,7 +196,7 @@
         format!("{}/head", self.name)
     }
 
-    /// Writes a record at `number`, which was free at the time `free_at`.
+    /// Writes a record at `number`, which the writer read as free after `free_at`.
     ///
     /// An append with the same `nonce` may be repeated any number of times; at
     /// most one record is written.
@@ -214,7 +216,7 @@
     ) -> Result<AppendOutcome, Error> {
         let envelope = make_envelope(&self.store, &self.parts_prefix(number), nonce, value).await?;
         let mut unknown = None;
-        for attempt in 0..CREATE_ATTEMPTS {
+        for attempt in 0..MAX_CREATE_ATTEMPTS {
             if attempt > 0 {
                 tokio::time::sleep(ATTEMPT_PAUSE).await;
             }
@@ -308,7 +310,10 @@
         let mut last = number;
         loop {
             let after = self.record_name(last);
-            let page = self.store.list(&self.log_prefix(), &after, PAGE).await?;
+            let page = self
+                .store
+                .list(&self.log_prefix(), &after, PAGE_SIZE)
+                .await?;
             tail.revision = page.revision;
             for object in page.items {
                 let Some(record) = self.decode_record(object).await? else {
@@ -345,7 +350,7 @@
     ///
     /// If the platform can't be read, or the snapshots change faster than they can be read.
     pub async fn load(&self) -> Result<LoadedJournal, Error> {
-        for _ in 0..LOAD_ATTEMPTS {
+        for _ in 0..MAX_LOAD_ATTEMPTS {
             let (head, _) = self.read_head().await?;
             let snapshot = match self.read_snapshot(head.snapshot).await {
                 Err(Error::Gone) => continue,
--- a/crates/store/src/latest.rs
+++ b/crates/store/src/latest.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// First ceiling of the delay before the platform is called again.
+/// Ceiling of the first delay before the platform is called again.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
 
 /// Highest ceiling of the delay. A version has to be in force 2 s after the platform accepted
@@ -76,7 +76,8 @@
                     self.is_connected = true;
                     self.backoff.reset();
                 }
-                // The events since are no longer available, but the object can be read again.
+                // The events since the watch's revision are no longer available, but the objects
+                // can be listed again.
                 Err(Error::Gone) => self.watch = None,
                 Err(error) => self.back_off(&error).await,
             }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -30,7 +30,7 @@
 pub mod retention;
 pub mod version;
 
-mod chunk;
+mod envelope;
 mod error;
 mod store;
 
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -68,7 +68,8 @@
     objects: BTreeMap<SmolStr, Object>,
     history: VecDeque<Event>,
     revision: Revision,
-    compacted: Revision,
+    /// Events up to this revision are no longer in `history`.
+    compacted_revision: Revision,
     faults: Faults,
     delayed: Vec<Write>,
     counts: Counts,
@@ -113,7 +114,7 @@
                 objects: BTreeMap::new(),
                 history: VecDeque::new(),
                 revision: Revision::default(),
-                compacted: Revision::default(),
+                compacted_revision: Revision::default(),
                 faults: Faults::default(),
                 delayed: Vec::new(),
                 counts: Counts::default(),
@@ -179,7 +180,7 @@
             era,
             number: backup.number,
         };
-        state.compacted = state.revision;
+        state.compacted_revision = state.revision;
         state.history.clear();
         state.delayed.clear();
         let revision = state.revision;
@@ -192,7 +193,7 @@
     pub fn compact_history(&self) {
         let mut state = self.lock();
         state.history.clear();
-        state.compacted = state.revision;
+        state.compacted_revision = state.revision;
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -381,7 +382,7 @@
         if self.history.len() > MAX_HISTORY
             && let Some(oldest) = self.history.pop_front()
         {
-            self.compacted = oldest.revision();
+            self.compacted_revision = oldest.revision();
         }
     }
 
@@ -389,17 +390,20 @@
         if self.faults.silent_watches {
             return Ok(Vec::new());
         }
-        if position < self.compacted {
+        if position < self.compacted_revision {
             return Err(Error::Gone);
         }
-        let newer = self
+        let first_newer = self
             .history
             .partition_point(|event| event.revision() <= position);
-        let matching = self.history.range(newer..).filter(|event| match event {
-            Event::Put(object) => object.name.starts_with(prefix),
-            Event::Deleted { name, .. } => name.starts_with(prefix),
-            Event::Bookmark(_) => false,
-        });
+        let matching = self
+            .history
+            .range(first_newer..)
+            .filter(|event| match event {
+                Event::Put(object) => object.name.starts_with(prefix),
+                Event::Deleted { name, .. } => name.starts_with(prefix),
+                Event::Bookmark(_) => false,
+            });
         Ok(matching.cloned().collect())
     }
 
--- a/crates/store/src/propose.rs
+++ b/crates/store/src/propose.rs
@@ -31,11 +31,12 @@
 /// Why a proposal is refused.
 #[derive(Debug)]
 pub enum Refusal {
-    /// Another proposal has become the version that this one would have been: the step to it.
+    /// Another proposal has become the version that this one would have become; holds the step to
+    /// that version.
     Crossed(Box<Step>),
     /// As [`Refusal::Crossed`], but the step to that version is already part of a snapshot.
     Superseded(Version),
-    /// The version that it is against doesn't exist; this is the last one.
+    /// The version that the proposal is against doesn't exist; holds the last version.
     NoSuchBase(Version),
     /// The patch or the configuration that it leads to is invalid.
     Invalid(config::Error),
@@ -44,7 +45,7 @@
 /// Outcome of a proposal.
 #[derive(Debug)]
 pub enum Outcome {
-    /// It is this version; final.
+    /// It became this version; final.
     Accepted(Version),
     /// It was not applied and never will be.
     Refused(Refusal),
@@ -95,9 +96,10 @@
 
 /// Finds out the outcome of a proposal and makes it final.
 ///
-/// If the proposal's number is still free, a void version is written there
-/// first. A delayed write, still in the network or in a paused process, then
-/// finds the number taken; without that, "never applied" might turn out false.
+/// If the proposal's number is still free, a void version, which changes
+/// nothing, is written there first. A delayed write, still in the network or in
+/// a paused process, then finds the number taken; without that, "never applied"
+/// might turn out false.
 pub async fn resolve<S, C>(journal: &Journal<S, C>, id: &Id, author: &str) -> Outcome
 where
     S: Store,
@@ -124,7 +126,8 @@
             "the void version can't be encoded as JSON".into(),
         ));
     };
-    // If two callers resolve one proposal at the same time, both see a void version: one of theirs.
+    // If two callers resolve the same proposal at the same time, only one of their void versions
+    // is written, and both see that one.
     let nonce = format_smolstr!("void-{}", Id::generate(id.base));
     let number = state.version.next().0;
     let appended = journal.append(number, &nonce, &value, free_at).await;
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -1,6 +1,6 @@
 //! Writes a journal's snapshots and removes its old records.
 
-use crate::chunk::make_envelope;
+use crate::envelope::make_envelope;
 use crate::journal::{Head, Timestamp, parse_number};
 use crate::{Error, Journal, Revision, Store};
 use clock::Clock;
@@ -79,8 +79,9 @@
         keep: u64,
     ) -> Result<bool, Error> {
         let (head, _) = self.read_head().await?;
-        let aged = retention.observe(Timestamp::now(&self.clock), head.snapshot, &self.clock);
-        let floor = aged.min(head.snapshot.saturating_sub(keep));
+        let aged_snapshot =
+            retention.observe(Timestamp::now(&self.clock), head.snapshot, &self.clock);
+        let floor = aged_snapshot.min(head.snapshot.saturating_sub(keep));
         // The floor is raised before anything is removed, so that a reader that checks it after
         // reading can't mistake a gap for the end of the journal.
         let head = self
@@ -95,8 +96,8 @@
     async fn remove_below(&self, floor: u64) -> Result<bool, Error> {
         let mut remaining = MAX_REMOVALS;
         // A reader may still be reading the snapshot at the floor and its parts.
-        for (directory, end) in [("log", floor + 1), ("snapshots", floor), ("parts", floor)] {
-            let prefix = format!("{}/{directory}/", self.name);
+        for (folder, end) in [("log", floor + 1), ("snapshots", floor), ("parts", floor)] {
+            let prefix = format!("{}/{folder}/", self.name);
             let page = self.store.list(&prefix, "", remaining).await?;
             for object in page.items {
                 let number = object.name[prefix.len()..].split('.').next();
@@ -115,7 +116,7 @@
         Ok(false)
     }
 
-    /// Applies `change` to the head; it must only raise the head's numbers.
+    /// Applies `change` to the head; `change` must never lower the head's numbers.
     async fn update_head<F>(&self, change: F) -> Result<Head, Error>
     where
         F: Fn(Head) -> Head,
@@ -163,13 +164,13 @@
         {
             self.first_seen.push_back((now, snapshot));
         }
-        let aged = |entry: &(Timestamp, u64)| entry.0.monotonic_elapsed(clock) >= RETENTION;
-        while self.first_seen.get(1).is_some_and(aged) {
+        let is_aged = |entry: &(Timestamp, u64)| entry.0.monotonic_elapsed(clock) >= RETENTION;
+        while self.first_seen.get(1).is_some_and(is_aged) {
             self.first_seen.pop_front();
         }
         self.first_seen
             .front()
-            .filter(|entry| aged(entry))
+            .filter(|entry| is_aged(entry))
             .map_or(0, |(_, snapshot)| *snapshot)
     }
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -19,7 +19,7 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How many times the platform had been restored from a backup.
+    /// How many times the platform had been restored from a backup before the write.
     pub era: u64,
     /// Number of the write within its era.
     pub number: u64,
@@ -67,13 +67,13 @@
         /// Revision of the deletion.
         revision: Revision,
     },
-    /// No further write up to this revision concerns the watch. Bookmarks also show that the
+    /// The watch has delivered all its events up to this revision. Bookmarks also show that the
     /// watch is alive.
     Bookmark(Revision),
 }
 
 impl Event {
-    /// Returns whether an object has changed.
+    /// Returns whether the event is a change or deletion of an object, not a bookmark.
     #[must_use]
     pub fn is_change(&self) -> bool {
         !matches!(self, Self::Bookmark(_))
@@ -166,8 +166,8 @@
         value: &Value,
     ) -> impl Future<Output = Result<Revision, Error>> + Send;
 
-    /// Returns the platform's era: `None` until it is known, updated when a new one begins. The
-    /// platform has then lost its last seconds of writes.
+    /// Returns a receiver of the platform's era, which is `None` until it is known. When a new era
+    /// begins, the platform has lost its last seconds of writes.
     fn watch_era(&self) -> watch::Receiver<Option<u64>>;
 
     /// Changes an object that is still at `expected`; fails with [`Error::Conflict`] when it is
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -19,7 +19,7 @@
 const MAX_ORIGINS: usize = 4_000;
 
 /// Longest random part of a proposal's id, in bytes.
-const MAX_NONCE: usize = 64;
+const MAX_NONCE_LEN: usize = 64;
 
 /// Identifies a proposal: the version that it is against, and a random part.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -66,7 +66,7 @@
         let (base, nonce) = text.split_once('-').ok_or_else(malformed)?;
         let base = base.parse().ok().ok_or_else(malformed)?;
         let plain = nonce.bytes().all(|byte| byte.is_ascii_alphanumeric());
-        if nonce.is_empty() || nonce.len() > MAX_NONCE || !plain {
+        if nonce.is_empty() || nonce.len() > MAX_NONCE_LEN || !plain {
             return Err(malformed());
         }
         Ok(Self {
--- a/crates/store/tests/append.rs
+++ b/crates/store/tests/append.rs
@@ -118,7 +118,7 @@
     let (memory, clock, journal) = open();
     fill_and_remove(&clock, &journal).await;
     let left = memory.list("numbers/log/", "", 100).await.unwrap().items;
-    assert_eq!(left.len(), 7, "the snapshot at 10 is too young");
+    assert_eq!(left.len(), 7, "the snapshot at 10 is too recent");
     let loaded = journal.load().await.unwrap();
     assert_eq!((loaded.snapshot_number, loaded.last_number()), (10, 12));
     assert_eq!(loaded.snapshot, Some(json!(10)));
--- a/crates/store/tests/eras.rs
+++ b/crates/store/tests/eras.rs
@@ -75,10 +75,10 @@
     assert!(one.acquire_or_renew().await.unwrap());
     let acquired = store.backup();
     assert!(one.acquire_or_renew().await.unwrap());
-    // The holder's own earlier acquisition is stored.
+    // The backup contains the holder's acquisition, but not its renewal.
     store.restore(acquired);
     assert!(one.acquire_or_renew().await.unwrap());
-    // Nothing is stored.
+    // The backup contains no lease.
     store.restore(before.clone());
     assert!(one.acquire_or_renew().await.unwrap());
     // Another process was faster.
--- a/crates/store/tests/follower.rs
+++ b/crates/store/tests/follower.rs
@@ -8,19 +8,19 @@
 use store::retention::{RETENTION, RetentionTracker};
 use store::{Journal, MemoryStore};
 
-type Numbers = Journal<MemoryStore, Manual>;
+type TestJournal = Journal<MemoryStore, Manual>;
 
-fn open() -> (MemoryStore, Manual, Numbers) {
+fn open() -> (MemoryStore, Manual, TestJournal) {
     let memory = MemoryStore::new();
     let clock = Manual::new();
     let journal = Journal::open(memory.clone(), clock.clone(), "numbers");
     (memory, clock, journal)
 }
 
-async fn append(journal: &Numbers, number: u64) {
-    let free = journal.now();
+async fn append(journal: &TestJournal, number: u64) {
+    let free_at = journal.now();
     journal
-        .append(number, "n", &json!(number), free)
+        .append(number, "n", &json!(number), free_at)
         .await
         .unwrap();
 }
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -1,4 +1,4 @@
-//! Concurrent proposals are linearizable: each history is one of a single list of versions.
+//! Concurrent proposals are linearizable: each history agrees with one sequential list of versions.
 
 use clock::System;
 use config::{Patch, Version};
@@ -69,8 +69,8 @@
     usize::try_from(id.base.0).unwrap()
 }
 
-/// Assigns the number of a proposal to it, or checks that it has been assigned before: a
-/// repeated submission finds it so.
+/// Assigns a proposal's number to the proposal. If the number is already assigned, returns whether
+/// it belongs to this proposal, as it does when a proposal is submitted again.
 fn assign(state: &[Holder], id: &Id, void: bool) -> (bool, Vec<Holder>) {
     let holder = Holder {
         id: id.to_string(),
--- a/crates/store/tests/lease.rs
+++ b/crates/store/tests/lease.rs
@@ -5,20 +5,28 @@
 use store::memory::Faults;
 use store::{Error, Lease, MemoryStore};
 
-const DURATION: Duration = Duration::from_secs(15);
+const LEASE_DURATION: Duration = Duration::from_secs(15);
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
 
-type Root = Lease<MemoryStore, Manual>;
+type TestLease = Lease<MemoryStore, Manual>;
 
-fn open() -> (MemoryStore, Manual, Root, Root) {
+fn open() -> (MemoryStore, Manual, TestLease, TestLease) {
     let memory = MemoryStore::new();
     let clock = Manual::new();
-    let lease = |holder| Lease::open(memory.clone(), clock.clone(), "z1/0", holder, DURATION);
+    let lease = |holder| {
+        Lease::open(
+            memory.clone(),
+            clock.clone(),
+            "z1/0",
+            holder,
+            LEASE_DURATION,
+        )
+    };
     let (first, second) = (lease("first"), lease("second"));
     (memory, clock, first, second)
 }
 
-fn lose_answers(lose_next: u32) -> Faults {
+fn lose_responses(lose_next: u32) -> Faults {
     Faults {
         lose_next,
         ..Faults::default()
@@ -42,13 +50,13 @@
 // A root's renewals take effect, but their responses are lost: it must keep its lease. When a
 // renewal did not take effect, it must not hold the lease past its expiry.
 #[tokio::test]
-async fn renewal_answer_lost() {
+async fn renewal_response_lost() {
     let (memory, clock, mut first, mut second) = open();
-    memory.set_faults(lose_answers(1));
+    memory.set_faults(lose_responses(1));
     assert_eq!(first.acquire_or_renew().await, Ok(true));
     for _ in 0..10 {
         clock.advance(RENEWAL_INTERVAL);
-        memory.set_faults(lose_answers(1));
+        memory.set_faults(lose_responses(1));
         assert_eq!(first.acquire_or_renew().await, Ok(true));
         assert_eq!(second.acquire_or_renew().await, Ok(false));
     }
@@ -60,7 +68,7 @@
     let result = first.acquire_or_renew().await;
     assert!(matches!(result, Err(Error::Unknown(_))), "{result:?}");
     assert!(first.is_held());
-    clock.advance(DURATION);
+    clock.advance(LEASE_DURATION);
     assert!(!first.is_held());
 }
 
@@ -71,14 +79,14 @@
     let (_, clock, mut first, mut second) = open();
     assert_eq!(first.acquire_or_renew().await, Ok(true));
     assert_eq!(second.acquire_or_renew().await, Ok(false));
-    clock.advance(DURATION);
+    clock.advance(LEASE_DURATION);
     assert!(!first.is_held());
     assert_eq!(second.acquire_or_renew().await, Ok(true));
     assert_eq!(first.acquire_or_renew().await, Ok(false));
     assert!(second.is_held());
 }
 
-// A renewal takes as long as the lease. Were the duration counted from the response, the
+// A renewal takes as long as the lease's duration. If the duration counted from the response, the
 // holder would continue for 15 s after another process has acquired the lease.
 #[tokio::test(start_paused = true)]
 async fn slow_renewal() {
@@ -90,7 +98,7 @@
     let renewal = first.acquire_or_renew();
     let advance = async {
         tokio::time::sleep(Duration::from_millis(5)).await;
-        clock.advance(DURATION);
+        clock.advance(LEASE_DURATION);
     };
     let (held, ()) = tokio::join!(renewal, advance);
     assert_eq!(held, Ok(false));
--- a/crates/store/tests/removal_race.rs
+++ b/crates/store/tests/removal_race.rs
@@ -76,13 +76,13 @@
     for count in 0.. {
         tokio::time::sleep(Duration::from_secs(1)).await;
         let name = format!("{writer}-{count}");
-        let free = journal.now();
+        let free_at = journal.now();
         let Ok(names) = read_all(&journal).await else {
             continue;
         };
         let number = names.len() as u64 + 1;
         tokio::time::sleep(random_pause(&mut rng)).await;
-        let result = match journal.append(number, &name, &json!(name), free).await {
+        let result = match journal.append(number, &name, &json!(name), free_at).await {
             Ok(AppendOutcome::Written) => WriteResult::Written(number, name),
             Ok(AppendOutcome::Taken(record)) => {
                 WriteResult::Taken(number, record.nonce.to_string())
