--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -31,7 +31,7 @@
     pub nested: Option<config::Class>,
     /// The caller on whose behalf it runs, for fair sharing.
     pub caller: SmolStr,
-    /// Hash of its route and method: calls with the same hash take about as long.
+    /// Hash of the call's route and method; calls with the same hash take about equally long.
     pub route: u64,
     /// Bytes of the body that follow, as far as the sender knows: all of them, or those that it has
     /// read so far.
@@ -154,8 +154,8 @@
         #[serde(rename = "room")]
         window: u32,
     },
-    /// Outbound to inbound: attempts of this link's process whose outcome will not be queried any
-    /// more.
+    /// Outbound to inbound: sequence numbers of attempts of the sending process whose outcome will
+    /// not be queried any more.
     Done(Vec<u64>),
     /// Both directions: the receiver replies with [`Frame::Pong`].
     Ping,
@@ -163,7 +163,8 @@
     Pong,
     /// Inbound to outbound: whether the node refuses new calls from now on.
     Leaving(bool),
-    /// Outbound to inbound: asks how a call would fare that has not been sent yet.
+    /// Outbound to inbound: asks what the inbound proxy expects of a call that has not been sent
+    /// yet.
     #[serde(rename = "Look")]
     LoadProbe(LoadProbe),
     /// Inbound to outbound: the reply to [`Frame::LoadProbe`].
@@ -196,7 +197,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Outlook")]
 pub struct Estimate {
-    /// The probe's number.
+    /// Serial of the probe.
     pub serial: u64,
     /// Whether the call would be admitted.
     #[serde(rename = "takes")]
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -55,7 +55,7 @@
 pub struct Heartbeat {
     /// Number of heartbeats that the sender has sent on this link.
     pub count: u32,
-    /// Highest count received from the other end: shows that its direction works too.
+    /// Highest count received from the other end; shows the other end that its heartbeats arrive.
     pub echo: u32,
     /// Version that the sender holds.
     pub version: Version,
@@ -69,8 +69,8 @@
     #[serde(rename = "room")]
     pub child_capacity: u8,
     /// To a parent: the status of the sender's subtree; to a child: that of the
-    /// fleet; between roots: that of the sender's part. Present only if it has
-    /// changed.
+    /// fleet; between roots: that of the sender's part of the fleet. Present
+    /// only if it has changed.
     pub status: Option<Status>,
 }
 
--- a/crates/wire/src/reserve.rs
+++ b/crates/wire/src/reserve.rs
@@ -16,17 +16,18 @@
     /// From the owner: the claim has been received; the reply may take a while.
     #[serde(rename = "Heard")]
     Acknowledged {
-        /// The claim's number.
+        /// Serial of the claim.
         serial: u64,
     },
     /// From the owner: the result of a claim.
     Reply {
-        /// The claim's number.
+        /// Serial of the claim.
         serial: u64,
         /// The result.
         reply: Reply,
     },
-    /// To the owner: the outcome of a granted claim, a completion or a release; it has no reply.
+    /// To the owner: the outcome of a granted claim, which is a completion or a release. It gets no
+    /// reply.
     #[serde(rename = "Note")]
     Outcome(Entry),
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -198,8 +198,8 @@
     assert!(scratch.capacity() < 4_096, "{}", scratch.capacity());
 }
 
-// As above, but the frame is short, and a list in it announces four thousand
-// million headers.
+// As in `announced_frame_too_long`, but the frame is short, and a list in it
+// announces four thousand million headers (2^32 - 1).
 #[test]
 fn announced_list_too_long() {
     let mut bytes = vec![0, 0, 1, 1, 1, b'a', 1, b'b', 1, b'c'];
