--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -34,8 +34,8 @@
 /// Header with the remaining time of a call in milliseconds.
 pub const TIMEOUT_HEADER: &str = "bluebellpick-timeout-ms";
 
-/// Maximum body size of a fault injection request.
-const MAX_FAULT_BODY: usize = 64 << 10;
+/// Maximum body size of a fault injection request, in bytes.
+const MAX_FAULT_BODY_BYTES: usize = 64 << 10;
 
 /// Factor by which work takes longer during warm-up.
 const WARM_UP_FACTOR: u32 = 4;
@@ -132,7 +132,8 @@
     in_flight: AtomicUsize,
     shed: AtomicUsize,
     faults: Mutex<Faults>,
-    load: Mutex<(Instant, usize)>,
+    /// Calls in flight that `/load` reports, and when they were counted.
+    counted_load: Mutex<(Instant, usize)>,
     rng: Mutex<SmallRng>,
     stage: watch::Sender<LifecycleStage>,
 }
@@ -176,7 +177,7 @@
             in_flight: AtomicUsize::new(0),
             shed: AtomicUsize::new(0),
             faults: Mutex::default(),
-            load: Mutex::new((now, 0)),
+            counted_load: Mutex::new((now, 0)),
             rng: Mutex::new(SmallRng::seed_from_u64(seed)),
             stage: watch::Sender::new(LifecycleStage::Serving),
         }));
@@ -213,14 +214,15 @@
             (&Method::GET, "/health") => self.health_response(),
             (&Method::GET, "/load") => self.load_response(),
             (&Method::GET, "/record") => json_response(StatusCode::OK, &self.0.run_log.entries()),
-            (&Method::POST, "/fault") => match read_json(request.into_body(), MAX_FAULT_BODY).await
-            {
-                Ok(faults) => {
-                    *self.0.faults.lock() = faults;
-                    json_response(StatusCode::OK, &json!({}))
+            (&Method::POST, "/fault") => {
+                match read_json(request.into_body(), MAX_FAULT_BODY_BYTES).await {
+                    Ok(faults) => {
+                        *self.0.faults.lock() = faults;
+                        json_response(StatusCode::OK, &json!({}))
+                    }
+                    Err(status) => bytes_response(status, Bytes::new()),
                 }
-                Err(status) => bytes_response(status, Bytes::new()),
-            },
+            }
             _ => return self.handle_call(request).await,
         })
     }
@@ -238,15 +240,15 @@
     }
 
     fn load_response(&self) -> Response<Body> {
-        let (reported_load, lag) = {
+        let (load_override, lag) = {
             let faults = self.0.faults.lock();
             (faults.load, Duration::from_millis(faults.load_lag_ms))
         };
-        let mut load = self.0.load.lock();
-        if load.0.elapsed() >= lag {
-            *load = (Instant::now(), self.in_flight());
+        let mut counted_load = self.0.counted_load.lock();
+        if counted_load.0.elapsed() >= lag {
+            *counted_load = (Instant::now(), self.in_flight());
         }
-        let in_flight = reported_load.unwrap_or(load.1);
+        let in_flight = load_override.unwrap_or(counted_load.1);
         let shed = self.0.shed.load(Ordering::Relaxed);
         let slots = self.0.behavior.slots;
         json_response(
--- a/crates/standin/src/forward.rs
+++ b/crates/standin/src/forward.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone)]
 pub struct Forwarder {
     address: SocketAddr,
-    /// Incremented to stall all connections that were accepted before.
+    /// Incremented to stall all connections accepted so far.
     stalls: Arc<watch::Sender<u64>>,
 }
 
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -14,7 +14,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Exit code of a backend server that was crashed by a request.
-const CRASHED: i32 = 70;
+const CRASH_EXIT_CODE: i32 = 70;
 
 /// The stand-in to run.
 #[derive(Debug, Clone)]
@@ -218,7 +218,7 @@
             };
             tokio::select! {
                 () = serve_backend(&backend, announcer, &mut stop, drain_timeout) => {}
-                () = backend.crashed() => std::process::exit(CRASHED),
+                () = backend.crashed() => std::process::exit(CRASH_EXIT_CODE),
             }
         }
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -20,8 +20,8 @@
 use store::{Event, MAX_VALUE_BYTES, MemoryStore, Object, Revision, Store};
 use tokio::net::TcpListener;
 
-/// Maximum body size of a request: a value and the JSON around it.
-const MAX_BODY: usize = MAX_VALUE_BYTES + (64 << 10);
+/// Maximum body size of a request, in bytes: a value and the JSON around it.
+const MAX_BODY_BYTES: usize = MAX_VALUE_BYTES + (64 << 10);
 
 /// Number of objects per page, as on the platform.
 const PAGE_SIZE: usize = 500;
@@ -36,7 +36,8 @@
 }
 
 impl Default for RateLimits {
-    /// The order of the platform's limits: several hundred writes and about two thousand reads.
+    /// Of the same order of magnitude as the platform's limits: several hundred writes and about
+    /// two thousand reads.
     fn default() -> Self {
         Self {
             writes: 400,
@@ -107,7 +108,7 @@
             None => status_response(StatusCode::CONFLICT),
         },
         (&Method::GET, "/fault") => json_response(StatusCode::OK, &shared.memory.faults()),
-        (&Method::POST, "/fault") => match read_json(request.into_body(), MAX_BODY).await {
+        (&Method::POST, "/fault") => match read_json(request.into_body(), MAX_BODY_BYTES).await {
             Ok(faults) => {
                 shared.memory.set_faults(faults);
                 json_response(StatusCode::OK, &shared.memory.faults())
@@ -145,12 +146,12 @@
             let deleted = memory.delete(path, expected).await;
             deleted.map(|()| json_response(StatusCode::OK, &Value::Null))
         }
-        (Method::POST, None) => match read_json(request.into_body(), MAX_BODY).await {
+        (Method::POST, None) => match read_json(request.into_body(), MAX_BODY_BYTES).await {
             Ok(item) => create(memory, path, item).await,
             Err(status) => Ok(status_response(status)),
         },
         (Method::PUT, Some((kind, leaf))) => {
-            match read_json::<Item>(request.into_body(), MAX_BODY).await {
+            match read_json::<Item>(request.into_body(), MAX_BODY_BYTES).await {
                 Ok(item) => match leaf.strip_suffix("/status") {
                     Some(leaf) => replace_status(memory, kind, leaf, item).await,
                     None => replace(memory, kind, leaf, item).await,
@@ -242,8 +243,8 @@
     Ok(json_response(status, &make_item(object)))
 }
 
-/// Time to wait for a further change. The store is in this process, so that changes that are
-/// already pending arrive faster.
+/// Time to wait for a further change before the response is sent. The store is in this process,
+/// so changes that are already pending arrive sooner than this.
 const BATCH_WAIT: Duration = Duration::from_millis(1);
 
 /// Waits until an object of a kind changes or the wait time of the request expires.
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -56,7 +56,7 @@
     entries: Arc<Mutex<Vec<Entry>>>,
     file: Option<Arc<Mutex<File>>>,
     /// File for the time at which the leave request was acknowledged.
-    left_path: Option<Arc<PathBuf>>,
+    leave_time_path: Option<Arc<PathBuf>>,
 }
 
 /// A run in progress; recorded as cancelled if dropped before [`RunGuard::end`].
@@ -77,18 +77,22 @@
     ///
     /// If the file can't be created.
     pub fn open(file: Option<&Path>) -> std::io::Result<Self> {
-        let left_path = file.map(|file| Arc::new(file.with_extension("left")));
+        let leave_time_path = file.map(|file| Arc::new(file.with_extension("left")));
         let file = file.map(File::create).transpose()?;
         Ok(Self {
             entries: Arc::default(),
             file: file.map(|file| Arc::new(Mutex::new(file))),
-            left_path,
+            leave_time_path,
         })
     }
 
     /// Records that a node has acknowledged the leave request; later calls have no effect.
     pub fn record_leave_acknowledged(&self) {
-        let Some(path) = self.left_path.as_deref().filter(|path| !path.exists()) else {
+        let Some(path) = self
+            .leave_time_path
+            .as_deref()
+            .filter(|path| !path.exists())
+        else {
             return;
         };
         if let Err(error) = std::fs::write(path, now_us().to_string()) {
--- a/crates/standin/tests/backend_server.rs
+++ b/crates/standin/tests/backend_server.rs
@@ -57,7 +57,7 @@
     )
 }
 
-/// Waits until other tasks have brought about a state.
+/// Waits until `is_reached` returns true, for at most 5 s.
 async fn wait_until<F>(is_reached: F)
 where
     F: Fn() -> bool,
--- a/crates/standin/tests/drain.rs
+++ b/crates/standin/tests/drain.rs
@@ -12,7 +12,8 @@
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts a fake node that passes on each request that it gets and always responds with `status`.
+/// Starts a fake node that always responds with `status`. The returned channel receives the method
+/// and the body of each request.
 async fn spawn_node(status: Value) -> (String, mpsc::Receiver<(String, String)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -91,14 +92,14 @@
         .unwrap()
         .unwrap();
     let announced: Value = serde_json::from_str(&body).unwrap();
-    let process = announced["incarnation"]
+    let incarnation = announced["incarnation"]
         .as_u64()
         .expect("announces its incarnation");
     let expected = json!({
         "service": "claims",
         "address": address,
         "slots": 3,
-        "incarnation": process,
+        "incarnation": incarnation,
         "sequence": 1,
     });
     assert_eq!((method.as_str(), announced), ("put", expected));
@@ -132,7 +133,7 @@
     assert_eq!(requests[0].0, "delete");
     assert_eq!(requests[1].0, "get");
     let leave_request: Value = serde_json::from_str(&requests[0].1).unwrap();
-    assert_eq!(leave_request, json!({"incarnation": process}));
+    assert_eq!(leave_request, json!({"incarnation": incarnation}));
 }
 
 // The node that acknowledged the leave request is killed, and its successor reports
--- a/crates/standin/tests/object_api.rs
+++ b/crates/standin/tests/object_api.rs
@@ -176,8 +176,8 @@
     }
 }
 
-// The platform is slow for a long time: each response takes twice as long as the initial timeout.
-// Two calls fail; the operators' writes after them must succeed.
+// The platform is slow for a long time: each response takes more than twice as long as the
+// initial timeout. Two calls fail; the operators' writes after them must succeed.
 #[tokio::test]
 async fn slow_platform() {
     let (memory, client) = open(RateLimits::default(), SHORT_LIMITS).await;
@@ -219,10 +219,10 @@
     let journal = Journal::open(client, clock::System, "numbers");
     let mut follower = Follower::open(journal.clone(), Some(0));
     for number in 1..4 {
-        let free = journal.now();
+        let free_at = journal.now();
         let nonce = number.to_string();
         journal
-            .append(number, &nonce, &json!(number), free)
+            .append(number, &nonce, &json!(number), free_at)
             .await
             .unwrap();
         let next = tokio::time::timeout(Duration::from_secs(10), follower.next()).await;
