--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -53,7 +53,7 @@
     pub long_percent: u8,
     /// Duration of a long call's work.
     pub long_work: Duration,
-    /// Time after the start during which work takes [`WARM_UP_FACTOR`] times as long.
+    /// Time after the start during which work takes `WARM_UP_FACTOR` times as long.
     pub warm_up: Duration,
     /// Requests that crash the process, if any.
     pub crash_trigger: Option<CrashTrigger>,
