--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -153,7 +153,7 @@
         stream.set_nodelay(true)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
-            // Whoever sends on the connection gets the error.
+            // `SendRequest` returns the connection's error to the sender.
             drop(connection.await);
         });
         Ok(sender)
--- a/crates/bench/src/converge.rs
+++ b/crates/bench/src/converge.rs
@@ -2,8 +2,8 @@
 //!
 //! The fleet consists of real node processes in a few availability zones, each
 //! with an announced endpoint. Convergence is measured from right before the
-//! proposal, so that it includes the platform's write, to the log line with
-//! which the last node puts the version into force.
+//! proposal, so that it includes the platform's write, until the last node logs
+//! that the version is in force.
 
 use crate::converge_fault::Fault;
 use crate::count::to_f64;
@@ -41,7 +41,7 @@
 pub struct Options {
     /// Number of node processes.
     pub nodes: usize,
-    /// Number of availability zones that they are spread over.
+    /// Number of availability zones that the nodes are spread over.
     pub zones: usize,
     /// Number of versions to propose.
     pub versions: usize,
@@ -79,9 +79,9 @@
     pub platform_calls_start: u64,
     /// Calls to the platform per second while nothing changes.
     pub platform_calls_per_s: f64,
-    /// Writes among these.
+    /// Writes to the platform per second while nothing changes.
     pub platform_writes_per_s: f64,
-    /// Watches opened among these.
+    /// Watches opened at the platform per second while nothing changes.
     pub platform_watches_per_s: f64,
     /// Largest resident memory of a node, in MB.
     pub node_rss_mb_max: f64,
@@ -158,30 +158,30 @@
     experiment.wait_version().await?;
     experiment.wait_endpoints().await?;
     tokio::time::sleep(SETTLE_TIME).await;
-    let (first, before) = (
+    let (calls_before, received_before) = (
         experiment.count_calls().await?,
         experiment.sum_received().await?,
     );
     tokio::time::sleep(SETTLE_TIME).await;
-    let last = experiment.count_calls().await?;
-    let idle = experiment.sum_received().await? - before;
+    let calls_after = experiment.count_calls().await?;
+    let idle = experiment.sum_received().await? - received_before;
     let rate = |count: u64| to_f64(count) / SETTLE_TIME.as_secs_f64();
     let nodes = to_f64(experiment.options.nodes);
     let mut report = Report {
         nodes: experiment.options.nodes,
-        platform_calls_start: sum_calls(first),
-        platform_calls_per_s: rate(sum_calls(last) - sum_calls(first)),
-        platform_writes_per_s: rate(last.writes - first.writes),
-        platform_watches_per_s: rate(last.watches - first.watches),
+        platform_calls_start: sum_calls(calls_before),
+        platform_calls_per_s: rate(sum_calls(calls_after) - sum_calls(calls_before)),
+        platform_writes_per_s: rate(calls_after.writes - calls_before.writes),
+        platform_watches_per_s: rate(calls_after.watches - calls_before.watches),
         idle_control_bytes_per_node_s: idle / SETTLE_TIME.as_secs_f64() / nodes,
         ..Report::default()
     };
-    let (before, start) = (experiment.sum_received().await?, Instant::now());
+    let (received_before, start) = (experiment.sum_received().await?, Instant::now());
     match experiment.options.fault {
         None => experiment.propose_all().await?,
         Some(fault) => experiment.run_fault_rounds(fault).await?,
     }
-    let received = experiment.sum_received().await? - before;
+    let received = experiment.sum_received().await? - received_before;
     let idle = report.idle_control_bytes_per_node_s * nodes * start.elapsed().as_secs_f64();
     let versions = to_f64(experiment.proposer.proposed.len().max(1));
     let keeps_counters = !experiment.options.fault.is_some_and(Fault::kills_nodes);
--- a/crates/bench/src/converge_fault.rs
+++ b/crates/bench/src/converge_fault.rs
@@ -12,7 +12,7 @@
 /// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The platform answers nobody for a while; the version is proposed right after.
+    /// The platform answers no calls for a while; the version is proposed right after that.
     PlatformOutage,
     /// All roots of a zone are killed right before the version is proposed.
     RootsKilled,
--- a/crates/bench/src/deadly.rs
+++ b/crates/bench/src/deadly.rs
@@ -30,10 +30,10 @@
 const LOAD_AFTER: Duration = Duration::from_secs(3);
 
 /// Timeout of a call.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time limit for the fleet to start serving.
-const START_LIMIT: Duration = Duration::from_mins(1);
+const START_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Interval at which the backend servers' processes are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -184,23 +184,23 @@
     }
     deployment.propose(&changes, 0)?;
     deployment
-        .wait_served("/records/ready", START_LIMIT)
+        .wait_served("/records/ready", START_TIMEOUT)
         .await?;
     Ok(Target::new(deployment, Vec::new(), files))
 }
 
 /// Restarts crashed backend servers until `end`.
 async fn supervise(target: &mut Target, end: Instant) -> Result<(), Error> {
-    let mut down: Vec<(Instant, usize)> = Vec::new();
-    while Instant::now() < end || !down.is_empty() {
+    let mut pending_restarts: Vec<(Instant, usize)> = Vec::new();
+    while Instant::now() < end || !pending_restarts.is_empty() {
         let now = Instant::now();
         for vm in 0..target.deployment.vms.len() {
-            let is_known = down.iter().any(|(_, known)| *known == vm);
-            if !is_known && !target.server(vm)?.is_running() {
-                down.push((now + RESTART_DELAY, vm));
+            let is_pending = pending_restarts.iter().any(|(_, other)| *other == vm);
+            if !is_pending && !target.server(vm)?.is_running() {
+                pending_restarts.push((now + RESTART_DELAY, vm));
             }
         }
-        for (_, vm) in down.extract_if(.., |(at, _)| *at <= now) {
+        for (_, vm) in pending_restarts.extract_if(.., |(at, _)| *at <= now) {
             target.restart_server(vm)?;
         }
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -221,7 +221,7 @@
         calls.spawn(async move {
             let call = Call::get(&format!("/records/{number}"));
             let sent_us = now_us();
-            let answer = caller.send_within(&call, TIMEOUT).await;
+            let answer = caller.send_within(&call, CALL_TIMEOUT).await;
             let lookup = Lookup {
                 sent_us,
                 is_served: answer.as_ref().is_ok_and(|one| one.status.is_success()),
@@ -272,8 +272,8 @@
     f64::from(served) / f64::from(count)
 }
 
-/// Returns the number of seconds after `from_us` from which on at least 99% of the calls of
-/// every second succeeded.
+/// Returns how many seconds after `from_us` the calls had recovered: from then on, at least 99%
+/// of the calls in every second succeeded.
 fn find_recovery(lookups: &[Lookup], from_us: u64) -> Option<u64> {
     let last_us = lookups.iter().map(|one| one.sent_us).max()?;
     let seconds = last_us.checked_sub(from_us)? / SECOND_US;
--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -75,11 +75,11 @@
     pub others: u64,
 }
 
-/// Latencies of the calls of one series, and the number of calls by their result.
+/// Latencies of the calls of one series, and the number of calls by result.
 #[derive(Debug)]
 struct SeriesSummary {
     latencies: LatencySeries,
-    endings: BTreeMap<String, u64>,
+    result_counts: BTreeMap<String, u64>,
 }
 
 /// Runs the demo.
@@ -115,15 +115,15 @@
     print_summaries(&summaries);
     print_reports(&deployment)?;
 
-    let count = |ending: &str| {
+    let count = |result: &str| {
         let counts = summaries
             .iter()
-            .filter_map(|summary| summary.endings.get(ending));
+            .filter_map(|summary| summary.result_counts.get(result));
         counts.sum::<u64>()
     };
     let calls = summaries
         .iter()
-        .flat_map(|summary| summary.endings.values())
+        .flat_map(|summary| summary.result_counts.values())
         .sum();
     let (answered, not_run, may_have_run) =
         (count("answered"), count("not-run"), count("may-have-run"));
@@ -316,18 +316,21 @@
 fn summarize(outcomes: Vec<Outcome>) -> Vec<SeriesSummary> {
     let new_summary = |_| SeriesSummary {
         latencies: LatencySeries::new(),
-        endings: BTreeMap::new(),
+        result_counts: BTreeMap::new(),
     };
     let mut summaries = SERIES_NAMES.iter().map(new_summary).collect::<Vec<_>>();
     for outcome in outcomes {
         let summary = &mut summaries[outcome.series];
-        *summary.endings.entry(ending_of(&outcome)).or_default() += 1;
+        *summary
+            .result_counts
+            .entry(describe_result(&outcome))
+            .or_default() += 1;
         summary.latencies.record(outcome.latency);
     }
     summaries
 }
 
-fn ending_of(outcome: &Outcome) -> String {
+fn describe_result(outcome: &Outcome) -> String {
     match &outcome.result {
         Ok(answer) if answer.status.is_success() => "answered".to_owned(),
         Ok(answer) => match answer.header("bluebellpick-verdict") {
@@ -340,11 +343,11 @@
 
 fn print_summaries(summaries: &[SeriesSummary]) {
     for (name, summary) in SERIES_NAMES.iter().zip(summaries) {
-        let endings = summary.endings.iter();
-        let endings = endings.map(|(ending, count)| format!("{count} {ending}"));
+        let result_counts = summary.result_counts.iter();
+        let result_counts = result_counts.map(|(result, count)| format!("{count} {result}"));
         print_line(&format!(
             "{name}: {}; p50 {:.1} ms, p99 {:.1} ms",
-            endings.collect::<Vec<_>>().join(", "),
+            result_counts.collect::<Vec<_>>().join(", "),
             summary.latencies.quantile_ms(0.5),
             summary.latencies.quantile_ms(0.99)
         ));
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -23,7 +23,7 @@
 /// Port of the platform stand-in.
 const PLATFORM_PORT: u16 = 7000;
 
-/// VMs of one deployment per block of 256 addresses.
+/// Maximum number of a deployment's VMs in one block of 256 loopback addresses.
 const VMS_PER_BLOCK: usize = 200;
 
 /// Time limit of a call to a listener of the deployment.
@@ -323,7 +323,7 @@
     ///
     /// # Errors
     ///
-    /// When a node does not within `limit`. The error contains its last answer.
+    /// When a node has not answered so within `limit`. The error contains its last answer.
     pub async fn wait_served(&self, path: &str, limit: Duration) -> Result<(), Error> {
         let start = Instant::now();
         for vm in &self.vms {
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::deployment::{Deployment, Vm, put_route, put_service, service_vms};
 use crate::error::Error;
-use crate::faults_callers::{self, InvocationLog, TIMEOUT_MS, now_us};
+use crate::faults_callers::{self, CALL_TIMEOUT_MS, InvocationLog, now_us};
 use crate::faults_forward::Forwarder;
 use crate::faults_history::{CheckResult, History, Span, check};
 use crate::faults_inject::{Fault, Stop, Target, record_args, record_file};
@@ -24,7 +24,7 @@
 pub(crate) const FAULT_DURATION_MS: std::ops::Range<u64> = 300..2_500;
 
 /// Pause within which calls that were affected by a fault end.
-pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(TIMEOUT_MS + 1_500);
+pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(CALL_TIMEOUT_MS + 1_500);
 
 /// Pause after each restart of a rolling restart: a node and its backend server are up again
 /// well within it.
@@ -34,7 +34,7 @@
 pub(crate) const LATE_EFFECT_WAIT: Duration = Duration::from_secs(5);
 
 /// Time limit for the fleet to start serving.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Port of the forwarder in front of a VM's node.
 const FORWARDER_PORT: u16 = 7006;
@@ -173,7 +173,7 @@
     deployment.propose(&changes, 0)?;
     for name in SERVICES {
         let path = format!("/{name}/ready");
-        deployment.wait_served(&path, START_LIMIT).await?;
+        deployment.wait_served(&path, START_TIMEOUT).await?;
     }
     Ok(())
 }
@@ -204,7 +204,7 @@
                 if Instant::now() + SETTLE_TIME > end {
                     break;
                 }
-                self.stop_one(target, stop).await?;
+                self.restart_one(target, stop).await?;
                 tokio::time::sleep(ROLLING_PAUSE).await;
             }
         }
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    async fn stop_one(&mut self, target: &mut Target, stop: Stop) -> Result<(), Error> {
+    async fn restart_one(&mut self, target: &mut Target, stop: Stop) -> Result<(), Error> {
         eprintln!("{} stop {stop:?}", now_us());
         target.restart_gracefully(stop).await?;
         self.injected += 1;
@@ -225,7 +225,7 @@
         self.graceful_spans.push(Span { from_us, to_us });
     }
 
-    /// Runs one round: every third one stops processes gracefully, the others inject faults.
+    /// Runs one round: every third one restarts processes gracefully, the others inject faults.
     async fn run_round(&mut self, target: &mut Target) -> Result<(), Error> {
         self.rounds += 1;
         if self.rounds.is_multiple_of(3) {
@@ -233,7 +233,7 @@
             // since its fault would affect the calls of this round.
             target.forwarders.iter().for_each(Forwarder::close_lossy);
             tokio::time::sleep(SETTLE_TIME).await;
-            self.stop_some(target).await
+            self.restart_some(target).await
         } else {
             self.inject_some(target).await
         }
@@ -263,14 +263,14 @@
 
     /// Restarts a node and then a backend server gracefully, and waits after each until the
     /// calls in flight have ended.
-    async fn stop_some(&mut self, target: &mut Target) -> Result<(), Error> {
+    async fn restart_some(&mut self, target: &mut Target) -> Result<(), Error> {
         let vms = target.deployment.vms.len();
         let from_us = now_us();
         for stop in [
             Stop::Node(self.rng.random_range(0..vms)),
             Stop::Server(self.rng.random_range(0..vms)),
         ] {
-            self.stop_one(target, stop).await?;
+            self.restart_one(target, stop).await?;
             tokio::time::sleep(SETTLE_TIME).await;
         }
         self.record_graceful_span(from_us);
--- a/crates/bench/src/faults_callers.rs
+++ b/crates/bench/src/faults_callers.rs
@@ -22,7 +22,7 @@
 /// Number of callers that don't read their responses, when a plan of faults is played.
 const STALLED_READERS: u64 = 2;
 
-/// How long such a caller keeps its connection open, in milliseconds.
+/// How long a caller that doesn't read its response keeps the connection open, in milliseconds.
 const STALL_MS: std::ops::Range<u64> = 500..7_000;
 
 /// Size of a response that exceeds the socket buffers on its path.
@@ -32,10 +32,10 @@
 const MAX_REQUESTS_PER_KEY: u32 = 6;
 
 /// Timeout of a call, in milliseconds.
-pub const TIMEOUT_MS: u64 = 2_000;
+pub const CALL_TIMEOUT_MS: u64 = 2_000;
 
 /// Time after which a caller gives up on a node that doesn't respond.
-const RESPONSE_TIMEOUT: Duration = Duration::from_millis(TIMEOUT_MS + 1_000);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(CALL_TIMEOUT_MS + 1_000);
 
 /// Maximum number of characters of a response body that are kept for messages.
 const MAX_DETAIL_CHARS: usize = 100;
@@ -47,7 +47,7 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Pause before a retry, in milliseconds.
-const REPEAT_DELAY_MS: std::ops::Range<u64> = 20..400;
+const RETRY_DELAY_MS: std::ops::Range<u64> = 20..400;
 
 /// Invocations recorded by all callers so far; clones share them.
 #[derive(Debug, Clone, Default)]
@@ -129,16 +129,16 @@
 {
     while keep_running() {
         let address = addresses[rng.random_range(0..addresses.len())];
-        let held = Duration::from_millis(rng.random_range(STALL_MS));
+        let stall = Duration::from_millis(rng.random_range(STALL_MS));
         if let Ok(mut stream) = TcpStream::connect(address).await {
             let request = format!(
                 "GET /records/unread HTTP/1.1\r\nhost: mesh\r\nx-answer-bytes: {STALLED_RESPONSE_BYTES}\r\n\r\n"
             );
             // The write may fail because the node is being killed.
             drop(stream.write_all(request.as_bytes()).await);
-            tokio::time::sleep(held).await;
+            tokio::time::sleep(stall).await;
         }
-        tokio::time::sleep(held / 2).await;
+        tokio::time::sleep(stall / 2).await;
     }
 }
 
@@ -217,8 +217,9 @@
             call.headers.push(("idempotency-key", key.clone()));
         }
         call.headers
-            .push(("bluebellpick-timeout-ms", TIMEOUT_MS.to_string()));
-        // A few responses are longer than what is sent without waiting for credit.
+            .push(("bluebellpick-timeout-ms", CALL_TIMEOUT_MS.to_string()));
+        // A few responses are larger; most of these exceed the size that a node sends without
+        // flow-control credit.
         if self.rng.random_ratio(1, 20) {
             let bytes = self.rng.random_range(1_000..200_000);
             call.headers.push(("x-answer-bytes", bytes.to_string()));
@@ -233,7 +234,7 @@
                 return;
             }
             tokio::time::sleep(wait.min(MAX_RETRY_AFTER)).await;
-            self.pause(REPEAT_DELAY_MS).await;
+            self.pause(RETRY_DELAY_MS).await;
         }
     }
 
@@ -258,7 +259,7 @@
                     );
                 }
                 // The connection failed before anything was sent.
-                Err(Error::Io(_)) => self.pause(REPEAT_DELAY_MS).await,
+                Err(Error::Io(_)) => self.pause(RETRY_DELAY_MS).await,
                 Err(error) => {
                     break (
                         ReportedOutcome::Broken,
--- a/crates/bench/src/faults_history.rs
+++ b/crates/bench/src/faults_history.rs
@@ -68,8 +68,9 @@
 pub struct ProcessRecord {
     /// Its runs.
     pub runs: Vec<Run>,
-    /// Time spans from each request that it or its node leave until the process had ended.
-    pub leave_spans: Vec<Span>,
+    /// Time spans from each request to stop this process or its node until the stopped process had
+    /// ended.
+    pub stop_spans: Vec<Span>,
 }
 
 /// A time span, in microseconds since the Unix epoch.
@@ -117,7 +118,7 @@
     pub mixed_answers: usize,
     /// Requests that a graceful stop cut off.
     pub cut_in_flight: usize,
-    /// Longest time from a request to leave until the start of new work, in seconds.
+    /// Longest time from a request to stop a process until the last start of new work, in seconds.
     pub new_work_after_leave_max_s: f64,
     /// Descriptions of the violations.
     #[serde(skip)]
@@ -142,7 +143,7 @@
     check_runs(&mut result, history);
     check_answers(&mut result, history);
     check_graceful_stops(&mut result, history);
-    result.new_work_after_leave_max_s = max_work_after_leave(history);
+    result.new_work_after_leave_max_s = max_work_after_stop(history);
     result
 }
 
@@ -157,10 +158,10 @@
 }
 
 fn describe_unsettled(history: &History) -> Vec<String> {
-    let mut under_key: HashMap<&str, Vec<&Invocation>> = HashMap::new();
+    let mut by_key: HashMap<&str, Vec<&Invocation>> = HashMap::new();
     for one in &history.invocations {
         if let Some(key) = &one.key {
-            under_key.entry(key).or_default().push(one);
+            by_key.entry(key).or_default().push(one);
         }
     }
     let settled = |one: &&Invocation| {
@@ -169,31 +170,31 @@
             ReportedOutcome::Answered { .. } | ReportedOutcome::Ran
         )
     };
-    let unsettled = under_key.iter().filter(|(_, asked)| {
+    let unsettled = by_key.iter().filter(|(_, invocations)| {
         let unknown = |one: &&Invocation| {
             matches!(
                 one.told,
                 ReportedOutcome::MayHaveRun | ReportedOutcome::Broken
             )
         };
-        !asked.iter().any(settled) && asked.iter().any(unknown)
+        !invocations.iter().any(settled) && invocations.iter().any(unknown)
     });
     unsettled
-        .map(|(key, asked)| {
+        .map(|(key, invocations)| {
             let runs = history.records.iter().flat_map(|record| &record.runs);
             let ran: Vec<_> = runs.filter(|run| run.key == **key).collect();
-            format!("unsettled: {asked:?} {ran:?}")
+            format!("unsettled: {invocations:?} {ran:?}")
         })
         .collect()
 }
 
 fn check_runs(result: &mut CheckResult, history: &History) {
     let runs = || history.records.iter().flat_map(|record| &record.runs);
-    let mut of_key: HashMap<&str, Vec<&Run>> = HashMap::new();
+    let mut by_key: HashMap<&str, Vec<&Run>> = HashMap::new();
     for run in runs().filter(|run| !run.key.is_empty()) {
-        of_key.entry(&run.key).or_default().push(run);
+        by_key.entry(&run.key).or_default().push(run);
     }
-    for (key, runs) in of_key.iter().filter(|(_, runs)| runs.len() > 1) {
+    for (key, runs) in by_key.iter().filter(|(_, runs)| runs.len() > 1) {
         result.double_runs += 1;
         let message = format!("key {key} ran {} times: {runs:?}", runs.len());
         result.violations.push(message);
@@ -212,10 +213,10 @@
 
 /// Checks that each response belongs to its request or to another one with the same key.
 fn check_answers(result: &mut CheckResult, history: &History) {
-    let mut under_key: HashMap<&str, HashSet<&str>> = HashMap::new();
+    let mut by_key: HashMap<&str, HashSet<&str>> = HashMap::new();
     for one in &history.invocations {
         if let Some(key) = &one.key {
-            under_key.entry(key).or_default().insert(&one.request);
+            by_key.entry(key).or_default().insert(&one.request);
         }
     }
     for one in &history.invocations {
@@ -230,7 +231,7 @@
         let shared = one
             .key
             .as_deref()
-            .is_some_and(|key| under_key[key].contains(request.as_str()));
+            .is_some_and(|key| by_key[key].contains(request.as_str()));
         if !(own || shared) || *fingerprint != one.fingerprint {
             result.mixed_answers += 1;
             result.violations.push(format!("mixed answer: {one:?}"));
@@ -272,20 +273,20 @@
     clippy::cast_precision_loss,
     reason = "times of one run of the experiment are far below 2^52 microseconds"
 )]
-fn max_work_after_leave(history: &History) -> f64 {
+fn max_work_after_stop(history: &History) -> f64 {
     let records = history.records.iter();
     let latest = records.flat_map(|record| {
         record
-            .leave_spans
+            .stop_spans
             .iter()
-            .map(|leave| work_after_leave(record, *leave))
+            .map(|span| work_after_stop(record, *span))
     });
     latest.max().unwrap_or(0) as f64 / 1e6
 }
 
-/// Returns the time from a request to leave until the last new work began.
-fn work_after_leave(record: &ProcessRecord, leave: Span) -> u64 {
+/// Returns the time from a request to stop until the last start of new work in its span.
+fn work_after_stop(record: &ProcessRecord, span: Span) -> u64 {
     let starts = record.runs.iter().map(|run| run.start_us);
-    let within = starts.filter(|start| (leave.from_us..=leave.to_us).contains(start));
-    within.max().map_or(0, |start| start - leave.from_us)
+    let within = starts.filter(|start| (span.from_us..=span.to_us).contains(start));
+    within.max().map_or(0, |start| start - span.from_us)
 }
--- a/crates/bench/src/faults_inject.rs
+++ b/crates/bench/src/faults_inject.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// Time limit for a graceful stop of a process.
-const STOP_LIMIT: Duration = Duration::from_secs(20);
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Interval at which a stopping process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -147,7 +147,7 @@
     /// Returns whether the time limit for the stop has passed.
     #[must_use]
     pub fn is_overdue(&self) -> bool {
-        self.since.elapsed() > STOP_LIMIT
+        self.since.elapsed() > STOP_TIMEOUT
     }
 }
 
@@ -158,14 +158,14 @@
     pub deployment: Deployment,
     /// A forwarder in front of each VM's node.
     pub forwarders: Vec<Forwarder>,
-    /// Record files by VM, one per process, with the process's leave spans.
+    /// Record files by VM, one per backend server process, with the process's stop spans.
     records: HashMap<usize, Vec<(PathBuf, Vec<Span>)>>,
     proposers: Vec<Process>,
     races: u32,
 }
 
 impl Target {
-    /// Takes a fleet whose backend servers record to the files named by [`record_file`].
+    /// Creates a target from a fleet whose backend servers record to `files`, in the order of the VMs.
     #[must_use]
     pub fn new(deployment: Deployment, forwarders: Vec<Forwarder>, files: Vec<PathBuf>) -> Self {
         let records = files.into_iter().map(|file| vec![(file, Vec::new())]);
@@ -294,7 +294,7 @@
         })
     }
 
-    /// Returns whether a process that was requested to stop has ended, and records the leave span.
+    /// Returns whether a process that was requested to stop has ended; if so, records the stop span.
     ///
     /// # Errors
     ///
@@ -308,8 +308,8 @@
             to_us: now_us(),
         };
         let records = self.records.entry(pending.stop.vm()).or_default();
-        if let Some((_, leave_spans)) = records.last_mut() {
-            leave_spans.push(span);
+        if let Some((_, stop_spans)) = records.last_mut() {
+            stop_spans.push(span);
         }
         Ok(true)
     }
@@ -368,10 +368,10 @@
     pub fn read_records(&self) -> Result<Vec<ProcessRecord>, Error> {
         let files = self.records.values().flatten();
         files
-            .map(|(file, leave_spans)| {
+            .map(|(file, stop_spans)| {
                 Ok(ProcessRecord {
                     runs: read_runs(&read_record(file)?)?,
-                    leave_spans: leave_spans.clone(),
+                    stop_spans: stop_spans.clone(),
                 })
             })
             .collect()
@@ -395,8 +395,8 @@
         self.deployment.set_platform_fault(fault).await.map(drop)
     }
 
-    /// Starts a backend server again. The new process gets a record file of its own, since the
-    /// previous process leaves its record behind.
+    /// Starts a backend server again. The new process gets a record file of its own: in the same
+    /// file, it would overwrite the record of the previous process.
     pub(crate) fn restart_server(&mut self, vm: usize) -> Result<(), Error> {
         let files = self.records.entry(vm).or_default();
         let file = record_file(self.deployment.folder(), vm, files.len());
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -12,7 +12,7 @@
 /// Significant decimal digits of a histogram's values.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Time before a send at which the pacer stops sleeping and busy-waits: the
+/// Time before a scheduled send at which [`wait_until`] stops sleeping and busy-waits: the
 /// runtime's timer has a granularity of 1 ms and fires up to 1 ms late.
 const BUSY_WAIT: Duration = Duration::from_micros(2_500);
 
--- a/crates/bench/src/node.rs
+++ b/crates/bench/src/node.rs
@@ -71,7 +71,8 @@
     Ok(Metrics(pairs.collect()))
 }
 
-/// Announces a backend server to a node. Nothing listens at its address unless the VM runs one.
+/// Announces a backend server to a node, at the address of the VM's backend server. If the VM has
+/// none, nothing listens there.
 ///
 /// # Errors
 ///
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -10,7 +10,7 @@
 use crate::load::Outcome;
 use crate::options;
 use crate::overload_calls::{
-    CAPACITY, EntryPoint, Flow, FlowTally, PROBE_SERIES, SERVERS, TIMEOUT, WORK_MS, send_flows,
+    CALL_TIMEOUT, CAPACITY, EntryPoint, Flow, FlowTally, PROBE_SERIES, SERVERS, WORK_MS, send_flows,
 };
 use bpaf::{Parser, construct, long};
 use config::{Change, Class, Repeat, Retry};
@@ -88,7 +88,7 @@
     pub refusal_p90_ms: f64,
     /// Latency of the refusals, 99th percentile.
     pub refusal_p99_ms: f64,
-    /// Latency of probes, which bypass the nodes and which backend servers answer at once, 99th
+    /// Latency of probes, which bypass the nodes and are answered by backend servers at once, 99th
     /// percentile.
     pub wire_p99_ms: f64,
     /// Successful responses after the deadline.
@@ -100,9 +100,9 @@
 pub struct Fairness {
     /// Share of the hot caller in all calls answered in time.
     pub hot_caller_share: f64,
-    /// Lowest share of calls answered in time of any other caller.
+    /// Share of calls answered in time: the lowest among the other callers.
     pub fair_share_min: f64,
-    /// Share of calls answered in time of all other callers together.
+    /// Share of calls answered in time: all other callers together.
     pub fair_share_mean: f64,
 }
 
@@ -159,16 +159,16 @@
 const LOAD_FACTORS: [f64; 5] = [0.5, 1.0, 2.0, 4.0, 10.0];
 
 /// Time limit for the fleet to start serving.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Pause between two runs, in which the queues drain.
 const RUN_PAUSE: Duration = Duration::from_secs(2);
 
 /// First series of each class; every caller of a class has a series of its own.
-const COMMITS: usize = 0;
-const LOOKUPS: usize = 100;
-const REFRESHES: usize = 200;
-const HOT_CALLER: usize = 300;
+const COMMIT_SERIES: usize = 0;
+const LOOKUP_SERIES: usize = 100;
+const REFRESH_SERIES: usize = 200;
+const HOT_CALLER_SERIES: usize = 300;
 
 /// Starts the fleet, runs the selected parts and returns the results.
 ///
@@ -180,8 +180,8 @@
     let seconds = options.duration.as_secs_f64();
     let is_selected = |part| options.only.is_none_or(|only| only == part);
     let warm_up = [
-        make_flow(LOOKUPS, 0.5, (0.0, 3.0)),
-        make_flow(COMMITS, 0.1, (0.0, 3.0)),
+        make_flow(LOOKUP_SERIES, 0.5, (0.0, 3.0)),
+        make_flow(COMMIT_SERIES, 0.1, (0.0, 3.0)),
     ];
     send_flows(&deployment, &warm_up, EntryPoint::Nodes).await;
     let mut systems = Vec::new();
@@ -236,7 +236,7 @@
         )),
     ];
     deployment.propose(&changes, 0)?;
-    deployment.wait_served("/find/ready", START_LIMIT).await?;
+    deployment.wait_served("/find/ready", START_TIMEOUT).await?;
     Ok(deployment)
 }
 
@@ -264,9 +264,9 @@
 
 fn make_flow(series: usize, load: f64, span: (f64, f64)) -> Flow {
     let (class, callers) = match series {
-        COMMITS => (Class::Commit, ("clerk", 30)),
-        REFRESHES => (Class::Refresh, ("parent", 30)),
-        HOT_CALLER => (Class::Lookup, ("script", 1)),
+        COMMIT_SERIES => (Class::Commit, ("clerk", 30)),
+        REFRESH_SERIES => (Class::Refresh, ("parent", 30)),
+        HOT_CALLER_SERIES => (Class::Lookup, ("script", 1)),
         _ => (Class::Lookup, ("fitter", 30)),
     };
     Flow {
@@ -293,9 +293,9 @@
         // A fifth are commits, so that at four times the capacity the commits alone still fit.
         let span = (0.0, seconds);
         let flows = [
-            make_flow(COMMITS, 0.2 * load, span),
-            make_flow(LOOKUPS, 0.5 * load, span),
-            make_flow(REFRESHES, 0.3 * load, span),
+            make_flow(COMMIT_SERIES, 0.2 * load, span),
+            make_flow(LOOKUP_SERIES, 0.5 * load, span),
+            make_flow(REFRESH_SERIES, 0.3 * load, span),
         ];
         let outcomes = send_flows(deployment, &flows, entry_point).await;
         let level = tally_level(&outcomes, load, seconds);
@@ -317,7 +317,8 @@
         is_measured(outcome) && outcome.series < PROBE_SERIES
     });
     let wire = FlowTally::count(outcomes, |outcome| outcome.series == PROBE_SERIES);
-    let [commits, lookups, refreshes] = [COMMITS, LOOKUPS, REFRESHES].map(tally_series);
+    let [commits, lookups, refreshes] =
+        [COMMIT_SERIES, LOOKUP_SERIES, REFRESH_SERIES].map(tally_series);
     Level {
         load,
         goodput_ratio: to_f64(all.in_time.count()) / (CAPACITY * (seconds - 1.0)),
@@ -342,8 +343,8 @@
     tokio::time::sleep(RUN_PAUSE).await;
     let span = (0.0, seconds + 1.0);
     let flows = [
-        make_flow(LOOKUPS, 0.6, span),
-        make_flow(HOT_CALLER, 4.0, span),
+        make_flow(LOOKUP_SERIES, 0.6, span),
+        make_flow(HOT_CALLER_SERIES, 4.0, span),
     ];
     let outcomes = send_flows(deployment, &flows, entry_point).await;
     let is_measured = |outcome: &Outcome| outcome.at >= Duration::from_secs(1);
@@ -352,8 +353,8 @@
             is_measured(outcome) && is_in_series(outcome, series)
         })
     };
-    let [others, hot] = [LOOKUPS, HOT_CALLER].map(tally_series);
-    let shares = (LOOKUPS..LOOKUPS + 30).map(|series| {
+    let [others, hot] = [LOOKUP_SERIES, HOT_CALLER_SERIES].map(tally_series);
+    let shares = (LOOKUP_SERIES..LOOKUP_SERIES + 30).map(|series| {
         FlowTally::count(&outcomes, |outcome| {
             is_measured(outcome) && outcome.series == series
         })
@@ -374,8 +375,8 @@
 ) -> Result<Slow, Error> {
     let span = (0.0, seconds + 2.0);
     let flows = [
-        make_flow(COMMITS, 0.05, span),
-        make_flow(LOOKUPS, 0.35, span),
+        make_flow(COMMIT_SERIES, 0.05, span),
+        make_flow(LOOKUP_SERIES, 0.35, span),
     ];
     // The first two seconds are left out: the nodes learn of the slow backend server in them.
     let is_measured =
@@ -414,23 +415,23 @@
     tokio::time::sleep(RUN_PAUSE).await;
     let span = (0.0, BURST_RUN_S);
     let flows = [
-        make_flow(COMMITS, 0.1, span),
-        make_flow(LOOKUPS, 0.5, span),
-        make_flow(REFRESHES, 8.0, BURST_SPAN),
+        make_flow(COMMIT_SERIES, 0.1, span),
+        make_flow(LOOKUP_SERIES, 0.5, span),
+        make_flow(REFRESH_SERIES, 8.0, BURST_SPAN),
     ];
     let outcomes = send_flows(deployment, &flows, entry_point).await;
     let within = |from: f64, to: f64| {
         FlowTally::count(&outcomes, |outcome| {
             let at = outcome.at.as_secs_f64();
-            from <= at && at < to && outcome.series < REFRESHES
+            from <= at && at < to && outcome.series < REFRESH_SERIES
         })
     };
     let baseline_p99_ms = within(1.0, BURST_SPAN.0).in_time.quantile_ms(0.99);
     let mut normal_after_s = 0.0;
     let mut from = BURST_SPAN.1;
-    while from + WINDOW_S <= BURST_RUN_S - TIMEOUT.as_secs_f64() {
+    while from + WINDOW_S <= BURST_RUN_S - CALL_TIMEOUT.as_secs_f64() {
         let tally = within(from, from + WINDOW_S);
-        // A window has few calls: its 95th percentile stands for the 99th of a long run.
+        // A window has few calls, so its 95th percentile is compared in place of the 99th.
         let slow = tally.in_time.quantile_ms(0.95) > 1.5 * baseline_p99_ms;
         if tally.share() < NORMAL_SHARE || slow {
             normal_after_s = from + WINDOW_S - BURST_SPAN.1;
--- a/crates/bench/src/overload_calls.rs
+++ b/crates/bench/src/overload_calls.rs
@@ -28,12 +28,12 @@
 pub const CAPACITY: f64 = SLOTS as f64 * 1000.0 / WORK_MS as f64;
 
 /// Timeout of a call.
-pub const TIMEOUT: Duration = Duration::from_secs(1);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Attempts of the baseline per call: the first one and three retries.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Seed of the send times.
+/// Seed of the calls' send times, callers and nodes.
 const SEED: u64 = 6;
 
 /// Calls of one class by a group of callers.
@@ -76,7 +76,7 @@
     plan.extend(plan_probes(deployment, flows));
     match entry_point {
         // The node ends a call at its deadline; this limit only keeps the bench from hanging.
-        EntryPoint::Nodes => send_planned(plan, 5 * TIMEOUT).await,
+        EntryPoint::Nodes => send_planned(plan, 5 * CALL_TIMEOUT).await,
         EntryPoint::Servers => send_round_robin(plan, targets).await,
     }
 }
@@ -88,7 +88,10 @@
         let (targets, next_target) = (Arc::clone(&targets), Arc::clone(&next_target));
         async move {
             if planned.series == PROBE_SERIES {
-                return planned.caller.send_within(&planned.call, TIMEOUT).await;
+                return planned
+                    .caller
+                    .send_within(&planned.call, CALL_TIMEOUT)
+                    .await;
             }
             send_with_retries(&planned.call, &targets, &next_target).await
         }
@@ -106,7 +109,7 @@
     for _ in 0..MAX_ATTEMPTS {
         let next = next_target.fetch_add(1, Ordering::Relaxed) % targets.len();
         last = targets[next]
-            .send_within(call, TIMEOUT / MAX_ATTEMPTS)
+            .send_within(call, CALL_TIMEOUT / MAX_ATTEMPTS)
             .await;
         if last.as_ref().is_ok_and(|answer| answer.status.is_success()) {
             break;
@@ -175,7 +178,10 @@
     };
     Call::new(method, &format!("{prefix}/{name}"))
         .header("bluebellpick-caller", &name)
-        .header("bluebellpick-timeout-ms", &TIMEOUT.as_millis().to_string())
+        .header(
+            "bluebellpick-timeout-ms",
+            &CALL_TIMEOUT.as_millis().to_string(),
+        )
 }
 
 /// Totals of a set of outcomes.
@@ -216,7 +222,7 @@
         };
         if !answer.status.is_success() {
             self.refused.record(outcome.latency);
-        } else if outcome.latency > TIMEOUT {
+        } else if outcome.latency > CALL_TIMEOUT {
             self.late += 1;
         } else {
             self.in_time.record(outcome.latency);
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -157,7 +157,8 @@
     let there = start(options, against).await?;
     let mut turns = Vec::new();
     for turn in 0..options.turns {
-        // The first of a turn finds the caches in another state, so the order alternates.
+        // The fleet that is measured first in a turn finds the caches in another state than the
+        // second one, so the order alternates.
         let is_first = turn % 2 == 0;
         let (first, second) = if is_first {
             (&here, &there)
--- a/crates/bench/src/proposer.rs
+++ b/crates/bench/src/proposer.rs
@@ -25,7 +25,7 @@
     /// For each version, the time right before its proposal in milliseconds
     /// since the Unix epoch, and how long the proposal took.
     pub proposed: BTreeMap<Version, (u64, Duration)>,
-    /// Total size of these versions' patches as JSON, in bytes.
+    /// Total size of the proposed versions' patches as JSON, in bytes.
     pub patch_bytes: usize,
     journal: Journal<Client, System>,
 }
--- a/crates/bench/src/rolling.rs
+++ b/crates/bench/src/rolling.rs
@@ -27,10 +27,10 @@
 const ZONES: u64 = 3;
 
 /// Timeout of a call, in milliseconds.
-const TIMEOUT_MS: u64 = 5_000;
+const CALL_TIMEOUT_MS: u64 = 5_000;
 
 /// Time after which a caller gives up on a node that doesn't respond.
-const RESPONSE_TIMEOUT: Duration = Duration::from_millis(TIMEOUT_MS + 1_000);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(CALL_TIMEOUT_MS + 1_000);
 
 /// One in this many calls is long, so that calls are in flight at every stop.
 const LONG_CALL_ONE_IN: u32 = 25;
@@ -45,7 +45,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time limit for a restarted VM to serve.
-const READY_LIMIT: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Duration of the load before the first stop and after the last restart.
 const LOAD_MARGIN: Duration = Duration::from_secs(1);
@@ -95,7 +95,7 @@
     pub false_not_run: usize,
     /// Responses that belong to another call.
     pub mixed_answers: usize,
-    /// Longest time from a request to leave until the start of new work, in seconds.
+    /// Longest time from a request to stop a process until the last start of new work, in seconds.
     pub new_work_after_leave_max_s: f64,
     /// Number of restarts.
     pub restarts: usize,
@@ -260,7 +260,7 @@
     let operators = Caller::new(vm.operators_address());
     let call = Call::get("/v1/status");
     let start = Instant::now();
-    while start.elapsed() < READY_LIMIT {
+    while start.elapsed() < READY_TIMEOUT {
         if let Ok(answer) = operators.send_within(&call, RESPONSE_TIMEOUT).await {
             let status: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
             let is_ready = status["not_ready"].as_array().is_some_and(Vec::is_empty);
@@ -285,7 +285,7 @@
         .all(|service| status["endpoints"][*service] == ZONES)
 }
 
-/// Callers of all nodes.
+/// Load on all nodes, with one [`Pacer`] per node.
 struct LoadGenerator {
     log: InvocationLog,
     is_ending: Arc<AtomicBool>,
@@ -379,7 +379,7 @@
             path,
         )
         .header("x-request", &request)
-        .header("bluebellpick-timeout-ms", &TIMEOUT_MS.to_string());
+        .header("bluebellpick-timeout-ms", &CALL_TIMEOUT_MS.to_string());
         if let Some(key) = &key {
             call = call
                 .header("idempotency-key", key)
--- a/crates/bench/src/soak.rs
+++ b/crates/bench/src/soak.rs
@@ -22,9 +22,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Duration of a storm with its calm, by which the number of storms in a plan is chosen: 12 s of
+/// Assumed duration of a storm and its calm, to choose the number of storms in a plan: 12 s of
 /// faults, and the rest for the calm.
-const STORM_WITH_CALM: Duration = Duration::from_secs(20);
+const STORM_AND_CALM_DURATION: Duration = Duration::from_secs(20);
 
 /// Options of the soak test.
 #[derive(Debug, Clone)]
@@ -173,13 +173,13 @@
         }
         let storms = self
             .duration
-            .div_duration_f64(STORM_WITH_CALM)
+            .div_duration_f64(STORM_AND_CALM_DURATION)
             .round()
             .max(1.0);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
-            reason = "some storms, and at least one"
+            reason = "a small number that is at least 1"
         )]
         let header = PlanHeader {
             seed: self.seed,
--- a/crates/bench/src/soak_cleanup.rs
+++ b/crates/bench/src/soak_cleanup.rs
@@ -16,9 +16,9 @@
 /// microseconds.
 const LEAVE_GRACE_US: u64 = 2_000_000;
 
-/// Time limit for calls in flight to end after the last caller has ended: nodes give up a
-/// response that nobody reads after 5 s.
-const CALL_END_LIMIT: Duration = Duration::from_secs(8);
+/// Time limit for calls in flight to end after the last caller has ended: nodes wait at most 5 s
+/// for a response to be read.
+const CALL_END_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Interval at which the nodes are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -44,9 +44,9 @@
     let table = std::fs::read_to_string(format!("/proc/{process}/net/tcp"))?;
     let half_closed = table.lines().skip(1).filter_map(|line| {
         let fields: Vec<_> = line.split_whitespace().collect();
-        let is_state = fields.get(3).is_some_and(|state| *state == CLOSE_WAIT);
+        let is_close_wait = fields.get(3).is_some_and(|state| *state == CLOSE_WAIT);
         let is_own = fields.get(9).is_some_and(|inode| sockets.contains(*inode));
-        (is_state && is_own).then(|| [1, 2].map(|end| parse_port(fields[end])).join("-"))
+        (is_close_wait && is_own).then(|| [1, 2].map(|end| parse_port(fields[end])).join("-"))
     });
     Ok(half_closed.collect())
 }
@@ -104,14 +104,14 @@
                 for kind in ["calls", "answers", "keyed"] {
                     let name = format!("bluebellpick_stop_waits{{kind=\"{kind}\"}}");
                     let held = metrics.get(&name) > 0.0;
-                    if held && start.elapsed() > CALL_END_LIMIT {
+                    if held && start.elapsed() > CALL_END_TIMEOUT {
                         eprintln!("violation: {} still holds {kind}", vm.spec.name);
                     }
                     unended += usize::from(held);
                 }
             }
         }
-        if unended == 0 || start.elapsed() > CALL_END_LIMIT {
+        if unended == 0 || start.elapsed() > CALL_END_TIMEOUT {
             return unended;
         }
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/bench/src/soak_deadly.rs
+++ b/crates/bench/src/soak_deadly.rs
@@ -1,11 +1,12 @@
 //! Deadly requests, which crash the backend servers that run them, in a soak test.
 //!
-//! A stand-in that runs one exits, and is started again after [`RESTART_DELAY`]. The check uses
-//! only the records of the backend servers and the outcomes that were reported to callers.
+//! A stand-in exits when it runs a deadly request, and is started again after [`RESTART_DELAY`].
+//! The check uses only the records of the backend servers and the outcomes that were reported to
+//! callers.
 
 use crate::caller::{Call, Caller};
 use crate::error::Error;
-use crate::faults_callers::TIMEOUT_MS;
+use crate::faults_callers::CALL_TIMEOUT_MS;
 use crate::faults_history::Invocation;
 use crate::faults_inject::{Target, read_record};
 use http::Method;
@@ -18,10 +19,11 @@
 /// Text that makes a request deadly if its path contains it.
 pub const DEADLY_MARKER: &str = "deadly";
 
-/// Time after the third crash from which further runs are counted, in microseconds.
-const BOUND_US: u64 = 3_000_000;
+/// Time after a deadly request's third crash that its quarantine may take to reach all nodes, in
+/// microseconds; only runs that begin later are counted.
+const QUARANTINE_BOUND_US: u64 = 3_000_000;
 
-/// Number of runs that may begin after that.
+/// Number of runs that may begin more than [`QUARANTINE_BOUND_US`] after the third crash.
 const MAX_RUNS_AFTER_BOUND: usize = 3;
 
 /// Interval of the requests of a series.
@@ -73,7 +75,7 @@
             }
         };
         call.header("x-request", &format!("{DEADLY_MARKER}.{name}.{number}"))
-            .header("bluebellpick-timeout-ms", &TIMEOUT_MS.to_string())
+            .header("bluebellpick-timeout-ms", &CALL_TIMEOUT_MS.to_string())
     }
 
     /// Sends the request to the nodes in turn, or to all nodes at once, until `end`.
@@ -88,7 +90,7 @@
                 let call = self.make_call(number);
                 let caller = Caller::new(*address);
                 tokio::spawn(async move {
-                    let limit = Duration::from_millis(TIMEOUT_MS);
+                    let limit = Duration::from_millis(CALL_TIMEOUT_MS);
                     // The result doesn't matter, even if the node is down.
                     drop(caller.send_within(&call, limit).await);
                 });
@@ -146,7 +148,7 @@
     let Some(third) = crashes.get(2) else {
         return 0;
     };
-    let later = |run: &&Entry| run.start_us > third + BOUND_US;
+    let later = |run: &&Entry| run.start_us > third + QUARANTINE_BOUND_US;
     runs.iter().filter(later).count()
 }
 
--- a/crates/bench/src/soak_plan.rs
+++ b/crates/bench/src/soak_plan.rs
@@ -1,8 +1,8 @@
 //! Plans of faults: generated from a seed before they are played, and stored in files.
 //!
 //! Faults that are chosen during a run depend on the wall clock, so that a seed that failed once
-//! may pass for a long time. A plan lists each fault with its time. Its file has one JSON object
-//! per line, the header first; lines that begin with `#` are comments.
+//! may pass in many later runs. A plan lists each fault with its time. The file of a plan has one
+//! JSON object per line, the header first; lines that begin with `#` are comments.
 
 use crate::error::Error;
 use crate::faults::FAULT_DURATION_MS;
@@ -59,7 +59,7 @@
 pub enum Action {
     /// A fault.
     Fault(Fault),
-    /// Kills all nodes without another fault or stop.
+    /// Kills the nodes of all VMs that have no active fault or stop.
     KillAll,
     /// All connections to the nodes of an availability zone drop the bytes in both directions; new
     /// ones work.
@@ -90,7 +90,7 @@
 /// A plan of faults.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// Header.
+    /// The fleet and the seed that the plan is made for.
     pub header: PlanHeader,
     /// Events in the order of their starts.
     pub events: Vec<Event>,
--- a/crates/bench/src/soak_repeat.rs
+++ b/crates/bench/src/soak_repeat.rs
@@ -151,7 +151,7 @@
 ///
 /// When there is no plan, the plan doesn't fail, or a run can't be started.
 pub async fn shrink(options: &Options) -> Result<Tally, Error> {
-    let missing = || Error::Unexpected("--shrink wants --plan or --planned".to_owned());
+    let missing = || Error::Unexpected("--shrink needs --plan or --planned".to_owned());
     let mut plan = options.find_plan()?.ok_or_else(missing)?;
     let file = tempfile::Builder::new().prefix("plan-").tempfile()?;
     let mut last = run_plan(options, &plan, file.path()).await?;
--- a/crates/bench/src/soak_runner.rs
+++ b/crates/bench/src/soak_runner.rs
@@ -26,22 +26,22 @@
 const STORM_DURATION: Duration = Duration::from_millis(STORM_MS);
 
 /// Time limit for every node to serve after all faults have ended, as guaranteed to callers.
-const SERVE_LIMIT: Duration = Duration::from_secs(15);
+const SERVE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Time limit for a version to reach all nodes.
-const VERSION_LIMIT: Duration = Duration::from_secs(6);
+const VERSION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Maximum number of attempts to propose a version while other operators propose too.
-const MAX_WRITE_ATTEMPTS: u32 = 5;
+const MAX_PROPOSE_ATTEMPTS: u32 = 5;
 
 /// Interval at which the nodes are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Interval of the checks for due actions while a plan is played.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time in a calm within which half-closed sockets must be gone.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
+const SOCKET_CLOSE_TIME: Duration = Duration::from_secs(2);
 
 /// State of a soak test: the active faults, and the findings so far.
 pub(crate) struct SoakRunner {
@@ -96,14 +96,14 @@
             }
             self.wait_until(start + STORM_DURATION).await?;
             while !self.stopping.is_empty() {
-                self.wait_until(Instant::now() + TICK).await?;
+                self.wait_until(Instant::now() + TICK_INTERVAL).await?;
             }
             self.run_calm().await?;
         }
         Ok(())
     }
 
-    /// Ends faults and restarts processes that are due until `at`.
+    /// Waits until `at`; in the meantime, ends faults and restarts processes when they are due.
     async fn wait_until(&mut self, at: Instant) -> Result<(), Error> {
         loop {
             let now = Instant::now();
@@ -114,7 +114,7 @@
             if now >= at {
                 return Ok(());
             }
-            tokio::time::sleep(TICK.min(at - now)).await;
+            tokio::time::sleep(TICK_INTERVAL.min(at - now)).await;
         }
     }
 
@@ -162,8 +162,8 @@
             let is_killed = self.active_faults.iter().any(|(_, fault)| *fault == kill);
             let stop = Stop::Server(vm);
             let is_stopping = self.stopping.iter().any(|pending| pending.stop == stop);
-            let is_known = self.pending_restarts.iter().any(|(_, known)| *known == vm);
-            if !is_killed && !is_stopping && !is_known && !self.target.server(vm)?.is_running() {
+            let is_pending = self.pending_restarts.iter().any(|(_, other)| *other == vm);
+            if !is_killed && !is_stopping && !is_pending && !self.target.server(vm)?.is_running() {
                 eprintln!("{} crashed {vm}", now_us());
                 self.pending_restarts.push((now + RESTART_DELAY, vm));
             }
@@ -207,7 +207,8 @@
         Ok(())
     }
 
-    /// Restarts processes whose graceful stop has ended, and kills those that exceed the time limit.
+    /// Restarts processes that have stopped gracefully, and kills and restarts those that exceed the
+    /// time limit.
     fn finish_stops(&mut self) -> Result<(), Error> {
         for pending in std::mem::take(&mut self.stopping) {
             if self.target.has_ended(&pending)? {
@@ -225,7 +226,7 @@
     }
 
     pub(crate) async fn run_until(&mut self, end: Instant) -> Result<(), Error> {
-        while Instant::now() + SETTLE_TIME + VERSION_LIMIT < end {
+        while Instant::now() + SETTLE_TIME + VERSION_TIMEOUT < end {
             self.inject_until(end.min(Instant::now() + STORM_DURATION))
                 .await?;
             self.run_calm().await?;
@@ -241,7 +242,7 @@
             if self.rng.random_ratio(1, KILL_ALL_ONE_IN) {
                 self.kill_all().await?;
             } else if self.rng.random_ratio(1, STOP_ONE_IN) {
-                self.stop_one().await?;
+                self.restart_one().await?;
             } else {
                 self.inject_one().await?;
             }
@@ -251,7 +252,7 @@
         Ok(())
     }
 
-    /// Restarts nodes that have exited unexpectedly, as a platform does.
+    /// Restarts nodes that have exited unexpectedly, as the supervisor of a process does.
     ///
     /// A SIGHUP that arrives before the process has installed its handler terminates it, which no
     /// code can prevent; any other exit is a violation.
@@ -290,7 +291,7 @@
         Ok(())
     }
 
-    /// Kills the nodes of all VMs without another fault or stop.
+    /// Kills the nodes of all VMs that have no active fault or stop.
     async fn kill_all(&mut self) -> Result<(), Error> {
         let until = Instant::now() + Duration::from_millis(FAULT_DURATION_MS.start);
         for vm in 0..self.target.deployment.vms.len() {
@@ -306,7 +307,7 @@
     }
 
     /// Restarts a process gracefully on a random VM, unless the VM has an active fault.
-    async fn stop_one(&mut self) -> Result<(), Error> {
+    async fn restart_one(&mut self) -> Result<(), Error> {
         let vm = self.rng.random_range(0..self.target.deployment.vms.len());
         let is_compatible =
             |(_, other): &(Instant, Fault)| Fault::KillNode(vm).is_compatible_with(*other);
@@ -353,14 +354,14 @@
         self.calms += 1;
         eprintln!("{} calm", now_us());
         let deployment = &self.target.deployment;
-        if let Err(error) = deployment.wait_served("/records/calm", SERVE_LIMIT).await {
+        if let Err(error) = deployment.wait_served("/records/calm", SERVE_TIMEOUT).await {
             eprintln!("violation: {error}");
             self.not_served += 1;
         }
         let version = self.propose_version()?;
-        let written = Instant::now();
+        let proposed_at = Instant::now();
         while !self.has_version_everywhere(version).await {
-            if written.elapsed() > VERSION_LIMIT {
+            if proposed_at.elapsed() > VERSION_TIMEOUT {
                 eprintln!("violation: version {version} is not in force everywhere");
                 self.not_in_force += 1;
                 break;
@@ -368,7 +369,7 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.count_reverts().await;
-        tokio::time::sleep(CLOSE_LIMIT).await;
+        tokio::time::sleep(SOCKET_CLOSE_TIME).await;
         self.count_half_closed()
     }
 
@@ -396,7 +397,7 @@
         let deployment = &self.target.deployment;
         let change = put_service(&format!("calm-{}", self.calms));
         let mut outcome = Err(Error::Unexpected("no attempt".to_owned()));
-        for _ in 0..MAX_WRITE_ATTEMPTS {
+        for _ in 0..MAX_PROPOSE_ATTEMPTS {
             let last = self.last_version()?;
             outcome = deployment.propose(std::slice::from_ref(&change), last);
             if outcome.is_ok() {
@@ -411,14 +412,14 @@
         let deployment = &self.target.deployment;
         let platform = deployment.platform_address.to_string();
         let arguments = ["log", "--limit=1", "--json", "--platform", &platform];
-        let (_, output) = deployment.run_cli(&arguments, SERVE_LIMIT)?;
+        let (_, output) = deployment.run_cli(&arguments, SERVE_TIMEOUT)?;
         let unexpected = || Error::Unexpected(format!("log: {output}"));
         let listed: serde_json::Value =
             serde_json::from_str(&output).map_err(|_no_json| unexpected())?;
         listed[0]["version"].as_u64().ok_or_else(unexpected)
     }
 
-    /// Returns whether every node has installed a version or a later one.
+    /// Returns whether every node has installed `version` or a later one.
     async fn has_version_everywhere(&self, version: u64) -> bool {
         for vm in &self.target.deployment.vms {
             let held = read_status(vm).await.map(|status| status.version.0);
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -1,8 +1,8 @@
 //! Measures what a large fleet's state and churn cost one node: memory, CPU time and control bytes.
 //!
-//! The experiment runs one real node. A link of the bench, the feeder, acts as a
-//! child that knows the whole fleet and sends its state to the node. Further links
-//! act as children to which the node relays that state.
+//! The experiment runs one real node and opens links to it. One link, the feeder,
+//! acts as a child that sends the state of the whole fleet to the node. Further
+//! links act as children to which the node relays that state.
 
 use crate::deployment::{Deployment, VmSpec, put_route};
 use crate::error::Error;
@@ -60,7 +60,7 @@
     pub endpoints: usize,
     /// Number of children that the node relays to, besides the feeder.
     pub children: usize,
-    /// Times the churn of 14,000 nodes.
+    /// Rate of the churn, as a multiple of that of 14,000 nodes.
     pub speed: f64,
     /// Duration of the measurement.
     pub duration: Duration,
@@ -75,7 +75,7 @@
     pub endpoints: usize,
     /// Number of children that it relays to, besides the feeder.
     pub children: usize,
-    /// Times the churn of 14,000 nodes.
+    /// Rate of the churn, as a multiple of that of 14,000 nodes.
     pub speed: f64,
     /// Versions accepted during the measurement.
     pub versions: usize,
--- a/crates/bench/tests/history.rs
+++ b/crates/bench/tests/history.rs
@@ -1,4 +1,4 @@
-//! The history check accepts a consistent history and detects each kind of defect.
+//! The history check accepts a consistent history and detects each kind of violation.
 
 use bench::faults_history::{
     CheckResult, History, Invocation, ProcessRecord, ReportedOutcome, Run, Span, check,
@@ -47,7 +47,7 @@
         records: vec![
             ProcessRecord {
                 runs: vec![run("k1", "r1", 1_000_100), run("", "r5", 1_000_200)],
-                leave_spans: vec![Span {
+                stop_spans: vec![Span {
                     from_us: 1_000_000,
                     to_us: 1_000_300,
                 }],
@@ -87,57 +87,57 @@
 
 /// A change to the consistent history, with or without a violation.
 #[derive(Debug, Clone, Copy)]
-enum Defect {
+enum Change {
     RunTwice,
     RunRefused,
     AnswerSwapped,
     BodySwapped,
-    AnswerBorrowed,
+    AnswerOfOtherKey,
     CutOff,
-    CutOffOnRepeat,
+    CutOffOnRetry,
     UnknownBefore,
     CutOffAfter,
 }
 
-fn insert_defect(history: &mut History, defect: Defect) {
-    let asked = &mut history.invocations;
+fn apply_change(history: &mut History, change: Change) {
+    let calls = &mut history.invocations;
     let runs = &mut history.records[1].runs;
-    match defect {
-        Defect::RunTwice => runs.push(run("k1", "r2", 1_100_000)),
-        Defect::RunRefused => runs.push(run("k2", "r3", 9_000_000)),
-        Defect::AnswerSwapped => asked[4].told = answered("r2"),
-        Defect::BodySwapped => "f2".clone_into(&mut asked[4].fingerprint),
-        Defect::AnswerBorrowed => asked[2].told = answered("r1"),
-        Defect::CutOff => (asked[3].sent_us, asked[3].told_us) = (2_500_000, 2_600_000),
-        Defect::CutOffOnRepeat => {
-            (asked[3].sent_us, asked[3].told_us) = (2_500_000, 2_600_000);
-            let mut repeat = invoke("r6", Some("k3"), ReportedOutcome::Broken);
-            (repeat.sent_us, repeat.told_us) = (2_700_000, 2_800_000);
-            asked.push(repeat);
+    match change {
+        Change::RunTwice => runs.push(run("k1", "r2", 1_100_000)),
+        Change::RunRefused => runs.push(run("k2", "r3", 9_000_000)),
+        Change::AnswerSwapped => calls[4].told = answered("r2"),
+        Change::BodySwapped => "f2".clone_into(&mut calls[4].fingerprint),
+        Change::AnswerOfOtherKey => calls[2].told = answered("r1"),
+        Change::CutOff => (calls[3].sent_us, calls[3].told_us) = (2_500_000, 2_600_000),
+        Change::CutOffOnRetry => {
+            (calls[3].sent_us, calls[3].told_us) = (2_500_000, 2_600_000);
+            let mut retry = invoke("r6", Some("k3"), ReportedOutcome::Broken);
+            (retry.sent_us, retry.told_us) = (2_700_000, 2_800_000);
+            calls.push(retry);
         }
         // Not caused by the stop: the outcome was unknown before it, or the call ended after it.
-        Defect::UnknownBefore => {
-            let mut repeat = invoke("r6", Some("k3"), ReportedOutcome::MayHaveRun);
-            (repeat.sent_us, repeat.told_us) = (2_500_000, 2_600_000);
-            asked.push(repeat);
+        Change::UnknownBefore => {
+            let mut retry = invoke("r6", Some("k3"), ReportedOutcome::MayHaveRun);
+            (retry.sent_us, retry.told_us) = (2_500_000, 2_600_000);
+            calls.push(retry);
         }
-        Defect::CutOffAfter => (asked[3].sent_us, asked[3].told_us) = (2_900_000, 3_100_000),
+        Change::CutOffAfter => (calls[3].sent_us, calls[3].told_us) = (2_900_000, 3_100_000),
     }
 }
 
 #[yare::parameterized(
-    run_twice = { Defect::RunTwice, [1, 0, 0, 0] },
-    run_refused = { Defect::RunRefused, [0, 1, 0, 0] },
-    answer_swapped = { Defect::AnswerSwapped, [0, 0, 1, 0] },
-    body_swapped = { Defect::BodySwapped, [0, 0, 1, 0] },
-    answer_borrowed = { Defect::AnswerBorrowed, [0, 0, 1, 0] },
-    cut_off = { Defect::CutOff, [0, 0, 0, 1] },
-    cut_off_on_repeat = { Defect::CutOffOnRepeat, [0, 0, 0, 2] },
-    unknown_before = { Defect::UnknownBefore, [0, 0, 0, 0] },
-    cut_off_after = { Defect::CutOffAfter, [0, 0, 0, 0] },
+    run_twice = { Change::RunTwice, [1, 0, 0, 0] },
+    run_refused = { Change::RunRefused, [0, 1, 0, 0] },
+    answer_swapped = { Change::AnswerSwapped, [0, 0, 1, 0] },
+    body_swapped = { Change::BodySwapped, [0, 0, 1, 0] },
+    answer_of_other_key = { Change::AnswerOfOtherKey, [0, 0, 1, 0] },
+    cut_off = { Change::CutOff, [0, 0, 0, 1] },
+    cut_off_on_retry = { Change::CutOffOnRetry, [0, 0, 0, 2] },
+    unknown_before = { Change::UnknownBefore, [0, 0, 0, 0] },
+    cut_off_after = { Change::CutOffAfter, [0, 0, 0, 0] },
 )]
-fn defective(defect: Defect, found: [usize; 4]) {
+fn changed_history(change: Change, found: [usize; 4]) {
     let mut history = consistent_history();
-    insert_defect(&mut history, defect);
+    apply_change(&mut history, change);
     assert_eq!(violations(&check(&history)), found);
 }
--- a/crates/bench/tests/plan.rs
+++ b/crates/bench/tests/plan.rs
@@ -22,8 +22,8 @@
     assert!(plan.events.iter().any(|event| event.storm == 1));
 }
 
-// Two faults of one VM at once could undo each other, and a stored plan would then do less than
-// it lists.
+// Two faults of one VM at once could undo each other, and playing a stored plan would then have
+// fewer effects than it lists.
 #[test]
 fn no_conflicting_events() {
     for seed in 0..200 {
