--- a/crates/burn/src/history.rs
+++ b/crates/burn/src/history.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 /// Bucket width for the windows up to an hour: a fifth of the shortest window.
-const SHORT_BUCKET: Duration = Duration::from_mins(1);
+const FINE_BUCKET_WIDTH: Duration = Duration::from_mins(1);
 
 /// Bucket width for the windows of several hours: a twelfth of six hours.
-const LONG_BUCKET: Duration = Duration::from_mins(30);
+const COARSE_BUCKET_WIDTH: Duration = Duration::from_mins(30);
 
 /// Call counts of one time slot.
 #[derive(Debug, Clone, Copy, Default)]
@@ -75,14 +75,14 @@
 impl Default for History {
     fn default() -> Self {
         Self {
-            fine: Ring::new(SHORT_BUCKET, Window::Hour),
-            coarse: Ring::new(LONG_BUCKET, Window::ThreeDays),
+            fine: Ring::new(FINE_BUCKET_WIDTH, Window::Hour),
+            coarse: Ring::new(COARSE_BUCKET_WIDTH, Window::ThreeDays),
         }
     }
 }
 
 impl History {
-    /// Counts a call that ended at `now`, the time since any fixed start.
+    /// Counts a call that ended at `now`, which is measured from any fixed start.
     pub fn record(&mut self, now: Duration, outcome: Outcome) {
         self.fine.record(now, outcome);
         self.coarse.record(now, outcome);
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -11,9 +11,9 @@
 
 /// Alert rules: a short window, a long window, the burn rate that both must reach, and the alert.
 ///
-/// From table 5-8 of the workbook: 14.4 spends 2 % of a budget of 30 days in
-/// an hour, 6 spends 5 % in six hours, 1 spends 10 % in three days. The short
-/// window ends the alert soon after the errors end.
+/// From table 5-8 of the workbook: a burn rate of 14.4 spends 2 % of a budget of
+/// 30 days in an hour, 6 spends 5 % in six hours, 1 spends 10 % in three days. The
+/// short window ends the alert soon after the errors end.
 const ALERT_RULES: [(Window, Window, f64, Alert); 3] = [
     (Window::FiveMinutes, Window::Hour, 14.4, Alert::Page),
     (Window::HalfHour, Window::SixHours, 6.0, Alert::Page),
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn errors_over() {
+fn alert_after_errors_end() {
     let mut history = History::default();
     record_minutes(&mut history, 0..60, 500);
     assert_eq!(
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -129,7 +129,7 @@
     found
 }
 
-/// Describes the cause of the call's outcome, from the last log line that tells it.
+/// Describes the cause of the call's outcome, from the last log line that reports the outcome.
 fn find_cause(id: &str, call_lines: &[&LogLine]) -> String {
     let is_final = |line: &&&LogLine| line.get("id") == id && line.event.starts_with("call_");
     let mut finals = call_lines
@@ -140,7 +140,7 @@
         return "not known: no line tells its end; its node was killed, or left the line out"
             .into();
     };
-    let gates = call_lines
+    let turned_away_count = call_lines
         .iter()
         .filter(|line| line.event == "call_turned_away" && line.get("id") == id)
         .count();
@@ -154,7 +154,7 @@
         ("call_unrouted", _, reason) => describe_unrouted(end, reason),
         ("call_answered", _, _) => describe_answer(call_lines, id, end),
         (_, "not-run", "full" | "deadline") => format!(
-            "no room: the gates of {gates} backend servers turned it away, as it could not begin in time"
+            "no room: the gates of {turned_away_count} backend servers turned it away, as it could not begin in time"
         ),
         (_, "not-run", "shed") => {
             format!(
--- a/crates/cli/src/log_line.rs
+++ b/crates/cli/src/log_line.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-/// Maximum length of a line, in bytes; longer ones are skipped. Lines of a node are at most a tenth
-/// of it.
+/// Maximum length of a line, in bytes; longer ones are skipped. The lines that nodes write are at
+/// most a tenth as long.
 const MAX_LINE_BYTES: usize = 16 << 10;
 
 /// One line of a node's log.
@@ -22,8 +22,8 @@
 impl LogLine {
     /// Parses a line; returns `None` if it is not a log line of a node.
     ///
-    /// Text before the bracket comes from a log collector; its last word is the name of the node.
-    /// Without such text the name is `file`.
+    /// Text before the first `[` comes from a log collector; its last word is the name of the node.
+    /// Without such text, the node's name is `file`.
     pub(crate) fn parse(text: &str, file: &str) -> Option<Self> {
         if text.len() > MAX_LINE_BYTES {
             return None;
--- a/crates/cli/src/propose.rs
+++ b/crates/cli/src/propose.rs
@@ -13,10 +13,10 @@
 use store::propose::{Outcome, Proposal, Refusal, propose, resolve};
 use store::version::{Id, Step};
 
-/// Upper bound of the wait before the first retry; it doubles with each further one.
+/// Upper bound of the wait before the first retry; the bound doubles with each further retry.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
 
-/// Maximum upper bound of the wait between two attempts.
+/// Upper bound of the wait before any retry, at which the doubling ends.
 const BACKOFF_CAP: Duration = Duration::from_secs(2);
 
 /// Output of `--json` for a proposal.
--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -88,6 +88,6 @@
     let committed = std::fs::read_to_string(MANUAL_PATH).unwrap();
     assert!(
         committed == page,
-        "write it anew: {WRITE_VARIABLE}=1 cargo test -p bluebellpick-cli"
+        "the manual page is out of date; regenerate it with {WRITE_VARIABLE}=1 cargo test -p bluebellpick-cli"
     );
 }
--- a/crates/cli/tests/propose.rs
+++ b/crates/cli/tests/propose.rs
@@ -133,7 +133,7 @@
     assert!(!shown.output.contains("jobs"));
 }
 
-// The platform applies a proposal and its answer is lost. The outcome is
+// The platform applies a proposal, but its response is lost. The outcome is
 // "accepted", since the second attempt finds the record of the first one.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer() {
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -19,7 +19,8 @@
 #[derive(Debug)]
 pub struct Document {
     entries: Vec<Entry>,
-    headers: Vec<(String, usize)>,
+    /// Names and lines of the section headers.
+    sections: Vec<(String, usize)>,
     diagnostics: Vec<Diagnostic>,
     last_line: usize,
 }
@@ -30,7 +31,7 @@
     pub fn new(text: &str, keys: &[Key]) -> Self {
         let mut document = Self {
             entries: Vec::new(),
-            headers: Vec::new(),
+            sections: Vec::new(),
             diagnostics: Vec::new(),
             last_line: text.lines().count().max(1),
         };
@@ -64,7 +65,7 @@
     }
 
     fn add_section(&mut self, line: usize, name: &str, keys: &[Key]) {
-        self.headers.push((name.to_owned(), line));
+        self.sections.push((name.to_owned(), line));
         if !keys.iter().any(|key| key.section == name) {
             let known = join_unique(keys.iter().map(|key| key.section));
             self.add_diagnostic(line, format!("[{name}]: unknown section; known: {known}"));
@@ -72,7 +73,7 @@
     }
 
     fn add_entry(&mut self, line: usize, key: &str, value: &str, keys: &[Key]) {
-        let Some((section, _)) = self.headers.last().cloned() else {
+        let Some((section, _)) = self.sections.last().cloned() else {
             self.add_diagnostic(line, format!("{key}: stands before the first [section]"));
             return;
         };
@@ -163,7 +164,7 @@
     }
 
     fn line_of_section(&self, section: &str) -> usize {
-        self.headers
+        self.sections
             .iter()
             .find(|(name, _)| name == section)
             .map_or(self.last_line, |(_, line)| *line)
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -92,7 +92,7 @@
         let mut document = Document::new(text, Self::KEYS);
         let settings = Self::read(&mut document);
         if let Some(settings) = &settings {
-            settings.check_listeners(&mut document);
+            settings.check_listeners_and_service(&mut document);
             settings.check_threads(&mut document);
         }
         document.finish(settings, file)
@@ -136,7 +136,7 @@
         }
     }
 
-    fn check_listeners(&self, document: &mut Document) {
+    fn check_listeners_and_service(&self, document: &mut Document) {
         let listeners = self.listeners();
         for (index, (name, address)) in listeners.iter().enumerate() {
             for (other, taken) in &listeners[..index] {
@@ -176,8 +176,8 @@
     }
 }
 
-/// Time reserved before `kill_timeout`: the last frames must be sent by then, and a VM with a
-/// fifth of a core wakes up late.
+/// Time reserved before `kill_timeout` to send the last frames: a process on a VM with a fifth of
+/// a core is scheduled late.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 
 /// Maximum number of threads of a node: more than the cores of any VM that it is meant for.
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -12,8 +12,8 @@
 /// Minimum length of a token: 16 hexadecimal digits are 64 bits.
 const MIN_TOKEN_LEN: usize = 16;
 
-/// Units of time and their length in milliseconds. `ms` comes before `s`, because the suffix `s`
-/// also matches it.
+/// Units of time and their length in milliseconds. `ms` is tried before `s`, because a text that
+/// ends in `ms` also ends in `s`.
 const TIME_UNITS: [(&str, u64); 4] = [("ms", 1), ("min", 60_000), ("s", 1_000), ("h", 3_600_000)];
 
 /// Why a text is not a valid value.
@@ -42,7 +42,7 @@
 #[derive(Clone, PartialEq, Eq)]
 pub struct Token(pub Option<String>);
 
-/// Text of a setting without a secret.
+/// Text of a token setting for which no token is configured.
 const NO_TOKEN: &str = "none";
 
 impl fmt::Debug for Token {
@@ -246,7 +246,7 @@
 const KILOBITS_PER_MEGABIT: u64 = 1_000;
 
 /// Maximum capacity that can be set: a terabit per second.
-const MAX_KILOBITS: u64 = 1_000_000_000;
+const MAX_KILOBITS_PER_SECOND: u64 = 1_000_000_000;
 
 impl Value for LinkRate {
     const EXPECTED: &str = "megabits a second above zero, at most 1000000, such as 1000 or 8.4";
@@ -254,7 +254,7 @@
     fn parse(text: &str) -> Result<Self, ParseError> {
         match parse_fraction(text, KILOBITS_PER_MEGABIT)? {
             0 => Err(ParseError::Zero),
-            kilobits if kilobits > MAX_KILOBITS => Err(ParseError::Malformed),
+            kilobits if kilobits > MAX_KILOBITS_PER_SECOND => Err(ParseError::Malformed),
             kilobits => Ok(Self(kilobits)),
         }
     }
