--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -223,7 +223,7 @@
 where
     C: Clock,
 {
-    /// Polls for the next part of the body; `None` marks its end.
+    /// Polls for the next chunk of the body; `None` marks its end.
     pub(crate) fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
