--- a/crates/call/src/digest.rs
+++ b/crates/call/src/digest.rs
@@ -12,7 +12,7 @@
 ///
 /// That much of a body is buffered before the first attempt, regardless of the
 /// sender and of how the body is split, so that every node computes the same digest.
-pub const MAX_DIGEST_BODY: usize = 64 << 10;
+pub const MAX_DIGEST_BODY_BYTES: usize = 64 << 10;
 
 /// Identifies a request by what its caller chose: method, host, path with query, and body.
 ///
@@ -23,10 +23,10 @@
 pub struct Digest([u8; 16]);
 
 impl Digest {
-    /// Computes the digest of a request, using the first [`MAX_DIGEST_BODY`] bytes of its body.
+    /// Computes the digest of a request, using the first [`MAX_DIGEST_BODY_BYTES`] bytes of its body.
     #[must_use]
     pub fn of(method: &str, host: &str, path: &str, body: &[u8]) -> Self {
-        let body = &body[..body.len().min(MAX_DIGEST_BODY)];
+        let body = &body[..body.len().min(MAX_DIGEST_BODY_BYTES)];
         let mut digest = Sha256::new();
         for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
             // The length prefix distinguishes "ab" + "c" from "a" + "bc".
--- a/crates/call/src/lib.rs
+++ b/crates/call/src/lib.rs
@@ -14,7 +14,7 @@
 mod verdict;
 
 pub use crash::{Crash, truncate_path};
-pub use digest::{Digest, MAX_DIGEST_BODY};
+pub use digest::{Digest, MAX_DIGEST_BODY_BYTES};
 pub use header::Header;
 pub use id::Id;
 pub use table::{Arrival, AttemptTable, MAX_OUTCOMES, OUTCOME_RETENTION, Outcome, PEER_RETENTION};
--- a/crates/call/src/reserve.rs
+++ b/crates/call/src/reserve.rs
@@ -27,7 +27,7 @@
 
 /// Maximum number of keys per shard. At about 150 bytes each they take 10 MB, a
 /// third of the memory that a node may use for its control plane.
-pub const MAX_KEYS: usize = 65_536;
+pub const MAX_SHARD_KEYS: usize = 65_536;
 
 /// Largest answer that is stored for repeats, in bytes of body and headers.
 ///
--- a/crates/call/tests/digest.rs
+++ b/crates/call/tests/digest.rs
@@ -1,6 +1,6 @@
 //! Request digests: equal for repeats, different for different requests.
 
-use call::{Digest, MAX_DIGEST_BODY};
+use call::{Digest, MAX_DIGEST_BODY_BYTES};
 
 /// Moving bytes from one part of a request to the next must change its digest.
 #[test]
@@ -20,11 +20,11 @@
 /// The digest of a long body must not depend on how much of it a node has buffered.
 #[test]
 fn long_body_prefix() {
-    let body = vec![7; MAX_DIGEST_BODY + 1];
+    let body = vec![7; MAX_DIGEST_BODY_BYTES + 1];
     let full = Digest::of("POST", "mesh", "/a", &body);
     assert_eq!(
         full,
-        Digest::of("POST", "mesh", "/a", &body[..MAX_DIGEST_BODY])
+        Digest::of("POST", "mesh", "/a", &body[..MAX_DIGEST_BODY_BYTES])
     );
     assert_ne!(full, Digest::of("POST", "mesh", "/a", &body[..8]));
 }
--- a/crates/node/benches/reserve.rs
+++ b/crates/node/benches/reserve.rs
@@ -6,7 +6,7 @@
 //! time that a full shard's table takes.
 
 use call::Id;
-use call::reserve::{Claim, Entry, Fingerprint, Holder, Key, KeyTable, MAX_KEYS};
+use call::reserve::{Claim, Entry, Fingerprint, Holder, Key, KeyTable, MAX_SHARD_KEYS};
 use clock::System;
 use config::{Endpoint, Mesh, Service, State, Version, View};
 use node::nodes::make_hello;
@@ -81,7 +81,7 @@
     let before = read_resident();
     let start = Instant::now();
     let mut table = KeyTable::default();
-    for number in 0..MAX_KEYS as u64 {
+    for number in 0..MAX_SHARD_KEYS as u64 {
         let call = Id {
             origin: number,
             sequence: number,
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -438,7 +438,7 @@
         route: request.route,
         deadline,
         target,
-        nested: request.nested,
+        parent_class: request.nested,
     }
 }
 
--- a/crates/node/src/outbound/plan.rs
+++ b/crates/node/src/outbound/plan.rs
@@ -35,7 +35,7 @@
 const MAX_TIMEOUT: Duration = Duration::from_mins(5);
 
 // A digest is the same at every node only if all of the body that it covers is held in memory.
-const _: () = assert!(call::MAX_DIGEST_BODY <= INITIAL_WINDOW);
+const _: () = assert!(call::MAX_DIGEST_BODY_BYTES <= INITIAL_WINDOW);
 
 /// Maximum number of attempts, including the first, for a call whose route has no retry rule.
 const DEFAULT_MAX_ATTEMPTS: u8 = 3;
--- a/crates/node/src/reserve/journal.rs
+++ b/crates/node/src/reserve/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::reserve::encoding::{decode, encode};
 use crate::reserve::key_expiry::KeyExpiry;
-use call::reserve::{Claim, Entry, Holder, Key, KeyTable, MAX_KEYS, Reply};
+use call::reserve::{Claim, Entry, Holder, Key, KeyTable, MAX_SHARD_KEYS, Reply};
 use clock::Clock;
 use smol_str::{SmolStr, format_smolstr};
 use std::time::Duration;
@@ -152,7 +152,8 @@
     /// none while the table is full and all claims are refused.
     pub(crate) async fn expire_if_full(&mut self) -> Result<(), Error> {
         let key_count = self.table.len();
-        if key_count >= MAX_KEYS && self.expiry.last_expired(&self.clock, key_count).is_some() {
+        if key_count >= MAX_SHARD_KEYS && self.expiry.last_expired(&self.clock, key_count).is_some()
+        {
             self.write(Vec::new()).await?;
         }
         Ok(())
--- a/crates/node/src/reserve/key_expiry.rs
+++ b/crates/node/src/reserve/key_expiry.rs
@@ -1,6 +1,6 @@
 //! Expiry of a shard's keys, by this process's monotonic clock.
 
-use call::reserve::MAX_KEYS;
+use call::reserve::MAX_SHARD_KEYS;
 use clock::Clock;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 /// callers' automatic repeats end, and so does every call (five minutes at most).
 const REDUCED_KEY_TTL: Duration = Duration::from_mins(15);
 
-/// Fill level from which on [`REDUCED_KEY_TTL`] applies, in eighths of [`MAX_KEYS`].
+/// Fill level from which on [`REDUCED_KEY_TTL`] applies, in eighths of [`MAX_SHARD_KEYS`].
 const NEARLY_FULL_EIGHTHS: usize = 7;
 
 /// Minimum time between the commits of two sampled records.
@@ -50,7 +50,7 @@
     where
         C: Clock,
     {
-        let nearly_full = key_count * 8 >= MAX_KEYS * NEARLY_FULL_EIGHTHS;
+        let nearly_full = key_count * 8 >= MAX_SHARD_KEYS * NEARLY_FULL_EIGHTHS;
         let ttl = if nearly_full {
             REDUCED_KEY_TTL
         } else {
--- a/crates/node/src/reserve/shard.rs
+++ b/crates/node/src/reserve/shard.rs
@@ -8,7 +8,7 @@
 
 use crate::millis::whole_ms;
 use crate::reserve::journal::ShardLog;
-use call::reserve::{Claim, Entry, Key, MAX_KEYS, Reply, SHARD_COUNT};
+use call::reserve::{Claim, Entry, Key, MAX_SHARD_KEYS, Reply, SHARD_COUNT};
 use clock::Clock;
 use rand::Rng;
 use std::collections::HashSet;
@@ -331,7 +331,7 @@
 
     /// Answers the claims that need no record, and those for which the shard has no space.
     fn answer_known(&mut self) {
-        let free = MAX_KEYS.saturating_sub(self.log.table().len());
+        let free = MAX_SHARD_KEYS.saturating_sub(self.log.table().len());
         let mut remaining = Vec::new();
         let claims = std::mem::take(&mut self.claims).into_iter();
         for pending in claims.filter(|pending| !pending.reply.is_closed()) {
--- a/crates/node/tests/reserve.rs
+++ b/crates/node/tests/reserve.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use call::Id;
-use call::reserve::{Answer, Claim, Fingerprint, Holder, Key, MAX_KEYS, Reply};
+use call::reserve::{Answer, Claim, Fingerprint, Holder, Key, MAX_SHARD_KEYS, Reply};
 use clock::{Clock, Manual, System};
 use config::{Endpoint, Mesh, Service, State, Version, View};
 use node::nodes::make_hello;
@@ -256,9 +256,9 @@
     let keys: Vec<_> = (0..u64::MAX)
         .map(|number| number.to_string())
         .filter(|key| Key::of("claims", key).shard() == 0)
-        .take(MAX_KEYS + 2)
+        .take(MAX_SHARD_KEYS + 2)
         .collect();
-    for batch in keys[..MAX_KEYS].chunks(4_096) {
+    for batch in keys[..MAX_SHARD_KEYS].chunks(4_096) {
         let claims = batch.iter().cloned().map(|key| {
             let node = Arc::clone(&node);
             tokio::spawn(async move { expect_grant(node.claim(&key).await) })
@@ -267,7 +267,7 @@
             let _grant = claim.await.unwrap();
         }
     }
-    let result = node.claim(&keys[MAX_KEYS]).await;
+    let result = node.claim(&keys[MAX_SHARD_KEYS]).await;
     let ClaimResult::NotGranted(Reply::Refused { retry_after_ms }) = result else {
         panic!("{result:?}");
     };
@@ -278,7 +278,7 @@
     );
     clock.advance(Duration::from_mins(16));
     let refused = |reply: &Reply| matches!(reply, Reply::Refused { .. });
-    let _grant = expect_grant(claim_while(&node, &keys[MAX_KEYS + 1], refused).await);
+    let _grant = expect_grant(claim_while(&node, &keys[MAX_SHARD_KEYS + 1], refused).await);
 }
 
 // Hundreds of keyed calls arrive at once. One write for each would overload the
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -40,7 +40,7 @@
     pub target: Option<Instant>,
     /// Class of the parent, if the call is nested: the parent holds a slot at another backend
     /// server until it has this call's answer.
-    pub nested: Option<Class>,
+    pub parent_class: Option<Class>,
 }
 
 /// The right to run one call; must be handed back to [`Admission::finish`].
@@ -536,7 +536,7 @@
 /// whatever its class, and a slot can serve only one of the two.
 pub(crate) fn tier_of(now: Instant, request: &Request) -> Tier {
     let is_overdue = request.target.is_some_and(|target| target <= now);
-    match (request.class, request.nested) {
+    match (request.class, request.parent_class) {
         // Commits never sink to the last tier: an overdue commit is scheduled like a look-up.
         (Class::Commit, None) if is_overdue => Tier::Lookup,
         (Class::Commit, _) => Tier::Commit,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -29,7 +29,7 @@
 //!     route: policy::hash("GET /records"),
 //!     deadline: now + Duration::from_secs(1),
 //!     target: None,
-//!     nested: None,
+//!     parent_class: None,
 //! };
 //! let Decision::Run(ticket) = admission.offer(now, &request, &mut rng) else {
 //!     panic!("an idle backend server admits the call");
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -29,7 +29,7 @@
 const PROBATION_TIME: Duration = Duration::from_mins(50);
 
 /// How long a crash record is kept.
-pub const RETENTION: Duration = HOLD_TIME.saturating_add(PROBATION_TIME);
+pub const CRASH_RETENTION: Duration = HOLD_TIME.saturating_add(PROBATION_TIME);
 
 /// Maximum number of requests tracked; those with the fewest crashes are evicted first.
 pub const MAX_REQUESTS: usize = 512;
@@ -72,7 +72,10 @@
     /// Merges a crash record; returns whether it changed the history.
     pub fn merge(&mut self, now: Instant, crash: &Crash) -> bool {
         let age = Duration::from_millis(crash.age_ms.into());
-        let Some(left) = RETENTION.checked_sub(age).filter(|left| !left.is_zero()) else {
+        let Some(left) = CRASH_RETENTION
+            .checked_sub(age)
+            .filter(|left| !left.is_zero())
+        else {
             return false;
         };
         self.expire(now);
@@ -206,7 +209,7 @@
     /// Returns the crash with its current age.
     fn to_crash(&self, now: Instant) -> Crash {
         let left = self.expires_at.saturating_duration_since(now);
-        let age = RETENTION.saturating_sub(left).as_millis();
+        let age = CRASH_RETENTION.saturating_sub(left).as_millis();
         Crash {
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
             ..self.crash.clone()
--- a/crates/policy/tests/body_scheduler.rs
+++ b/crates/policy/tests/body_scheduler.rs
@@ -212,7 +212,7 @@
             route: 1,
             deadline: now + UPLOAD_TIMES.1,
             target: Some(now + UPLOAD_TIMES.0),
-            nested: None,
+            parent_class: None,
         },
         length,
         run: UPLOAD_RUN,
--- a/crates/policy/tests/first_calls.rs
+++ b/crates/policy/tests/first_calls.rs
@@ -32,7 +32,7 @@
             route: 1,
             deadline: clock.now() + Duration::from_mins(1),
             target: None,
-            nested: None,
+            parent_class: None,
         };
         match admission.offer(clock.now(), &request, &mut rng) {
             Decision::Run(ticket) => tickets.push(ticket),
--- a/crates/policy/tests/load/sim.rs
+++ b/crates/policy/tests/load/sim.rs
@@ -455,7 +455,7 @@
             route: policy::hash(&format!("route-{}", flow.route)),
             deadline: self.at(call.deadline),
             target,
-            nested: flow.nested,
+            parent_class: flow.nested,
         }
     }
 
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -3,8 +3,8 @@
 use call::{Crash, Digest};
 use clock::{Clock, Manual};
 use policy::quarantine::{
-    CrashHistory, HOLD_THRESHOLD, HOLD_TIME, MAX_CRASHES_PER_REQUEST, MAX_REQUESTS, RETENTION,
-    RequestStatus,
+    CRASH_RETENTION, CrashHistory, HOLD_THRESHOLD, HOLD_TIME, MAX_CRASHES_PER_REQUEST,
+    MAX_REQUESTS, RequestStatus,
 };
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
@@ -114,7 +114,7 @@
     );
     history.merge(clock.now(), &crash(3, 1, true));
     assert!(is_held(&history, clock.now(), 1));
-    clock.advance(RETENTION);
+    clock.advance(CRASH_RETENTION);
     assert_eq!(
         history.status(clock.now(), request(1)),
         RequestStatus::Clear
@@ -132,7 +132,7 @@
         age_ms: u32::try_from(age.as_millis()).unwrap(),
         ..crash(id, 1, true)
     };
-    assert!(!history.merge(now, &aged(0, RETENTION)));
+    assert!(!history.merge(now, &aged(0, CRASH_RETENTION)));
     for id in 1..4 {
         assert!(history.merge(now, &aged(id, HOLD_TIME / 2)));
     }
