--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -50,13 +50,13 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Views built.
-    pub views: u64,
+    pub built_views: u64,
     /// Versions applied.
-    pub versions: u64,
+    pub applied_versions: u64,
     /// Versions that could not be applied.
-    pub refusals: u64,
+    pub refused_versions: u64,
     /// Times that the node joined a parent.
-    pub parents: u64,
+    pub parent_joins: u64,
     /// Nodes that this node declared gone.
     pub departures: u64,
 }
--- a/crates/fleet/src/root_duties.rs
+++ b/crates/fleet/src/root_duties.rs
@@ -229,7 +229,7 @@
     /// Records an invalid version, once; operators see it in the node's status.
     pub(crate) fn on_invalid_version(&mut self, version: Version, reason: SmolStr) {
         if self.replica.refuse(version, reason) {
-            self.counters.refusals += 1;
+            self.counters.refused_versions += 1;
         }
     }
 
--- a/crates/fleet/src/sync.rs
+++ b/crates/fleet/src/sync.rs
@@ -170,7 +170,7 @@
             ApplyOutcome::Applied => self.propagate_version(now),
             ApplyOutcome::Gap => self.schedule_request(now),
             ApplyOutcome::Refused => {
-                self.counters.refusals += 1;
+                self.counters.refused_versions += 1;
                 self.schedule_request(now);
             }
             ApplyOutcome::Stale | ApplyOutcome::Partial => {}
@@ -179,7 +179,7 @@
 
     /// Sends on a version that has just been applied, and schedules a view of it.
     fn propagate_version(&mut self, now: Instant) {
-        self.counters.versions += 1;
+        self.counters.applied_versions += 1;
         self.sync.request_wait = REQUEST_RETRY.0;
         let held = self.version();
         let is_behind = |link: &Link| link.is_established() && link.version < held;
@@ -400,7 +400,7 @@
         if is_due(self.sync.view_at) && self.is_ready() {
             self.sync.view_at = None;
             let view = View::join(self.replica.held(), self.table.iter().cloned());
-            self.counters.views += 1;
+            self.counters.built_views += 1;
             self.actions.push(Action::InstallView(Arc::new(view)));
         } else if is_due(self.sync.view_at) {
             self.sync.view_at = Some(now + VIEW_DELAY);
--- a/crates/fleet/src/tree.rs
+++ b/crates/fleet/src/tree.rs
@@ -141,7 +141,7 @@
         }
         self.search.finish_dial(key);
         self.search.stop();
-        self.counters.parents += 1;
+        self.counters.parent_joins += 1;
         self.establish_link(now, key, Role::Parent, version);
         self.set_path(path);
         self.send_checksums(key, false);
--- a/crates/node/src/inbound/crash.rs
+++ b/crates/node/src/inbound/crash.rs
@@ -67,7 +67,7 @@
                 _permit: None,
             });
         }
-        let max_wait = match request.nested {
+        let max_wait = match request.parent_class {
             Some(_) => MAX_NESTED_SUSPECT_WAIT,
             None => Duration::MAX,
         };
--- a/crates/node/src/inbound/load_probe.rs
+++ b/crates/node/src/inbound/load_probe.rs
@@ -48,7 +48,7 @@
         route: probe.route,
         deadline: deadline_after(inner, probe.timeout_ms),
         target: probe.target_ms.map(|target| deadline_after(inner, target)),
-        parent_class: probe.nested,
+        parent_class: probe.parent_class,
     };
     inner.gate.estimate(backend.slots, &request)
 }
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -438,7 +438,7 @@
         route: request.route,
         deadline,
         target,
-        parent_class: request.nested,
+        parent_class: request.parent_class,
     }
 }
 
--- a/crates/node/src/outbound/pick.rs
+++ b/crates/node/src/outbound/pick.rs
@@ -148,7 +148,7 @@
         service: plan.service.clone(),
         route: plan.route,
         class: plan.class,
-        nested: plan.nested,
+        parent_class: plan.nested,
         timeout_ms: whole_ms(time_left(inner, plan.deadline)),
         target_ms: plan.target.map(|target| whole_ms(time_left(inner, target))),
     };
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -299,7 +299,7 @@
             .target
             .map(|target| whole_ms(self::time_left(inner, target))),
         class: plan.class,
-        nested: plan.nested,
+        parent_class: plan.nested,
         caller: plan.caller.clone(),
         route: plan.route,
         length: 0,
--- a/crates/node/tests/calls/load_probe.rs
+++ b/crates/node/tests/calls/load_probe.rs
@@ -18,7 +18,7 @@
         service: service.into(),
         route: 1,
         class: Class::Commit,
-        nested: None,
+        parent_class: None,
         timeout_ms: 2_000,
         target_ms: None,
     };
--- a/crates/node/tests/calls/raw_peer.rs
+++ b/crates/node/tests/calls/raw_peer.rs
@@ -53,7 +53,7 @@
         timeout_ms,
         target_ms: None,
         class,
-        nested: None,
+        parent_class: None,
         caller: "caller".into(),
         route: 1,
         length: 0,
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -28,7 +28,8 @@
     pub class: config::Class,
     /// For a nested call: the class of the call that runs on the sender's own backend server and
     /// waits for this one.
-    pub nested: Option<config::Class>,
+    #[serde(rename = "nested")]
+    pub parent_class: Option<config::Class>,
     /// The caller on whose behalf it runs, for fair sharing.
     pub caller: SmolStr,
     /// Hash of the call's route and method; calls with the same hash take about equally long.
@@ -186,7 +187,8 @@
     pub class: config::Class,
     /// For a nested call: the class of the call that waits for it on the sender's own backend
     /// server.
-    pub nested: Option<config::Class>,
+    #[serde(rename = "nested")]
+    pub parent_class: Option<config::Class>,
     /// Time left until the deadline, in milliseconds.
     pub timeout_ms: u32,
     /// Time left until the latency target, in milliseconds; an answer by then is worth most.
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -52,7 +52,7 @@
             headers,
             timeout_ms,
             target_ms: end.then_some(timeout_ms / 2),
-            nested: end.then_some(config::Class::Refresh),
+            parent_class: end.then_some(config::Class::Refresh),
             class: config::Class::Commit,
             caller: caller.into(),
             route,
