--- a/crates/cli/src/status_report.rs
+++ b/crates/cli/src/status_report.rs
@@ -7,7 +7,7 @@
 use config::Version;
 use serde::Serialize;
 use smol_str::SmolStr;
-use status::{Fleet, Status};
+use status::{FleetVersions, Status};
 use store::version::load;
 
 /// Output of `status --json`.
@@ -16,7 +16,7 @@
     /// The last accepted version; `None` if the platform's address is unknown or it does not answer.
     accepted: Option<Version>,
     /// Versions that the fleet holds, according to the node that knows of the most nodes.
-    fleet: Fleet,
+    fleet: FleetVersions,
     nodes: Vec<Status>,
     unreachable: Vec<Unreachable>,
 }
@@ -60,17 +60,17 @@
 }
 
 /// Returns the status of the fleet according to the node that knows of the most nodes.
-fn select_fleet(nodes: &[Status]) -> Fleet {
+fn select_fleet(nodes: &[Status]) -> FleetVersions {
     let fleets = nodes.iter().map(|node| &node.distribution.fleet);
     let largest = fleets.max_by_key(|fleet| count_nodes(fleet));
     largest.cloned().unwrap_or_default()
 }
 
-fn count_nodes(fleet: &Fleet) -> u32 {
+fn count_nodes(fleet: &FleetVersions) -> u32 {
     fleet.counts.iter().map(|count| count.nodes).sum()
 }
 
-fn print_fleet(fleet: &Fleet) {
+fn print_fleet(fleet: &FleetVersions) {
     let all = count_nodes(fleet);
     for count in fleet.counts.iter().rev() {
         println!(
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -7,7 +7,7 @@
 use config::Version;
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
-use wire::control::{Count, Refusal, Status};
+use wire::control::{RefusedVersion, Status, VersionCount};
 
 /// Maximum number of versions counted separately; a healthy fleet holds one or two.
 pub const MAX_VERSION_COUNTS: usize = 8;
@@ -20,9 +20,9 @@
 
 /// Returns the status of a single node.
 #[must_use]
-pub fn single_node(version: Version, refusal: Option<Refusal>) -> Status {
+pub fn single_node(version: Version, refusal: Option<RefusedVersion>) -> Status {
     Status {
-        counts: vec![Count { version, nodes: 1 }],
+        counts: vec![VersionCount { version, nodes: 1 }],
         laggards: Vec::new(),
         refusals: refusal.into_iter().collect(),
     }
@@ -72,10 +72,10 @@
 
 /// Keeps the lowest version and the highest ones; nodes of the versions between are added to the
 /// lowest.
-fn bound_counts(counts: BTreeMap<Version, u32>) -> Vec<Count> {
+fn bound_counts(counts: BTreeMap<Version, u32>) -> Vec<VersionCount> {
     let mut kept: Vec<_> = counts
         .into_iter()
-        .map(|(version, nodes)| Count { version, nodes })
+        .map(|(version, nodes)| VersionCount { version, nodes })
         .collect();
     while kept.len() > MAX_VERSION_COUNTS {
         let folded = kept.remove(1);
@@ -86,12 +86,12 @@
 
 /// Creates a refusal, with its reason truncated to [`MAX_REASON_BYTES`].
 #[must_use]
-pub fn refusal(node: &SmolStr, version: Version, reason: &str) -> Refusal {
+pub fn refusal(node: &SmolStr, version: Version, reason: &str) -> RefusedVersion {
     let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
         end -= 1;
     }
-    Refusal {
+    RefusedVersion {
         node: node.clone(),
         version,
         reason: reason[..end].into(),
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -315,14 +315,20 @@
         let before = self.shared.distribution.load();
         let next = self.distribution_status();
         let control = &self.shared.metrics.control;
-        control.versions.inc_by(next.versions - before.versions);
-        control.refusals.inc_by(next.refusals - before.refusals);
-        control.parents.inc_by(next.parents - before.parents);
+        control
+            .versions
+            .inc_by(next.applied_versions - before.applied_versions);
+        control
+            .refusals
+            .inc_by(next.refused_versions - before.refused_versions);
+        control
+            .parents
+            .inc_by(next.parent_joins - before.parent_joins);
         control
             .departures
             .inc_by(next.departures - before.departures);
-        control.views.inc_by(next.views - before.views);
-        if next.refusals > before.refusals {
+        control.views.inc_by(next.built_views - before.built_views);
+        if next.refused_versions > before.refused_versions {
             let local = &self.shared.settings.name;
             let refusal = next
                 .fleet
@@ -330,7 +336,7 @@
                 .iter()
                 .find(|refusal| refusal.node == *local);
             let reason = refusal.map_or("", |refusal| refusal.reason.as_str());
-            warn!(reason, held = next.held.0; "version_refused");
+            warn!(reason, held = next.held_version.0; "version_refused");
         }
         if next != **before {
             if next.path.first() != before.path.first() {
@@ -344,15 +350,15 @@
     fn distribution_status(&self) -> status::Distribution {
         let counters = self.node.counters();
         status::Distribution {
-            held: self.node.version(),
+            held_version: self.node.version(),
             path: self.node.path().to_vec(),
             children: self.node.count_links(Role::Child),
             roots: self.node.count_links(Role::RootPeer),
-            versions: counters.applied_versions,
-            refusals: counters.refused_versions,
-            parents: counters.parent_joins,
+            applied_versions: counters.applied_versions,
+            refused_versions: counters.refused_versions,
+            parent_joins: counters.parent_joins,
             departures: counters.departures,
-            views: counters.built_views,
+            built_views: counters.built_views,
             reverts: self.shared.metrics.control.reverts.get(),
             fleet: self.node.fleet_status(),
         }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -9,7 +9,7 @@
 use clock::Clock;
 use config::View;
 use parking_lot::Mutex;
-use settings::node::{Interface, Settings, Share};
+use settings::node::{ApiKind, Settings, Share};
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use tokio::sync::watch;
@@ -152,7 +152,7 @@
     /// Returns whether callers and backend servers use the platform's headers and messages.
     #[must_use]
     pub fn uses_platform_interface(&self) -> bool {
-        self.settings.interface == Interface::Platform
+        self.settings.interface == ApiKind::Platform
     }
 
     /// Creates the state of a node without configuration or backend server.
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,6 +1,6 @@
 //! Settings of `bluebellpick-node`.
 
-pub use crate::value::{Distribution, Interface, LinkRate, Quota, Share, Token};
+pub use crate::value::{ApiKind, Distribution, LinkRate, Quota, Share, Token};
 
 use crate::document::{Document, read_file};
 use crate::error::Error;
@@ -37,7 +37,7 @@
         /// How versions and endpoints reach the node: `tree` relays patches from node to node in each zone. Two baselines for measurements: `whole` relays full configurations in place of patches, and with `watch` every node watches the platform.
         [fleet] distribution: Distribution = "tree";
         /// Interface to callers, backend servers and configurations (headers, announcements, stored objects): the product's `own`, or that of the `platform`.
-        [fleet] interface: Interface = "own";
+        [fleet] interface: ApiKind = "own";
         /// Longest wait for calls in flight at a graceful stop.
         [limits] drain_timeout: Duration = "30 s";
         /// How long after SIGTERM the node keeps serving while it reports that it is not ready, so that a load balancer sends callers elsewhere before the stop begins; at most half of the time in which the node has to stop. Empty for no such wait.
@@ -149,7 +149,7 @@
                 }
             }
         }
-        if self.interface == Interface::Platform && self.service.is_none() {
+        if self.interface == ApiKind::Platform && self.service.is_none() {
             let line = document.line_of("node", "service");
             let message = "[node] service: missing, and interface = platform needs it".to_owned();
             document.add_diagnostic(line, message);
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -120,14 +120,14 @@
 /// The interface that callers, backend servers and operators' configurations use: headers,
 /// announcements and stored objects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Interface {
+pub enum ApiKind {
     /// The product's own.
     Own,
     /// That of the platform that the VMs run on.
     Platform,
 }
 
-impl Value for Interface {
+impl Value for ApiKind {
     const EXPECTED: &str = "own or platform";
 
     fn parse(text: &str) -> Result<Self, ParseError> {
--- a/crates/status/src/lib.rs
+++ b/crates/status/src/lib.rs
@@ -21,7 +21,7 @@
 
 /// The number of nodes that hold a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Count {
+pub struct VersionCount {
     /// The version.
     pub version: Version,
     /// Number of nodes that hold it.
@@ -30,7 +30,7 @@
 
 /// A version that a node could not apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct RefusedVersion {
     /// Name of the node.
     pub node: SmolStr,
     /// The version.
@@ -41,20 +41,21 @@
 
 /// The versions that a fleet, or a part of it, holds; bounded in size.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fleet {
+pub struct FleetVersions {
     /// Number of nodes per version, lowest version first.
-    pub counts: Vec<Count>,
+    pub counts: Vec<VersionCount>,
     /// Some of the nodes that are behind the highest version.
     pub laggards: Vec<SmolStr>,
     /// Some of the versions that could not be applied.
-    pub refusals: Vec<Refusal>,
+    pub refusals: Vec<RefusedVersion>,
 }
 
 /// A node's part in the distribution of configurations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Distribution {
     /// Version held; calls are served by it once the process is ready.
-    pub held: Version,
+    #[serde(rename = "held")]
+    pub held_version: Version,
     /// Nodes on the path from its root to this node; empty if it is cut off from every root.
     pub path: Vec<SmolStr>,
     /// Number of its children in the distribution tree.
@@ -62,19 +63,23 @@
     /// Number of roots that it has links to, if it is a root itself.
     pub roots: usize,
     /// Number of versions applied since the process started.
-    pub versions: u64,
+    #[serde(rename = "versions")]
+    pub applied_versions: u64,
     /// Number of versions that could not be applied.
-    pub refusals: u64,
+    #[serde(rename = "refusals")]
+    pub refused_versions: u64,
     /// Number of parents that it has had since the process started.
-    pub parents: u64,
+    #[serde(rename = "parents")]
+    pub parent_joins: u64,
     /// Number of nodes that it declared departed.
     pub departures: u64,
     /// Number of views built, after changes of the configuration or of endpoints.
-    pub views: u64,
+    #[serde(rename = "views")]
+    pub built_views: u64,
     /// Number of views with an older version than the view before; must stay zero.
     pub reverts: u64,
     /// The versions that the fleet holds.
-    pub fleet: Fleet,
+    pub fleet: FleetVersions,
 }
 
 /// What a graceful stop of a node waits for.
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-pub use status::{Count, Fleet as Status, Refusal};
+pub use status::{FleetVersions as Status, RefusedVersion, VersionCount};
 
 /// Bytes of a configuration in one [`Chunk`]: short enough not to delay the heartbeats behind it.
 pub const CHUNK_SIZE: usize = 64 << 10;
