--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -35,7 +35,7 @@
     service.record(Instant::now(), Ending::Answered(200), Duration::ZERO, None);
     metrics.bad_requests("backend").inc();
     metrics.failures.count_failed_attempt("full");
-    metrics.failures.count_turned_away("full");
+    metrics.failures.count_gate_refusal("full");
     metrics.control_sent().inc();
     let text = metrics.render(&GaugeValues::default());
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -458,18 +458,18 @@
     };
     let wait = whole_ms(refusal.retry_after);
     let refused = Refused::not_run(reason, wait.max(1));
-    log_turned_away(inner, request, refused, time_left(inner, deadline));
+    log_gate_refusal(inner, request, refused, time_left(inner, deadline));
     refused
 }
 
 /// Counts and logs a call that the gate refused, with the current load.
-fn log_turned_away<C>(inner: &Inner<C>, request: &Request, refused: Refused, left: Duration)
+fn log_gate_refusal<C>(inner: &Inner<C>, request: &Request, refused: Refused, left: Duration)
 where
     C: Clock,
 {
     let shared = &inner.shared;
     let reason = reason_name(refused.reason);
-    shared.metrics.failures.count_turned_away(reason);
+    shared.metrics.failures.count_gate_refusal(reason);
     let elapsed = shared.metrics.elapsed(shared.clock.now());
     if let Some(left_out) = shared.log_limits.gate.admit(elapsed) {
         let load = inner.gate.load();
--- a/crates/node/src/metrics/failures.rs
+++ b/crates/node/src/metrics/failures.rs
@@ -54,7 +54,7 @@
     }
 
     /// Counts a call that the admission gate rejected.
-    pub fn count_turned_away(&self, reason: &'static str) {
+    pub fn count_gate_refusal(&self, reason: &'static str) {
         self.turned_away
             .get_or_create(&ReasonLabel { reason })
             .inc();
