--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -316,18 +316,20 @@
         let next = self.distribution_status();
         let control = &self.shared.metrics.control;
         control
-            .versions
+            .applied_versions
             .inc_by(next.applied_versions - before.applied_versions);
         control
-            .refusals
+            .refused_versions
             .inc_by(next.refused_versions - before.refused_versions);
         control
-            .parents
+            .parent_joins
             .inc_by(next.parent_joins - before.parent_joins);
         control
             .departures
             .inc_by(next.departures - before.departures);
-        control.views.inc_by(next.built_views - before.built_views);
+        control
+            .built_views
+            .inc_by(next.built_views - before.built_views);
         if next.refused_versions > before.refused_versions {
             let local = &self.shared.settings.name;
             let refusal = next
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of a node, for Prometheus and for the report on burn rates.
 //!
-//! The call path fetches a [`Service`] handle once per view and service, and
+//! The call path fetches a [`ServiceMetrics`] handle once per view and service, and
 //! then uses only atomics and one short lock. Label values come only from the
 //! configuration; services beyond [`MAX_SERVICE_LABELS`] share one label.
 
@@ -10,11 +10,11 @@
 pub(crate) mod reserve;
 pub(crate) mod service;
 
-pub use crate::metrics::control::Control;
-pub use crate::metrics::failures::Failures;
-pub use crate::metrics::quarantine::Quarantine;
-pub use crate::metrics::reserve::Reserve;
-pub use crate::metrics::service::{Ending, Service};
+pub use crate::metrics::control::ControlMetrics;
+pub use crate::metrics::failures::FailureMetrics;
+pub use crate::metrics::quarantine::QuarantineMetrics;
+pub use crate::metrics::reserve::ReserveMetrics;
+pub use crate::metrics::service::{Ending, ServiceMetrics};
 
 use crate::metrics::service::ENDING_LABELS;
 use parking_lot::{Mutex, RwLock};
@@ -119,15 +119,15 @@
     bad_requests: Family<ListenerLabel, Counter>,
     control_bytes: Family<DirectionLabel, Counter>,
     /// Counts of calls without an answer, and how long calls waited at the admission gate.
-    pub failures: Failures,
+    pub failures: FailureMetrics,
     /// Metrics of configuration distribution.
-    pub control: Control,
+    pub control: ControlMetrics,
     /// Metrics of reservations of idempotency keys.
-    pub reserve: Reserve,
+    pub reserve: ReserveMetrics,
     /// Metrics of requests that crash backend servers.
-    pub quarantine: Quarantine,
+    pub quarantine: QuarantineMetrics,
     gauges: Gauges,
-    services: RwLock<HashMap<SmolStr, Arc<Service>>>,
+    services: RwLock<HashMap<SmolStr, Arc<ServiceMetrics>>>,
     rendering: Mutex<()>,
 }
 
@@ -143,10 +143,10 @@
             durations: Family::new_with_constructor(new_histogram),
             bad_requests: Family::default(),
             control_bytes: Family::default(),
-            failures: Failures::default(),
-            control: Control::default(),
-            reserve: Reserve::default(),
-            quarantine: Quarantine::default(),
+            failures: FailureMetrics::default(),
+            control: ControlMetrics::default(),
+            reserve: ReserveMetrics::default(),
+            quarantine: QuarantineMetrics::default(),
             gauges: Gauges::default(),
             services: RwLock::default(),
             rendering: Mutex::default(),
@@ -232,7 +232,7 @@
 
     /// Returns the counters of a service, the same ones each time.
     #[must_use]
-    pub fn service(&self, name: &str) -> Arc<Service> {
+    pub fn service(&self, name: &str) -> Arc<ServiceMetrics> {
         if let Some(known) = self.services.read().get(name) {
             return Arc::clone(known);
         }
@@ -248,7 +248,7 @@
         Arc::clone(service)
     }
 
-    fn make_service(&self, name: &str) -> Service {
+    fn make_service(&self, name: &str) -> ServiceMetrics {
         let service = name.to_owned();
         let endings = ENDING_LABELS.map(|ending| {
             let service = service.clone();
@@ -258,7 +258,7 @@
         let durations = self
             .durations
             .get_or_create_owned(&ServiceLabel { service });
-        Service::new(self.start, endings, durations)
+        ServiceMetrics::new(self.start, endings, durations)
     }
 
     /// Returns the counter of bad requests of a listener.
@@ -325,7 +325,7 @@
                 .set(saturate(count));
         }
         gauges.resident.set(saturate(values.process.resident_bytes));
-        let cpu = values.process.cpu.as_secs_f64();
+        let cpu = values.process.cpu_time.as_secs_f64();
         gauges.cpu.inc_by((cpu - gauges.cpu.get()).max(0.0));
         let mut text = String::new();
         text::encode(&mut text, &self.registry).expect("writing to a string does not fail");
--- a/crates/node/src/metrics/control.rs
+++ b/crates/node/src/metrics/control.rs
@@ -5,39 +5,43 @@
 
 /// Counters of configuration distribution.
 #[derive(Debug, Clone, Default)]
-pub struct Control {
+pub struct ControlMetrics {
     /// Configuration versions applied.
-    pub versions: Counter,
+    pub applied_versions: Counter,
     /// Configuration versions that could not be applied.
-    pub refusals: Counter,
+    pub refused_versions: Counter,
     /// Parents that accepted this node as a child.
-    pub parents: Counter,
+    pub parent_joins: Counter,
     /// Nodes declared departed.
     pub departures: Counter,
     /// Views that were older than the current one and were discarded.
     pub reverts: Counter,
     /// Views built after a change of configuration or endpoints.
-    pub views: Counter,
+    pub built_views: Counter,
     /// Links closed because a frame did not fit into the send queue.
     pub overflows: Counter,
 }
 
-impl Control {
+impl ControlMetrics {
     pub(crate) fn register(&self, registry: &mut Registry) {
         let all = [
-            ("config_versions", "Versions applied", &self.versions),
+            (
+                "config_versions",
+                "Versions applied",
+                &self.applied_versions,
+            ),
             (
                 "config_refusals",
                 "Versions that could not be applied",
-                &self.refusals,
+                &self.refused_versions,
             ),
             (
                 "config_reverts",
                 "Views older than the one before, not served by; never above zero",
                 &self.reverts,
             ),
-            ("views", "Views made", &self.views),
-            ("control_parents", "Parents taken", &self.parents),
+            ("views", "Views made", &self.built_views),
+            ("control_parents", "Parents taken", &self.parent_joins),
             (
                 "control_departures",
                 "Nodes declared gone",
--- a/crates/node/src/metrics/failures.rs
+++ b/crates/node/src/metrics/failures.rs
@@ -15,14 +15,14 @@
 
 /// Counts of calls without an answer, and how long calls waited at the admission gate.
 #[derive(Debug)]
-pub struct Failures {
+pub struct FailureMetrics {
     failed_attempts: Family<ReasonLabel, Counter>,
     turned_away: Family<ReasonLabel, Counter>,
     gate_wait: Histogram,
     stalled_readers: Counter,
 }
 
-impl Default for Failures {
+impl Default for FailureMetrics {
     fn default() -> Self {
         Self {
             failed_attempts: Family::default(),
@@ -33,7 +33,7 @@
     }
 }
 
-impl Failures {
+impl FailureMetrics {
     pub(crate) fn register(&self, registry: &mut Registry) {
         let help = "Tries of this node's callers' calls that got no answer, by reason";
         registry.register("tries_without_answer", help, self.failed_attempts.clone());
--- a/crates/node/src/metrics/quarantine.rs
+++ b/crates/node/src/metrics/quarantine.rs
@@ -6,13 +6,13 @@
 
 /// Counters of requests that crash backend servers.
 #[derive(Debug, Default)]
-pub struct Quarantine {
+pub struct QuarantineMetrics {
     suspicions: Counter,
     cleared: Counter,
     refused: Counter,
 }
 
-impl Quarantine {
+impl QuarantineMetrics {
     pub(crate) fn register(&self, registry: &mut Registry) {
         let help = "Crashes under which a request fell under suspicion, as far as this node knows";
         registry.register("request_suspicions", help, self.suspicions.clone());
--- a/crates/node/src/metrics/reserve.rs
+++ b/crates/node/src/metrics/reserve.rs
@@ -30,12 +30,12 @@
 
 /// Metrics of reservations of idempotency keys.
 #[derive(Debug, Clone)]
-pub struct Reserve {
+pub struct ReserveMetrics {
     claims: Family<ReplyLabel, Counter>,
     durations: Histogram,
 }
 
-impl Default for Reserve {
+impl Default for ReserveMetrics {
     /// Starts the counter of each reply at zero, so that rates include the first ones.
     fn default() -> Self {
         let claims = Family::<ReplyLabel, Counter>::default();
@@ -49,7 +49,7 @@
     }
 }
 
-impl Reserve {
+impl ReserveMetrics {
     pub(crate) fn register(&self, registry: &mut Registry) {
         let help = "Claims of idempotency keys by this node's callers, by what they were told";
         registry.register("reservation_claims", help, self.claims.clone());
--- a/crates/node/src/metrics/service.rs
+++ b/crates/node/src/metrics/service.rs
@@ -66,7 +66,7 @@
 }
 
 /// The counters of one service. The call path keeps a handle of them.
-pub struct Service {
+pub struct ServiceMetrics {
     start: Instant,
     endings: [Counter; ENDING_LABELS.len()],
     durations: Histogram,
@@ -82,13 +82,13 @@
     objective: Option<Objective>,
 }
 
-impl fmt::Debug for Service {
+impl fmt::Debug for ServiceMetrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Service").finish_non_exhaustive()
     }
 }
 
-impl Service {
+impl ServiceMetrics {
     /// Creates the counters of a service on a node that started at `start`.
     pub(crate) fn new(
         start: Instant,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,7 +1,7 @@
 //! The node process: starts all listeners and components, and stops them gracefully.
 
 use crate::shared::Shared;
-use crate::stop::{Plan, Step, log_waits, read_waits};
+use crate::stop::{StopPlan, StopStep, log_waits, read_waits};
 use crate::{announce, control, inbound, listener, nodes, operate, outbound, reserve};
 use clock::Clock;
 use log::{info, warn};
@@ -140,7 +140,7 @@
     async fn stop_components(self, limit: Duration) {
         let shared = Arc::clone(&self.shared);
         let now = || shared.clock.now();
-        let plan = Plan::new(now(), limit);
+        let plan = StopPlan::new(now(), limit);
         let begin = |step| {
             *shared.stop_step.lock() = Some(step);
             plan.step_time(step, now())
@@ -152,10 +152,10 @@
             let (answers, keyed) = (waits.answers, waits.keyed);
             warn!(callers, calls, answers, keyed; "cut_off");
         }
-        self.reserve.flush(begin(Step::Outcomes)).await;
-        self.control.leave(begin(Step::Farewell)).await;
+        self.reserve.flush(begin(StopStep::Outcomes)).await;
+        self.control.leave(begin(StopStep::Farewell)).await;
         drop(self.nodes);
-        let time = begin(Step::Listeners);
+        let time = begin(StopStep::Listeners);
         tokio::join!(self.announce.stop(time), self.operate.stop(time));
     }
 }
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -116,7 +116,7 @@
             "holds no configuration yet",
         ),
         (
-            !shared.listening.load(Ordering::Acquire),
+            !shared.callers_listening.load(Ordering::Acquire),
             "listeners do not run yet",
         ),
         (
--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -197,7 +197,10 @@
     }
     match socket.listen(LISTEN_BACKLOG) {
         Ok(listener) => {
-            inner.shared.listening.store(true, Ordering::Release);
+            inner
+                .shared
+                .callers_listening
+                .store(true, Ordering::Release);
             accept(listener, inner).await;
         }
         Err(error) => log::error!(error:%; "listen_failed"),
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -15,7 +15,7 @@
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
     /// CPU time since the start, user and system.
-    pub cpu: Duration,
+    pub cpu_time: Duration,
 }
 
 /// Reads the usage of this process. Values that can't be read are zero.
@@ -25,7 +25,7 @@
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     Usage {
         resident_bytes: parse_resident(&status).unwrap_or_default(),
-        cpu: parse_cpu(&stat).unwrap_or_default(),
+        cpu_time: parse_cpu(&stat).unwrap_or_default(),
     }
 }
 
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -80,9 +80,9 @@
     /// Running calls with idempotency keys, also those whose callers have disconnected.
     pub keyed_calls: watch::Sender<usize>,
     /// Current step of a stop, once its calls have ended.
-    pub stop_step: Mutex<Option<stop::Step>>,
+    pub stop_step: Mutex<Option<stop::StopStep>>,
     /// Whether all listeners are running.
-    pub listening: AtomicBool,
+    pub callers_listening: AtomicBool,
     /// State of this node in configuration distribution.
     pub distribution: ArcSwap<status::Distribution>,
     /// Requests that crash backend servers.
@@ -174,7 +174,7 @@
             caller_connections: watch::Sender::new(0),
             keyed_calls: watch::Sender::new(0),
             stop_step: Mutex::default(),
-            listening: AtomicBool::new(false),
+            callers_listening: AtomicBool::new(false),
             distribution: ArcSwap::default(),
             quarantine: Quarantine::default(),
             rollouts,
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -21,7 +21,7 @@
 
 /// Steps of a stop after its calls have ended, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum StopStep {
     /// Write the outcomes of keyed calls to the platform.
     Outcomes,
     /// Announce to other nodes that this node leaves.
@@ -35,12 +35,12 @@
 /// A node whose stop exceeds its limit is killed before the stop is complete. Each
 /// step therefore has a limit, and time is reserved for the steps after the calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Plan {
+pub struct StopPlan {
     end: Instant,
     cleanup_time: Duration,
 }
 
-impl Plan {
+impl StopPlan {
     /// Plans a stop that starts at `now` and may take `limit`.
     #[must_use]
     pub fn new(now: Instant, limit: Duration) -> Self {
@@ -61,11 +61,11 @@
     /// Half of the cleanup time is reserved for the steps after the outcomes, and a quarter for
     /// the last step. Any step may use time that the calls have not used.
     #[must_use]
-    pub fn step_time(&self, step: Step, now: Instant) -> Duration {
+    pub fn step_time(&self, step: StopStep, now: Instant) -> Duration {
         let (reserved, max) = match step {
-            Step::Outcomes => (self.cleanup_time / 2, Duration::from_secs(2)),
-            Step::Farewell => (self.cleanup_time / 4, Duration::from_secs(1)),
-            Step::Listeners => (Duration::ZERO, Duration::from_secs(1)),
+            StopStep::Outcomes => (self.cleanup_time / 2, Duration::from_secs(2)),
+            StopStep::Farewell => (self.cleanup_time / 4, Duration::from_secs(1)),
+            StopStep::Listeners => (Duration::ZERO, Duration::from_secs(1)),
         };
         self.end.saturating_duration_since(now + reserved).min(max)
     }
@@ -77,15 +77,15 @@
     C: Clock,
 {
     let step = *shared.stop_step.lock();
-    let is_at = |one: Step| usize::from(step == Some(one));
+    let is_at = |one: StopStep| usize::from(step == Some(one));
     StopWaits {
         callers: *shared.caller_connections.borrow(),
         calls: *shared.in_flight.borrow(),
         answers: *shared.unread_answers.borrow(),
         keyed: *shared.keyed_calls.borrow(),
-        outcomes: is_at(Step::Outcomes),
-        farewell: is_at(Step::Farewell),
-        listeners: is_at(Step::Listeners),
+        outcomes: is_at(StopStep::Outcomes),
+        farewell: is_at(StopStep::Farewell),
+        listeners: is_at(StopStep::Listeners),
     }
 }
 
--- a/crates/node/tests/operate.rs
+++ b/crates/node/tests/operate.rs
@@ -59,7 +59,7 @@
     );
 
     shared.view.store(Arc::new(make_view()));
-    shared.listening.store(true, Ordering::Release);
+    shared.callers_listening.store(true, Ordering::Release);
     assert_eq!(
         request(address, "GET /readyz", "").await,
         (200, "ready\n".into())
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use node::stop::{Plan, Step};
+use node::stop::{StopPlan, StopStep};
 use node::{announce, operate};
 use status::Status;
 use std::sync::Arc;
@@ -42,9 +42,9 @@
 fn steps_within_limit(limit_ms: u64) {
     let limit = Duration::from_millis(limit_ms);
     let start = Instant::now();
-    let plan = Plan::new(start, limit);
+    let plan = StopPlan::new(start, limit);
     let mut now = start + plan.call_time(start);
-    for step in [Step::Outcomes, Step::Farewell, Step::Listeners] {
+    for step in [StopStep::Outcomes, StopStep::Farewell, StopStep::Listeners] {
         let time = plan.step_time(step, now);
         assert!(time > Duration::ZERO, "{step:?} must have some time");
         now += time;
@@ -63,7 +63,7 @@
     shared.stopping.store(true, Ordering::Release);
     shared.unread_answers.send_replace(3);
     shared.keyed_calls.send_replace(1);
-    *shared.stop_step.lock() = Some(Step::Farewell);
+    *shared.stop_step.lock() = Some(StopStep::Farewell);
     let handle = operate::spawn(bind().await, Arc::clone(&shared)).unwrap();
     let (_, text) = request(handle.address(), "GET /v1/status", "").await;
     let status: Status = serde_json::from_str(&text).unwrap();
