--- a/crates/node/src/announce.rs
+++ b/crates/node/src/announce.rs
@@ -1,15 +1,16 @@
 //! The listener where the backend server on the same VM announces itself.
 //!
-//! `PUT /v1/announce` registers its service, its address and its number of slots, and is repeated
-//! as a heartbeat. `DELETE /v1/announce` says that it is leaving: from then on it gets no new call.
-//! `GET /v1/announce` returns how many of its calls are in flight, so that it knows when it can
-//! exit. These requests come over several connections, and a pause of the node may reorder them;
-//! [`process`] tells stale ones from current ones. With `interface = platform` a backend server may
-//! also announce itself in the platform's format, which [`platform::announce`] decodes.
+//! `PUT /v1/announce` registers the backend server with its service, address and number of slots,
+//! and is repeated as a heartbeat. `DELETE /v1/announce` says that the backend server is leaving:
+//! from then on it gets no new call. `GET /v1/announce` returns how many calls are in flight at the
+//! backend server, so that it knows when it can exit. These requests come over several connections,
+//! and a pause of the node may reorder them; [`process`] distinguishes stale requests from current
+//! ones. With `interface = platform` a backend server may also announce itself in the platform's
+//! format, which [`platform::announce`] decodes.
 //!
 //! Missing heartbeats don't remove a backend server: one that is paused or partitioned for a moment
 //! would otherwise lose all its work at once. A backend server that is really gone refuses
-//! connections, which the inbound proxy notices at its next call.
+//! connections, which the inbound proxy notices at the next call.
 
 mod process;
 
@@ -49,17 +50,18 @@
 pub struct Announcement {
     /// Service that the backend server belongs to.
     pub service: SmolStr,
-    /// Loopback address where it accepts calls.
+    /// Loopback address where the backend server accepts calls.
     pub address: SocketAddr,
-    /// Number of calls that it can run concurrently.
+    /// Number of calls that the backend server can run concurrently.
     pub slots: u16,
-    /// Version of its software, which roll-outs refer to.
+    /// Software version of the backend server, which roll-outs refer to.
     #[serde(default)]
     pub version: SmolStr,
-    /// Number of its process, which changes with each restart.
+    /// Number that identifies the backend server's process; changes with each restart.
     #[serde(default)]
     pub incarnation: Option<u64>,
-    /// Increases with each announcement of a process, so that late ones are recognized.
+    /// Sequence number that increases with each announcement of a process, so that late
+    /// announcements are recognized.
     #[serde(default)]
     pub sequence: Option<u64>,
 }
@@ -68,7 +70,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaveRequest {
-    /// Number of the process.
+    /// Number that identifies the leaving process, as in its announcements.
     #[serde(default)]
     pub incarnation: Option<u64>,
 }
@@ -76,9 +78,9 @@
 /// Response to the backend server: its state as seen by the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Number of calls that it has not answered yet.
+    /// Number of calls that the backend server has not answered yet.
     pub in_flight: usize,
-    /// Whether it is leaving and gets no new calls.
+    /// Whether the backend server is leaving and gets no new calls.
     pub leaving: bool,
 }
 
@@ -86,7 +88,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Fails if the listener has no local address.
 pub fn spawn<C>(tcp: TcpListener, shared: Arc<Shared<C>>) -> io::Result<Handle>
 where
     C: Clock,
@@ -94,11 +96,11 @@
     spawn_with_limits(tcp, shared, Limits::default())
 }
 
-/// Starts the listener as [`spawn`] does, with other limits.
+/// Starts the listener as [`spawn`] does, with the given limits.
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Fails if the listener has no local address.
 pub fn spawn_with_limits<C>(
     tcp: TcpListener,
     shared: Arc<Shared<C>>,
@@ -172,8 +174,8 @@
     }
 }
 
-/// Handles an announcement or leave request in the platform's format. Every one that can be decoded
-/// is acknowledged, also when it is out of date.
+/// Handles an announcement or leave request in the platform's format. Every message that can be
+/// decoded is acknowledged, even if it is out of date.
 async fn handle_instance_update<C>(
     request: Request<Incoming>,
     state: &ListenerState<C>,
@@ -320,9 +322,9 @@
     C: Clock,
 {
     let changed = state.shared.backend.send_if_modified(|current| {
-        // The warm-up time counts from the first announcement. Heartbeats repeat it with the
-        // time that remains; if that counted as a change, each heartbeat would be propagated to
-        // the whole fleet.
+        // The warm-up time counts from the first announcement. Heartbeats repeat the announcement
+        // with the warm-up time that remains; if a shorter remaining time counted as a change, each
+        // heartbeat would be propagated to the whole fleet.
         let comparable = current.as_ref().map(|current| Backend {
             cold_ms: backend.cold_ms,
             ..current.clone()
@@ -343,8 +345,8 @@
     }
 }
 
-/// Applies a leave request. The response always says that the sender is leaving, even if another
-/// process is current.
+/// Applies a leave request. The response always says that the sender is leaving, even if the
+/// request is ignored because another process is current.
 fn apply_leave_request<C>(state: &ListenerState<C>, leave_request: LeaveRequest) -> Status
 where
     C: Clock,
--- a/crates/node/src/announce/process.rs
+++ b/crates/node/src/announce/process.rs
@@ -2,8 +2,8 @@
 //!
 //! Announcements and leave requests come over several connections, so a pause of the node or a
 //! network partition can reorder them. If they were applied in order of arrival, a heartbeat that
-//! comes after the leave request would announce the leaving server as ready again. One such server
-//! got new calls for 25 s, as long as it waited to exit.
+//! comes after the leave request would announce the leaving server as ready again. One backend
+//! server got new calls for 25 s in this way, the whole time that it waited to exit.
 
 use smol_str::{SmolStr, ToSmolStr};
 use std::collections::VecDeque;
@@ -13,27 +13,28 @@
 const MAX_FORMER_PROCESSES: usize = 32;
 
 /// Number of messages after which a former process that has not left counts as the current one
-/// again. A message that was delayed by a partition comes once; the heartbeats of a running process
-/// go on.
+/// again. A message that was delayed by a partition arrives only once, while a running process
+/// keeps sending heartbeats.
 const MESSAGES_TO_BECOME_CURRENT: u8 = 2;
 
 /// Time after a leave request during which announcements of unnamed processes are ignored.
 ///
 /// Nothing in such an announcement distinguishes a restart from a late heartbeat. A request that
-/// was in progress when the leave request came is over by then: the listener allows at most 5 s for
-/// its head and 5 s for its body.
+/// was in progress when the leave request came has ended after this time: the listener allows at
+/// most 5 s for its head and 5 s for its body.
 const UNNAMED_RETURN_DELAY: Duration = Duration::from_secs(10);
 
 /// Identifies a process of the backend server.
 ///
-/// A backend server may restart under the same name, with sequence numbers that start over. With
-/// the name alone, its heartbeats would be taken for late ones of the former process, and a leave
-/// request of the former process would remove it.
+/// A backend server may restart under the same name, with sequence numbers that start over. If
+/// processes were identified by name alone, the heartbeats of the new process would be taken for
+/// late ones of the former process, and a leave request of the former process would remove the new
+/// one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Process {
     /// Name of the process; empty if it gives none.
     name: SmolStr,
-    /// Start time by the clock of its VM, if it is given.
+    /// Start time of the process by the clock of its VM, if it is announced.
     started_ms: Option<u64>,
 }
 
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Identifies a process by its incarnation, if it gives one.
+    /// Identifies a process by its incarnation; without one, the process is unnamed.
     pub(super) fn from_incarnation(incarnation: Option<u64>) -> Self {
         Self {
             name: incarnation.map_or_else(SmolStr::default, |number| number.to_smolstr()),
@@ -69,10 +70,10 @@
     }
 }
 
-/// The parts of an announcement or leave request that decide whether it is current.
+/// The parts of an announcement or leave request that decide whether the message is current.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Message {
-    /// Sequence number among the messages of its process, if it has one.
+    /// Sequence number among the messages of its process, if the message has one.
     pub(super) sequence: Option<u64>,
     /// Whether the process is leaving and takes no more calls.
     pub(super) is_leave: bool,
@@ -84,7 +85,8 @@
 #[derive(Debug, Default)]
 pub(super) struct ProcessTracker {
     current: Option<Process>,
-    sequence: u64,
+    /// Sequence number of the last applied message of the current process that had one.
+    last_sequence: u64,
     /// When the current process sent its leave request, if it did.
     left_at: Option<Instant>,
     former: VecDeque<Former>,
@@ -94,14 +96,15 @@
 #[derive(Debug)]
 struct Former {
     process: Process,
-    /// Whether it sent a leave request; otherwise another process replaced it.
+    /// Whether the process sent a leave request; otherwise another process replaced it.
     has_left: bool,
-    /// Number of messages received from it since it has counted as gone.
+    /// Number of messages received from the process since it has counted as gone.
     messages: u8,
 }
 
 impl ProcessTracker {
-    /// Records a message; returns whether it is current and comes from the current process.
+    /// Records a message; returns whether to apply it, that is, whether it is up to date and its
+    /// sender counts as the current process from now on.
     pub(super) fn accept(&mut self, process: &Process, message: &Message) -> bool {
         if self.seems_outdated(process) {
             self.add_former(process.clone(), message.is_leave, 1);
@@ -136,10 +139,10 @@
         self.current.clone().unwrap_or_else(unnamed)
     }
 
-    /// Returns the current process if it has the same name, otherwise `process` itself.
+    /// Returns the current process if it has the name of `process`, otherwise `process` itself.
     ///
-    /// A leave request without a start time is attributed to the current process of that name.
-    /// Ignoring it would send calls to a process that is leaving.
+    /// A leave request without a start time is attributed to the current process of that name. If
+    /// the request were ignored, calls would still be sent to a process that is leaving.
     pub(super) fn match_by_name(&self, process: Process) -> Process {
         let current = self.current.as_ref();
         let current = current.filter(|current| current.name == process.name);
@@ -160,8 +163,9 @@
         {
             let former = &mut self.former[index];
             former.messages = former.messages.saturating_add(1);
-            // A leave request doesn't show that the process keeps running. When it counted, a late
-            // heartbeat was the second message and brought the leaving process back.
+            // A leave request doesn't show that the process keeps running. When a leave request
+            // counted as a message of a running process, a late heartbeat was the second message
+            // and brought the leaving process back.
             former.has_left |= message.is_leave;
             if former.has_left || former.messages < MESSAGES_TO_BECOME_CURRENT {
                 return false;
@@ -176,7 +180,7 @@
                 }
                 None => message
                     .sequence
-                    .is_none_or(|sequence| sequence > self.sequence),
+                    .is_none_or(|sequence| sequence > self.last_sequence),
             },
             _ => true,
         }
@@ -198,12 +202,12 @@
             && let Some(former) = self.current.replace(process.clone())
         {
             self.add_former(former, self.left_at.is_some(), 0);
-            self.sequence = 0;
+            self.last_sequence = 0;
         }
         self.left_at = message
             .is_leave
             .then(|| self.left_at.unwrap_or(message.received_at));
-        self.sequence = message.sequence.unwrap_or(self.sequence);
+        self.last_sequence = message.sequence.unwrap_or(self.last_sequence);
     }
 
     /// Adds a process to the former ones, with the number of messages already received from it.
--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -25,9 +25,8 @@
 
 /// How long a connection may be idle before it is closed.
 ///
-/// Servers close idle connections too; of the common ones Node.js has the
-/// shortest timeout, 5 s. A request that is sent while the server closes the
-/// connection may or may not have run.
+/// Servers close idle connections too; of the common servers, Node.js has the shortest timeout,
+/// 5 s. A request that is sent while the server closes the connection may or may not have run.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Maximum number of idle connections: over twice a backend server's usual 6 slots, and far
@@ -99,8 +98,9 @@
     fn take_idle(&self, address: SocketAddr) -> Option<Box<Connection>> {
         let now = self.clock.now();
         let mut idle = self.idle.lock();
-        idle.retain(|one| {
-            one.address == address && now.saturating_duration_since(one.idle_since) < IDLE_TIMEOUT
+        idle.retain(|connection| {
+            connection.address == address
+                && now.saturating_duration_since(connection.idle_since) < IDLE_TIMEOUT
         });
         idle.pop()
     }
@@ -115,14 +115,13 @@
 
     /// Drops the idle connections that the backend server has closed.
     ///
-    /// An idle connection is otherwise polled only when a call takes it: after a
-    /// restart of the backend server, 1 to 6 connections stayed half closed at its
-    /// node until calls arrived again.
+    /// Without this, an idle connection is polled only when a call takes it: after a restart of the
+    /// backend server, 1 to 6 connections stayed half closed at its node until calls arrived again.
     pub(crate) fn remove_closed(&self) {
         // The next call that takes a connection polls it with its own waker.
         let mut cx = Context::from_waker(Waker::noop());
         let mut idle = self.idle.lock();
-        idle.retain_mut(|one| Pin::new(&mut one.driver).poll(&mut cx).is_pending());
+        idle.retain_mut(|connection| Pin::new(&mut connection.driver).poll(&mut cx).is_pending());
     }
 
     /// Sends a request and waits for the head of the response.
@@ -283,8 +282,8 @@
 {
     /// Returns the connection to the pool if the body has been read to the end.
     ///
-    /// The reader stops at the last byte of a response of known length and never
-    /// polls for its end. Without this, each such call would cost the backend
+    /// The reader of a response of known length stops at the last byte and never polls for the end
+    /// of the body. Without this implementation of `Drop`, each such call would cost the backend
     /// server a new connection.
     fn drop(&mut self) {
         if self.is_end() {
--- a/crates/node/src/control/link.rs
+++ b/crates/node/src/control/link.rs
@@ -17,8 +17,9 @@
 use wire::control::Frame;
 use wire::{Error, Hello, LinkKind, codec};
 
-/// Capacity of a link's send queue in frames: all chunks of the largest configuration and lists of
-/// 14,000 endpoints fit. Queued frames share their contents with the queues of other links.
+/// Capacity of a link's send queue in frames: enough for all chunks of the largest configuration
+/// and for the lists of 14,000 endpoints. Queued frames share their contents with the queues of
+/// other links.
 const SEND_QUEUE_LENGTH: usize = 512;
 
 /// Maximum number of frames that are taken from the send queue at once.
@@ -29,9 +30,9 @@
 
 /// Timeout for one write to a link's socket.
 ///
-/// Guards against a peer that runs but reads nothing: the writer task and the socket would remain
-/// long after the state machine has closed the link. The longest frame, of 1 MB, takes 1.7 s at
-/// 5 Mbit/s.
+/// Guards against a peer that runs but reads nothing: without the timeout, the writer task and the
+/// socket would remain long after the state machine has closed the link. The longest frame, of
+/// 1 MB, takes 1.7 s at 5 Mbit/s.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The sending side of a link.
@@ -190,7 +191,7 @@
             },
             Ok(Err(_)) | Err(_) => Input::Closed { link: key },
         };
-        // The node may have stopped in the meantime.
+        // Sending fails only if the node has stopped in the meantime.
         drop(inbox.send(input).await);
     });
 }
--- a/crates/node/src/control/platform_worker.rs
+++ b/crates/node/src/control/platform_worker.rs
@@ -62,8 +62,8 @@
             command = commands.recv() => command,
             Ok(()) = eras.changed() => {
                 let former = std::mem::replace(&mut era, *eras.borrow_and_update());
-                // The first era that becomes known is no change. A later one means that the
-                // platform was restored from a backup.
+                // The first era that becomes known is not a change. A different era later means
+                // that the platform was restored from a backup.
                 if former.is_some() {
                     worker.send_response(PlatformResponse::Restored).await;
                 }
@@ -88,9 +88,10 @@
 /// An operation on the platform that the state machine requests.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Sends a request and returns its response.
+    /// Executes a request; its response, if there is one, goes to the state machine's inbox.
     Query(PlatformRequest),
-    /// Writes the crashes that the holder of a root lease remembers, until that succeeds.
+    /// Writes the crashes that the holder of a root lease remembers; retries until the write
+    /// succeeds.
     WriteCrashes { slot: u8, list: Vec<Crash> },
     /// Writes the progress of a roll-out; retries until this progress, a final stage or a newer
     /// order is stored.
@@ -127,10 +128,10 @@
     observed: BTreeMap<SmolStr, ObservedLease>,
     watch_task: Option<Task>,
     crash_store: CrashStore<S, C>,
-    /// Task that writes crashes; the next list replaces one that could not be written yet.
+    /// Task that writes crashes; a newer list replaces one that could not be written yet.
     crash_writer: Option<Task>,
-    /// Tasks that write the progress of roll-outs, by service; the next report replaces a pending
-    /// one.
+    /// Tasks that write the progress of roll-outs, by service; a newer report on a service replaces
+    /// the one that is still pending.
     rollout_writers: BTreeMap<SmolStr, Task>,
 }
 
@@ -171,7 +172,9 @@
         Some(outcome.unwrap_or(PlatformResponse::Failed(request)))
     }
 
-    /// Reads the highest version; the journal is read only from the known version `after`.
+    /// Reads the highest version of the configuration; `after` is the version that is already
+    /// known. Only the part of the journal after that version is read. With the platform's
+    /// interface there is no journal: a newer configuration is parsed and returned as a whole.
     async fn read_latest_version(&self, after: config::Version) -> Result<PlatformResponse, Error> {
         if self.shared.uses_platform_interface() {
             // Parses only the version first, since it is nearly always the known one. After a
@@ -197,7 +200,7 @@
 
     /// Reads the steps from `after` to the latest version, or the full configuration.
     ///
-    /// Sends all responses but the last, which it returns.
+    /// Sends all responses but the last to the state machine, and returns the last.
     async fn fetch_latest(&self, after: config::Version) -> Result<PlatformResponse, Error> {
         let mut responses = if self.shared.uses_platform_interface() {
             let text = self.read_configuration().await?;
@@ -214,7 +217,8 @@
         Ok(last)
     }
 
-    /// Parses a full configuration; if it is valid, sends its version first.
+    /// Parses and returns a full configuration. If it is valid, its version is sent to the state
+    /// machine first.
     async fn parse_configuration(&self, version: config::Version, text: &str) -> PlatformResponse {
         match platform::mesh::parse(text) {
             Ok((version, mesh)) => {
@@ -332,8 +336,8 @@
         })));
     }
 
-    /// Forwards the crashes that roots write. One reader per zone is enough, since its links carry
-    /// them to the other nodes.
+    /// Forwards the crashes that roots write. One reader per zone is enough, since the reader's
+    /// links carry the crashes to the other nodes.
     fn watch_crashes(&self, is_primary: bool) -> impl Future<Output = ()> + use<C, S> {
         let (crash_store, inbox) = (self.crash_store.clone(), self.inbox.clone());
         let mut objects =
@@ -411,7 +415,7 @@
         self.rollout_writers.insert(service, Task(task));
     }
 
-    /// Writes crashes to the platform, with retries until that succeeds.
+    /// Writes crashes to the platform; retries until the write succeeds.
     fn write_crashes(&mut self, slot: u8, list: Vec<Crash>) {
         let crash_store = self.crash_store.clone();
         let lease = format!("{}.{slot}", self.shared.settings.zone);
@@ -460,7 +464,8 @@
     Error::Invalid(error.to_string())
 }
 
-/// Reads the versions of a journal after `after`, or the full configuration if some are gone.
+/// Reads the versions of a journal after `after`, or the full configuration if some of these
+/// versions have been removed.
 async fn read_journal_after<C, S>(
     journal: &Journal<S, C>,
     after: config::Version,
@@ -479,9 +484,9 @@
     Ok(responses)
 }
 
-/// Forwards the configurations written by operators until it is dropped.
+/// Forwards the configurations written by operators until this future is dropped.
 ///
-/// One that can't be read is skipped: the current version stays in force.
+/// A configuration that can't be read is skipped: the current version stays in force.
 async fn forward_configurations<S>(mut watcher: ObjectWatcher<S>, inbox: mpsc::Sender<Input>)
 where
     S: Store,
@@ -503,7 +508,7 @@
     }
 }
 
-/// Forwards versions of the journal until it is dropped.
+/// Forwards the versions that the journal receives until this future is dropped.
 async fn forward_versions<C, S>(mut follower: Follower<S, C>, inbox: mpsc::Sender<Input>)
 where
     C: Clock,
@@ -552,7 +557,7 @@
     }
 }
 
-/// Parses the lease of a root, whose holder is given as name, zone and address.
+/// Parses the lease of a root; its `holder` consists of the node's name, zone and address.
 fn parse_root_lease(record: &LeaseRecord, is_live: bool) -> Option<RootLease> {
     let slot = record.name.rsplit_once('.')?.1.parse().ok()?;
     let mut fields = record.holder.split(' ');
--- a/crates/node/src/control/removal.rs
+++ b/crates/node/src/control/removal.rs
@@ -7,16 +7,18 @@
 use store::retention::RetentionTracker;
 use store::{Journal, Store};
 
-/// Mean time between two rounds, jittered per root.
+/// Mean time between two rounds of removal; each wait is jittered, so that roots don't act
+/// together.
 ///
-/// 3,700 versions a day are about three per minute. A round removes eight at a time until no old
-/// version is left.
+/// 3,700 versions a day are about three per minute. A round removes eight versions at a time until
+/// no old version is left.
 const ROUND_INTERVAL: Duration = Duration::from_mins(1);
 
 /// Number of versions that are kept for operators who look back: about six hours at 3,700 a day.
 const KEPT_VERSIONS: u64 = 1_000;
 
-/// Removes old versions until it is dropped. Several roots may safely do so at once.
+/// Removes old versions until this future is dropped. Several roots may safely remove versions at
+/// the same time.
 pub(crate) async fn run<S, C>(journal: Journal<S, C>)
 where
     S: Store,
--- a/crates/node/src/control/rollout.rs
+++ b/crates/node/src/control/rollout.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, UNIX_EPOCH};
 use store::{Error, Object, Revision, Store};
 
-/// Number of orders read per request.
+/// Maximum number of orders that are read.
 const PAGE_SIZE: usize = 100;
 
 /// Backoff between attempts to write to the platform.
@@ -36,7 +36,7 @@
         Self { shared, store }
     }
 
-    /// Reads all roll-outs.
+    /// Reads the roll-outs, at most [`PAGE_SIZE`].
     pub(crate) async fn list(&self) -> Result<Vec<Rollout>, Error> {
         let page = self.store.list(rollout::FOLDER, "", PAGE_SIZE).await?;
         let objects = page.items.iter();
--- a/crates/node/src/control/tree.rs
+++ b/crates/node/src/control/tree.rs
@@ -44,7 +44,7 @@
     Leave(oneshot::Sender<()>),
 }
 
-/// Runs until the node has left.
+/// Runs the state machine until the node has left.
 pub(crate) async fn run<C, S>(
     shared: Arc<Shared<C>>,
     store: S,
@@ -59,7 +59,8 @@
     let worker = tokio::spawn(worker);
     let mut backend = shared.backend.subscribe();
     // The backend server may have announced itself before this task ran. The value at the time of
-    // the subscription counts as seen, so without this it would never be propagated.
+    // the subscription counts as seen, so without this call the announcement would never be
+    // propagated.
     backend.mark_changed();
     let mut leaving = shared.leaving.subscribe();
     let mut driver = Driver::new(Arc::clone(&shared), commands, sender);
@@ -91,7 +92,8 @@
     }
 }
 
-/// Logs why a roll-out was stopped, with the call counts of its new version and of the others.
+/// Logs why a roll-out was stopped, with the call counts of the new version and of the other
+/// versions.
 fn log_stopped_rollout(rollout: &Rollout, reason: StopReason, tally: &Tally) {
     let sum = |kinds: &[Counts]| {
         let ended: u32 = kinds.iter().map(|counts| counts.ended).sum();
@@ -120,7 +122,7 @@
     links: BTreeMap<LinkKey, Sender>,
     commands: mpsc::UnboundedSender<Command>,
     inbox: mpsc::Sender<Input>,
-    status_at: Instant,
+    status_updated_at: Instant,
     closing_writers: Vec<tokio::task::JoinHandle<()>>,
 }
 
@@ -157,18 +159,19 @@
             links: BTreeMap::new(),
             commands,
             inbox,
-            status_at: now,
+            status_updated_at: now,
             closing_writers: Vec::new(),
         }
     }
 
-    /// Returns the time until the next timer of the state machine or status update.
+    /// Returns the time until the next timer of the state machine or the next status update,
+    /// whichever comes first.
     fn until_next_wake(&self) -> Duration {
         let now = self.shared.clock.now();
         let next = self
             .node
             .next_wake(now)
-            .min(self.status_at + STATUS_INTERVAL);
+            .min(self.status_updated_at + STATUS_INTERVAL);
         next.saturating_duration_since(now)
     }
 
@@ -308,10 +311,10 @@
     /// Updates the status and metrics for operators.
     fn publish_status(&mut self) {
         let now = self.shared.clock.now();
-        if now < self.status_at + STATUS_INTERVAL {
+        if now < self.status_updated_at + STATUS_INTERVAL {
             return;
         }
-        self.status_at = now;
+        self.status_updated_at = now;
         let before = self.shared.distribution.load();
         let next = self.distribution_status();
         let control = &self.shared.metrics.control;
--- a/crates/node/src/control/watch.rs
+++ b/crates/node/src/control/watch.rs
@@ -1,7 +1,7 @@
 //! Baseline distribution: every node reads and watches the platform directly.
 //!
-//! The load on the platform then grows with the number of nodes. This mode is therefore not meant
-//! for production; other modes are measured against it.
+//! The load on the platform then grows with the number of nodes. Watching directly is therefore not
+//! meant for production; other modes are measured against it.
 
 use crate::shared::Shared;
 use clock::Clock;
@@ -17,7 +17,7 @@
 use store::{Error, Event, Follower, Journal, Store};
 use tokio::sync::mpsc;
 
-/// Name prefix of the objects of endpoints.
+/// Name prefix of the objects in which endpoints are stored.
 const ENDPOINT_PREFIX: &str = "endpoints/";
 
 /// Number of endpoints read per request.
@@ -79,7 +79,7 @@
     shared.view.store(Arc::new(view));
 }
 
-/// Adds an endpoint, unless an equally late or later announcement of its node is known.
+/// Adds an endpoint, unless an announcement of the same node that is as new or newer is known.
 fn merge(endpoints: &mut BTreeMap<SmolStr, Arc<Endpoint>>, new: Endpoint) {
     let order =
         |endpoint: &Endpoint| (endpoint.started_ms, endpoint.incarnation, endpoint.sequence);
@@ -154,7 +154,7 @@
     let revision = loop {
         let page = store.list(ENDPOINT_PREFIX, &after, PAGE_SIZE).await?;
         for object in &page.items {
-            send(changes, &object.value).await?;
+            send_endpoint(changes, &object.value).await?;
         }
         match page.items.last() {
             Some(last) if page.has_more => after = last.name.to_string(),
@@ -164,12 +164,15 @@
     let mut watch = store.watch(ENDPOINT_PREFIX, revision).await?;
     loop {
         if let Event::Put(object) = watch.next().await? {
-            send(changes, &object.value).await?;
+            send_endpoint(changes, &object.value).await?;
         }
     }
 }
 
-async fn send(changes: &mpsc::Sender<Change>, value: &serde_json::Value) -> Result<(), Error> {
+async fn send_endpoint(
+    changes: &mpsc::Sender<Change>,
+    value: &serde_json::Value,
+) -> Result<(), Error> {
     let endpoint =
         serde_json::from_value(value.clone()).map_err(|error| Error::Invalid(error.to_string()))?;
     // Sending fails only when the node stops.
@@ -190,7 +193,7 @@
         sequence += 1;
         let local = build_endpoint(&shared, sequence);
         if let Some(endpoint) = local {
-            while let Err(error) = put(&store, &endpoint).await {
+            while let Err(error) = put_endpoint(&store, &endpoint).await {
                 info!(error:%; "announcement_lost");
                 tokio::time::sleep(RETRY_DELAY).await;
             }
@@ -231,7 +234,7 @@
     })
 }
 
-async fn put<S>(store: &S, endpoint: &Endpoint) -> Result<(), Error>
+async fn put_endpoint<S>(store: &S, endpoint: &Endpoint) -> Result<(), Error>
 where
     S: Store,
 {
@@ -256,7 +259,7 @@
     );
     if let Some(mut endpoint) = build_endpoint(shared, u64::MAX) {
         endpoint.state = State::Gone;
-        if let Err(error) = put(&store, &endpoint).await {
+        if let Err(error) = put_endpoint(&store, &endpoint).await {
             info!(error:%; "announcement_lost");
         }
     }
--- a/crates/node/src/forwarded_body.rs
+++ b/crates/node/src/forwarded_body.rs
@@ -29,7 +29,7 @@
 /// The body of a request that is forwarded to the local backend server.
 #[derive(Debug)]
 pub(crate) struct ForwardedBody {
-    /// The bytes that have been received already.
+    /// Start of the body, which has been received already.
     pub(crate) prefix: Option<Bytes>,
     /// Source of the remaining bytes.
     pub(crate) rest: Rest,
@@ -38,7 +38,7 @@
 /// Source of the rest of a request's body.
 #[derive(Debug)]
 pub(crate) enum Rest {
-    /// Nothing follows.
+    /// Nothing follows the prefix.
     Done,
     /// The caller's connection to this node.
     Caller(Incoming),
--- a/crates/node/src/inbound.rs
+++ b/crates/node/src/inbound.rs
@@ -1,8 +1,8 @@
 //! The inbound proxy: runs calls on the backend server of this node.
 //!
-//! It is the only component that talks to that backend server. It also keeps the table of
-//! received attempts, from which an outbound proxy learns the outcome of an attempt after a link
-//! went silent.
+//! The inbound proxy is the only component that talks to that backend server. It also keeps the
+//! table of received attempts, from which an outbound proxy learns the outcome of an attempt after
+//! a link went silent.
 
 pub(crate) mod admission_gate;
 pub(crate) mod body_receiver;
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    /// Returns the running call with this name, if there is one.
+    /// Returns the running call that nested calls refer to as `name`, if there is one.
     pub(crate) fn find_running(&self, name: &str) -> Option<RunningCall> {
         self.inner.running_calls.find(policy::hash(name))
     }
@@ -172,8 +172,8 @@
         }
     }
 
-    /// Runs a call that entered on this VM. It may run past its deadline by `MAX_COMMIT_OVERRUN`, for
-    /// as long as the receiver is held.
+    /// Runs a call that entered on this VM. The call may run past its deadline by up to
+    /// `MAX_COMMIT_OVERRUN`, and ends when the receiver is dropped.
     pub(crate) fn spawn_local(
         &self,
         request: Request,
@@ -203,14 +203,16 @@
         receiver
     }
 
-    /// Waits until nothing is in flight; returns how many calls are left at `timeout`.
+    /// Waits until no call is in flight and all responses have been sent; returns 0 then. At
+    /// `timeout`, returns the number of calls in flight or that of unread responses, whichever is
+    /// larger, but at least 1.
     pub async fn drain(&self, timeout: Duration) -> usize {
         let mut active = self.inner.shared.in_flight.subscribe();
         let mut answers = self.inner.shared.unread_answers.subscribe();
         let ended = async {
             drop(active.wait_for(|count| *count == 0).await);
             drop(answers.wait_for(|count| *count == 0).await);
-            // Peers that read nothing are given up, as are their responses.
+            // After this wait, peers that read nothing are given up, and their responses with them.
             drop(tokio::time::timeout(MAX_FLUSH_WAIT, self.flush()).await);
         };
         if tokio::time::timeout(timeout, ended).await.is_ok() {
@@ -235,7 +237,7 @@
 where
     C: Clock,
 {
-    /// Returns whether new calls are refused.
+    /// Returns whether the node or its backend server is leaving, so that new calls are refused.
     pub(crate) fn is_leaving(&self) -> bool {
         *self.shared.leaving.borrow()
             || self
@@ -246,7 +248,8 @@
                 .is_some_and(|backend| backend.leaving)
     }
 
-    /// Waits until new calls are refused.
+    /// Waits until new calls are refused: the node or its backend server is leaving, or no backend
+    /// server is known.
     pub(crate) async fn wait_leaving(&self) {
         let mut node = self.shared.leaving.subscribe();
         let mut backend = self.shared.backend.subscribe();
@@ -318,7 +321,7 @@
     }) else {
         return;
     };
-    let mut sent = false;
+    let mut sent_leaving = false;
     let mut previous = backend.borrow().clone();
     loop {
         let changed = tokio::select! {
@@ -329,14 +332,14 @@
             return;
         };
         // A backend server that is back is a new process: drop the connections that the previous
-        // one closed.
+        // process has closed.
         inner.pool.remove_closed();
         let current = inner.shared.backend.borrow().clone();
         record_replaced_process(&inner, previous.as_ref(), current.as_ref());
         previous = current;
         let links = inner.links.lock();
         let leaving = inner.is_leaving();
-        if std::mem::replace(&mut sent, leaving) == leaving {
+        if std::mem::replace(&mut sent_leaving, leaving) == leaving {
             continue;
         }
         for sender in links.iter().filter_map(Weak::upgrade) {
--- a/crates/node/src/inbound/admission_gate.rs
+++ b/crates/node/src/inbound/admission_gate.rs
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Admits the waiting calls that may run, and refuses those that have run out of time.
+    /// Admits the waiting calls that may run, and refuses the waiting calls that have run out of
+    /// time.
     fn advance(&mut self, now: Instant) {
         while let Some(next) = self.admission.next(now, &mut self.rng) {
             let (key, result) = match next {
@@ -151,7 +152,8 @@
         state.admission.estimate(now, request)
     }
 
-    /// Returns the refusal of a call that would be refused now, before its body is requested.
+    /// Checks a call before its body is requested; returns the refusal if the call would be refused
+    /// now.
     pub(crate) fn precheck(&self, request: &Request) -> Option<Refusal> {
         let now = self.clock.now();
         let mut state = self.state.lock();
--- a/crates/node/src/inbound/body_receiver.rs
+++ b/crates/node/src/inbound/body_receiver.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// Gives a body up if it is dropped before the body was received.
+/// Guard that gives up a body if the guard is dropped before the body has been received.
 struct ReceiveGuard<'a, C>
 where
     C: Clock,
@@ -186,7 +186,7 @@
         state.advance(now);
     }
 
-    /// Ends the body of a call of which no more will arrive.
+    /// Ends the body of a call once it is known that no more of that body will arrive.
     pub(crate) fn abort(&self, id: Id) {
         self.finish(id, Err(Error::Aborted));
     }
--- a/crates/node/src/inbound/crash.rs
+++ b/crates/node/src/inbound/crash.rs
@@ -16,17 +16,19 @@
 use wire::call::{Reason, Request};
 
 /// Time until a backend server that broke off a call and still listens is checked again. When a
-/// process ends, the operating system closes its sockets one by one.
+/// process ends, the operating system closes its sockets one by one, so the listener may outlive
+/// the connection of the call for a moment.
 const RECHECK_DELAY: Duration = Duration::from_millis(50);
 
 /// Longest time that a nested suspect waits for another suspect to end, before it runs anyway. The
-/// other one may be its own parent, which in turn waits for it.
+/// other suspect may be the parent of the nested one, and a parent waits for its nested calls.
 const MAX_NESTED_SUSPECT_WAIT: Duration = Duration::from_millis(50);
 
-/// Retry-after of a suspect request that is refused because another one is in flight.
+/// Retry delay for a suspect request that is refused because another suspect is in flight.
 const SUSPECT_RETRY_AFTER_MS: u32 = 100;
 
-/// A call in flight at the backend server, until it is dropped.
+/// A call in flight at the backend server; dropping this value removes the call from the table of
+/// calls in flight.
 #[derive(Debug)]
 pub(crate) struct InFlightCall<C>
 where
@@ -42,20 +44,22 @@
     running_call: Option<RunningCallGuard>,
 }
 
-/// Permit for a request to be in flight; only one suspect request at a time gets one.
+/// Permission for a request to be in flight. A request that is not a suspect always gets it; of the
+/// suspects, only one at a time does, apart from nested ones that have waited for
+/// [`MAX_NESTED_SUSPECT_WAIT`].
 #[derive(Debug)]
 pub(crate) struct SuspectPermit {
     is_suspect: bool,
-    /// Held by a suspect; keeps other suspects from the backend server.
+    /// Held by a suspect; keeps other suspects from being sent to the backend server.
     _permit: Option<OwnedSemaphorePermit>,
 }
 
 impl SuspectPermit {
     /// If this request is a suspect, waits until no other suspect is in flight.
     ///
-    /// Guards against holding an innocent request: if it ran next to a request that crashes backend
-    /// servers, it would be in flight at as many crashes as that request. A crash with a single
-    /// suspect in flight identifies the cause.
+    /// Guards against holding an innocent request in quarantine: if an innocent suspect ran next to
+    /// a request that crashes backend servers, both would be in flight at the same number of
+    /// crashes. A crash with a single suspect in flight identifies the cause.
     pub(crate) async fn acquire<C>(inner: &Inner<C>, request: &Request) -> Result<Self, Refused>
     where
         C: Clock,
@@ -105,7 +109,7 @@
     }
 }
 
-/// Returns whether a request is a suspect, and refuses one that is held.
+/// Returns whether a request is a suspect, or the refusal of a request that is held in quarantine.
 pub(crate) fn check_quarantine<C>(inner: &Inner<C>, request: &Request) -> Result<bool, Refused>
 where
     C: Clock,
@@ -174,7 +178,8 @@
         has_ended
     }
 
-    /// Schedules a check of a process that broke off in the middle of a response.
+    /// Schedules a check whether the process has ended, after it broke off in the middle of a
+    /// response.
     pub(crate) fn detect_crash_later(&self) {
         detect_crash_later(Arc::clone(&self.inner), self.backend.clone());
     }
@@ -270,7 +275,7 @@
         .report_crashes(&shared.clock, &shared.metrics, crashes);
 }
 
-/// Returns an identifier for the end of a process, the same each time that it is detected.
+/// Returns an identifier for the end of a process, the same each time that this end is detected.
 ///
 /// A call that finds the port closed a moment later detects the same end again; with a different
 /// identifier, one crash would count as two. A process without an identity (0) can't be told from
--- a/crates/node/src/inbound/deliver.rs
+++ b/crates/node/src/inbound/deliver.rs
@@ -27,11 +27,12 @@
 /// for 5 s. Responses of up to 320 kB, such as pages and lists, are buffered in full.
 const MAX_READ_AHEAD_BYTES: usize = 256 << 10;
 
-/// Number of responses that may be read ahead at the same time. They take up to 4 MB of a node's
-/// 32 MB.
+/// Number of responses that may be read ahead at the same time. Their buffers take up to 4 MB of a
+/// node's 32 MB.
 pub(crate) const MAX_READ_AHEAD_RESPONSES: usize = 16;
 
-/// Streams a response from the backend server, whose connection is released at its end.
+/// Streams a response from the backend server to the outbound proxy; the connection to the backend
+/// server is released at the end of the response. Returns the read-ahead permit if one was taken.
 pub(super) async fn send_response<C>(
     inner: &Inner<C>,
     call: &InboundCall,
--- a/crates/node/src/inbound/inbound_call.rs
+++ b/crates/node/src/inbound/inbound_call.rs
@@ -22,9 +22,9 @@
 /// Number of consecutive checks without progress after which a response is given up.
 ///
 /// Five seconds tolerate a VM that is paused for some seconds, a lost link that is re-established
-/// within two, and three consecutive packet losses, which TCP retransmits after 0.2, 0.6 and 1.4
-/// s. Checks are counted instead of measuring the time: a node that was paused itself counts a
-/// single check, and first reads what has arrived meanwhile.
+/// within two seconds, and three consecutive packet losses, which TCP retransmits after 0.2, 0.6
+/// and 1.4 s. The checks are counted, rather than the time measured, because a node that was itself
+/// paused then counts only one check, and first reads what has arrived in the meantime.
 const MAX_STALLED_CHECKS: u32 = 5;
 
 /// The reader of a response has taken nothing for too long.
@@ -50,8 +50,9 @@
     /// Bytes that the sender may send in total; `received` counts those that have arrived.
     credit_limit: u64,
     received: u64,
+    /// Bytes that the backend server has taken since the last credit was granted.
     consumed: usize,
-    reader: Option<Waker>,
+    reader_waker: Option<Waker>,
 }
 
 impl InboundCall {
@@ -90,7 +91,7 @@
             body.chunks.push_back(bytes);
         }
         body.ended = end;
-        wake(&mut body.reader);
+        wake(&mut body.reader_waker);
         true
     }
 
@@ -119,7 +120,7 @@
     pub(crate) fn abort_request_body(&self) {
         let mut body = self.request_body.lock();
         body.aborted = !body.ended;
-        wake(&mut body.reader);
+        wake(&mut body.reader_waker);
     }
 
     /// Returns whether the response is sent over `link`.
@@ -171,7 +172,7 @@
         if body.aborted {
             return Poll::Ready(Some(Err(forwarded_body::Error::CallEnded)));
         }
-        body.reader = Some(cx.waker().clone());
+        body.reader_waker = Some(cx.waker().clone());
         Poll::Pending
     }
 
@@ -180,7 +181,7 @@
         self.response.lock().add_credit(bytes);
     }
 
-    /// Requests that the call ends; the task that runs it reports the outcome.
+    /// Requests that the call ends; the task that runs the call reports the outcome.
     pub(crate) fn cancel(&self) {
         self.response.lock().cancelled = true;
         self.cancel.notify_one();
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Ends the call without a response, or without the rest of it.
+    /// Ends the call without a response, or without the rest of its response.
     pub(crate) fn refuse(&self, verdict: Verdict, reason: Reason, retry_after_ms: u32) {
         self.response.lock().refuse(Refusal {
             id: self.id,
@@ -226,8 +227,8 @@
     /// Waits until at most `max_waiting` bytes of the response wait for credit.
     ///
     /// Guards against a reader that has died or stalled: only the reader grants credit, and a
-    /// killed process never does. When this wait lasted as long as a commit may run past its
-    /// deadline, such a response held a slot of the backend server for up to 32 s.
+    /// killed process grants none. When the wait was as long as a commit may run past its deadline,
+    /// the response to a dead reader held a slot of the backend server for up to 32 s.
     ///
     /// # Errors
     ///
--- a/crates/node/src/inbound/link.rs
+++ b/crates/node/src/inbound/link.rs
@@ -114,7 +114,7 @@
             }
             Frame::LoadProbe(probe) => {
                 let estimate = Frame::Estimate(load_probe::answer_probe(self.inner, &probe));
-                // If the link is closed, the peer sees from its end that no reply comes.
+                // If the link is closed, its end tells the peer that no reply will come.
                 drop(self.sender.send([estimate]));
                 ControlFlow::Continue(())
             }
@@ -124,7 +124,7 @@
 
     /// Finds a call that uses this link.
     ///
-    /// Frames that still arrive on an earlier link for a call that has moved to another link are
+    /// After a call has moved to another link, its frames that still arrive on the earlier link are
     /// ignored: their credit is included in the query that moved the call.
     fn find_call(&self, id: Id) -> Option<Arc<InboundCall>> {
         let table = self.inner.attempt_table(id.origin).lock();
--- a/crates/node/src/inbound/load_probe.rs
+++ b/crates/node/src/inbound/load_probe.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// Estimates what would happen to a call; `accepts` is false if it would be refused whatever the
-/// load.
+/// Estimates what would happen to a call; `accepts` is false if the call would be refused whatever
+/// the load.
 pub(crate) fn estimate<C>(inner: &Inner<C>, probe: &LoadProbe) -> Estimate
 where
     C: Clock,
--- a/crates/node/src/inbound/response_stream.rs
+++ b/crates/node/src/inbound/response_stream.rs
@@ -1,9 +1,9 @@
 //! A response on its way to the outbound proxy.
 //!
-//! The outbound proxy grants credit as its caller reads the response. Bytes that it hasn't
-//! confirmed are kept, as TCP does, so that the response can continue over another link if this
-//! one goes silent. Bytes beyond the credit are buffered here, up to a limit, so that the backend
-//! server can finish the call.
+//! The outbound proxy grants credit as its caller reads the response. Bytes that the outbound proxy
+//! hasn't confirmed are kept, as TCP does, so that the response can continue over another link if
+//! its current link goes silent. Bytes beyond the credit are buffered here, up to a limit, so that
+//! the backend server can finish the call.
 
 use crate::link::{Sender, wake};
 use bytes::Bytes;
@@ -22,7 +22,7 @@
     id: Id,
     link: Arc<Sender>,
     head: Option<Answer>,
-    /// Chunks that were passed to the link and aren't confirmed.
+    /// Chunks that were passed to the link and that the outbound proxy hasn't confirmed.
     unconfirmed: VecDeque<Bytes>,
     /// Offset in the body of the first byte in `unconfirmed`.
     unconfirmed_start: u64,
@@ -31,7 +31,7 @@
     /// Chunks that wait for credit; `waiting_bytes` is their total size.
     waiting: VecDeque<Bytes>,
     waiting_bytes: usize,
-    /// Bytes of the body that the outbound proxy has granted credit for, in total.
+    /// Total number of bytes of the body for which the outbound proxy has granted credit.
     credit_limit: u64,
     /// Whether the backend server has sent the complete body.
     body_ended: bool,
@@ -39,7 +39,7 @@
     end_sent: bool,
     refusal: Option<Refusal>,
     pub(super) cancelled: bool,
-    writer: Option<Waker>,
+    drain_waker: Option<Waker>,
 }
 
 impl ResponseStream {
@@ -59,7 +59,7 @@
             end_sent: false,
             refusal: None,
             cancelled: false,
-            writer: None,
+            drain_waker: None,
         }
     }
 
@@ -123,7 +123,7 @@
         let confirmed = self.credit_limit.saturating_sub(INITIAL_WINDOW as u64);
         self.drop_confirmed(confirmed);
         self.send_available();
-        wake(&mut self.writer);
+        wake(&mut self.drain_waker);
     }
 
     /// Polls until at most `max_waiting` bytes wait for credit.
@@ -131,7 +131,7 @@
         if self.waiting_bytes <= max_waiting {
             return Poll::Ready(());
         }
-        self.writer = Some(cx.waker().clone());
+        self.drain_waker = Some(cx.waker().clone());
         Poll::Pending
     }
 
@@ -172,7 +172,7 @@
         }
         drop(self.link.send(frames));
         self.send_available();
-        wake(&mut self.writer);
+        wake(&mut self.drain_waker);
         true
     }
 
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -32,8 +32,8 @@
 use tokio::sync::OwnedSemaphorePermit;
 use wire::call::{Header, MAX_EAGER_BODY_BYTES, Reason, Request};
 
-/// Header with the time that a call has left, in milliseconds; sent by callers, and to backend
-/// servers.
+/// Header with the time that a call has left, in milliseconds. Callers send it to a node, and a
+/// node sends it to its backend server.
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("bluebellpick-timeout-ms");
 
 /// How long a commit may run past its deadline; most pauses of a process are shorter.
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Refuses a request that is held for another `wait`.
+    /// Refuses a request that stays held in quarantine for another `wait`.
     pub(crate) fn held(wait: Duration) -> Self {
         Self::not_run(Reason::Held, whole_ms(wait).max(1))
     }
@@ -120,11 +120,10 @@
 
 /// Waits until a call's time is over.
 ///
-/// A running commit gets extra time: the outbound proxy responds to its caller at the deadline
-/// and cancels the call then, unless it still needs the outcome for the idempotency key. If the
-/// call were cut off here, nobody could find out whether it took effect. A commit whose body is
-/// incomplete at its deadline waits for its sender rather than for the backend server, and gets
-/// no extra time.
+/// A running commit gets extra time: at the deadline, the outbound proxy responds to its caller and
+/// cancels the call, unless it still needs the outcome for the idempotency key. If the call were
+/// cut off here, nobody could find out whether it took effect. A commit whose body is incomplete at
+/// its deadline waits for its sender rather than for the backend server, and gets no extra time.
 async fn wait_overdue<C>(inner: &Inner<C>, call: &InboundCall, class: Class, deadline: Instant)
 where
     C: Clock,
@@ -139,8 +138,8 @@
     }
 }
 
-/// Refuses a call that nobody waits for any more; the backend server was notified when its
-/// exchange was dropped.
+/// Refuses a call that nobody waits for any more; if the call was running, dropping it has closed
+/// its connection, which tells the backend server that nobody waits for the answer.
 pub(super) fn abandon_call<C>(inner: &Inner<C>, call: &InboundCall, reason: Reason)
 where
     C: Clock,
@@ -199,12 +198,12 @@
 /// Number of bytes of a body that are received before its call gets a slot.
 ///
 /// If the call got its slot earlier, the slot would be held while the body arrives: at 8 Mbit/s, a
-/// photograph of 60 kB takes as long as the work on it. The rest of a longer body is streamed,
-/// because a VM of 160 MB can't hold dozens of such bodies.
+/// photograph of 60 kB takes as long to arrive as the backend server then works on it. The rest of
+/// a longer body is streamed, because a VM of 160 MB can't hold dozens of such bodies.
 const MAX_HELD_BODY_BYTES: u64 = 1 << 20;
 
-/// Waits until the body of a call has been received, if the call may get a slot afterwards. A
-/// body that arrived with its head needs no wait.
+/// Waits until the body of a call has been received, up to [`MAX_HELD_BODY_BYTES`]; refuses a call
+/// that would get no slot afterwards. A body that arrived with its head needs no wait.
 async fn receive_body<C>(
     inner: &Arc<Inner<C>>,
     call: &Arc<InboundCall>,
@@ -442,7 +441,7 @@
     }
 }
 
-/// Logs the refusal of a call, and returns it as its sender receives it.
+/// Logs the refusal of a call, and converts it to the form that the sender of the call receives.
 fn refuse_at_gate<C>(
     inner: &Inner<C>,
     request: &Request,
--- a/crates/node/src/inbound/running_calls.rs
+++ b/crates/node/src/inbound/running_calls.rs
@@ -10,7 +10,7 @@
 /// them: the hash of the name that a nested call gives for its parent.
 #[derive(Debug, Default)]
 pub(crate) struct RunningCalls {
-    running: Mutex<HashMap<u64, Entry>>,
+    running: Mutex<HashMap<u64, SameKeyCalls>>,
 }
 
 /// Properties of a running call that matter for its nested calls.
@@ -18,18 +18,20 @@
 pub(crate) struct RunningCall {
     /// Class of the call's route.
     pub(crate) class: Class,
-    /// Whether it is a retry: it was sent to another backend server before.
+    /// Whether the call is a retry, which was sent to another backend server before.
     pub(crate) is_retry: bool,
 }
 
 /// The running calls with the same key.
 #[derive(Debug, Clone, Copy)]
-struct Entry {
+struct SameKeyCalls {
+    /// Number of running calls with the key.
     count: u32,
+    /// Class of the first of these calls; a retry if any of them is a retry.
     call: RunningCall,
 }
 
-/// Registers a running call until it is dropped.
+/// Keeps a running call registered until the guard is dropped.
 #[derive(Debug)]
 pub(crate) struct RunningCallGuard {
     calls: Arc<RunningCalls>,
@@ -40,7 +42,9 @@
     /// Registers a running call.
     pub(crate) fn register(self: &Arc<Self>, key: u64, call: RunningCall) -> RunningCallGuard {
         let mut running = self.running.lock();
-        let entry = running.entry(key).or_insert(Entry { count: 0, call });
+        let entry = running
+            .entry(key)
+            .or_insert(SameKeyCalls { count: 0, call });
         entry.count += 1;
         entry.call.is_retry |= call.is_retry;
         drop(running);
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -23,23 +23,22 @@
 
 /// Unsent bytes from which new requests are refused.
 ///
-/// Bodies are bounded by their calls' windows; this bounds heads. At 1 Gbit/s,
-/// 1 MB of queued data delays a request by 10 ms, longer than any queueing that
-/// is worthwhile.
+/// Bodies are bounded by their calls' windows; this limit bounds heads. At 1 Gbit/s, 1 MB of queued
+/// data delays a request by more than 8 ms, longer than any queueing that is worthwhile.
 const MAX_UNSENT_BYTES_FOR_REQUESTS: usize = 1 << 20;
 
 /// Unsent bytes from which the link to a peer that does not read is closed.
 ///
-/// Queued bodies are limited to their windows, and a backend server runs some
-/// dozens of calls at once, 64 kB each. A larger queue means that the peer sends
-/// requests but never reads, and the queue would grow without bound.
+/// Queued bodies are limited to their windows of 64 kB, and a backend server runs some dozens of
+/// calls at once. A larger queue means that the peer sends requests but never reads, and the queue
+/// would grow without bound.
 const MAX_UNSENT_BYTES: usize = 8 << 20;
 
 /// Size of a read from the socket; the buffer is held only during the read.
 const READ_BYTES: usize = 16 << 10;
 
 /// Capacity that an empty write buffer keeps: enough for the heads of a few calls.
-const RETAINED_CAPACITY: usize = 1 << 10;
+const RETAINED_BUFFER_BYTES: usize = 1 << 10;
 
 /// Time between two checks of a link for silence.
 ///
@@ -47,16 +46,18 @@
 /// and its reply cost about 60 bytes and are sent only when nothing else arrived.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Consecutive checks without a byte from the peer after which a link counts as dead.
+/// Maximum number of consecutive checks without a byte from the peer; at the next such check, the
+/// link counts as dead.
 ///
-/// Checks are counted rather than timed: a process that resumes after a long stop
-/// has missed one check, not many, and reads what has arrived first.
+/// Checks are counted rather than timed: a process that resumes after a long stop runs one overdue
+/// check, not many, and first reads what has arrived.
 const MAX_SILENT_CHECKS: u32 = 3;
 
-/// Consecutive checks without a byte after which a link that expects a request body counts as dead.
+/// Maximum number of consecutive checks without a byte while a request body is expected; at the
+/// next such check, the link counts as dead.
 ///
-/// Five seconds, as for the readers of answers: the peer may stall for a while,
-/// and what it sends afterwards is still useful while its caller waits.
+/// Five seconds, as for the readers of answers: the peer may stall for a while, and what it sends
+/// afterwards is still useful as long as the caller waits.
 const MAX_SILENT_BODY_CHECKS: u32 = 20;
 
 /// Time between two checks of a link on which nothing is expected.
@@ -65,18 +66,19 @@
 /// answers, they would cost it a thousand useless wake-ups per second.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Consecutive checks without a byte after which a link with nothing expected is closed: one minute.
+/// Maximum number of consecutive checks without a byte while nothing is expected; at the next such
+/// check, after about one minute, the link is closed.
 const MAX_SILENT_IDLE_CHECKS: u32 = 12;
 
 /// What a link's reader expects from its peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expected {
-    /// Answers: a silent peer is pinged, and its link closed when it stays silent.
+    /// Answers: a silent peer is pinged, and its link is closed if the peer stays silent.
     Answer,
-    /// The body of a request that is waiting for it: the peer is pinged, and its link closed
-    /// after a longer silence.
+    /// The body of a request that is waiting for it: a silent peer is pinged, and its link is
+    /// closed after a longer silence.
     ///
-    /// Without this, a VM that loses power in the middle of a body leaves a connection that
+    /// Without this timeout, a VM that loses power in the middle of a body leaves a connection that
     /// never ends, and a slot of the backend server stays occupied waiting for the rest.
     Body,
     /// Nothing: the link is closed after a long silence.
@@ -127,9 +129,9 @@
 struct WriteState {
     /// `None` once the link is closed.
     ///
-    /// Otherwise the socket would live as long as the last answer or peer entry that
-    /// refers to the link: 1 to 4 half-closed sockets (CLOSE-WAIT) remained at a node
-    /// for 20 s after its peers were restarted.
+    /// If the socket were kept, it would live as long as the last answer or peer entry that refers
+    /// to the link: 1 to 4 half-closed sockets (CLOSE-WAIT) remained at a node for 20 s after its
+    /// peers were restarted.
     socket: Option<Arc<OwnedWriteHalf>>,
     buffer: Vec<u8>,
     /// Bytes of `buffer` that the socket has accepted.
@@ -164,7 +166,7 @@
             }
         }
         self.buffer.clear();
-        self.buffer.shrink_to(RETAINED_CAPACITY);
+        self.buffer.shrink_to(RETAINED_BUFFER_BYTES);
         self.flushed = 0;
         self.blocked = false;
         Ok(())
@@ -176,7 +178,8 @@
     ///
     /// # Errors
     ///
-    /// When the link is closed or a frame can't be encoded; nothing is sent then.
+    /// Fails if the link is closed, if a frame can't be encoded, or if too many bytes are unsent,
+    /// which closes the link. None of the frames is sent then.
     pub fn send<I>(&self, frames: I) -> Result<u64, Error>
     where
         I: IntoIterator<Item = Frame>,
@@ -189,7 +192,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Sender::send`], and when too many bytes wait for the socket already.
+    /// Fails as [`Sender::send`] does, and if too many bytes wait for the socket already.
     pub fn send_request<F, I>(&self, make: F) -> Result<u64, Error>
     where
         F: FnOnce() -> I,
@@ -250,7 +253,7 @@
 
     fn close_locked(&self, write_state: &mut WriteState) {
         if write_state.socket.take().is_some() {
-            // The buffer is not sent any more, and references to the link may live long.
+            // Frees the buffer, which is not sent any more: references to the link may live long.
             write_state.buffer = Vec::new();
             write_state.flushed = 0;
             self.closed.notify_one();
@@ -284,7 +287,8 @@
             .filter(|_| write_state.unsent_bytes() > 0)
     }
 
-    /// Returns the number of bytes that the socket has accepted; it no longer grows once the link is closed.
+    /// Returns the number of bytes that the socket has accepted; the number no longer grows once
+    /// the link is closed.
     #[must_use]
     pub fn bytes_written(&self) -> u64 {
         self.write_state.lock().bytes_written
@@ -322,7 +326,7 @@
 ///
 /// # Errors
 ///
-/// When the socket's options can't be set.
+/// Fails if the socket's options can't be set.
 pub fn open(stream: TcpStream) -> io::Result<(Arc<Sender>, Receiver)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
@@ -382,7 +386,8 @@
                 }
                 () = &mut check => {
                     let current = self.update_expected(&expect);
-                    // Time in which nothing was expected does not count as silence.
+                    // When the expectation changes, counting starts again: time in which nothing
+                    // was expected does not count as silence.
                     silent_checks = if current == expected { silent_checks + 1 } else { 0 };
                     expected = current;
                     if self.check_silence(silent_checks, current).is_break() {
@@ -400,12 +405,14 @@
         self.sender.close();
     }
 
-    /// Returns what is expected now; marks the reader as idle when that is nothing.
+    /// Returns what the peer is now expected to send; marks the reader as idle if nothing is
+    /// expected.
     fn update_expected<W>(&self, expect: &W) -> Expected
     where
         W: Fn() -> Expected,
     {
-        // Set first, so that a sender who expects an answer after this point wakes the reader.
+        // Marked as idle before `expect` is called, so that a sender that expects an answer from
+        // now on wakes the reader.
         self.sender.reader_idle.store(true, Ordering::Release);
         let current = expect();
         if current != Expected::Nothing {
@@ -437,7 +444,8 @@
         ControlFlow::Continue(has_received)
     }
 
-    /// Closes the link when it has been silent for too long.
+    /// Pings a silent peer; returns `Break` if the link has been silent for too long and must be
+    /// closed.
     ///
     /// A connection whose state was lost by a device on the path accepts writes for
     /// minutes without failing; only missing answers reveal it.
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -23,7 +23,8 @@
 /// Response of a listener, with its whole body in memory.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// Delay after a failed accept. Without it the loop would spin when file descriptors run out.
+/// Delay after a failed accept. Without the delay, the loop would spin when file descriptors run
+/// out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Limits on one connection and on all connections of a listener.
@@ -64,7 +65,7 @@
 }
 
 impl Handle {
-    /// Returns the address that it listens on.
+    /// Returns the address that the listener is bound to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -166,8 +167,8 @@
 impl ConnectionEnd {
     /// Classifies the end of a connection with `unread` bytes of a request head in its buffer.
     ///
-    /// A timeout without such bytes is an idle connection and not a bad request. Otherwise each
-    /// idle timeout of a scraper's connection would be counted.
+    /// A timeout without such bytes is an idle connection and not a bad request. If it were one,
+    /// each idle timeout of a scraper's connection would be counted.
     pub(crate) fn classify(ended: &Result<(), hyper::Error>, unread: usize) -> Self {
         match ended {
             Err(error) if error.is_parse() || error.is_incomplete_message() => Self::BadRequest,
@@ -238,7 +239,7 @@
     builder
 }
 
-/// Reads a whole request body within the limits.
+/// Reads a whole request body, within the limits on its size and time.
 ///
 /// # Errors
 ///
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -18,15 +18,15 @@
 /// Maximum number of queued lines: 200 kB at about 200 bytes per line.
 const QUEUE_LENGTH: usize = 1_024;
 
-/// How long lines are collected for one write. On a VM with a fifth of a core, a
-/// wake-up of the log thread costs as much as a line.
+/// How long lines are collected for one write. On a VM with a fifth of a core, a wake-up of the log
+/// thread costs as much as writing a line.
 const BATCH_DELAY: Duration = Duration::from_millis(50);
 
 /// How long the end of the process waits for queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Lines per second that one [`RateLimiter`] admits: ten times what a healthy node writes, and
-/// 4 kB per second.
+/// about 4 kB per second.
 const LINES_PER_SECOND: u64 = 20;
 
 /// The open log.
@@ -134,16 +134,18 @@
 /// a node on a small VM would spend its CPU time on logging them.
 #[derive(Debug, Default)]
 pub struct RateLimiter {
-    /// The current second since the start of the node, and the lines requested in it.
+    /// Second, counted from the start of the node, in which the last line was requested.
     second: AtomicU64,
+    /// Number of lines that were requested in that second.
     requested: AtomicU64,
 }
 
 impl RateLimiter {
-    /// Requests one line; returns `None` if it is over the limit of the current second.
+    /// Requests one line; returns `None` if the line exceeds the limit of the current second.
     ///
-    /// Otherwise returns a number of dropped lines to report: for the first line of a second those
-    /// that were dropped in the last second with lines, for other lines 0.
+    /// Otherwise returns the number of dropped lines to report along with this line. The first line
+    /// of a second reports those that were dropped in the last second in which lines were
+    /// requested; other lines report 0.
     pub fn admit(&self, elapsed: Duration) -> Option<u64> {
         let second = elapsed.as_secs();
         let mut dropped = 0;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -41,7 +41,7 @@
         )
 }
 
-/// Installs a handler for SIGHUP, so that one that arrives during the start doesn't end the process.
+/// Installs a handler for SIGHUP, so that a SIGHUP during the start doesn't end the process.
 ///
 /// The settings file may change while the process starts, and the default action of SIGHUP ends
 /// the process. The handler stays installed when its runtime is dropped. A SIGHUP this early can
@@ -80,7 +80,7 @@
     let logs = node::logs::open();
     let code = start(settings, &options.settings).unwrap_or_else(|error| {
         error!(error:%; "failed");
-        // For users who start the node by hand, also when standard output is redirected.
+        // Printed for users who start the node by hand, even if standard output is redirected.
         eprintln!("{error}");
         ExitCode::FAILURE
     });
@@ -125,9 +125,10 @@
 
 /// Reads the settings file again, and logs whether it is valid and has changed.
 ///
-/// Changes take effect at the next start. Each setting is either part of the node's locality and
-/// addresses, by which callers and other nodes know it, or a limit of something that is open
-/// already. An invalid file is reported now, and not by a process that fails to start later.
+/// Changes take effect only at the next start, because each setting is either an address or
+/// locality by which callers and other nodes already know this node, or a limit of a listener or
+/// connection that is already open. An invalid file is reported at once, and not by a process that
+/// fails to start later. Returns the settings to compare the next reload with.
 fn reload(current: Settings, path: &Path) -> Settings {
     match Settings::open(path) {
         Ok(next) if next == current => {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Metrics of a node, for Prometheus and for the report on burn rates.
 //!
-//! The call path fetches a [`ServiceMetrics`] handle once per view and service, and
-//! then uses only atomics and one short lock. Label values come only from the
-//! configuration; services beyond [`MAX_SERVICE_LABELS`] share one label.
+//! The call path looks up the [`ServiceMetrics`] handle of a call when the call ends, and then uses
+//! only atomics and one short lock to record it. Label values come only from the configuration;
+//! services beyond [`MAX_SERVICE_LABELS`] share one label.
 
 pub(crate) mod control;
 pub(crate) mod failures;
@@ -83,7 +83,7 @@
     pub in_flight: usize,
     /// Requests held in quarantine because they crash backend servers.
     pub held_requests: usize,
-    /// Whether the node is ready.
+    /// Whether the node is ready for calls.
     pub ready: bool,
     /// Whether the node or its backend server is leaving.
     pub leaving: bool,
@@ -230,7 +230,7 @@
             .register_with_unit("cpu", help, Unit::Seconds, cpu);
     }
 
-    /// Returns the counters of a service, the same ones each time.
+    /// Returns the counters of a service; further calls return the same counters.
     #[must_use]
     pub fn service(&self, name: &str) -> Arc<ServiceMetrics> {
         if let Some(known) = self.services.read().get(name) {
--- a/crates/node/src/metrics/control.rs
+++ b/crates/node/src/metrics/control.rs
@@ -14,7 +14,7 @@
     pub parent_joins: Counter,
     /// Nodes declared departed.
     pub departures: Counter,
-    /// Views that were older than the current one and were discarded.
+    /// Views that were discarded because they were older than the view in use.
     pub reverts: Counter,
     /// Views built after a change of configuration or endpoints.
     pub built_views: Counter,
--- a/crates/node/src/metrics/failures.rs
+++ b/crates/node/src/metrics/failures.rs
@@ -53,7 +53,7 @@
             .inc();
     }
 
-    /// Counts a call that the admission gate rejected.
+    /// Counts a call that the admission gate refused.
     pub fn count_gate_refusal(&self, reason: &'static str) {
         self.turned_away
             .get_or_create(&ReasonLabel { reason })
--- a/crates/node/src/metrics/reserve.rs
+++ b/crates/node/src/metrics/reserve.rs
@@ -36,7 +36,7 @@
 }
 
 impl Default for ReserveMetrics {
-    /// Starts the counter of each reply at zero, so that rates include the first ones.
+    /// Starts the counter of each reply at zero, so that rates include the first replies.
     fn default() -> Self {
         let claims = Family::<ReplyLabel, Counter>::default();
         for reply in REPLIES {
--- a/crates/node/src/metrics/service.rs
+++ b/crates/node/src/metrics/service.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// The counters of one service. The call path keeps a handle of them.
+/// The counters of one service, shared by all calls to it.
 pub struct ServiceMetrics {
     start: Instant,
     endings: [Counter; ENDING_LABELS.len()],
@@ -73,12 +73,12 @@
     windows: Mutex<BurnWindows>,
 }
 
-/// Data for the report on burn rates.
+/// Counts of calls over time windows, for the report on burn rates.
 #[derive(Debug, Default)]
 struct BurnWindows {
     history: History,
-    /// The objective at the last call. The view drops a service that has lost its last endpoint,
-    /// which is when its burn rate matters most.
+    /// The objective at the last call. It is kept here because the view drops a service that has
+    /// lost its last endpoint, just when the burn rate of that service matters most.
     objective: Option<Objective>,
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -123,7 +123,8 @@
 
     /// Stops gracefully: accepts no new work after the handover, and lets calls in flight finish.
     ///
-    /// The drain timeout of the settings bounds the wait. Calls that it cuts off are logged.
+    /// The drain timeout of the settings bounds the wait. The numbers of calls that this timeout
+    /// cuts off are logged.
     pub async fn stop(self) {
         let limit = self.hand_over().await;
         info!(stop_limit_s = limit.as_secs_f64(); "leaving");
@@ -136,7 +137,7 @@
         info!("stopped");
     }
 
-    /// Drains the calls and then stops the components, each within its time.
+    /// Drains the calls and then stops the components, each step within its time limit.
     async fn stop_components(self, limit: Duration) {
         let shared = Arc::clone(&self.shared);
         let now = || shared.clock.now();
@@ -160,14 +161,15 @@
     }
 }
 
-/// Drains the calls of callers and of other nodes, and returns how many of each are left at `limit`.
+/// Drains the calls of callers and of other nodes, and returns how many calls of each of the two
+/// are left at `limit`.
 ///
-/// The node refuses calls of other nodes only after its lame-duck time, in which it sends its own
-/// callers away: the backend server stays, and is unavailable to other nodes for as long as its
-/// node refuses them. When the node sent its callers away and refused the calls of other nodes at
-/// the same time, a restart of the node next to the last backend server of a service made that
-/// service unavailable to all callers for 1.6 s to 2.5 s. Refusing the calls of other nodes later
-/// saves 1 s of that.
+/// During its lame-duck time, the node sends its own callers away but still serves other nodes; it
+/// refuses their calls only after that time. The backend server keeps running, but is unavailable
+/// to other nodes for as long as its node refuses their calls. When the node sent its callers away
+/// and refused the calls of other nodes at the same time, a restart of the node next to the last
+/// backend server of a service made that service unavailable to all callers for 1.6 s to 2.5 s.
+/// Refusing the calls of other nodes later saves 1 s of that.
 pub async fn end_calls<C>(
     shared: &Shared<C>,
     inbound: &inbound::Handle<C>,
--- a/crates/node/src/nodes.rs
+++ b/crates/node/src/nodes.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Listens for nodes on `tcp`.
+/// Starts the listener for other nodes on `tcp`.
 #[must_use]
 pub fn spawn<C>(
     tcp: TcpListener,
--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -48,10 +48,9 @@
 
 /// How long a leaving node keeps accepting calls on existing connections.
 ///
-/// Closing an idle connection can race with a request that is already on the
-/// way, and the caller then can't tell whether the request ran. Callers that
-/// send regularly do so within this time, and the response tells them that the
-/// connection closes.
+/// Closing an idle connection can race with a request that is already on the way, and the caller
+/// then can't tell whether the request ran. Callers that send regularly send another request within
+/// this time, and its response tells them that the connection closes.
 const LAME_DUCK_DURATION: Duration = Duration::from_secs(1);
 
 /// How long a closing node waits for the first request on a connection: long
@@ -69,7 +68,8 @@
 /// Five seconds is also the limit for nodes that read responses over a link.
 const CALLER_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Polling interval while waiting for the first routes. Short compared to the start of a process.
+/// Polling interval while waiting for the first routes. This is short compared to the start of a
+/// process.
 const ROUTES_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Length of the kernel's accept queue, the same as tokio's default.
@@ -108,7 +108,7 @@
     connection_permits: Arc<Semaphore>,
     /// One permit per running call with an idempotency key, whether its caller is still connected or not.
     keyed_permits: Arc<Semaphore>,
-    stage: watch::Sender<Stage>,
+    stage: watch::Sender<ShutdownStage>,
 }
 
 /// Counts a running call with an idempotency key until it is dropped.
@@ -123,7 +123,7 @@
 
 /// Shutdown stage of the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Stage {
+enum ShutdownStage {
     Serving,
     /// Each response closes its connection.
     LameDuck,
@@ -151,19 +151,18 @@
     let inner = Arc::clone(&handle.inner);
     tokio::spawn(async move {
         accept(listener, &inner).await;
-        inner.advance(Stage::Closed);
+        inner.advance(ShutdownStage::Closed);
     });
     Ok(handle)
 }
 
 /// Starts serving callers on the address that `socket` is bound to as soon as routes are known.
 ///
-/// The callers of a node that restarts under load call it again as soon as it
-/// accepts connections. A node without a configuration could only refuse their
-/// calls. While it doesn't listen, their connections are refused, so they know
-/// that nothing was sent and go to another node. A node that gets no
-/// configuration starts accepting after `[limits] routes_wait` and refuses calls
-/// with the reason `no-routes-yet`.
+/// The callers of a node that restarts under load call that node again as soon as it accepts
+/// connections. A node without a configuration could only refuse their calls. While the node
+/// doesn't listen, connections to it are refused, so callers know that nothing was sent and go to
+/// another node. A node that gets no configuration starts accepting after `[limits] routes_wait`
+/// and refuses calls with the reason `no-routes-yet`.
 ///
 /// # Errors
 ///
@@ -181,7 +180,7 @@
     let inner = Arc::clone(&handle.inner);
     tokio::spawn(async move {
         accept_after_routes(socket, &inner).await;
-        inner.advance(Stage::Closed);
+        inner.advance(ShutdownStage::Closed);
     });
     Ok(handle)
 }
@@ -252,7 +251,7 @@
         reserve,
         connection_permits: Arc::new(Semaphore::new(connections)),
         keyed_permits: Arc::new(Semaphore::new(connections)),
-        stage: watch::Sender::new(Stage::Serving),
+        stage: watch::Sender::new(ShutdownStage::Serving),
     });
     Handle { inner, address }
 }
@@ -267,19 +266,24 @@
         self.address
     }
 
-    /// Closes callers' connections as their responses end, and waits until none is open and no call
-    /// with an idempotency key runs. Returns 0 then; at `timeout`, returns the larger of the two
-    /// numbers.
+    /// Closes callers' connections as their responses end, and waits until no connection is open
+    /// and no call with an idempotency key runs; returns 0 then. At `timeout`, returns the number
+    /// of open connections or that of running calls with a key, whichever is larger, but at least
+    /// 1.
     pub async fn drain(&self, timeout: Duration) -> usize {
-        self.inner.advance(Stage::LameDuck);
+        self.inner.advance(ShutdownStage::LameDuck);
         let max_connections = u32::from(self.inner.shared.settings.connections);
         let ended = async {
             tokio::time::sleep(lame_duck_duration(timeout)).await;
-            self.inner.advance(Stage::Closing);
+            self.inner.advance(ShutdownStage::Closing);
             // A pending request for all permits would starve the accept loop, so the
             // listener must be closed first.
             let mut stage = self.inner.stage.subscribe();
-            drop(stage.wait_for(|stage| *stage == Stage::Closed).await);
+            drop(
+                stage
+                    .wait_for(|stage| *stage == ShutdownStage::Closed)
+                    .await,
+            );
             drop(
                 self.inner
                     .connection_permits
@@ -309,7 +313,7 @@
         })
     }
 
-    fn advance(&self, stage: Stage) {
+    fn advance(&self, stage: ShutdownStage) {
         self.stage.send_modify(|now| *now = stage.max(*now));
     }
 
@@ -382,7 +386,7 @@
             if inner.shared.uses_platform_interface() {
                 set_platform_retry_after(&mut response);
             }
-            if *inner.stage.borrow() >= Stage::LameDuck {
+            if *inner.stage.borrow() >= ShutdownStage::LameDuck {
                 set_connection_close(&mut response);
             }
             Ok::<_, Infallible>(response)
@@ -414,9 +418,13 @@
     }
 }
 
-async fn wait_for_closing(stage: &mut watch::Receiver<Stage>) {
+async fn wait_for_closing(stage: &mut watch::Receiver<ShutdownStage>) {
     // The sender is dropped only with the proxy.
-    drop(stage.wait_for(|stage| *stage >= Stage::Closing).await);
+    drop(
+        stage
+            .wait_for(|stage| *stage >= ShutdownStage::Closing)
+            .await,
+    );
 }
 
 /// Adds the platform's retry-after header, which has a resolution below one second.
--- a/crates/node/src/outbound/attempt.rs
+++ b/crates/node/src/outbound/attempt.rs
@@ -10,8 +10,8 @@
 use std::task::{Context, Poll, Waker};
 use wire::call::{Answer, Frame, INITIAL_WINDOW, Reason, Refusal};
 
-/// An attempt that was sent over a link. The link's table holds it until its response is complete
-/// or refused.
+/// An attempt that was sent over a link. The link's attempt table holds it until the response is
+/// complete or the attempt is refused.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) id: Id,
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct State {
-    /// The current link.
+    /// Link that currently carries the attempt.
     link: Arc<Sender>,
     /// Position in the link's byte stream at which the request's head ends.
     head_end: u64,
@@ -52,7 +52,7 @@
     pub(crate) head_received: bool,
     /// Bytes of the response body received so far.
     pub(crate) received: u64,
-    /// Further bytes that the peer may send.
+    /// Number of further bytes of the response body that the peer may send.
     pub(crate) window: usize,
 }
 
@@ -107,12 +107,13 @@
         state.link.bytes_written() >= state.head_end
     }
 
-    /// Moves the attempt to a new link to the same peer. Returns what it received over the earlier
-    /// links.
+    /// Moves the attempt to a new link to the same peer. Returns how much of the response the
+    /// attempt received over the earlier links.
     pub(crate) fn move_to(&self, link: Arc<Sender>) -> ReceiveProgress {
         let mut state = self.state.lock();
         state.link = link;
-        // Only attempts whose head was written completely are moved.
+        // Only attempts whose head was written completely are moved, so with 0 the head still
+        // counts as written.
         state.head_end = 0;
         state.consumed = 0;
         ReceiveProgress {
@@ -241,7 +242,7 @@
         Poll::Pending
     }
 
-    /// Consumes credit for body bytes that were sent along with the request's head.
+    /// Deducts the body bytes that were sent along with the request's head from the credit.
     pub(crate) fn use_credit(&self, bytes: usize) {
         let mut state = self.state.lock();
         state.credit = state.credit.saturating_sub(bytes);
--- a/crates/node/src/outbound/call_log.rs
+++ b/crates/node/src/outbound/call_log.rs
@@ -105,7 +105,8 @@
 
 /// Logs an answer that missed its latency target or is a server error.
 ///
-/// Other answers are not logged: there are hundreds per second, and nobody needs the lines.
+/// Other answers are not logged: there are hundreds of them per second, and nobody needs a line for
+/// each.
 pub(crate) fn log_answer<C>(inner: &Inner<C>, plan: &Plan, answer: &AnsweredCall<'_>)
 where
     C: Clock,
--- a/crates/node/src/outbound/hedge.rs
+++ b/crates/node/src/outbound/hedge.rs
@@ -43,8 +43,8 @@
     C: Clock,
 {
     let started = first.started;
-    // Only a body that is completely in memory can be sent twice. Hedging a request that
-    // crashes backend servers would take down one more.
+    // Only a body that is completely in memory can be sent twice. Hedging a request that crashes
+    // backend servers would take down one more backend server.
     let may_hedge = plan.may_hedge() && body.rest.is_none() && !history.is_suspect;
     let hedge_body = remote_attempt::RequestBody {
         prefix: body.prefix.clone(),
@@ -161,7 +161,7 @@
     C: Clock,
 {
     let hedge = pick_without_probes(inner, plan, tried.keys(), &[])?;
-    if !plan.client.spend(inner.shared.clock.now()) {
+    if !plan.client.charge_hedge(inner.shared.clock.now()) {
         return None;
     }
     tried.add(hedge.key);
--- a/crates/node/src/outbound/keyed.rs
+++ b/crates/node/src/outbound/keyed.rs
@@ -28,9 +28,9 @@
 
 /// Serves a call with an idempotency key.
 ///
-/// The call continues if its caller disconnects. A caller whose connection
-/// broke repeats the call with the same key and then gets the response of this
-/// run. If the run were aborted, the repeat could only be told "may have run".
+/// The call continues if its caller disconnects. A caller whose connection broke repeats the call
+/// with the same key and then gets the response of the first run. If that run were aborted, the
+/// repeat could only be told "may have run".
 pub(crate) async fn serve_keyed<C>(
     inner: &Arc<Inner<C>>,
     plan: &Arc<Plan>,
@@ -59,7 +59,8 @@
         .expect("the task of a call with a key sends its response")
 }
 
-/// Waits past the deadline for the outcome of a call, so that repeats with its key get it.
+/// Waits past the deadline for the outcome of a call, so that repeats with its key get that
+/// outcome.
 ///
 /// A node that was stopped for seconds knows the outcome once it resumes.
 /// Without this wait, every repeat would be told "may have run" forever.
--- a/crates/node/src/outbound/link.rs
+++ b/crates/node/src/outbound/link.rs
@@ -25,13 +25,14 @@
 /// retransmitted after one second; callers should not wait longer than that.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Number of peers whose addition triggers a sweep of the peer table, which removes the peers that
-/// have neither a link nor a call.
+/// The peer table is swept each time that it has grown by this number of peers. A sweep removes the
+/// peers that have neither a link nor a call.
 const PEERS_PER_SWEEP: usize = 512;
 
 /// Maximum number of finished attempts kept to be reported to the peer with the next request.
 ///
-/// The peer drops attempts beyond that by age, which only costs it memory.
+/// Further finished attempts are not reported. The peer drops them by age, which costs it only
+/// memory.
 const MAX_FINISHED_ATTEMPTS: usize = 256;
 
 /// Number of shards of a link's attempt table, each with its own lock.
@@ -160,12 +161,12 @@
 
     /// Passes a frame to its attempt; frames of unknown attempts are dropped.
     ///
-    /// Attempt numbers are never reused, so a late or duplicate frame matches no
+    /// Sequence numbers of attempts are never reused, so a late or duplicate frame matches no
     /// attempt and cannot reach another caller.
     fn handle_frame(&self, frame: Frame) -> ControlFlow<()> {
         if let Frame::Estimate(estimate) = frame {
             if let Some(sender) = self.pending_probes.lock().remove(&estimate.serial) {
-                // The call that sent the probe may no longer wait for the reply.
+                // Fails if the call that sent the probe no longer waits for the reply.
                 drop(sender.send(estimate));
             }
             return ControlFlow::Continue(());
@@ -240,7 +241,7 @@
     ///
     /// # Errors
     ///
-    /// When the node can't be reached; no request has been sent then.
+    /// Fails if the node can't be reached; no request has been sent then.
     pub(crate) async fn get_or_connect(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -270,7 +271,7 @@
             opened.unwrap_or_else(|_| Err(io::Error::from(io::ErrorKind::TimedOut).into()));
         connecting.finish();
         let (link, receiver) = opened.inspect_err(|error| peer.record_failure(error))?;
-        *peer.current.lock() = Some(Arc::clone(&link));
+        *peer.current_link.lock() = Some(Arc::clone(&link));
         let ended = self.ended.clone();
         tokio::spawn(run_link(
             Arc::clone(peer),
@@ -306,13 +307,13 @@
         Ok((Arc::new(link), receiver))
     }
 
-    /// Sends a request over a link; `make` builds it from its identity, together
-    /// with the start of its body. `credit` is the number of body bytes that may
-    /// be sent before the peer grants more.
+    /// Sends a request over a link; `make` builds the request from the ID of its attempt, together
+    /// with the start of its body. `credit` is the number of body bytes that may be sent before the
+    /// peer grants more.
     ///
     /// # Errors
     ///
-    /// When the link accepts no request; the request has definitely not run then.
+    /// Fails if the link accepts no request; the request has definitely not run then.
     pub(crate) fn send<F>(
         &self,
         link: &Link,
@@ -325,10 +326,9 @@
     {
         let mut registered = None;
         let result = link.sender.send_request(|| {
-            // The number is assigned under the link's lock, so that requests go
-            // out in the order of their numbers. From that order the inbound
-            // proxy can tell requests it never received from those it has
-            // already evicted.
+            // The sequence number is assigned under the link's lock, so that requests go out in the
+            // order of their sequence numbers. By that order, the inbound proxy distinguishes
+            // requests that it never received from those whose outcome it has already evicted.
             let id = self.next_id();
             let attempt = Attempt::new(
                 id,
@@ -367,7 +367,7 @@
     }
 }
 
-/// Reads a link until it ends, then hands over its open attempts for resolution.
+/// Reads a link until it ends, then hands over the attempts whose outcome only the peer knows.
 async fn run_link(
     peer: Arc<Peer>,
     link: Arc<Link>,
--- a/crates/node/src/outbound/peer.rs
+++ b/crates/node/src/outbound/peer.rs
@@ -10,8 +10,8 @@
 
 /// Time for which a failure to connect is returned to all calls that need the link.
 ///
-/// One attempt to connect every quarter of a second costs almost nothing and
-/// detects soon enough for callers that the node is reachable again.
+/// One attempt to connect every quarter of a second costs almost nothing, and callers learn soon
+/// enough that the node is reachable again.
 const FAILURE_TTL: Duration = Duration::from_millis(250);
 
 /// Age from which an abandoned attempt to connect counts as timed out.
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) address: SocketAddr,
-    pub(crate) current: Mutex<Option<Arc<Link>>>,
+    pub(crate) current_link: Mutex<Option<Arc<Link>>>,
     /// Held while connecting, so that concurrent callers share one connection.
     pub(crate) connecting: tokio::sync::Mutex<()>,
     /// When the last attempt to connect failed, and how.
@@ -32,7 +32,7 @@
     pub(crate) fn new(address: SocketAddr) -> Arc<Self> {
         Arc::new(Self {
             address,
-            current: Mutex::default(),
+            current_link: Mutex::default(),
             connecting: tokio::sync::Mutex::default(),
             last_failure: Mutex::default(),
         })
@@ -48,8 +48,8 @@
 
     /// Returns how the last attempt to connect failed, if that was recently.
     ///
-    /// Otherwise each call to an unreachable node would wait for the attempts of
-    /// all calls before it and then make one of its own.
+    /// Without this record, each call to an unreachable node would wait for the attempts to connect
+    /// of all earlier calls and then make an attempt of its own.
     pub(crate) fn recent_failure(&self) -> Option<io::ErrorKind> {
         let (at, kind) = (*self.last_failure.lock())?;
         (at.elapsed() < FAILURE_TTL).then_some(kind)
@@ -64,7 +64,7 @@
     }
 
     pub(crate) fn open_link(&self) -> Option<Arc<Link>> {
-        let current = self.current.lock();
+        let current = self.current_link.lock();
         let link = current.as_ref()?;
         (!link.is_closed()).then(|| Arc::clone(link))
     }
@@ -73,9 +73,8 @@
 /// An attempt to connect. If it is dropped before it has finished, it counts as
 /// timed out, provided that it is at least [`ABANDONED_CONNECT_TIMEOUT`] old.
 ///
-/// Callers with short deadlines give up before the attempt ends. If abandoned
-/// attempts were ignored, each such caller would begin a new one and none would
-/// ever count as failed.
+/// Callers with short deadlines give up before the attempt ends. If abandoned attempts were
+/// ignored, each such caller would begin a new attempt, and no attempt would ever count as failed.
 pub(crate) struct ConnectAttempt<'a> {
     peer: &'a Peer,
     started: Instant,
--- a/crates/node/src/outbound/pick.rs
+++ b/crates/node/src/outbound/pick.rs
@@ -46,7 +46,8 @@
     }
 }
 
-/// Picks an endpoint for a call from the results of the endpoints `probed` so far.
+/// Picks an endpoint for a call without sending load probes, using the results of those sent so
+/// far.
 pub(crate) fn pick_without_probes<C>(
     inner: &Inner<C>,
     plan: &Plan,
@@ -65,7 +66,7 @@
         .pick(clock, &view, &plan.service, &context, probed)
 }
 
-/// Picks the endpoint for a suspect request: the one that all nodes send it to.
+/// Picks the endpoint for a suspect request: the endpoint to which all nodes send that request.
 pub(crate) fn pick_owner<C>(
     inner: &Inner<C>,
     plan: &Plan,
@@ -83,7 +84,7 @@
         .pick_owner(clock, &view, &plan.service, &context, plan.digest)
 }
 
-/// Picks an endpoint of the version under trial when the call is sampled for the trial.
+/// Picks an endpoint of the version under trial if the call is sampled for the trial.
 pub(crate) fn pick_trial<C>(inner: &Inner<C>, plan: &Plan) -> Option<PickedEndpoint<C>>
 where
     C: Clock,
@@ -138,7 +139,8 @@
     }
 }
 
-/// Sends a load probe to one backend server; `None` when it can't be reached or is leaving.
+/// Sends a load probe to one backend server; `None` if it can't be reached, is leaving or doesn't
+/// reply.
 async fn probe<C>(inner: &Arc<Inner<C>>, plan: &Plan, endpoint: &Endpoint) -> Option<Estimate>
 where
     C: Clock,
@@ -148,15 +150,15 @@
         service: plan.service.clone(),
         route: plan.route,
         class: plan.class,
-        parent_class: plan.nested,
+        parent_class: plan.parent_class,
         timeout_ms: whole_ms(time_left(inner, plan.deadline)),
         target_ms: plan.target.map(|target| whole_ms(time_left(inner, target))),
     };
     if endpoint.node == inner.shared.settings.name {
         return Some(inner.inbound.estimate(&request));
     }
-    // Connects in a task of its own, so that the link is there for the next call even when
-    // this one stops waiting.
+    // Connects in a task of its own, so that the link is opened for the next call even if this call
+    // stops waiting.
     let (links, address) = (Arc::clone(&inner.links), endpoint.address);
     let link = if let Some(link) = links.find_open(address) {
         link
--- a/crates/node/src/outbound/plan.rs
+++ b/crates/node/src/outbound/plan.rs
@@ -40,7 +40,7 @@
 /// Maximum number of attempts, including the first, for a call whose route has no retry rule.
 const DEFAULT_MAX_ATTEMPTS: u8 = 3;
 
-/// What the attempts of a call need to know about it.
+/// What the attempts of a call need to know about the call.
 #[derive(Debug)]
 pub(crate) struct Plan {
     /// Identifies the call in the log: the attempt ID in its headers, if the node uses the
@@ -66,8 +66,9 @@
     pub(crate) key: Option<Key>,
     /// Whether the caller retries the call itself.
     pub(crate) retried_by_caller: bool,
-    /// Class of the call on the local backend server that waits for this one, if any.
-    pub(crate) nested: Option<Class>,
+    /// Class of the parent call if this call is nested: the local backend server runs the parent
+    /// and waits for this call.
+    pub(crate) parent_class: Option<Class>,
     /// Whether the body is small or large; set once the start of the body has been read.
     pub(crate) body_size: BodySize,
     /// Identifies the request across its repeats; set once the start of the body has been read.
@@ -123,7 +124,7 @@
     };
     let client = inner.services.get_or_create(&target.name, now);
     let origin = find_origin(inner, &head.headers);
-    let nested = match origin {
+    let parent_class = match origin {
         Origin::Caller => None,
         Origin::Nested(parent) => Some(parent.class),
     };
@@ -132,7 +133,7 @@
     // The timeout of a nested call is what its parent has left, which doesn't show how long the
     // nested call itself has waited.
     let elapsed = requested
-        .filter(|_| nested.is_none())
+        .filter(|_| parent_class.is_none())
         .map_or(Duration::ZERO, |left| client.estimate_elapsed(hash, left));
     let plan = Plan {
         id: caller.clone(),
@@ -151,7 +152,7 @@
         repeatable,
         key: key_of(&head.headers, &target.name).filter(|_| !repeatable),
         retried_by_caller: head.headers.contains_key(retry::HEADER),
-        nested,
+        parent_class,
         body_size: BodySize::Small,
         digest: Digest::default(),
     };
@@ -235,8 +236,8 @@
 
 /// Reads the start of a caller's body, or all of it when it fits the window.
 ///
-/// A call with a short body can then be retried, and a call whose caller
-/// disconnects while sending it never reaches a backend server.
+/// A call with a short body can then be retried, and if a caller disconnects while it sends a short
+/// body, its call never reaches a backend server.
 pub(crate) async fn read_body_start(
     mut body: Incoming,
 ) -> Result<remote_attempt::RequestBody, hyper::Error> {
--- a/crates/node/src/outbound/remote_attempt.rs
+++ b/crates/node/src/outbound/remote_attempt.rs
@@ -19,7 +19,7 @@
     link: Arc<Link>,
     /// The part of the request body that has not been sent.
     pub(crate) body: RequestBody,
-    /// Whether any of the body's rest has been read. If so, the body can't be sent again.
+    /// Whether any of the rest of the body has been read. If so, the body can't be sent again.
     pub(crate) rest_read: bool,
     /// Whether the whole request has been sent, or sending has stopped.
     sending_done: bool,
--- a/crates/node/src/outbound/resolve.rs
+++ b/crates/node/src/outbound/resolve.rs
@@ -54,10 +54,9 @@
 
 /// Asks the peer, over a new link, for the outcome of the attempts of the ended link.
 ///
-/// A link that stopped responding may have delivered its requests or lost them.
-/// The peer's attempt table records the outcome, but only in the process that
-/// received the requests. After that process has ended, it can't be said of any
-/// of these calls that it has not run.
+/// A link that stopped responding may have delivered its requests or lost them. The peer's attempt
+/// table records the outcome, but only in the process that received the requests. After that
+/// process has ended, nobody can say of any of these calls that the call has not run.
 async fn resolve(links: Arc<LinkPool>, ended: EndedLink) {
     let EndedLink {
         peer,
--- a/crates/node/src/outbound/send.rs
+++ b/crates/node/src/outbound/send.rs
@@ -35,9 +35,9 @@
 
 /// Maximum time for which a call waits for a connection to another node.
 ///
-/// Connecting takes about 1 ms within a region and 70 ms between regions. A VM
-/// without power doesn't respond at all. Calls that waited for it until their
-/// deadline were lost although other backend servers had free slots.
+/// Connecting takes about 1 ms within a region and 70 ms between regions. A VM without power
+/// doesn't respond at all. Calls that waited for such a VM until their deadline were lost although
+/// other backend servers had free slots.
 const MAX_CONNECT_WAIT: Duration = Duration::from_millis(150);
 
 /// The result of an attempt.
@@ -48,7 +48,7 @@
     Answered(Response<Body<C>>, Option<LoadReport>),
     /// Not answered. The body is returned if it can be sent again.
     Refused(Refused, Option<remote_attempt::RequestBody>),
-    /// No result by the deadline. The attempt may still get one.
+    /// No result by the deadline. The attempt may still get a result.
     TimedOut(PendingAttempt<C>),
 }
 
@@ -155,10 +155,9 @@
 
 /// Returns the refusal if the backend server says that it shed attempt `id` before starting on it.
 ///
-/// The response must carry the attempt's ID, because many backend servers
-/// forward the response of a call that they made themselves, headers included.
-/// That nested call did not run, but the work before it did, and a retry would
-/// do it again.
+/// The response must carry the attempt's ID, because many backend servers forward the response of a
+/// call that they made themselves, headers included. That nested call did not run, but the work
+/// before it was done, and a retry would repeat that work.
 fn shed_refusal<B>(response: &Response<B>, id: Id) -> Option<Refused> {
     let headers = response.headers();
     let names_attempt = *headers.get(CALL_HEADER)? == *id.to_string();
@@ -299,7 +298,7 @@
             .target
             .map(|target| whole_ms(self::time_left(inner, target))),
         class: plan.class,
-        parent_class: plan.nested,
+        parent_class: plan.parent_class,
         caller: plan.caller.clone(),
         route: plan.route,
         length: 0,
--- a/crates/node/src/outbound/serve.rs
+++ b/crates/node/src/outbound/serve.rs
@@ -35,7 +35,7 @@
 {
     pub(crate) response: Response<Body<C>>,
     pub(crate) ending: Ending,
-    /// An attempt without a result by the deadline.
+    /// An attempt that had no result by the deadline, if there is one.
     pub(crate) pending: Option<PendingAttempt<C>>,
 }
 
@@ -64,8 +64,8 @@
     }
 }
 
-/// Refuses a call without a route, or one to a service without endpoints. The latter counts against
-/// the error budget.
+/// Refuses a call that has no route, or whose service has no endpoints. Only a call to a service
+/// without endpoints counts against the error budget.
 fn refuse_unrouted<C>(inner: &Inner<C>, view: &View, head: &request::Parts) -> Response<Body<C>>
 where
     C: Clock,
@@ -256,7 +256,7 @@
             max_attempts: plan.max_attempts(),
             retried_by_caller: plan.retried_by_caller,
             has_alternative: cause != Cause::Full
-                || plan.nested.is_some()
+                || plan.parent_class.is_some()
                 || plan.client.has_room(now, plan.body_size, tried.keys()),
             deadline: plan.deadline,
             expected_duration: plan.client.expected_duration(plan.route, plan.body_size),
@@ -273,8 +273,9 @@
 
 /// Records the result of an attempt for a roll-out of the service, if there is one.
 ///
-/// Failures of links or VMs and refusals due to load are left out, because they
-/// say nothing about the version of the backend server.
+/// Of the refused attempts, only those count whose verdict is not `NotRun` and whose reason is
+/// `Deadline` or `Backend`. All others, such as failures to connect and refusals due to load, are
+/// left out, because they say nothing about the version of the backend server.
 fn record_for_rollout<C>(
     inner: &Inner<C>,
     plan: &Plan,
@@ -334,8 +335,9 @@
     }
 }
 
-/// Picks the endpoint for the next attempt. If none is left and the last attempt failed for another
-/// reason than a full endpoint, the endpoints that were full earlier are considered again.
+/// Picks the endpoint for the next attempt. If every endpoint has been tried and the last attempt
+/// failed for another reason than a full endpoint, the endpoints that were full earlier are
+/// considered again.
 ///
 /// Returns an error if the request is held in quarantine by now.
 async fn pick_next<C>(
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -23,7 +23,8 @@
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
 
-/// Retry budget of a route without a retry rule, in percent of successes; Finagle's default.
+/// Retry budget of a route without a retry rule, in percent of successes; the same as Finagle's
+/// default.
 const DEFAULT_BUDGET_PERCENT: u8 = 20;
 
 /// The clients of all services that the outbound proxy sends calls to.
@@ -49,7 +50,7 @@
     elapsed: elapsed::Estimator,
     /// View that the balancers were last synchronized with.
     synced_view: Weak<View>,
-    /// Generation of the roll-outs at that time.
+    /// Generation of the roll-outs that the balancers were last synchronized with.
     synced_generation: u64,
     rng: SmallRng,
 }
@@ -320,7 +321,8 @@
         })
     }
 
-    /// Records the time that a caller of `route` has `left`, and estimates how long it has waited already.
+    /// Records the time that a caller of `route` has `left`, and estimates how long that caller has
+    /// already waited.
     pub(crate) fn estimate_elapsed(&self, route: u64, left: Duration) -> Duration {
         self.state.lock().elapsed.observe(route, left)
     }
@@ -359,7 +361,8 @@
         self.state.lock().hedge.delay(now, allowed)
     }
 
-    /// Records the latency of a first attempt, or the time after which its hedge was answered first.
+    /// Records the latency of a first attempt or, if its hedge was answered first, the time until
+    /// that answer.
     pub(crate) fn record_first_latency(&self, took: Duration) {
         self.state.lock().hedge.record_latency(took);
     }
@@ -375,7 +378,7 @@
     }
 
     /// Charges a hedge to the retry budget; returns whether the budget allows it.
-    pub(crate) fn spend(&self, now: Instant) -> bool {
+    pub(crate) fn charge_hedge(&self, now: Instant) -> bool {
         self.state.lock().budget.spend(now)
     }
 
@@ -402,8 +405,9 @@
 {
     /// Reports the result of a call of `kind` to the roll-out of the service, if there is one.
     ///
-    /// `run_time` is the time that the backend server took, if it has answered. A slow answer of a
-    /// backend server that is still warming up does not count against its version.
+    /// `run_time` is the time that the backend server took, if it has answered; without an answer,
+    /// a call that has not failed counts as slow. Slowness of a backend server that is still
+    /// warming up does not count against its version.
     pub(crate) fn record_rollout_result(
         &self,
         kind: usize,
--- a/crates/node/src/outbound/tried.rs
+++ b/crates/node/src/outbound/tried.rs
@@ -30,9 +30,9 @@
 
     /// Allows endpoints that were full to be tried again; returns whether there are any.
     ///
-    /// Guards against failing a call that a backend server could run: one endpoint
-    /// is full, and the attempt at another one gets no response. By the time that
-    /// this is detected, about a second later, the first has capacity again.
+    /// Guards against failing a call that a backend server could run: one endpoint is full, and the
+    /// attempt at another one gets no response. By the time that the missing response is detected,
+    /// about a second later, the first endpoint has capacity again.
     pub(crate) fn readmit_full(&mut self) -> bool {
         let full = std::mem::take(&mut self.full);
         self.keys.retain(|key| !full.contains(key));
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 /// Length of a clock tick in `/proc`, which Linux fixes at a hundredth of a second.
-const TICK: Duration = Duration::from_millis(10);
+const CLOCK_TICK: Duration = Duration::from_millis(10);
 
 /// Indexes of the user and system ticks among the fields of `/proc/self/stat` after the command
 /// name.
-const TICK_FIELDS: [usize; 2] = [11, 12];
+const CPU_TICK_FIELDS: [usize; 2] = [11, 12];
 
 /// Memory and CPU time of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -42,8 +42,8 @@
     let (_, fields) = stat.rsplit_once(')')?;
     let fields = fields.split_whitespace().collect::<Vec<_>>();
     let mut ticks = 0;
-    for index in TICK_FIELDS {
+    for index in CPU_TICK_FIELDS {
         ticks += fields.get(index)?.parse::<u32>().ok()?;
     }
-    Some(TICK * ticks)
+    Some(CLOCK_TICK * ticks)
 }
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 
 /// Maximum number of suspect requests logged per crash.
-const MAX_LOGGED: usize = 8;
+const MAX_LOGGED_SUSPECTS: usize = 8;
 
 /// This node's record of requests that crash backend servers.
 #[derive(Debug, Default)]
@@ -34,7 +34,8 @@
         self.history.read().status(now, request)
     }
 
-    /// Merges crash records, which may also say that their requests were answered since.
+    /// Merges crash records. A record may also say that its request has been answered since the
+    /// crash.
     pub(crate) fn merge<C>(&self, clock: &C, metrics: &Metrics, crashes: &[Crash])
     where
         C: Clock,
@@ -60,8 +61,12 @@
     where
         C: Clock,
     {
-        // The request that caused the crash is among the first; the others are soon cleared.
-        crashes.iter().take(MAX_LOGGED).for_each(log_suspicion);
+        // The request that caused the crash is among the first suspects; the others are soon
+        // cleared.
+        crashes
+            .iter()
+            .take(MAX_LOGGED_SUSPECTS)
+            .for_each(log_suspicion);
         self.merge(clock, metrics, &crashes);
         self.propagate(crashes);
     }
@@ -85,7 +90,7 @@
         self.propagate(cleared);
     }
 
-    /// Waits for crash records to send to other nodes.
+    /// Waits until there are crash records to send to other nodes, and returns them.
     pub(crate) async fn next_updates(&self) -> Vec<Crash> {
         loop {
             let updates = std::mem::take(&mut *self.updates.lock());
--- a/crates/node/src/reserve.rs
+++ b/crates/node/src/reserve.rs
@@ -51,14 +51,16 @@
 /// Time for which claims of a shard are refused without being sent, once one of
 /// them was not answered within [`CLAIM_TIMEOUT`].
 ///
-/// Without it, every caller would wait that long while the platform is slow.
+/// Without these refusals, every caller would wait for [`CLAIM_TIMEOUT`] while the platform is
+/// slow.
 const STALL_REFUSAL_TIME: Duration = Duration::from_secs(1);
 
 /// Time for which nothing is sent to an owner that did not answer.
 const FAILED_OWNER_PAUSE: Duration = Duration::from_secs(5);
 
-/// Maximum number of concurrent links from other nodes. At the design size, the
-/// fleet's keyed calls, distributed over the shards, keep about 350 open.
+/// Maximum number of concurrent links from other nodes. In a fleet of 14,000 nodes, the design
+/// size, the keyed calls of all nodes, distributed over the shards, keep about 350 links open at an
+/// owner.
 const MAX_LINKS: usize = 1_024;
 
 /// A key that is reserved for a call, which may now run.
@@ -95,10 +97,10 @@
     shared: Arc<Shared<C>>,
     shards: Arc<[mpsc::Sender<Command>]>,
     owner_links: Mutex<HashMap<SocketAddr, OwnerLink>>,
-    /// When each of these owners last did not answer.
+    /// Owners that did not answer, with the time of the last claim without an answer.
     failed_owners: Mutex<HashMap<SocketAddr, Instant>>,
     owners: Mutex<Owners>,
-    /// When a claim of each shard last timed out.
+    /// Time at which a claim last timed out, by shard.
     stalled_at: Mutex<Vec<Option<Instant>>>,
     link_permits: Arc<Semaphore>,
 }
@@ -135,8 +137,8 @@
 {
     /// Claims `key` for `call`, waiting at most `limit`.
     ///
-    /// `call` identifies one request of a caller and must never be reused for
-    /// another. A claim whose future is dropped before it completes holds nothing.
+    /// `call` identifies one request of a caller and must never be reused for another. If the
+    /// future of a claim is dropped before it completes, the claim does not keep the key.
     pub async fn claim(
         &self,
         key: Key,
@@ -196,9 +198,9 @@
                 }
             }
         }
-        // An owner whose reply was lost may have reserved the key for this call,
-        // which will not run. Without a release, its repeats would get "may
-        // have run" for as long as the key is held.
+        // An owner whose reply was lost may have reserved the key for this call, which will not
+        // run. Without a release, repeats of the call would get "may have run" for as long as the
+        // key is held.
         for (destination, holder) in unanswered {
             self.inner.release_elsewhere(destination, key, holder);
         }
--- a/crates/node/src/reserve/journal.rs
+++ b/crates/node/src/reserve/journal.rs
@@ -11,13 +11,13 @@
 use store::{Error, Journal, Store};
 use tokio::time::Instant;
 
-/// Number of records between two snapshots. A node that takes over a shard reads
-/// at most that many, and the dozen writes for a snapshot of a full table are
-/// few compared to the writes in between.
+/// Number of records between two snapshots. A node that takes over a shard reads at most that many
+/// records, and the dozen writes for a snapshot of a full table are few compared to the writes in
+/// between.
 const SNAPSHOT_INTERVAL: u64 = 512;
 
-/// Number of records between two rounds of removing old records. A round removes
-/// as many objects as there are records in between.
+/// Number of records between two rounds of removing old records. A round removes as many objects as
+/// records were written since the previous round.
 const REMOVAL_INTERVAL: u64 = 8;
 
 /// Time for which a table counts as up to date after it was last read or written.
@@ -109,7 +109,8 @@
         self.fresh_at = None;
     }
 
-    /// Prepares for the next record; returns the releases of keys that abandoned claims hold.
+    /// Prepares to write the next record. Returns entries that release the keys still held by
+    /// abandoned claims, whose callers were told "not run".
     ///
     /// Loads the table if necessary and retries a record that is in doubt.
     pub(crate) async fn prepare(&mut self) -> Result<Vec<Entry>, Error> {
@@ -148,8 +149,8 @@
 
     /// Writes a record that removes expired keys if the table is full.
     ///
-    /// Normally keys are removed along with the next record, but there would be
-    /// none while the table is full and all claims are refused.
+    /// Normally expired keys are removed along with the next record, but no record is written while
+    /// the table is full and all claims are refused.
     pub(crate) async fn expire_if_full(&mut self) -> Result<(), Error> {
         let key_count = self.table.len();
         if key_count >= MAX_SHARD_KEYS && self.expiry.last_expired(&self.clock, key_count).is_some()
@@ -249,7 +250,7 @@
 
     /// Writes snapshots and removes old records at the rate at which new ones are written.
     ///
-    /// This only saves work; if it fails, the next round tries again.
+    /// Compaction only saves work, so a failure is only logged, and a later call tries again.
     pub(crate) async fn compact(&mut self) {
         if self.position >= self.snapshot_number + SNAPSHOT_INTERVAL {
             match self.write_snapshot().await {
--- a/crates/node/src/reserve/key_expiry.rs
+++ b/crates/node/src/reserve/key_expiry.rs
@@ -32,7 +32,7 @@
 }
 
 impl KeyExpiry {
-    /// Notes that record `number` has been committed.
+    /// Records that the journal's record `number` has been committed.
     pub(crate) fn record_commit<C>(&mut self, clock: &C, number: u64)
     where
         C: Clock,
--- a/crates/node/src/reserve/link.rs
+++ b/crates/node/src/reserve/link.rs
@@ -35,8 +35,7 @@
 /// link to it and the frames queued for it are held for as long as it is stalled.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Maximum number of requests that wait for a link to open; further ones are
-/// sent elsewhere.
+/// Maximum number of requests that wait for a link to open; further requests are sent elsewhere.
 const MAX_QUEUED_REQUESTS: usize = 1_024;
 
 /// Maximum number of frames queued for or from the socket of a link.
@@ -82,7 +81,7 @@
         reply.await.ok()
     }
 
-    /// Queues a completion or a release; returns it as an error if the link can't take it.
+    /// Queues a completion or a release; returns the entry as an error if the link can't take it.
     pub(crate) fn send_outcome(&self, entry: Entry) -> Result<(), Entry> {
         match self.requests.try_reserve() {
             Ok(permit) => {
--- a/crates/node/src/reserve/shard.rs
+++ b/crates/node/src/reserve/shard.rs
@@ -28,9 +28,8 @@
 
 /// Number of records that a shard may write in a burst while it is below the steady rate.
 ///
-/// Keyed calls rarely arrive evenly; without a burst, one in three would wait
-/// for no reason. A burst of all shards is 64 records, which the platform
-/// handles within a fraction of a second.
+/// Keyed calls rarely arrive evenly; without a burst, one call in three would wait for no reason. A
+/// burst of all shards is 64 records, which the platform handles within a fraction of a second.
 const COMMIT_BURST: u32 = 4;
 
 /// Maximum delay of completions and releases, which no call waits for.
@@ -43,7 +42,8 @@
 /// platform; beyond that, the oldest are dropped.
 const MAX_PENDING_OUTCOMES: usize = 4_096;
 
-/// Upper bounds of the delay after the first failure and after many.
+/// Upper bounds of the backoff delay: `BACKOFF_BASE` after the first failure, `BACKOFF_CAP` after
+/// many.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
 const BACKOFF_CAP: Duration = Duration::from_secs(2);
 
@@ -77,7 +77,7 @@
 
 impl PendingClaim {
     /// Sends the reply; returns `false` if nothing waits for it any longer.
-    fn answer(self, reply: Reply) -> bool {
+    fn send_reply(self, reply: Reply) -> bool {
         self.reply.send(reply).is_ok()
     }
 }
@@ -93,7 +93,8 @@
     /// When the oldest pending outcome arrived.
     outcomes_since: Instant,
     flushes: Vec<oneshot::Sender<()>>,
-    /// Earliest time of the next record at the steady rate; bursts may precede it.
+    /// Earliest time of the next record at the steady rate; the records of a burst may be written
+    /// earlier.
     next_paced: Instant,
     last_used: Instant,
     backoff_until: Option<Instant>,
@@ -180,7 +181,7 @@
 
     fn handle_claim(&mut self, pending: PendingClaim) {
         if let Some(known) = self.find_final_reply(&pending.claim) {
-            pending.answer(known);
+            pending.send_reply(known);
         } else if self.is_backing_off() || self.claims.len() >= MAX_PENDING_CLAIMS {
             self.refuse(pending);
         } else {
@@ -201,7 +202,7 @@
         let known = self.log.table().find_reply(&pending.claim);
         // Never `Granted`: a key granted to a call that is given up now would stay held.
         let known = known.filter(|known| *known != Reply::Granted);
-        pending.answer(known.unwrap_or_else(|| self.make_refusal()));
+        pending.send_reply(known.unwrap_or_else(|| self.make_refusal()));
     }
 
     fn add_outcome(&mut self, entry: Entry) {
@@ -329,17 +330,17 @@
         ))
     }
 
-    /// Answers the claims that need no record, and those for which the shard has no space.
+    /// Answers the claims that need no record, and refuses those for which the shard has no space.
     fn answer_known(&mut self) {
         let free = MAX_SHARD_KEYS.saturating_sub(self.log.table().len());
         let mut remaining = Vec::new();
         let claims = std::mem::take(&mut self.claims).into_iter();
         for pending in claims.filter(|pending| !pending.reply.is_closed()) {
             match self.find_final_reply(&pending.claim) {
-                Some(known) => drop(pending.answer(known)),
-                // Granting it would require removing older keys too early, and
-                // their calls might then run twice.
-                None if remaining.len() >= free => drop(pending.answer(refuse_for(FULL_DELAY))),
+                Some(known) => drop(pending.send_reply(known)),
+                // Granting the claim would require removing older keys too early, and the calls of
+                // those keys might then run twice.
+                None if remaining.len() >= free => drop(pending.send_reply(refuse_for(FULL_DELAY))),
                 None => remaining.push(pending),
             }
         }
@@ -353,7 +354,7 @@
             let Claim { key, holder, .. } = pending.claim;
             let granted = reply == Reply::Granted;
             // If nothing waits for the reply any longer, the call will not run.
-            if !pending.answer(reply) && granted {
+            if !pending.send_reply(reply) && granted {
                 self.add_outcome(Entry::Release { key, holder });
             }
         }
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -29,7 +29,7 @@
     by_service: RwLock<BTreeMap<SmolStr, Rollout>>,
     /// Whether any roll-out is known; lets most calls avoid the lock.
     has_any: AtomicBool,
-    /// Increases with each change.
+    /// Increases with each change of a target or stage, and when a roll-out is added or removed.
     generation: AtomicU64,
     trials: Mutex<BTreeMap<SmolStr, TrialStats>>,
 }
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Returns a number that increases with each change.
+    /// Returns a number that increases with each change of the roll-outs that affects traffic
+    /// splits.
     pub(crate) fn generation(&self) -> u64 {
         self.generation.load(Ordering::Acquire)
     }
@@ -140,8 +141,8 @@
             && self.with_trial(&rollout, |trial| trial.sampler.sample(self.trial_share))
     }
 
-    /// Counts the start of a call at an endpoint; returns the handle that its end and result are
-    /// recorded with.
+    /// Begins a call at an endpoint. Returns the handle for recording the end and result of the
+    /// call, or `None` if the service has no roll-out in progress.
     pub(crate) fn begin_call(&self, endpoint: &Endpoint) -> Option<RolloutCall> {
         let rollout = self.get(&endpoint.service)?;
         if rollout.stage.is_final() {
@@ -175,7 +176,7 @@
         });
     }
 
-    /// Returns the tallies of all services.
+    /// Returns the tallies of all services for which this node has counted calls in a roll-out.
     pub(crate) fn tallies(&self) -> Vec<(SmolStr, Tally)> {
         let trials = self.trials.lock();
         let all = trials.iter();
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -17,32 +17,35 @@
 /// The local backend server, as it has announced itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
-    /// Service that it serves.
+    /// Service that the backend server belongs to.
     pub service: smol_str::SmolStr,
-    /// Version of its software; empty if not announced.
+    /// Software version of the backend server; empty if not announced.
     pub version: smol_str::SmolStr,
-    /// Name of its process, if calls must be addressed to a named process.
+    /// Name of the backend server's process, if calls must be addressed to a named process.
     pub instance: Option<smol_str::SmolStr>,
-    /// Random number of its process, if announced.
+    /// Random number that identifies the backend server's process, if announced.
     ///
     /// Detects restarts: a process that was killed and started again at the same address announces
     /// the same values except for this one. If the restart went unnoticed, connections to the
     /// former process would be kept, and the whole fleet would skip the slow start of the new one.
     pub incarnation: Option<u64>,
-    /// Start time of its process, in milliseconds since the Unix epoch, if announced.
+    /// Start time of the backend server's process, in milliseconds since the Unix epoch, if
+    /// announced.
     pub process_started_ms: Option<u64>,
-    /// Address on this VM at which it takes calls.
+    /// Address on this VM at which the backend server accepts calls.
     pub address: std::net::SocketAddr,
-    /// Number of calls that it runs concurrently, as announced.
+    /// Number of calls that the backend server runs concurrently, as announced.
     pub slots: u16,
-    /// Warm-up time that remained at its first announcement, in milliseconds, if announced.
+    /// Warm-up time that remained at the backend server's first announcement, in milliseconds, if
+    /// announced.
     pub cold_ms: Option<u32>,
-    /// Whether it has sent a leave request.
+    /// Whether the backend server has sent a leave request.
     pub leaving: bool,
 }
 
 impl Backend {
-    /// Returns a number that identifies its process among all processes of the local backend server.
+    /// Returns a number that identifies the current process among all processes of the local
+    /// backend server.
     #[must_use]
     pub fn process(&self) -> u64 {
         let instance = self.instance.as_deref().unwrap_or_default();
@@ -59,9 +62,9 @@
 {
     /// The node's settings.
     pub settings: Settings,
-    /// Random number of this node process.
+    /// Random number that identifies this process of the node.
     pub incarnation: u64,
-    /// The clock.
+    /// Clock by which all components measure time.
     pub clock: C,
     /// The view that calls use; replaced as a whole.
     pub view: ArcSwap<View>,
@@ -79,9 +82,9 @@
     pub caller_connections: watch::Sender<usize>,
     /// Running calls with idempotency keys, also those whose callers have disconnected.
     pub keyed_calls: watch::Sender<usize>,
-    /// Current step of a stop, once its calls have ended.
+    /// Current step of a stop; `None` until its calls have ended.
     pub stop_step: Mutex<Option<stop::StopStep>>,
-    /// Whether all listeners are running.
+    /// Whether the listener for callers, which opens last, is open.
     pub callers_listening: AtomicBool,
     /// State of this node in configuration distribution.
     pub distribution: ArcSwap<status::Distribution>,
@@ -104,14 +107,14 @@
     pub calls: RateLimiter,
     /// Calls that were answered late or with a failure.
     pub answers: RateLimiter,
-    /// Calls that the local backend server's admission gate rejected.
+    /// Calls that the local backend server's admission gate refused.
     pub gate: RateLimiter,
 }
 
 /// Selects one of the counts in [`Shared`].
 type CountSelector<C> = fn(&Shared<C>) -> &watch::Sender<usize>;
 
-/// Holds a count one higher until it is dropped.
+/// Keeps a count incremented by one until the guard is dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard<C>
 where
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns how long calls may take.
+    /// Returns how long the calls in flight may still take.
     #[must_use]
     pub fn call_time(&self, now: Instant) -> Duration {
         self.end.saturating_duration_since(now + self.cleanup_time)
@@ -58,8 +58,9 @@
 
     /// Returns how long a step may take.
     ///
-    /// Half of the cleanup time is reserved for the steps after the outcomes, and a quarter for
-    /// the last step. Any step may use time that the calls have not used.
+    /// Half of the cleanup time is reserved for the steps after the outcomes, and a quarter for the
+    /// last step. Any step may use time that the calls have not used, up to a maximum of 2 s for
+    /// the outcomes and 1 s for each other step.
     #[must_use]
     pub fn step_time(&self, step: StopStep, now: Instant) -> Duration {
         let (reserved, max) = match step {
@@ -77,7 +78,7 @@
     C: Clock,
 {
     let step = *shared.stop_step.lock();
-    let is_at = |one: StopStep| usize::from(step == Some(one));
+    let is_at = |candidate: StopStep| usize::from(step == Some(candidate));
     StopWaits {
         callers: *shared.caller_connections.borrow(),
         calls: *shared.in_flight.borrow(),
