--- a/crates/node/src/announce.rs
+++ b/crates/node/src/announce.rs
@@ -4,9 +4,9 @@
 //! and is repeated as a heartbeat. `DELETE /v1/announce` says that the backend server is leaving:
 //! from then on it gets no new call. `GET /v1/announce` returns how many calls are in flight at the
 //! backend server, so that it knows when it can exit. These requests come over several connections,
-//! and a pause of the node may reorder them; [`process`] distinguishes stale requests from current
-//! ones. With `interface = platform` a backend server may also announce itself in the platform's
-//! format, which [`platform::announce`] decodes.
+//! and a pause of the node may reorder them; the module `process` distinguishes stale requests from
+//! current ones. With `interface = platform` a backend server may also announce itself in the
+//! platform's format, which [`platform::announce`] decodes.
 //!
 //! Missing heartbeats don't remove a backend server: one that is paused or partitioned for a moment
 //! would otherwise lose all its work at once. A backend server that is really gone refuses
--- a/crates/node/src/announce/process.rs
+++ b/crates/node/src/announce/process.rs
@@ -12,7 +12,7 @@
 /// Maximum number of former processes that are remembered; enough for the restarts of an hour.
 const MAX_FORMER_PROCESSES: usize = 32;
 
-/// Number of messages after which a former process that has not left counts as the current one
+/// Number of messages after which a former process that has not left counts as the current process
 /// again. A message that was delayed by a partition arrives only once, while a running process
 /// keeps sending heartbeats.
 const MESSAGES_TO_BECOME_CURRENT: u8 = 2;
@@ -61,7 +61,7 @@
 
     /// Returns whether this process started before `other`; false if a start time is missing.
     ///
-    /// This is only a hint, since the clock may have been set back in between.
+    /// The result is only a hint, since the clock may have been set back between the two starts.
     fn started_before(&self, other: &Self) -> bool {
         match (self.started_ms, other.started_ms) {
             (Some(started), Some(other)) => started < other,
@@ -81,7 +81,7 @@
     pub(super) received_at: Instant,
 }
 
-/// The current process of the backend server and the former ones.
+/// The current process of the backend server and its former processes.
 #[derive(Debug, Default)]
 pub(super) struct ProcessTracker {
     current: Option<Process>,
@@ -119,7 +119,7 @@
                 .as_ref()
                 .is_some_and(|current| current != process)
         {
-            // The leave request of another process must not remove the current one, and a late
+            // The leave request of another process must not remove the current process, and a late
             // announcement must not bring that other process back.
             self.add_former(process.clone(), true, 0);
             return false;
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Returns whether an unknown process seems to have started before the current one.
+    /// Returns whether an unknown process seems to have started before the current process.
     ///
     /// Such a process is accepted from its second message on. A late message of a former process
     /// comes alone, while a process that started after its clock was set back keeps sending
@@ -210,7 +210,8 @@
         self.last_sequence = message.sequence.unwrap_or(self.last_sequence);
     }
 
-    /// Adds a process to the former ones, with the number of messages already received from it.
+    /// Adds a process to the former processes, with the number of messages already received from
+    /// it.
     ///
     /// An unnamed process is not remembered, since the next unnamed one may be another process.
     fn add_former(&mut self, process: Process, has_left: bool, messages: u8) {
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,8 +1,8 @@
 //! Receives configuration and endpoints from the fleet.
 //!
 //! By default a node joins the distribution tree of its zone: [`fleet::Node`] makes the decisions
-//! and [`tree`] does the I/O. With `distribution = watch` in the settings, the node watches the
-//! platform directly instead, as a baseline for measurements.
+//! and the module `tree` does the I/O. With `distribution = watch` in the settings, the node
+//! watches the platform directly instead, as a baseline for measurements.
 
 pub(crate) mod link;
 pub(crate) mod platform_worker;
--- a/crates/node/src/inbound/inbound_call.rs
+++ b/crates/node/src/inbound/inbound_call.rs
@@ -115,8 +115,8 @@
 
     /// Aborts the request body if its link was lost before the end.
     ///
-    /// Otherwise, the backend server would wait for the rest for ever, or take half of a request
-    /// for a complete one.
+    /// Without this, the backend server would wait for the rest of the body for ever, or take half
+    /// of a request for a complete request.
     pub(crate) fn abort_request_body(&self) {
         let mut body = self.request_body.lock();
         body.aborted = !body.ended;
--- a/crates/node/src/inbound/run.rs
+++ b/crates/node/src/inbound/run.rs
@@ -195,7 +195,7 @@
     read_ahead
 }
 
-/// Number of bytes of a body that are received before its call gets a slot.
+/// Maximum number of bytes of a body that are received before the call gets a slot.
 ///
 /// If the call got its slot earlier, the slot would be held while the body arrives: at 8 Mbit/s, a
 /// photograph of 60 kB takes as long to arrive as the backend server then works on it. The rest of
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -59,7 +59,7 @@
 
 /// A writer that passes lines to the log thread and never blocks.
 ///
-/// It drops lines while the queue is full.
+/// The writer drops lines while the queue is full.
 #[derive(Debug)]
 pub struct QueuedWriter {
     lines: SyncSender<Vec<u8>>,
--- a/crates/node/src/outbound.rs
+++ b/crates/node/src/outbound.rs
@@ -325,9 +325,8 @@
 
 /// Accepts connections until the proxy closes, including those already in the accept queue.
 ///
-/// Closing the listener resets the connections that wait in the kernel's accept
-/// queue. A caller that has already sent its request on one of them can't tell
-/// whether it ran.
+/// Closing the listener resets the connections that wait in the kernel's accept queue. A caller
+/// that has already sent its request on such a connection can't tell whether the request ran.
 async fn accept<C>(listener: TcpListener, inner: &Arc<Inner<C>>)
 where
     C: Clock,
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -347,7 +347,7 @@
         self.state.lock().balancers[body_size as usize].has_room(now, tried)
     }
 
-    /// Records that a first attempt was answered.
+    /// Records that a first attempt was answered; `rule` sets the percentage of the retry budget.
     pub(crate) fn record_success(&self, rule: Option<&Retry>) {
         let percent = rule.map_or(DEFAULT_BUDGET_PERCENT, |rule| rule.budget_percent);
         let mut state = self.state.lock();
@@ -372,7 +372,7 @@
         self.state.lock().hedge.record_result(won);
     }
 
-    /// Pauses hedging after an attempt was refused.
+    /// Pauses hedging after a first attempt was refused or timed out.
     pub(crate) fn pause_hedge(&self, now: Instant) {
         self.state.lock().hedge.pause(now);
     }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -26,7 +26,7 @@
     /// Random number that identifies the backend server's process, if announced.
     ///
     /// Detects restarts: a process that was killed and started again at the same address announces
-    /// the same values except for this one. If the restart went unnoticed, connections to the
+    /// the same values except for this number. If the restart went unnoticed, connections to the
     /// former process would be kept, and the whole fleet would skip the slow start of the new one.
     pub incarnation: Option<u64>,
     /// Start time of the backend server's process, in milliseconds since the Unix epoch, if
