--- a/crates/call/src/digest.rs
+++ b/crates/call/src/digest.rs
@@ -10,8 +10,8 @@
 
 /// Number of leading body bytes that are part of the digest; the rest is ignored.
 ///
-/// That much of a body is buffered before the first attempt, regardless of the
-/// sender and of how the body is split, so that every node computes the same digest.
+/// This many bytes of a body are buffered before the first attempt, regardless of the sender and of
+/// how the body is split, so that every node computes the same digest.
 pub const MAX_DIGEST_BODY_BYTES: usize = 64 << 10;
 
 /// Identifies a request by what its caller chose: method, host, path with query, and body.
--- a/crates/call/src/owner.rs
+++ b/crates/call/src/owner.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing: all nodes choose the same owner without coordination.
 //!
-//! When a single node commits a shard's records, each record can batch many reservations.
-//! This only saves writes. Correctness doesn't depend on it: two nodes that both consider
+//! When a single node commits a shard's records, each record can batch many reservations. Agreement
+//! on the owner only saves writes; correctness doesn't depend on it: two nodes that both consider
 //! themselves the owner compete for the journal's next number, and one of them wins.
 
 /// Picks the owner of a shard by rendezvous hashing, and a fallback if the owner is unreachable.
--- a/crates/call/src/reserve.rs
+++ b/crates/call/src/reserve.rs
@@ -6,9 +6,9 @@
 //! has the same table. A call with a key runs only after the record that holds
 //! its reservation is committed.
 //!
-//! Load pattern: a call that commits money or capacity is repeated seconds to
-//! minutes later at another node or in another zone, often because the first
-//! answer was lost. Without a reservation the repeat would run as well.
+//! A call that commits money or capacity is repeated seconds to minutes later at another node or in
+//! another zone, often because the first answer was lost. Without a reservation the repeat would
+//! run as well.
 
 use crate::{Header, Id};
 use bytes::Bytes;
@@ -112,14 +112,14 @@
 pub struct Holder {
     /// Identifies the call; must never be reused for another request.
     pub call: Id,
-    /// Number of the attempt, within the call.
+    /// Number of the attempt to claim the key, within the call.
     pub attempt: u8,
 }
 
 /// A request by a call to become the only one that runs under its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The key.
+    /// Idempotency key of the call.
     pub key: Key,
     /// Fingerprint of the request to run under the key.
     pub fingerprint: Fingerprint,
@@ -140,7 +140,7 @@
     Unsettled,
     /// The key was used for a different request.
     Mismatch,
-    /// Nothing is known or reserved: the call is certain not to run.
+    /// The claim has reserved nothing: the call is certain not to run because of it.
     Refused {
         /// Delay before the next claim, in milliseconds.
         retry_after_ms: u32,
@@ -154,23 +154,23 @@
     Reserve(Claim),
     /// The call that holds the key has run.
     Complete {
-        /// The key.
+        /// Key under which the call ran.
         key: Key,
-        /// Who holds it.
+        /// The call and its attempt that hold the key.
         holder: Holder,
-        /// Its answer, if it is to be stored.
+        /// Answer of the call, if it is to be stored.
         answer: Option<Arc<Answer>>,
     },
     /// The call that holds the key is certain not to have run, and never will.
     Release {
-        /// The key.
+        /// Key to be released.
         key: Key,
-        /// Who holds it.
+        /// The call and its attempt that hold the key.
         holder: Holder,
     },
     /// Removes the keys that were reserved in records up to a given number.
     Expire {
-        /// Number of the last of these records.
+        /// Number of the last record whose keys are removed.
         through: u64,
     },
 }
@@ -209,6 +209,7 @@
         }
     }
 
+    /// Returns whether `holder` may take over the key.
     fn can_transfer_to(&self, holder: Holder) -> bool {
         let is_later_attempt =
             self.holder.call == holder.call && self.holder.attempt < holder.attempt;
@@ -297,7 +298,8 @@
         Reply::Granted
     }
 
-    /// Finds the reservation of a key if `holder` holds it and has neither completed nor released it.
+    /// Finds the reservation of a key if `holder` holds the key and has neither completed nor
+    /// released it.
     fn find_held_reservation(&mut self, key: Key, holder: Holder) -> Option<&mut Reservation> {
         let reservation = self.reservations.get_mut(&key)?;
         reservation.is_held_by(holder).then_some(reservation)
--- a/crates/call/src/table.rs
+++ b/crates/call/src/table.rs
@@ -22,8 +22,8 @@
 
 /// How long a peer's link state is kept after the peer was last heard from.
 ///
-/// Linux gives up on an unacknowledged segment after 924 s (`tcp_retries2`), so
-/// that nothing a peer sent can arrive later than that.
+/// Linux gives up on an unacknowledged segment after 924 s (`tcp_retries2`), so nothing that a peer
+/// sent can arrive later than that.
 pub const PEER_RETENTION: Duration = Duration::from_mins(20);
 
 /// Maximum number of outcomes kept; the oldest are evicted first.
@@ -37,9 +37,10 @@
 pub enum Arrival {
     /// The attempt is accepted and queued.
     Queued,
-    /// Its link was invalidated before it arrived: the attempt must not run.
+    /// The link was invalidated before the attempt arrived: the attempt must not run.
     Late,
-    /// It or a later attempt already arrived over this link: it must not run, or not run again.
+    /// The attempt or a later one has already arrived over this link: the attempt must not run, or
+    /// not run again.
     Duplicate,
 }
 
@@ -48,13 +49,14 @@
 pub enum Outcome<'a, S> {
     /// The attempt never arrived and can no longer be accepted.
     NeverReceived,
-    /// It was still queued and has now been withdrawn.
+    /// The attempt was still queued and has now been withdrawn.
     Withdrawn(&'a S),
-    /// It is running.
+    /// The attempt is running.
     Running(&'a S),
-    /// It has finished; the call holds the result.
+    /// The attempt has finished; the stored value contains its result.
     Finished(&'a S),
-    /// Nothing certain is known: its outcome was evicted, or its link is still valid or not tracked.
+    /// Nothing certain is known: the outcome was evicted, or the link is still valid or no longer
+    /// tracked.
     Unknown,
 }
 
@@ -88,7 +90,8 @@
     last_seen: Instant,
 }
 
-/// The attempts received by an inbound proxy; `S` is what the proxy stores for each.
+/// The attempts received by an inbound proxy; `S` is the value that the proxy stores for each
+/// attempt.
 #[derive(Debug)]
 pub struct AttemptTable<S> {
     peers: HashMap<u64, Peer>,
@@ -163,7 +166,8 @@
         }
     }
 
-    /// Marks an attempt as finished, whether or not it ran; its call is kept for [`OUTCOME_RETENTION`].
+    /// Marks an attempt as finished, whether or not it ran; the value stored for it is kept for
+    /// [`OUTCOME_RETENTION`].
     pub fn finish(&mut self, id: Id, now: Instant) {
         if let Some(entry) = self.attempts.get_mut(&id)
             && entry.stage != Stage::Finished
@@ -174,7 +178,8 @@
         self.expire_outcomes(now);
     }
 
-    /// Returns the outcome of an attempt that was sent over `link`, which must be invalidated by now.
+    /// Returns the outcome of an attempt that was sent over `link`, which must have been
+    /// invalidated before.
     ///
     /// A queued attempt is withdrawn: its caller may be better served elsewhere,
     /// and the peer can then be told with certainty that the attempt did not run.
@@ -219,7 +224,7 @@
         queued
     }
 
-    /// Returns the call of an attempt, unless it has been evicted.
+    /// Returns the value stored for an attempt, unless it has been evicted.
     #[must_use]
     pub fn get(&self, id: Id) -> Option<&S> {
         self.attempts.get(&id).map(|entry| &entry.call)
--- a/crates/call/tests/table.rs
+++ b/crates/call/tests/table.rs
@@ -58,8 +58,8 @@
     assert!(!table.start(id(2)));
 }
 
-// The queried attempt was sent over the link that is still open and may still
-// deliver it, so its outcome is not certain.
+// The queried attempt was sent over the link that is still valid and may still deliver it, so its
+// outcome is not certain.
 #[test]
 fn valid_link_is_unknown() {
     let now = Instant::now();
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Queries an attempt sent over any link, over the current link once that is open.
+    /// Queries a recent attempt, whichever link it was sent over, once the current link is open.
     fn query(&mut self) {
         if self.links[&self.current_link].front() == Some(&None) {
             return;
@@ -246,7 +246,7 @@
 
 // Seeds are fixed, so that each run takes the same steps.
 #[yare::parameterized(one = { 1 }, two = { 2 }, three = { 3 }, four = { 4 })]
-fn outcomes_stay_true(seed: u64) {
+fn reported_outcomes_hold(seed: u64) {
     let mut simulation = Simulation::new(seed);
     for _ in 0..50_000 {
         simulation.step();
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -78,11 +78,11 @@
             display("{}", violation)
             source(violation)
         }
-        /// The offered version is not higher than the current one.
+        /// The offered version is not higher than the current version.
         Stale(current: Version, offered: Version) {
             display("version {} is not higher than the current version {}", offered, current)
         }
-        /// The patch is based on a version other than the current one.
+        /// The patch is based on a version other than the current version.
         Gap(current: Version, offered: Version) {
             display("version {} can't be applied on top of the current version {}", offered, current)
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! Versioned mesh configurations: patches, validation, digests and views.
 //!
-//! Operators write a [`Patch`] against the [`Version`] they last saw. Applying
-//! it to the [`Mesh`] of that version either produces the next one or returns an
-//! [`Error`] that names the invalid change; a patch is never applied in part.
+//! Operators write a [`Patch`] against the [`Version`] they last saw. Applying it to the [`Mesh`]
+//! of that version either produces the configuration of the next version or returns an [`Error`]
+//! that names the invalid change; a patch is never applied in part.
 
 mod diff;
 mod digest;
--- a/crates/config/src/mesh.rs
+++ b/crates/config/src/mesh.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// Only if its method is safe according to RFC 9110.
+    /// Only if the method of the call is safe according to RFC 9110.
     #[default]
     ByMethod,
     /// Never, unless it is certain that the call has not run.
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -14,7 +14,7 @@
     PutService {
         /// Name of the service.
         name: SmolStr,
-        /// The service.
+        /// Configuration of the service.
         service: Service,
     },
     /// Removes a service.
@@ -26,7 +26,7 @@
     PutRoute {
         /// Path prefix with its leading slash, preceded by a host name if it applies to that host only.
         prefix: SmolStr,
-        /// The route.
+        /// Configuration of the route.
         route: Route,
     },
     /// Removes a route.
@@ -38,7 +38,7 @@
     PutRetry {
         /// Name of the rule.
         name: SmolStr,
-        /// The rule.
+        /// Configuration of the rule.
         retry: Retry,
     },
     /// Removes a retry rule.
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first line that is not a change.
+    /// Returns an error with the number of the first line that is not a change.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let mut patch = Self::default();
         for (number, line) in (1..).zip(text.lines()) {
@@ -104,8 +104,9 @@
     ///
     /// # Errors
     ///
-    /// Returns the line of the change that can't be applied. In a patch that was
-    /// not read from a file, changes are numbered instead of lines.
+    /// Returns an error with the line number of the change that can't be applied or that makes the
+    /// configuration invalid. For a patch that was not parsed from a file, the error contains the
+    /// position of the change in the patch instead, counted from 1.
     pub fn apply(&self, mesh: &Mesh) -> Result<Mesh, Error> {
         validate::check_size("changes", self.changes.len(), validate::MAX_CHANGES)
             .map_err(Error::Mesh)?;
@@ -138,7 +139,7 @@
     }
 }
 
-/// Checks a change by itself, without its references.
+/// Checks a change by itself, without the names of services and retry rules that it refers to.
 fn check_change(change: &Change) -> Result<(), Violation> {
     match change {
         Change::PutService { name, service } => {
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -4,10 +4,11 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Number of call kinds that are evaluated separately: each class, repeatable or not.
+/// Number of call kinds that are evaluated separately: two for each class, as [`kind_of`] counts
+/// them.
 pub const KIND_COUNT: usize = 6;
 
-/// The stage of a roll-out; it only advances, to one of the two final stages.
+/// The stage of a roll-out, which only advances until it reaches one of the two final stages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
@@ -48,18 +49,18 @@
 /// An operator's order to roll out a version, and its current stage.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The service.
+    /// Name of the service.
     pub service: SmolStr,
-    /// The version to roll out.
+    /// Version of the service that is rolled out.
     pub target: SmolStr,
     /// Identifies the order and its position among all orders.
     #[serde(rename = "place")]
     pub order: OrderRevision,
     /// Time allowed for the roll-out, in milliseconds.
     pub duration_ms: u32,
-    /// Time since the order was given, in milliseconds, as of when this is sent.
+    /// Time since the order was given, in milliseconds, as of when this value is sent.
     pub age_ms: u32,
-    /// The current stage.
+    /// Stage that the roll-out has reached.
     pub stage: Stage,
 }
 
@@ -75,7 +76,7 @@
 }
 
 impl Counts {
-    /// Returns the difference to an earlier count.
+    /// Returns the difference from an earlier count to this one.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
@@ -95,9 +96,9 @@
 /// Results of the calls of a service during a roll-out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Results at the new version, by kind.
+    /// Results at the new version, by kind of call ([`kind_of`]).
     pub trial: [Counts; KIND_COUNT],
-    /// Results at all other versions, by kind.
+    /// Results at all other versions, by kind of call.
     pub stable: [Counts; KIND_COUNT],
     /// Calls currently running at other versions.
     pub pending: u32,
@@ -122,7 +123,8 @@
     }
 }
 
-/// Returns the kind that a call is counted under.
+/// Returns the index of the kind that a call is counted under: by class, and by whether the call
+/// may never be repeated.
 #[must_use]
 pub fn kind_of(class: Class, repeat: Repeat) -> usize {
     2 * class as usize + usize::from(repeat == Repeat::Never)
--- a/crates/config/src/validate.rs
+++ b/crates/config/src/validate.rs
@@ -11,7 +11,8 @@
 /// Longest name, in bytes: the limit of a DNS label, as names become part of DNS names.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Longest prefix, in bytes: a host name of up to 253 and a path of the same length.
+/// Longest route prefix, in bytes: room for a host name of up to 253 bytes and a path of the same
+/// length.
 pub const MAX_PREFIX_BYTES: usize = 512;
 
 /// Maximum number of services: ten times the planned 410.
@@ -29,14 +30,18 @@
 /// Maximum number of changes in a patch: enough to replace a full configuration.
 pub const MAX_CHANGES: usize = 2 * (MAX_SERVICES + MAX_ROUTES + MAX_RETRIES);
 
-/// Maximum number of attempts of one call: attempts multiply with each layer of nested calls.
+/// Maximum number of attempts of one call that a retry rule can allow: attempts multiply with each
+/// layer of nested calls.
 pub const MAX_ATTEMPTS: u32 = 10;
 
 /// Longest timeout of a call, in milliseconds: ten minutes.
 pub const MAX_TIMEOUT_MS: u32 = 600_000;
 
-const PPM: u32 = 1_000_000;
-const PERCENT: u32 = 100;
+/// The whole, in parts per million: the highest share that an objective can require.
+const WHOLE_PPM: u32 = 1_000_000;
+
+/// The whole, in per cent: the sum of the shares of a route, and the highest retry budget.
+const WHOLE_PERCENT: u32 = 100;
 
 /// Validates a full configuration, including references.
 pub(crate) fn check_mesh(mesh: &Mesh) -> Result<(), Violation> {
@@ -98,21 +103,27 @@
     Ok(())
 }
 
-/// Returns whether `text` is a host name as used in lookups: in lower case and without a port.
+/// Returns whether `text` is a host name in the form in which a view looks it up: in lower case and
+/// without a port.
 fn is_host(text: &str) -> bool {
     text.bytes()
         .all(|byte| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'_' | b'.'))
 }
 
 pub(crate) fn check_objective(objective: &Objective) -> Result<(), Violation> {
-    check_range("availability_ppm", objective.availability_ppm, 1, PPM)?;
-    check_range("latency_ppm", objective.latency_ppm, 1, PPM)?;
+    check_range("availability_ppm", objective.availability_ppm, 1, WHOLE_PPM)?;
+    check_range("latency_ppm", objective.latency_ppm, 1, WHOLE_PPM)?;
     check_range("latency_ms", objective.latency_ms, 1, MAX_TIMEOUT_MS)
 }
 
 pub(crate) fn check_retry(retry: &Retry) -> Result<(), Violation> {
     check_range("attempts", retry.attempts.into(), 1, MAX_ATTEMPTS)?;
-    check_range("budget_percent", retry.budget_percent.into(), 0, PERCENT)
+    check_range(
+        "budget_percent",
+        retry.budget_percent.into(),
+        0,
+        WHOLE_PERCENT,
+    )
 }
 
 /// Checks the fields of a route that don't depend on the rest of the configuration.
@@ -124,7 +135,7 @@
     }
     let sum = route.targets.iter().map(|target| u32::from(target.percent));
     let sum = sum.sum();
-    if sum != PERCENT || route.targets.iter().any(|target| target.percent == 0) {
+    if sum != WHOLE_PERCENT || route.targets.iter().any(|target| target.percent == 0) {
         return Err(Violation::InvalidShares(prefix.clone(), sum));
     }
     check_range("timeout_ms", route.timeout_ms, 1, MAX_TIMEOUT_MS)?;
--- a/crates/config/src/versioned_mesh.rs
+++ b/crates/config/src/versioned_mesh.rs
@@ -52,9 +52,9 @@
     ///
     /// # Errors
     ///
-    /// Fails if `version` is not higher than the current one, `base` is not the
-    /// current one, the patch can't be applied, or the result has a different
-    /// digest. The current configuration is then kept.
+    /// Fails if `version` is not higher than the current version, `base` is not the current
+    /// version, the patch can't be applied, or the result has a different digest. The current
+    /// configuration is then kept.
     pub fn apply_patch(
         &mut self,
         base: Version,
@@ -74,15 +74,16 @@
     ///
     /// # Errors
     ///
-    /// Fails if the version is not higher, the configuration violates a rule, or
-    /// it has a different digest. The current configuration is then kept.
+    /// Fails if `version` is not higher than the current version, the configuration violates a
+    /// rule, or its digest is not `digest`. The current configuration is then kept.
     pub fn replace(&mut self, version: Version, mesh: Mesh, digest: Digest) -> Result<(), Error> {
         self.check_newer(version)?;
         validate::check_mesh(&mesh).map_err(Error::Mesh)?;
         self.install(version, mesh, digest)
     }
 
-    /// Replaces the configuration with one from its original source, which has no digest yet.
+    /// Replaces the configuration with the full configuration of a higher version, which comes from
+    /// its original source without a digest.
     ///
     /// # Errors
     ///
--- a/crates/config/src/view.rs
+++ b/crates/config/src/view.rs
@@ -31,9 +31,9 @@
     pub name: SmolStr,
     /// The service as configured.
     pub service: Service,
-    /// Its endpoints that accept new calls.
+    /// Endpoints of the service that accept new calls.
     pub endpoints: Vec<EndpointKey>,
-    /// Whether it has any endpoints, including those that accept no new calls.
+    /// Whether the service has any endpoints, including those that accept no new calls.
     pub has_endpoints: bool,
 }
 
@@ -48,7 +48,7 @@
     pub class: Class,
     /// Whether the calls may be repeated.
     pub repeat: Repeat,
-    /// Rule by which they are retried, if any.
+    /// Rule by which the calls are retried, if any.
     pub retry: Option<Retry>,
     /// Timeout of a call if its caller sets none, in milliseconds.
     pub timeout_ms: u32,
@@ -156,8 +156,8 @@
     /// Adds the services that have endpoints, and those that share a route with
     /// a service that has a serving endpoint, in the order of their names.
     ///
-    /// If a service of a route has no endpoint, calls of its share are refused.
-    /// The other shares of the route don't depend on that service and are served.
+    /// If one of several services of a route has no endpoint, the calls of its share are refused.
+    /// The other shares of the route are served, as they do not depend on that service.
     fn add_services(&mut self, mesh: &Mesh) {
         let mut by_service: HashMap<&str, Vec<EndpointKey>> = HashMap::new();
         for (index, endpoint) in (0..).zip(&self.endpoints) {
@@ -247,7 +247,7 @@
 
     /// Asserts that no route refers to a service that is missing from the view.
     ///
-    /// Calls of such a route would have no destination. This can't occur as long as
+    /// Calls of such a route would have no destination. A missing service is impossible as long as
     /// views are built only here; the check remains enabled to guard that invariant.
     fn assert_services_present(&self) {
         for (service, _) in self.routes.iter().flat_map(|route| &route.targets) {
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,16 +1,16 @@
 //! Admission control in front of one backend server: which calls run now, which wait and which
 //! are refused at once.
 //!
-//! It protects the backend server from bursts and lasting overloads of commits, look-ups and
-//! refreshes from many callers, a few of them hot, with long jobs among short calls. Without
-//! it, calls pile up in front of the backend server until all of them are answered after their
-//! deadlines: it is busy, and nobody is served.
+//! Admission control protects the backend server from bursts and lasting overloads of commits,
+//! look-ups and refreshes from many callers, a few of them hot, with long jobs among short calls.
+//! Without admission control, calls pile up in front of the backend server until all of them are
+//! answered after their deadlines: the backend server is busy, and no caller is served.
 //!
-//! The wait of a call is predicted from the queued work and the measured service rate. A call
-//! that can't meet its deadline or would exceed the bound of its class is refused before it
-//! waits, so a refusal costs no waiting time. The bound shrinks while a queue is standing
-//! (`CoDel`, Nichols and Jacobson 2012, applied to requests as in Facebook's "Fail at Scale",
-//! 2015), as a queue is meant to absorb bursts.
+//! The wait of a call is predicted from the queued work and the measured service rate. A call is
+//! refused before it waits if it can't meet its deadline or if its predicted wait exceeds the bound
+//! of its tier, so a refusal costs no waiting time. The bound is smaller while a queue is standing,
+//! that is, has not been empty for some time (`CoDel`, Nichols and Jacobson 2012, applied to
+//! requests as in Facebook's "Fail at Scale", 2015), as a queue is meant to absorb bursts.
 
 use crate::backoff;
 use crate::duration;
@@ -36,10 +36,10 @@
     pub route: u64,
     /// Deadline, after which nobody waits for the answer.
     pub deadline: Instant,
-    /// Latency target: the answer loses most of its value after it, if there is one.
+    /// Latency target, if there is one; an answer after it has lost most of its value.
     pub target: Option<Instant>,
-    /// Class of the parent, if the call is nested: the parent holds a slot at another backend
-    /// server until it has this call's answer.
+    /// Class of the parent call, if this call is nested: the parent holds a slot at another backend
+    /// server until it has the answer to this call.
     pub parent_class: Option<Class>,
 }
 
@@ -54,6 +54,7 @@
     long: bool,
     cost: f64,
     started: Instant,
+    /// Number of running calls once this call had started, including it.
     running: u32,
 }
 
@@ -71,7 +72,7 @@
 pub struct Refusal {
     /// Why the call is refused.
     pub reason: Reason,
-    /// When there is expected to be room again.
+    /// Time after which the backend server is expected to have room.
     pub retry_after: Duration,
 }
 
@@ -93,11 +94,12 @@
 pub enum Next {
     /// The call runs now.
     Run(queue::Key, Ticket),
-    /// The call is given up and gets its final answer now.
+    /// The call is given up: its caller gets the refusal as the final answer now.
     Refuse(queue::Key, Refusal),
 }
 
-/// Acceptable queue wait of each tier, as a multiple of the call's expected duration.
+/// Acceptable queue wait of each tier, in the order of [`TIERS`], as a multiple of the call's
+/// expected duration.
 ///
 /// A commit is better delayed than refused; a display (refresh) is read again soon anyway.
 const ACCEPTABLE_WAIT_FACTORS: [f64; TIERS.len()] = [8.0, 8.0, 8.0, 2.0, 1.0, 1.0];
@@ -113,8 +115,9 @@
 /// `CoDel`.
 const STANDING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Factor over its bound at which a waiting call is given up although its deadline is far off:
-/// the prediction was wrong, for instance because the backend server hangs.
+/// Longest time that a call may spend in the queue, as a multiple of the bound that applies to its
+/// predicted wait during a burst. A call that has waited longer is given up although its deadline
+/// is far off: the prediction was wrong, for instance because the backend server hangs.
 const MAX_WAIT_FACTOR: f64 = 6.0;
 
 /// Time that must be left until the deadline when a call starts, as a multiple of its expected
@@ -148,6 +151,7 @@
     key_usage: [fair_share::UsageSketch; TIERS.len()],
     /// When each lane was last seen empty by an arriving call.
     last_empty_at: [Instant; queue::LANE_COUNT],
+    /// Refused work of each tier, from which Retry-After is computed.
     deferred_work: [DeferredWork; TIERS.len()],
     speed: SlotSpeed,
     /// Measured service rate of each lane.
@@ -225,8 +229,8 @@
             return Decision::Refuse(self.refuse(now, &entry, reason, rng));
         }
         let expires_at = now + duration_from_secs(max_queue_time(&entry));
-        // Charged when the wait begins: otherwise a hot caller's burst would fill the queue
-        // before any of it counts.
+        // Charged when the wait begins: otherwise a hot caller's burst would fill the queue before
+        // any of it counts against the caller.
         self.charge(now, entry.tier, entry.caller, entry.key, entry.cost);
         Decision::Wait(self.queue.push(Entry {
             start_by: entry.start_by.min(expires_at),
@@ -234,7 +238,8 @@
         }))
     }
 
-    /// Returns the refusal that a call would get now, so that its body need not be transferred.
+    /// Returns the refusal that a call would get now, or `None` if the call would run or wait. The
+    /// body of a call that is refused here need not be transferred.
     pub fn precheck<R>(&mut self, now: Instant, request: &Request, rng: &mut R) -> Option<Refusal>
     where
         R: Rng,
@@ -248,8 +253,8 @@
         Some(self.refuse(now, &entry, reason, rng))
     }
 
-    /// Returns what would happen to a call that has not been sent here; it is not charged to
-    /// any caller or key.
+    /// Predicts what would happen to a call that has not been sent to this node; the call is not
+    /// charged to any caller or key.
     pub fn estimate(&mut self, now: Instant, request: &Request) -> Estimate {
         self.limit.end_probe(now);
         let tier = tier_index(tier_of(now, request));
@@ -320,7 +325,7 @@
             && time_left(now, request) > 0.0
     }
 
-    /// Returns why a call that would have to wait must be refused, if so.
+    /// Returns the reason to refuse a call that would have to wait, or `None` if it may wait.
     fn refusal_reason(&mut self, now: Instant, request: &Request, entry: &Entry) -> Option<Reason> {
         if !self.queue.has_lane(entry.tier, entry.long) {
             let total = self.service_rate(now);
@@ -370,7 +375,7 @@
         self.charge(now, tier, caller, key, took.as_secs_f64() - cost);
     }
 
-    /// Returns the next waiting call whose outcome is decided. Call this after each
+    /// Returns the next waiting call that starts or is refused now. Call this after each
     /// [`Admission::finish`] and at [`Admission::wake_at`], until it returns `None`.
     pub fn next<R>(&mut self, now: Instant, rng: &mut R) -> Option<Next>
     where
@@ -406,8 +411,9 @@
         Next::Refuse(key, self.refuse(now, entry, reason, rng))
     }
 
-    /// Returns when a waiting call must next be given up, or may start because a probe of the
-    /// limit ends.
+    /// Returns when [`Admission::next`] must be called even if no call finishes before: when a
+    /// waiting call must be given up, or when a probe of the limit ends and waiting calls may
+    /// start. Returns `None` if no call waits.
     #[must_use]
     pub fn wake_at(&mut self) -> Option<Instant> {
         let expires_at = self.queue.wake_at()?;
@@ -450,8 +456,9 @@
         }
     }
 
-    /// Predicts the wait from the share of the slots that the lane got recently: the wait of a
-    /// look-up also depends on the commits that arrive after it.
+    /// Predicts the wait in seconds from the share of the slots that the lane of the call got
+    /// recently. The calls queued now do not suffice for this: commits that arrive after a look-up
+    /// delay it as well.
     fn predict_wait(&self, now: Instant, entry: &Entry) -> f64 {
         let work = self
             .queue
@@ -471,7 +478,7 @@
         self.limit.slots() * self.speed.get(now)
     }
 
-    /// Returns the longest predicted wait with which a call is still queued.
+    /// Returns the longest predicted wait, in seconds, with which a call is still queued.
     fn max_wait(&mut self, now: Instant, entry: &Entry, has_target: bool) -> f64 {
         let tier = tier_index(entry.tier);
         let acceptable = acceptable_wait(entry);
@@ -517,23 +524,23 @@
     }
 }
 
-/// Returns the scheduling tier of a call: that of its class, unless the call is nested or
+/// Returns the scheduling tier of a call: the tier of its class, unless the call is nested or
 /// overdue.
 ///
-/// Nested calls arise where the backend servers of one service call another and both
-/// services are at their limits. If a call that a running look-up makes were itself queued
-/// as a look-up, it would wait behind the other service's own work. A nested call that is
-/// refused fails its parent and wastes the slot-seconds that the parent has used: a quarter
-/// of all runs at 1.3 times the capacity. Nested calls therefore have tiers of their own,
-/// by the class of the parent. The share for parents that are refreshes equals that of
-/// fresh look-ups, so that neither crowds out the other; for other parents it is three
-/// times that. Nested calls have no latency target, as a late answer is better than a
-/// failed parent.
+/// Nested calls are made by the backend servers of one service to another service, and both
+/// services may be at their limits. If a nested call were queued in the tier of its own class, it
+/// would wait behind the direct calls of the service that it is made to. A nested call that is
+/// refused fails its parent and wastes the slot-seconds that the parent has used: a quarter of all
+/// runs at 1.3 times the capacity. Nested calls other than commits therefore have tiers of their
+/// own, by the class of the parent. The tier for parents that are refreshes has the same weight as
+/// the tier of direct look-ups, so that neither crowds out the other; the tier for other parents
+/// has three times that weight. Both tiers ignore latency targets, as a late answer is better than
+/// a failed parent.
 ///
-/// Overdue calls arise in a lasting overload, when refused callers come back after their
-/// target. Without a separate tier, each takes a slot from a fresh call, which is then late as
-/// well: four in ten answers were late. A late answer is worth a fraction of one in time,
-/// whatever its class, and a slot can serve only one of the two.
+/// Overdue calls arise in a lasting overload, when refused callers come back after their latency
+/// target. Without a separate tier, each overdue call takes a slot from a fresh call, which is then
+/// late as well: four in ten answers were late. A late answer is worth a fraction of a timely one,
+/// whatever its class, and a slot can serve only one of the two calls.
 pub(crate) fn tier_of(now: Instant, request: &Request) -> Tier {
     let is_overdue = request.target.is_some_and(|target| target <= now);
     match (request.class, request.parent_class) {
@@ -548,14 +555,15 @@
     }
 }
 
-/// Makes the latest start of a call so early that its answer meets the latency target.
+/// Moves the latest start of a call to an earlier time, so that the answer meets the latency
+/// target.
 ///
 /// This matters in a lasting overload of calls whose answers lose most of their value some time
-/// before the deadline. Without it, the queue grows until all calls are answered just before
-/// their deadlines: the same number is served, nearly all of them late. It is better to refuse
-/// a call that could only be answered late, so that its caller comes back, and to give the slot
-/// to one that is still in time. Commits keep waiting, as late is better than lost. Overdue
-/// calls wait for a slot that no other call needs.
+/// before the deadline. If only the deadline counted, the queue would grow until all calls are
+/// answered just before their deadlines: as many calls would be served, nearly all of them late. It
+/// is better to refuse a call that could only be answered late, so that its caller comes back, and
+/// to give the slot to a call that is still in time. Commits keep waiting, as a late commit is
+/// better than a lost one. Overdue calls wait for a slot that no other call needs.
 fn apply_target(now: Instant, request: &Request, entry: Entry) -> Entry {
     if !entry.tier.uses_target() {
         return entry;
@@ -578,10 +586,10 @@
 
 /// Returns the longest time that a call may spend in the queue, even if its deadline is later.
 ///
-/// Overdue calls get a shorter one. In an overload whose refused callers come back late, each
-/// of them would otherwise wait in vain until its deadline, behind the fresh calls that keep
-/// arriving. Overdue calls get only what fresh calls leave; if fresh calls are waiting by then,
-/// nothing is left, and the caller is told so.
+/// The time is shorter for overdue calls, which get only the slots that fresh calls leave. In an
+/// overload whose refused callers come back late, an overdue call would otherwise wait in vain
+/// until its deadline, behind the fresh calls that keep arriving. An overdue call that has got no
+/// slot within the shorter time is refused, so that its caller knows.
 fn max_queue_time(entry: &Entry) -> f64 {
     let factor = if entry.tier == Tier::Overdue {
         1.0
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -18,7 +18,7 @@
 }
 
 impl Backoff {
-    /// Starts with a ceiling of `base`, which doubles up to `cap`.
+    /// Creates a backoff whose ceiling starts at `base` and doubles with each attempt, up to `cap`.
     #[must_use]
     pub fn new(base: Duration, cap: Duration) -> Self {
         Self {
@@ -44,11 +44,12 @@
     }
 }
 
-/// Adds jitter to a delay that must not be shortened: the result is between one and two times its
-/// length.
+/// Adds jitter to a delay that must not be shortened: the result is between `wait` and twice
+/// `wait`.
 ///
-/// A Retry-After is the time until there is room. Returning earlier is useless, and if all callers
-/// returned exactly then, they would form the next burst.
+/// A Retry-After is the time until the node that refused a call is expected to have room. Returning
+/// earlier is useless, and if all callers returned exactly at the end of that time, they would form
+/// the next burst.
 #[must_use]
 pub fn add_jitter<R>(wait: Duration, rng: &mut R) -> Duration
 where
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -1,10 +1,11 @@
 //! Selects the backend server of a service that a call goes to.
 //!
 //! Several outbound proxies balance over the same backend servers with the same, partly outdated
-//! load figures. Some backend servers are slow, still warming up, full, or report a wrong health;
-//! some are in the local availability zone and some are not. Round robin would give a slow backend
-//! server as many calls as a fast one. Always selecting the least loaded one by delayed reports
-//! would make all proxies move to the same backend server, and then together to the next.
+//! load figures. Some backend servers are slow, still warming up, full, or report a wrong health,
+//! and only some are in the local availability zone. Round robin would give a slow backend server
+//! as many calls as a fast one. Always selecting the backend server with the lowest reported load
+//! would, as reports are delayed, make all proxies move to the same backend server, and then
+//! together to the next.
 //!
 //! The balancer picks the better of two random choices (Mitzenmacher, "The Power of Two Choices in
 //! Randomized Load Balancing", 2001), which comes within a constant factor of the optimum and still
@@ -69,9 +70,9 @@
     pub slots: u16,
     /// Identifies the backend server's process behind the node.
     pub process: u64,
-    /// Advertised time from now until it reaches full speed.
+    /// Time from now until it reaches full speed, if advertised.
     pub warm_up: Option<Duration>,
-    /// Which calls it takes.
+    /// Which calls it takes during a roll-out.
     pub track: Track,
 }
 
@@ -84,7 +85,7 @@
     pub repeatable: bool,
     /// Hash of the route ([`crate::hash`]).
     pub route: u64,
-    /// Latency target: an answer is worth most until then.
+    /// Latency target, if there is one; an answer after it has lost most of its value.
     pub target: Option<Instant>,
 }
 
@@ -98,9 +99,10 @@
 /// Load figures that an inbound proxy attaches to an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadReport {
-    /// Load of its [`Admission`](crate::admission::Admission::load).
+    /// Load of the inbound proxy, as returned by
+    /// [`Admission::load`](crate::admission::Admission::load).
     pub load: f64,
-    /// How long the call waited there for a slot.
+    /// How long the call waited for a slot at the inbound proxy.
     pub queue_wait: Duration,
 }
 
@@ -123,7 +125,7 @@
     Cancelled,
 }
 
-/// Load assumed of a backend server after it refused a call as full.
+/// Load that a backend server is assumed to have after it refused a call as full.
 const FULL_LOAD: f64 = 1.5;
 
 /// Load balancer of one service in one outbound proxy.
@@ -137,6 +139,8 @@
     /// Backend servers that only take calls of a trial.
     pub(crate) trial: Vec<u32>,
     pub(crate) durations: duration::Estimator,
+    /// Earliest end of any current ejection; from then on, a call may test an ejected backend
+    /// server.
     half_open_at: Option<Instant>,
     pub(crate) probe_trigger: ProbeTrigger,
 }
@@ -157,7 +161,8 @@
         }
     }
 
-    /// Applies the backend servers of a new view and keeps what is known about those that stay.
+    /// Replaces the list of backend servers by that of a new view; measurements of the backend
+    /// servers that stay are kept.
     pub fn sync<I>(&mut self, now: Instant, candidates: I)
     where
         I: IntoIterator<Item = Candidate>,
@@ -165,7 +170,8 @@
         let is_initial = self.index_by_identity.is_empty();
         for server in &mut self.servers {
             server.in_view = false;
-            // A newer view is more accurate; if it is outdated, the cost is one refused call.
+            // The new view overrides an earlier refusal because of leaving. If the view is
+            // outdated, the cost is one more refused call.
             server.leaving = false;
         }
         for candidate in candidates {
@@ -208,7 +214,7 @@
             .is_some_and(|server| server.slow_start_weight(now) < 1.0)
     }
 
-    /// Returns the identity of a backend server while it is known.
+    /// Returns the identity of a backend server, or `None` once it has been removed.
     #[must_use]
     pub fn identity(&self, key: Key) -> Option<&Identity> {
         self.get(key).map(|server| &server.identity)
@@ -248,8 +254,8 @@
     ///
     /// A request that crashes backend servers can arrive at many nodes at the same instant. If its
     /// copies ran on different backend servers in parallel, the whole service would be down before
-    /// the first crash could quarantine the request. With a common owner the copies queue behind
-    /// each other there.
+    /// the first crash could quarantine the request. With a common owner, the copies queue behind
+    /// each other at one backend server.
     pub fn pick_owner(
         &mut self,
         now: Instant,
@@ -296,8 +302,9 @@
                     server.set_load(now, report.load);
                     self.probe_trigger.record_load(report.load);
                 }
-                // The queue wait is already part of the reported load. If it counted as slowness
-                // too, it would keep calls away long after the queue is gone.
+                // The queue wait is already part of the reported load. If the queue wait also
+                // counted as slowness, the backend server would be avoided long after its queue is
+                // gone.
                 let took =
                     took.saturating_sub(report.map_or(Duration::ZERO, |report| report.queue_wait));
                 let expected = self.durations.expected(route);
@@ -333,8 +340,8 @@
 
     /// Returns whether a backend server that is not among those `tried` may have room.
     ///
-    /// When the whole service is overloaded, all of them have reported being full within the last
-    /// tenths of a second, and another attempt would be wasted.
+    /// When the whole service is overloaded, all backend servers have reported being full within
+    /// the last tenths of a second, and another attempt would be wasted.
     #[must_use]
     pub fn has_room(&self, now: Instant, tried: &[Key]) -> bool {
         self.tier_members().any(|index| {
@@ -391,6 +398,8 @@
         }
     }
 
+    /// Finds an ejected backend server that a call may test: its ejection time has passed, and it
+    /// has no call in flight.
     fn find_half_open(&mut self, now: Instant, tried: &[Key]) -> Option<u32> {
         if self.half_open_at.is_none_or(|due| now < due) {
             return None;
@@ -407,7 +416,7 @@
         found
     }
 
-    /// Returns whether the call is to test an ejected backend server.
+    /// Returns whether the next call picked with `args` is to test an ejected backend server.
     pub(crate) fn has_half_open(&mut self, now: Instant, args: &PickArgs<'_>) -> bool {
         args.repeatable && self.find_half_open(now, args.tried).is_some()
     }
@@ -441,12 +450,15 @@
             .map(|server| server.failure_factor(repeatable))
     }
 
+    /// Returns the earliest end of any current ejection.
     fn next_half_open(&self) -> Option<Instant> {
         self.tier_members()
             .filter_map(|index| self.servers[index as usize].health.ejected_until())
             .min()
     }
 
+    /// Records the outcome of a call in the health of its backend server, and ejects the backend
+    /// server if it has become an outlier.
     fn observe<R>(&mut self, now: Instant, index: u32, sample: Sample, rng: &mut R)
     where
         R: Rng,
--- a/crates/policy/src/body_scheduler.rs
+++ b/crates/policy/src/body_scheduler.rs
@@ -1,11 +1,11 @@
 //! Receiver-driven scheduling of request bodies: which bodies come in over a VM's link, and in
 //! what order.
 //!
-//! Uploads may exceed the capacity of the link of their backend server's VM while slots of
-//! the backend server are idle and small calls with short deadlines share the link. If every
-//! outbound proxy sends its bodies at once, megabytes queue in front of the link, small
-//! calls wait behind them for seconds (5 in 100 were answered in time), and the uploads
-//! themselves are complete only after their deadlines.
+//! The uploads to a backend server may exceed the capacity of its VM's link while its slots are
+//! idle and small calls with short deadlines share the link. If every outbound proxy sends its
+//! bodies at once, megabytes queue in front of the link, small calls wait behind these bodies for
+//! seconds (5 in 100 were answered in time), and the uploads themselves are complete only after
+//! their deadlines.
 //!
 //! Only the receiver knows all of its senders, so it requests bodies chunk by chunk, as in
 //! receiver-driven transports (`pHost`, Gao et al. 2015; `Homa`, Montazeri et al. 2018). The
@@ -22,61 +22,63 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Outstanding credit, as seconds of transfer at the rate of the link. This is several times a
-/// round trip within a region (1 ms) plus the delay of a sender that wakes late (some ms on a
-/// tenth of a core), and a twelfth of the shortest deadlines seen, 250 ms.
+/// Outstanding credit, as seconds of transfer at the rate of the link. This is several times the
+/// sum of a round trip within a region (1 ms) and the delay of a sender that wakes late (some ms on
+/// a tenth of a core), and a twelfth of the shortest deadlines seen, 250 ms.
 const OUTSTANDING_SECONDS: f64 = 0.02;
 
-/// Bounds of the outstanding credit, in bytes: two small chunks, and the window of bodies that
-/// aren't scheduled by their link.
+/// Bounds of the outstanding credit, in bytes. At the lower bound a chunk has 2,048 bytes; the
+/// upper bound is the window of bodies that aren't scheduled by their link.
 const OUTSTANDING_BYTES_RANGE: (f64, f64) = (8_192.0, 262_144.0);
 
-/// Chunks that fit into the outstanding credit: each one that arrives makes room for the next.
-const MAX_CHUNKS: u64 = 4;
+/// Number of chunks that the outstanding credit is divided into: each chunk that arrives makes room
+/// for the next.
+const MAX_OUTSTANDING_CHUNKS: u64 = 4;
 
-/// Chunks that one body may have outstanding. The first body proceeds at nearly the rate of the
-/// link, as bodies that share it evenly are all late together; the rest of the credit keeps the
-/// link busy while a sender is slow.
-const MAX_CHUNKS_OF_BODY: u64 = 3;
+/// Number of chunks that one body may have outstanding. The first body proceeds at nearly the rate
+/// of the link, because bodies that shared the link evenly would all be late together; the rest of
+/// the credit keeps the link busy while a sender is slow.
+const MAX_OUTSTANDING_CHUNKS_OF_BODY: u64 = 3;
 
-/// Bodies that are transferred at once: a slow sender must not leave the link idle, but each
-/// further body only makes all of them later.
-const MAX_ACTIVE: usize = 4;
+/// Maximum number of bodies that are transferred at once: a slow sender must not leave the link
+/// idle, but each further body only makes all of them later.
+const MAX_ACTIVE_BODIES: usize = 4;
 
 /// Time after which outstanding bytes count as lost: their sender is gone or delayed, and would
-/// block the others. A healthy one answers within 20 ms.
+/// block the other senders. A healthy sender answers within 20 ms.
 const STALL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time constant in seconds over which the measured rate is averaged: some dozens of bodies at
-/// most.
+/// Time constant, in seconds, over which the measured rate is averaged; it covers some dozens of
+/// bodies at most.
 const RATE_DECAY_TIME: f64 = 2.0;
 
 /// Weight of the advertised rate at the start, as seconds of transfer at that rate.
 const RATE_PRIOR_SECONDS: f64 = 0.2;
 
-/// Share of the advertised rate below which the measured rate is ignored: if all senders are
-/// slow, the link looks slow, and smaller credits would make it so.
+/// Lower bound of the measured rate, as a share of the advertised rate. If all senders are slow,
+/// the link looks slow, and smaller credits would slow down the transfers in fact.
 const MIN_RATE_SHARE: f64 = 0.1;
 
-/// Time that must be left after the body has arrived, as a multiple of the expected run time:
-/// until the latency target and until the deadline, as for calls that wait for a slot.
+/// Time that must be left until the latency target and until the deadline, in this order, once the
+/// body has arrived, as multiples of the expected run time. Calls that wait for a slot have such
+/// margins as well.
 const TARGET_AND_DEADLINE_MARGINS: (f64, f64) = (1.3, 1.5);
 
 /// Minimum time for which a body may wait, however close its latency target is, as a multiple of
 /// its transfer and run time.
 const MIN_SLACK_FACTOR: f64 = 0.25;
 
-/// Bodies of mean length ahead of a new one at which the link counts as full.
+/// Number of bodies of mean length, waiting or in transfer, at which the link counts as full.
 const FULL_BODIES: f64 = 6.0;
 
-/// Weight of a new length in the mean, which spans about the last sixteen bodies.
+/// Weight of a new length in the mean body length, which spans about the last sixteen bodies.
 const LENGTH_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Rate assumed for a link of unknown rate, in bytes per second: 100 Mbit/s, of which as little
-/// as a tenth may be available.
-const DEFAULT_RATE: f64 = 12.5e6;
+/// Rate assumed for a link of unknown rate, in bytes per second: 100 Mbit/s, of which as little as
+/// a tenth may be available ([`MIN_RATE_SHARE`]).
+const DEFAULT_LINK_RATE: f64 = 12.5e6;
 
-/// Handle of a body.
+/// Identifies an offered body within its scheduler.
 pub type Key = u64;
 
 /// A body that a sender offers.
@@ -93,13 +95,13 @@
 /// The next step for an offered body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// The sender may send this many more bytes.
+    /// The sender of this body may send this many more bytes.
     Credit(Key, u32),
     /// The body is given up, as it can't be complete in time any more.
     Refuse(Key, Refusal),
 }
 
-/// A body for which no credit was given yet.
+/// A body for which no credit has been given yet.
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
     key: Key,
@@ -111,7 +113,7 @@
 struct Active {
     key: Key,
     length: u64,
-    /// Bytes for which no credit was given yet.
+    /// Bytes for which no credit has been given yet.
     uncredited: u64,
     /// Bytes for which credit was given and that have not arrived.
     outstanding: u64,
@@ -133,9 +135,11 @@
 #[derive(Debug, Clone, Copy)]
 struct LinkRate {
     advertised: f64,
+    /// Bytes that arrived in `seconds`; both decay with time.
     bytes: f64,
+    /// Time in which bytes were outstanding.
     seconds: f64,
-    /// When bytes became outstanding or last arrived.
+    /// When bytes became outstanding or last arrived; `None` while none are outstanding.
     busy_since: Option<Instant>,
 }
 
@@ -176,28 +180,28 @@
     deferred_work: [DeferredWork; TIERS.len()],
     mean_length: f64,
     /// Bytes of the bodies that are being transferred or have arrived and not been released.
-    held: u64,
-    max_held: u64,
+    held_bytes: u64,
+    max_held_bytes: u64,
     next_key: Key,
 }
 
 impl BodyScheduler {
-    /// Creates the scheduler of a link with this rate in bytes per second, if known, for a VM
-    /// that holds at most `max_held` bytes of bodies.
+    /// Creates the scheduler of a link with this rate in bytes per second, if known, for a VM that
+    /// holds at most `max_held_bytes` bytes of bodies.
     ///
-    /// Without this limit, all bodies of a burst of uploads would arrive long before slots are
-    /// free to run them, and the node would exceed the memory of its VM.
+    /// Without the limit on held bytes, all bodies of a burst of uploads would arrive long before
+    /// slots are free to run them, and the node would exceed the memory of its VM.
     #[must_use]
-    pub fn new(now: Instant, rate: Option<f64>, max_held: u64) -> Self {
+    pub fn new(now: Instant, rate: Option<f64>, max_held_bytes: u64) -> Self {
         Self {
-            rate: LinkRate::new(rate.unwrap_or(DEFAULT_RATE)),
+            rate: LinkRate::new(rate.unwrap_or(DEFAULT_LINK_RATE)),
             queue: Queue::new(),
             waiting: HashMap::new(),
             active: Vec::new(),
             deferred_work: [DeferredWork::new(now); TIERS.len()],
             mean_length: 0.0,
-            held: 0,
-            max_held,
+            held_bytes: 0,
+            max_held_bytes,
             next_key: 0,
         }
     }
@@ -299,7 +303,7 @@
 
     /// Records that a body of this length, which had arrived completely, is no longer held.
     pub fn release(&mut self, length: u64) {
-        self.held = self.held.saturating_sub(length);
+        self.held_bytes = self.held_bytes.saturating_sub(length);
     }
 
     /// Removes an incomplete body that nobody waits for any more.
@@ -373,12 +377,13 @@
     fn next_credit(&mut self, now: Instant) -> Option<Next> {
         let chunk = self.chunk_size();
         let outstanding = self.outstanding_bytes(now);
-        if outstanding + chunk > MAX_CHUNKS * chunk {
+        if outstanding + chunk > MAX_OUTSTANDING_CHUNKS * chunk {
             return None;
         }
         let body = self.active.iter_mut().find(|body| {
             body.uncredited > 0
-                && body.outstanding + chunk.min(body.uncredited) <= MAX_CHUNKS_OF_BODY * chunk
+                && body.outstanding + chunk.min(body.uncredited)
+                    <= MAX_OUTSTANDING_CHUNKS_OF_BODY * chunk
         })?;
         let bytes = chunk.min(body.uncredited);
         body.uncredited -= bytes;
@@ -391,19 +396,20 @@
         Some(Next::Credit(key, u32::try_from(bytes).unwrap_or(u32::MAX)))
     }
 
-    /// Activates the next waiting body; returns false if there is none or no room.
+    /// Activates the next waiting body; returns false if no body waits or there is no room for
+    /// another.
     fn activate_next(&mut self, now: Instant) -> bool {
         let stalled = self.active.iter().filter(|body| body.is_stalled(now));
-        if self.active.len() - stalled.count() >= MAX_ACTIVE {
+        if self.active.len() - stalled.count() >= MAX_ACTIVE_BODIES {
             return false;
         }
         let chunk = self.chunk_size();
-        if self.outstanding_bytes(now) + chunk > MAX_CHUNKS * chunk {
+        if self.outstanding_bytes(now) + chunk > MAX_OUTSTANDING_CHUNKS * chunk {
             return false;
         }
-        // It isn't known yet which body is next, so room is kept for the longest.
+        // Which body is next isn't known yet, so room is kept for the longest.
         let longest = self.waiting.values().map(|body| body.length).max();
-        if self.held > 0 && self.held + longest.unwrap_or(0) > self.max_held {
+        if self.held_bytes > 0 && self.held_bytes + longest.unwrap_or(0) > self.max_held_bytes {
             return false;
         }
         let Some((queue_key, _)) = self.queue.pop(false) else {
@@ -412,7 +418,7 @@
         let Some(body) = self.waiting.remove(&queue_key) else {
             return true;
         };
-        self.held += body.length;
+        self.held_bytes += body.length;
         self.active.push(Active {
             key: body.key,
             length: body.length,
@@ -423,11 +429,11 @@
         true
     }
 
-    /// Returns the bytes of one credit.
+    /// Returns the largest number of bytes that one credit allows.
     fn chunk_size(&self) -> u64 {
         let ahead = (self.rate() * OUTSTANDING_SECONDS)
             .clamp(OUTSTANDING_BYTES_RANGE.0, OUTSTANDING_BYTES_RANGE.1);
-        to_u64(ahead) / MAX_CHUNKS
+        to_u64(ahead) / MAX_OUTSTANDING_CHUNKS
     }
 
     /// Returns the outstanding bytes, except for those of stalled bodies.
@@ -440,12 +446,13 @@
         self.active.iter().map(Active::bytes).sum()
     }
 
-    /// Refuses a body, with the time until the link has carried all bodies refused before.
+    /// Refuses a body; its Retry-After is the time until the link has carried all bodies refused
+    /// before.
     fn refuse<R>(&mut self, now: Instant, entry: &Entry, reason: Reason, rng: &mut R) -> Refusal
     where
         R: Rng,
     {
-        // The cost is in seconds of transfer, of which the link carries one per second.
+        // The cost is in seconds of transfer, so the link works off a cost of 1.0 per second.
         let wait = self.deferred_work[tier_index(entry.tier)].add(now, entry.cost, 1.0);
         Refusal {
             reason,
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -8,8 +8,9 @@
 use rand::Rng;
 use std::time::Instant;
 
-/// Load of the candidate in the local zone above which some calls without a target consider other
-/// zones. The share of calls that do so rises linearly, up to all of them at full load.
+/// Load of the nearer candidate above which some calls without a target consider a more distant
+/// one. The share of calls that do so rises linearly, up to all calls without a target at a load of
+/// 1.
 const SPILLOVER_LOAD: f64 = 0.7;
 
 /// Factor on the score of a more distant backend server for calls without a target.
@@ -23,8 +24,8 @@
 /// availability zones costs money.
 pub(crate) const TARGET_MARGIN: f64 = 1.1;
 
-/// Random draws before settling for a backend server that is still in slow start or searching for
-/// any usable one.
+/// Number of random draws from a tier. After these, the selection takes a drawn backend server that
+/// is still in slow start, or else searches the tier for any usable one.
 const MAX_DRAWS: usize = 8;
 
 /// What a selection depends on besides the state of the backend servers.
@@ -63,8 +64,8 @@
             let Some(found) = self.select_of_two(servers, call, rng) else {
                 continue;
             };
-            // A backend server in slow start that is the only one on its VM would otherwise get
-            // every call that enters there.
+            // A backend server in slow start that is the only one on this VM would otherwise get
+            // every call that this proxy receives.
             let slow_start_weight = self.servers[found as usize].slow_start_weight(call.now);
             if tier == Distance::Vm as usize && !rng.random_bool(slow_start_weight) {
                 cold = Some(found);
@@ -81,8 +82,9 @@
 
     /// Selects among ejected backend servers if there is no active one.
     ///
-    /// The limit on ejections is checked at the time of an ejection. If the remaining backend
-    /// servers leave afterwards, callers would be told that there is no backend server.
+    /// The limit on ejections is checked only when a backend server is ejected. If all active
+    /// backend servers leave afterwards, callers would otherwise be told that there is no backend
+    /// server.
     fn select_ejected(&self, call: &PickContext<'_>) -> Option<u32> {
         let health = |index: u32| &self.servers[index as usize].health;
         if self
@@ -98,10 +100,11 @@
 
     /// Selects between a nearer and a more distant backend server.
     ///
-    /// The nearer one is used if it is expected to answer in time. For calls without a target, its
-    /// load decides: above a threshold, a growing share of calls considers the more distant one.
-    /// Because this is random and the share grows steadily, traffic does not flap around a fixed
-    /// threshold.
+    /// For a call with a target, the nearer backend server is used if it is expected to answer in
+    /// time. For a call without a target, the load of the nearer backend server decides: above a
+    /// threshold, a growing share of calls considers the more distant one. Because this decision is
+    /// random and the share grows steadily, traffic does not flap around a fixed threshold. A more
+    /// distant backend server that is considered is used if its score is better by a given factor.
     fn select_by_distance<R>(&self, near: u32, far: u32, call: &PickContext<'_>, rng: &mut R) -> u32
     where
         R: Rng,
@@ -169,15 +172,15 @@
             cold = Some(index);
         }
         // The random draws may have missed every usable backend server. The first of the two
-        // choices must be found if there is one.
+        // choices must be found if any backend server is usable; the second may be missing.
         cold.or_else(|| {
             let found = tier.iter().copied().find(|index| usable(*index));
             found.filter(|_| except.is_none())
         })
     }
 
-    /// Returns the score by which backend servers are compared, lower is better: the expected
-    /// finish time for a call with a target, otherwise the load ahead of the call.
+    /// Returns the score by which backend servers are compared; lower is better. The score is the
+    /// expected finish time for a call with a target, and otherwise the load ahead of the call.
     fn score(&self, index: u32, call: &PickContext<'_>) -> f64 {
         let (server, mean_duration) =
             (&self.servers[index as usize], self.durations.overall_mean());
--- a/crates/policy/src/duration.rs
+++ b/crates/policy/src/duration.rs
@@ -6,27 +6,28 @@
 
 use std::time::Duration;
 
-/// Rows for the one backend server of a node: 12 KB.
+/// Rows of the table for the one backend server of a node; the table takes 12 KB.
 pub const LOCAL_ROWS: usize = 256;
 
-/// Rows for each service that a node calls: 1.5 KB, so that 410 services take 0.6 MB of a
-/// node's 32 MB.
+/// Rows of the table for each service that a node calls; a table takes 1.5 KB, so that the tables
+/// of 410 services take 0.6 MB of the 32 MB of a node.
 pub const SERVICE_ROWS: usize = 32;
 
-/// Samples after which a mean becomes an exponential moving average: it then forgets a former
-/// speed within about 16 calls, a tenth of a second at 6 slots of 4 ms.
+/// Samples after which a mean becomes an exponential moving average, which forgets a former speed
+/// within about 16 calls.
 const MEAN_SAMPLES: u32 = 16;
 
-/// The same for durations under light load, the baseline of the slowdown: with service times
-/// that vary as much as their mean, this baseline is off by 6%.
+/// Samples after which the mean duration under light load, the baseline of the slowdown, becomes an
+/// exponential moving average. With service times that vary as much as their mean, this baseline is
+/// off by 6%.
 const LIGHT_MEAN_SAMPLES: u32 = 128;
 
-/// Calls under light load that are required before others are compared with them. Without a
-/// minimum, the first few could by chance cut the limit of healthy backend servers.
+/// Number of calls under light load that are required before the slowdown of calls is computed.
+/// Without a minimum, the first few calls could by chance cut the limit of healthy backend servers.
 const MIN_LIGHT_SAMPLES: u32 = 32;
 
 /// Duration assumed for a route, in seconds, before any call has ended.
-const DEFAULT_SECONDS: f64 = 0.010;
+const DEFAULT_DURATION_SECONDS: f64 = 0.010;
 
 /// Multiple of the typical (geometric mean) duration from which a call counts as long.
 ///
@@ -39,12 +40,15 @@
 pub struct Estimator {
     rows: Box<[Row]>,
     overall: Mean<MEAN_SAMPLES>,
+    /// Mean of the logarithms of durations in seconds, from which the geometric mean is computed.
     log_mean: Mean<MEAN_SAMPLES>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Row {
     route: u64,
+    /// How often the route was recorded, minus how often other routes requested the row; at most
+    /// [`MEAN_SAMPLES`].
     claims: u32,
     mean: Mean<MEAN_SAMPLES>,
     light_mean: Mean<LIGHT_MEAN_SAMPLES>,
@@ -77,7 +81,7 @@
     /// Returns the mean seconds of calls of all routes.
     #[must_use]
     pub fn overall_mean(&self) -> f64 {
-        self.overall.get().unwrap_or(DEFAULT_SECONDS)
+        self.overall.get().unwrap_or(DEFAULT_DURATION_SECONDS)
     }
 
     /// Returns whether calls of `route` take many times as long as the typical call.
@@ -95,8 +99,8 @@
     /// Records how long a call took; `light` means that the backend server had little else to
     /// do.
     ///
-    /// Returns the slowdown compared with calls of the route under light load, once that is
-    /// known.
+    /// Returns the slowdown compared with calls of the route under light load, once enough of these
+    /// have been recorded.
     pub fn record(&mut self, route: u64, took: Duration, light: bool) -> Option<f64> {
         let seconds = took.as_secs_f64().max(1e-6);
         self.overall.add(seconds);
@@ -123,9 +127,9 @@
         (row.claims > 0 && row.route == route).then_some(row)
     }
 
-    /// Returns the row of `route`. A row that another route holds is given up only after it was
-    /// requested as often as it was used: a scan of one-off routes would otherwise evict the
-    /// routes in use.
+    /// Returns the row of `route`, or `None` if another route keeps the row. A route gives up its
+    /// row only after other routes have requested the row as often as the route itself: a scan of
+    /// one-off routes would otherwise evict the routes in use.
     fn claim_row(&mut self, route: u64) -> Option<&mut Row> {
         let index = self.index_of(route);
         let row = &mut self.rows[index];
--- a/crates/policy/src/fair_share.rs
+++ b/crates/policy/src/fair_share.rs
@@ -1,31 +1,32 @@
 //! Recent use of slots by each caller or key, in memory that does not grow with their number.
 //!
-//! One caller may send ten times what all others send together. Without fair shares, whoever
-//! sends most gets most, and a parent's refresh loop leaves no room for anybody else.
+//! One caller may send ten times what all others send together. Without fair shares, the caller
+//! that sends most gets most, and a single caller's refresh loop leaves no room for any other.
 //!
-//! Max-min fairness is approximated by a bound on waiting that shrinks with recent use. Callers
-//! are hashed to a fixed number of cells (stochastic fair queueing, `McKenney` 1990), so a
-//! flood of made-up callers costs no memory. The hash seed differs from process to process, so
-//! two callers that share a cell on one node don't on the next.
+//! Max-min fairness is approximated by a bound on waiting that shrinks with recent use. Callers are
+//! hashed to a fixed number of cells (stochastic fair queueing, `McKenney` 1990), so a flood of
+//! made-up callers costs no memory. The hash seed differs from process to process, so two callers
+//! that share a cell on one node rarely share one on another.
 
 use std::time::{Duration, Instant};
 
-/// Cells in each of the two rows. A caller has one cell in each row, and the lesser use counts
-/// (a count-min sketch, Cormode and Muthukrishnan 2005). With one row, one of 30 callers shares
-/// the hot caller's cell in 6% of the sketches.
+/// Cells in each of the two rows. A caller has one cell in each row, and the cell with the lower
+/// use counts (a count-min sketch, Cormode and Muthukrishnan 2005). With one row, one of 30 callers
+/// shares the hot caller's cell in 6% of the sketches.
 const CELLS_PER_ROW: usize = 512;
 
 /// Time constant with which use decays: long compared with a call, short compared with the 3 s
 /// within which service must be normal again after a burst.
 const DECAY_TIME: Duration = Duration::from_secs(1);
 
-/// Minimum factor, for callers that have used many times their fair share.
-const MIN_FACTOR: f64 = 0.25;
+/// Lower bound of [`UsageSketch::wait_factor`], for callers that have used many times their fair
+/// share.
+const MIN_WAIT_FACTOR: f64 = 0.25;
 
 /// Multiple of the fair share up to which use counts as ordinary; the same multiple of the
 /// call's own cost is allowed on top, as callers with a few calls a second exceed their share
 /// by chance half of the time.
-const TOLERANCE: f64 = 2.0;
+const ORDINARY_USE_FACTOR: f64 = 2.0;
 
 /// Cells of one caller or key in a sketch.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -37,16 +38,20 @@
     seed: u64,
     rows: [Box<[Usage]>; 2],
     total: Usage,
+    /// Number of the current period of length [`DECAY_TIME`], in which active cells are counted.
     epoch: u32,
     epoch_start: Instant,
+    /// Cells of the first row for which work was requested in the current epoch.
     active_cells: u32,
     previous_active_cells: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Usage {
+    /// Slot-seconds, decayed up to `at`.
     amount: f64,
     at: Instant,
+    /// Epoch of the last request.
     epoch: u32,
 }
 
@@ -82,9 +87,9 @@
         }
     }
 
-    /// Returns the caller's cells.
+    /// Returns the cells of a caller or key, given by its [`crate::hash`].
     pub(crate) fn cells(&self, caller: u64) -> Cells {
-        // The finalizer of SplitMix64 spreads adjacent hashes.
+        // The finalizer of SplitMix64 spreads similar hashes over all cells.
         let mut mixed = caller ^ self.seed;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -123,10 +128,10 @@
     /// Returns the factor by which the caller's bound on waiting is scaled, for a call of `cost`
     /// slot-seconds.
     ///
-    /// When the queue is full, the bound decides which calls are admitted. A caller that has
-    /// used more than its fair share finds the queue full earlier, which leaves room for those
-    /// that have used less, so use evens out without quotas. If there are no other callers, one
-    /// may use the whole capacity.
+    /// When the queue is full, the bound decides which calls are admitted. A caller that has used
+    /// more than its fair share finds the queue full earlier, which leaves room for callers that
+    /// have used less, so use evens out without quotas. A caller that is alone may use the whole
+    /// capacity.
     #[must_use]
     pub fn wait_factor(&self, now: Instant, cells: Cells, cost: f64) -> f64 {
         let active = f64::from(self.active_cells.max(self.previous_active_cells).max(1));
@@ -135,10 +140,10 @@
         let used = usages
             .map(|(row, index)| row[usize::from(index)].decayed(now))
             .fold(f64::MAX, f64::min);
-        let allowed = TOLERANCE * (fair_share + cost);
+        let allowed = ORDINARY_USE_FACTOR * (fair_share + cost);
         if used <= allowed {
             return 1.0;
         }
-        (allowed / used).max(MIN_FACTOR)
+        (allowed / used).max(MIN_WAIT_FACTOR)
     }
 }
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -1,17 +1,18 @@
 //! Hedging: sends a second attempt of a call while the first is late.
 //!
-//! When a backend server stalls now and then, a call that meets the stall would wait for its end,
-//! and so would every service above it in the call chain. As in Dean and Barroso, "The Tail at
-//! Scale", 2013, the hedge is sent at the 95th percentile of latencies. Only repeatable calls are
-//! hedged, and each hedge is paid for from the retry budget. Hedges add load themselves, so they
-//! stop while they do not win and while there is overload.
+//! When a backend server stalls now and then, a call that arrives during a stall would wait for the
+//! end of the stall, and so would every service above in the call chain. As in Dean and Barroso,
+//! "The Tail at Scale", 2013, a hedge is sent once the first attempt has taken longer than the 95th
+//! percentile of latencies. Only repeatable calls are hedged, and each hedge is paid for from the
+//! retry budget. Hedges add load themselves, so few are sent while too few of them win, and none
+//! shortly after a refusal because of overload.
 
 use std::time::{Duration, Instant};
 
 /// Quantile of the latencies after which a hedge is sent.
 const HEDGE_QUANTILE: f64 = 0.95;
 
-/// Step by which the estimate of the quantile moves, as a share of it.
+/// Step by which a new latency moves the estimate of the quantile, as a share of the estimate.
 const QUANTILE_STEP: f64 = 0.05;
 
 /// Share of hedges that have to win for hedging to continue.
@@ -20,8 +21,9 @@
 /// Weight of a result in the share of hedges that won: a window of about 20 hedges.
 const RESULT_WEIGHT: f64 = 0.05;
 
-/// While too few hedges win, only one in this many is sent, to detect when hedging pays again.
-const SAMPLE_INTERVAL: u32 = 20;
+/// While too few hedges win, only one in this many calls is hedged, to detect when hedging pays
+/// again.
+const CALLS_PER_SAMPLE_HEDGE: u32 = 20;
 
 /// Time without hedges after a refusal because of overload, since hedges add load.
 const OVERLOAD_PAUSE: Duration = Duration::from_secs(1);
@@ -32,19 +34,21 @@
 /// Decides when repeatable calls of a service are hedged.
 #[derive(Debug, Clone, Copy)]
 pub struct HedgePolicy {
-    quantile: f64,
+    /// Estimate of the latency at [`HEDGE_QUANTILE`], in seconds.
+    latency_quantile: f64,
     samples: u32,
     win_share: f64,
+    /// Calls not hedged since the last hedge that was sent while too few won.
     skipped: u32,
     paused_until: Instant,
 }
 
 impl HedgePolicy {
-    /// Starts without any measured latency.
+    /// Creates a policy that hedges no call until enough latencies have been recorded.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
-            quantile: 0.0,
+            latency_quantile: 0.0,
             samples: 0,
             win_share: 1.0,
             skipped: 0,
@@ -52,15 +56,16 @@
         }
     }
 
-    /// Records the latency of a first attempt, or the time after which a hedge overtook it.
+    /// Records the latency of a first attempt, or the time after which the hedge was answered
+    /// before it.
     pub fn record_latency(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.samples = self.samples.saturating_add(1);
         if self.samples == 1 {
-            self.quantile = took;
+            self.latency_quantile = took;
         }
-        let step = QUANTILE_STEP * self.quantile.max(1e-6);
-        self.quantile += if took > self.quantile {
+        let step = QUANTILE_STEP * self.latency_quantile.max(1e-6);
+        self.latency_quantile += if took > self.latency_quantile {
             step * HEDGE_QUANTILE
         } else {
             -step * (1.0 - HEDGE_QUANTILE)
@@ -80,12 +85,12 @@
         }
         if self.win_share < MIN_WIN_SHARE {
             self.skipped += 1;
-            if self.skipped < SAMPLE_INTERVAL {
+            if self.skipped < CALLS_PER_SAMPLE_HEDGE {
                 return None;
             }
             self.skipped = 0;
         }
-        Duration::try_from_secs_f64(self.quantile).ok()
+        Duration::try_from_secs_f64(self.latency_quantile).ok()
     }
 
     /// Records whether a hedge was answered before the first attempt.
--- a/crates/policy/src/in_flight.rs
+++ b/crates/policy/src/in_flight.rs
@@ -1,10 +1,9 @@
 //! Tracks the calls in flight at a backend server, to find which request crashed it.
 //!
-//! The process of a backend server may end while it runs several calls, any of which
-//! may be the cause. Without tracking them, a request that crashes servers cannot be
-//! told from the requests that merely fail because of the crash. A call that ended
-//! without an answer shortly before the crash is a suspect as well: its caller may
-//! have given up before the process ended.
+//! The process of a backend server may end while it runs several calls, any of which may be the
+//! cause. Without tracking them, a request that crashes backend servers cannot be told from the
+//! requests that merely fail because of the crash. A call that ended without an answer shortly
+//! before the crash is a suspect as well: its caller may have given up before the process ended.
 
 use call::Digest;
 use smol_str::SmolStr;
@@ -20,8 +19,8 @@
 /// Maximum number of suspects per crash.
 const MAX_SUSPECTS: usize = 64;
 
-/// How long an answer clears a request of suspicion. A frequently requested path has been answered
-/// moments before any crash that it happens to be in flight at.
+/// How long an answer clears a request of suspicion. A frequently requested path that happens to be
+/// in flight at a crash was answered moments before.
 const ANSWER_WINDOW: Duration = Duration::from_secs(10);
 
 /// Maximum number of recent answers that are tracked.
@@ -34,13 +33,13 @@
 /// The properties of a request that identify it as a suspect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Digest of its content; equal for all its repeats.
+    /// Digest of the content of the request; equal for all its repeats.
     pub digest: Digest,
     /// HTTP method.
     pub method: SmolStr,
     /// Path, without the query.
     pub path: SmolStr,
-    /// Whether a backend server has crashed before while it ran.
+    /// Whether a backend server has already crashed while it ran this request.
     pub is_suspect: bool,
 }
 
@@ -49,7 +48,7 @@
 pub enum Outcome {
     /// A complete answer was received.
     Answered,
-    /// The backend server never started it.
+    /// The backend server never started the call.
     NotRun,
     /// There is no answer: the call was cut off or its caller gave up.
     Unanswered,
@@ -60,7 +59,7 @@
 pub struct Suspect {
     /// The suspected request.
     pub request: Request,
-    /// Whether no other request is as likely to be the cause.
+    /// Whether no other request is as likely to be the cause of the crash.
     pub is_alone: bool,
 }
 
@@ -68,7 +67,7 @@
 #[derive(Debug, Default)]
 pub struct Table {
     calls: BTreeMap<Key, Call>,
-    next: u64,
+    next_key: u64,
     /// Recently answered requests, oldest first.
     answers: VecDeque<(Instant, Digest)>,
 }
@@ -86,8 +85,8 @@
     /// Registers a call that is sent to a process.
     pub fn start(&mut self, now: Instant, process: u64, request: Request) -> Key {
         self.prune(now);
-        let key = Key(self.next);
-        self.next += 1;
+        let key = Key(self.next_key);
+        self.next_key += 1;
         let call = Call {
             process,
             request,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,10 +7,9 @@
 //!
 //! The inbound proxy of a backend server holds one [`admission::Admission`] and one
 //! [`body_scheduler::BodyScheduler`]. For each service, an outbound proxy holds one
-//! [`balance::Balancer`], one [`retry::RetryBudget`] and one [`hedge::HedgePolicy`].
-//! An [`in_flight::Table`] at each backend server finds the requests that may have
-//! crashed it, and every node keeps their crash records in a
-//! [`quarantine::CrashHistory`].
+//! [`balance::Balancer`], one [`retry::RetryBudget`] and one [`hedge::HedgePolicy`]. An
+//! [`in_flight::Table`] at each backend server finds the requests that may have crashed it, and
+//! every node keeps the crash records of these requests in a [`quarantine::CrashHistory`].
 //!
 //! ```
 //! use config::Class;
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -4,10 +4,10 @@
 //! adaptive limit, the excess calls queue inside the backend server, where class, fair share
 //! and deadline have no effect.
 //!
-//! Additive increase and multiplicative decrease converge to a fair and full use of the
-//! capacity (Chiu and Jain, 1989). The latency signal is the ratio to the duration of the same
-//! route under light load, as in TCP Vegas and Netflix's concurrency limits. The advertised
-//! slots are an upper bound: a backend server never gets more calls than it asked for.
+//! Additive increase and multiplicative decrease converge to a fair and full use of the capacity
+//! (Chiu and Jain, 1989). The latency signal is the duration of a call divided by the duration of
+//! calls of the same route under light load, as in TCP Vegas and Netflix's concurrency limits. The
+//! advertised slots are an upper bound: a backend server never gets more calls than it asked for.
 
 use std::time::{Duration, Instant};
 
@@ -22,22 +22,22 @@
     Failed,
 }
 
-/// Slots assumed when a backend server advertises none: the size of today's servers.
+/// Slots assumed when a backend server advertises none: as many as backend servers have today.
 const DEFAULT_SLOTS: u16 = 6;
 
 /// Samples under load per evaluation of the limit. With service times that vary as much as
 /// their mean, the mean of 96 samples is off by 10%.
 const WINDOW_SAMPLES: u32 = 96;
 
-/// Slowdown (duration over the duration under light load) above which the limit is cut: 1.6 is
-/// more than four standard deviations of a window's mean.
+/// Slowdown (duration over the duration under light load) above which the limit is cut: 1.6 exceeds
+/// the normal 1 by more than four standard deviations of a window's mean.
 const MAX_SLOWDOWN: f64 = 1.6;
 
 /// Lower bound of the factor by which one step cuts the limit.
 const MIN_CUT_FACTOR: f64 = 0.5;
 
-/// Share of the former call rate that must remain for a cut to be kept. A cut to the real
-/// capacity loses nothing, a mistaken one a third or more.
+/// Share of the former call rate that must remain for a cut to be kept. A cut to the real capacity
+/// loses no calls, a mistaken cut a third of them or more.
 const MIN_KEPT_RATE_SHARE: f64 = 0.8;
 
 /// Time for which a cut is not tried again after it was reverted: each trial costs half a
@@ -47,29 +47,30 @@
 /// Time between increases by one, so that the limit rises slowly.
 const RAISE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Calls under light load after which a probe ends; it runs at half of the limit.
+/// Number of calls under light load after which a probe ends. During a probe, the backend server
+/// runs at half of the limit.
 const PROBE_CALLS: u32 = 64;
 
 /// Maximum duration of a probe, for backend servers whose calls take long.
 const MAX_PROBE_TIME: Duration = Duration::from_secs(1);
 
-/// Time without the end of any call after which a probe is over. It is less than the queue time
-/// limit of the shortest queue (0.3 s for a first look-up), so that a probe behind long calls
-/// makes others wait but refuses none.
+/// Time without the end of any call after which a probe is over. It is less than the shortest limit
+/// on the time in the queue (0.3 s, for a look-up before any call has ended), so that a probe
+/// behind long calls makes other calls wait but refuses none.
 const PROBE_STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time without any call under light load after which a probe starts. Under lasting overload
-/// there would be no baseline to compare with; 64 calls of 30 ms at half speed, every 30 s,
-/// cost 1% of the capacity.
+/// Time without any call under light load after which a probe starts. Without probes, there would
+/// be no baseline to compare with under lasting overload; 64 calls of 30 ms at half speed, every 30
+/// s, cost 1% of the capacity.
 const PROBE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Share of calls refused under light load from which refusals no longer count as a sign of
-/// excess concurrency: one in ten, where a backend server that is merely full refuses none
+/// Share of calls under light load that are refused, from which refusals no longer count as a sign
+/// of excess concurrency: one in ten, whereas a backend server that is merely full refuses none
 /// under light load.
 const MAX_LIGHT_SHED_SHARE: f64 = 0.1;
 
-/// Weight of one call in the share refused under light load, which spans some ten calls.
-const SHED_WEIGHT: f64 = 0.1;
+/// Weight of one call in the share of calls refused under light load, which spans some ten calls.
+const LIGHT_SHED_WEIGHT: f64 = 0.1;
 
 /// Concurrency limit that adapts to measured latencies and refusals.
 #[derive(Debug, Clone)]
@@ -78,12 +79,14 @@
     current: f64,
     raised_at: Instant,
     probe: Option<Probe>,
+    /// When a call last ended under light load, or a probe was started for lack of such calls.
     light_load_at: Instant,
     window: Window,
-    /// Slowdown that is known not to be caused by concurrency.
-    baseline: f64,
-    baseline_until: Instant,
-    /// State before a cut that is still being evaluated.
+    /// Slowdown that is assumed not to be caused by concurrency.
+    baseline_slowdown: f64,
+    /// When `baseline_slowdown` returns to 1, after a reverted cut.
+    baseline_slowdown_until: Instant,
+    /// What was measured before a cut that is still being evaluated.
     pending_cut: Option<PendingCut>,
     /// Recent share of the calls under light load that were refused.
     light_shed_share: f64,
@@ -91,16 +94,20 @@
 
 #[derive(Debug, Clone, Copy)]
 struct PendingCut {
+    /// Limit before the cut.
     previous: f64,
     slowdown: f64,
+    /// Calls that ended per second.
     rate: f64,
 }
 
-/// A period at half of the limit, which measures durations under light load; not a load probe.
+/// A period at half of the limit, in which durations under light load are measured; not a load
+/// probe.
 #[derive(Debug, Clone, Copy)]
 struct Probe {
     calls_left: u32,
     ends_by: Instant,
+    /// When the probe ends unless a call under light load ends before.
     stalls_at: Instant,
 }
 
@@ -126,8 +133,8 @@
 }
 
 impl ConcurrencyLimit {
-    /// Starts with a probe at half of the advertised slots, as the first calls show the speed
-    /// under light load.
+    /// Creates a limit at the advertised slots, and starts a probe at half of them, as the first
+    /// calls show the speed under light load.
     #[must_use]
     pub fn new(now: Instant, advertised: u16) -> Self {
         let advertised = f64::from(if advertised == 0 {
@@ -142,8 +149,8 @@
             probe: Some(Probe::start(now)),
             light_load_at: now,
             window: Window::default(),
-            baseline: 1.0,
-            baseline_until: now,
+            baseline_slowdown: 1.0,
+            baseline_slowdown_until: now,
             pending_cut: None,
             light_shed_share: 0.0,
         }
@@ -169,8 +176,8 @@
         }
     }
 
-    /// Returns half of the limit, but at least two slots where it has them: in a probe of one
-    /// slot, a single long call would keep out all others.
+    /// Returns half of the limit, but at least two slots if the limit allows two: with one slot, a
+    /// single long call would block all others during the probe.
     fn half_limit(&self) -> f64 {
         (self.current / 2.0)
             .floor()
@@ -187,7 +194,7 @@
         }
     }
 
-    /// Returns when the current probe ends at the latest.
+    /// Returns when the probe in progress, if any, ends unless a call ends before.
     pub(crate) fn probe_ends_at(&self) -> Option<Instant> {
         self.probe.map(|probe| probe.ends_at())
     }
@@ -228,10 +235,11 @@
 
     fn record_light_shed(&mut self, shed: bool) {
         let sample = if shed { 1.0 } else { 0.0 };
-        self.light_shed_share += SHED_WEIGHT * (sample - self.light_shed_share);
+        self.light_shed_share += LIGHT_SHED_WEIGHT * (sample - self.light_shed_share);
     }
 
-    /// Cuts the limit to just below the concurrency that was refused.
+    /// Cuts the limit to just below the concurrency at which a call was refused, but at most by
+    /// half.
     fn cut_below(&mut self, now: Instant, running: u32) {
         let refused = f64::from(running).min(self.current);
         self.current = (refused - 1.0).max(self.current * MIN_CUT_FACTOR).max(1.0);
@@ -245,7 +253,8 @@
             self.probe = Some(Probe::start(now));
             self.light_load_at = now;
         }
-        // Calls that started before a cut were slowed down by load that the cut has removed.
+        // Only calls that started at the current limit count: those that started before a cut were
+        // slowed down by load that the cut has removed.
         if (f64::from(running) - self.current.floor()).abs() > 0.5 {
             return;
         }
@@ -258,7 +267,8 @@
             }
         }
         let raise_due = now.saturating_duration_since(self.raised_at) >= RAISE_INTERVAL;
-        // Not while a cut is being evaluated, so that only the effect of the cut is measured.
+        // The limit is not raised while a cut is being evaluated, so that only the effect of the
+        // cut is measured.
         if raise_due && self.pending_cut.is_none() && self.current < self.advertised {
             self.current = (self.current + 1.0).min(self.advertised);
             self.raised_at = now;
@@ -283,28 +293,28 @@
         let age = now.saturating_duration_since(since).as_secs_f64();
         let rate = f64::from(self.window.count) / age.max(1e-3);
         self.window = Window::default();
-        // The call rate fell, so concurrency wasn't the cause of the slowdown but chance or the
-        // work itself, and the cut only loses capacity.
+        // The call rate fell after the cut, so the cause of the slowdown wasn't concurrency but
+        // chance or the work itself, and the cut only loses capacity.
         if let Some(pending_cut) = self.pending_cut.take()
             && rate < pending_cut.rate * MIN_KEPT_RATE_SHARE
         {
             self.current = pending_cut.previous.min(self.advertised);
-            self.baseline = pending_cut.slowdown;
-            self.baseline_until = now + REVERTED_CUT_PAUSE;
+            self.baseline_slowdown = pending_cut.slowdown;
+            self.baseline_slowdown_until = now + REVERTED_CUT_PAUSE;
             return;
         }
-        self.baseline = if now < self.baseline_until {
-            self.baseline.min(slowdown).max(1.0)
+        self.baseline_slowdown = if now < self.baseline_slowdown_until {
+            self.baseline_slowdown.min(slowdown).max(1.0)
         } else {
             1.0
         };
-        if slowdown > MAX_SLOWDOWN * self.baseline && self.current > 1.0 {
+        if slowdown > MAX_SLOWDOWN * self.baseline_slowdown && self.current > 1.0 {
             self.pending_cut = Some(PendingCut {
                 previous: self.current,
                 slowdown,
                 rate,
             });
-            let factor = (self.baseline / slowdown).max(MIN_CUT_FACTOR);
+            let factor = (self.baseline_slowdown / slowdown).max(MIN_CUT_FACTOR);
             self.current = (self.current * factor).round().max(1.0);
             self.restart_window(now);
         }
--- a/crates/policy/src/load_probe.rs
+++ b/crates/policy/src/load_probe.rs
@@ -2,16 +2,17 @@
 //! replies.
 //!
 //! Consider hundreds of outbound proxies with a few calls a second each, in front of a hundred
-//! backend servers that differ in speed and whose slots are mostly taken. From its own calls, a
-//! proxy hears of each backend server only every few seconds, much longer than a queue lasts there.
-//! Its choice would be almost blind: calls would wait in front of slow backend servers while slots
-//! of fast ones stay idle.
+//! backend servers that differ in speed and whose slots are mostly taken. A proxy learns the load
+//! of a backend server only from the answers to its own calls, that is, every few seconds, and a
+//! queue lasts much less than that. Without probes, the choice of a proxy would be almost blind:
+//! calls would wait in front of slow backend servers while slots of fast ones stay idle.
 //!
-//! A few randomly drawn backend servers are therefore probed for each call, and the one that would
-//! finish it soonest gets it (batch sampling as in Sparrow, Ousterhout et al., 2013). The figures
-//! are then only one round trip old, however little traffic a proxy has. The number of probes per
-//! call is fixed, so the cost does not grow with the fleet. A backend server that does not answer
-//! is passed over: a VM without power does not reply, and a commit sent there would be lost.
+//! A few randomly drawn backend servers are therefore probed for each call, and the call goes to
+//! the one that would finish it soonest (batch sampling as in Sparrow, Ousterhout et al., 2013).
+//! The load figures are then only one round trip old, however little traffic a proxy has. The
+//! number of probes per call is fixed, so the cost does not grow with the fleet. A backend server
+//! that does not answer is passed over: a VM without power does not reply, and a commit sent to it
+//! would be lost.
 
 use crate::balance::{Balancer, Distance, Key, PickArgs};
 use crate::choice::{FAR_SPEEDUP, PickContext, TARGET_MARGIN};
@@ -25,11 +26,11 @@
 pub struct Estimate {
     /// Whether the call would be admitted.
     pub accepts: bool,
-    /// How long it would wait for a slot.
+    /// How long the call would wait for a slot.
     pub wait: Duration,
-    /// Mean duration of calls of its route there, if any have run.
+    /// Mean duration of calls of the same route at this backend server, if any have run.
     pub run: Option<Duration>,
-    /// Calls running and waiting, divided by the slots.
+    /// Running and waiting calls, divided by the slots.
     pub load: f64,
 }
 
@@ -42,18 +43,21 @@
     pub estimate: Option<Estimate>,
 }
 
-/// Backend servers of the nearest tier that are probed for a call.
+/// Maximum number of backend servers that are probed for a call on this VM, and in the nearest tier
+/// beyond it.
 ///
 /// If a third of them have a free slot, three draws find one in seven of ten cases; each further
 /// draw costs two messages a call.
 const NEAR_PROBES: usize = 3;
 
-/// Backend servers of a more distant tier that are probed when no nearer one suffices.
+/// Maximum number of backend servers of a more distant tier that are probed when no nearer one
+/// suffices.
 const FAR_PROBES: usize = 2;
 
 /// Mean reported load above which calls are preceded by probes.
 ///
-/// Below it, almost every backend server has a free slot, and the call saves the round trip.
+/// Below it, almost every backend server has a free slot, and a call without probes saves a round
+/// trip.
 const PROBE_LOAD: f64 = 0.4;
 
 /// Weight of a new report in the mean reported load.
@@ -67,13 +71,14 @@
 /// run a call of this route.
 const UNKNOWN_RUN_FACTOR: f64 = 1.5;
 
-/// Share of the expected duration up to which the wait at a near backend server is short enough not
-/// to probe more distant ones.
+/// Longest wait for a slot, as a share of the predicted run time, with which a near backend server
+/// is good enough for a call without a target, so that no more distant one is probed.
 const SHORT_WAIT_SHARE: f64 = 0.5;
 
 /// Decides whether calls are preceded by probes.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ProbeTrigger {
+    /// Mean reported load.
     load: f64,
     active_until: Option<Instant>,
 }
@@ -94,10 +99,10 @@
 
 impl Balancer {
     /// Returns the backend servers to probe for a call: some on this VM, and some of the nearest
-    /// tier beyond it that has any.
+    /// tier beyond the VM that has usable ones.
     ///
-    /// Returns none while the service has low load, as almost every backend server then has a free
-    /// slot.
+    /// Returns none while the service has low load and no call has failed recently, as almost every
+    /// backend server then has a free slot.
     pub fn probe_targets<R>(&self, now: Instant, args: &PickArgs<'_>, rng: &mut R) -> Vec<Key>
     where
         R: Rng,
@@ -130,7 +135,7 @@
     {
         let call = PickContext::new(now, args);
         if self
-            .find_soonest(results, &call)
+            .find_best(results, &call)
             .is_some_and(|best| Self::suffices(&best, &call))
         {
             return Vec::new();
@@ -169,8 +174,8 @@
                 .is_some_and(|distance| distance <= Distance::Zone)
         };
         let near: Vec<_> = results.iter().filter(is_near).copied().collect();
-        let near = self.find_soonest(&near, &call);
-        let best = self.find_soonest(results, &call);
+        let near = self.find_best(&near, &call);
+        let best = self.find_best(results, &call);
         let (Some(best), false) = (best, self.has_half_open(now, args)) else {
             return self.pick(now, args, rng);
         };
@@ -194,9 +199,9 @@
         self.set_load(now, result.key, estimate.load);
     }
 
-    /// Returns the backend server that would finish the call soonest, preferring those that would
-    /// admit it.
-    fn find_soonest(&self, results: &[ProbeResult], call: &PickContext<'_>) -> Option<Prediction> {
+    /// Returns the prediction with the lowest cost, preferring backend servers that would admit the
+    /// call.
+    fn find_best(&self, results: &[ProbeResult], call: &PickContext<'_>) -> Option<Prediction> {
         let predictions = results
             .iter()
             .filter_map(|result| self.predict(result, call));
@@ -249,7 +254,8 @@
         R: Rng,
     {
         let servers = &self.tiers[tier as usize];
-        // Twice as many are drawn because some are ejected, already tried or in slow start.
+        // Twice as many as needed are drawn, because some are ejected, already tried, in slow start
+        // or not to be probed now.
         let drawn = servers.choose_multiple(rng, 2 * count).copied();
         let drawn: Vec<_> = drawn
             .filter(|index| {
@@ -272,13 +278,14 @@
 struct Prediction {
     key: Key,
     accepts: bool,
-    /// Seconds until it gets a slot.
+    /// Seconds until the call gets a slot.
     wait: f64,
-    /// Seconds that it then runs.
+    /// Seconds that the call then runs.
     run: f64,
-    /// Seconds until its answer, increased for a backend server that fails calls.
+    /// Seconds until the answer, increased for a backend server that fails calls.
     time: f64,
-    /// As `time`, plus up to one more run time in proportion to the square of the load there.
+    /// As `time`, but with up to one more run time added before the increase, in proportion to the
+    /// square of the load of the backend server.
     ///
     /// The reported run time is the mean of a few calls. By time alone, all proxies would follow
     /// the random variation of the last calls and fill one backend server while others have most
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -12,24 +12,25 @@
 use rand::Rng;
 use std::time::{Duration, Instant};
 
-/// Consecutive failures that make an outlier at once; at an overall failure rate of 10%, this
-/// happens by chance once in 100,000 calls.
+/// Number of consecutive failures that make a backend server an outlier at once; at an overall
+/// failure rate of 10%, this happens by chance once in 100,000 calls.
 const MAX_CONSECUTIVE_FAILURES: u32 = 5;
 
-/// Consecutive slow answers that make an outlier at once; with service times that vary as much as
-/// their mean, this happens by chance once in 160,000 calls.
+/// Number of consecutive slow answers that make a backend server an outlier at once; with service
+/// times that vary as much as their mean, this happens by chance once in 160,000 calls.
 const MAX_CONSECUTIVE_SLOW: u32 = 3;
 
-/// Failure rate above that of the peers that makes an outlier.
+/// Amount by which the failure rate of an outlier exceeds that of its peers.
 const EXCESS_FAILURE_RATE: f64 = 0.3;
 
-/// Multiple of the peers' slowdown that makes an outlier.
+/// Multiple of the peers' slowdown above which a backend server is an outlier, and slowdown from
+/// which a single answer counts as slow.
 pub(crate) const SLOW_FACTOR: f64 = 4.0;
 
-/// Weight of a new sample: a window of about ten calls.
+/// Weight of a new sample in the moving averages, which span about ten calls.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Samples needed before the averages are used.
+/// Number of samples needed before the averages are used.
 const MIN_SAMPLES: u32 = 10;
 
 /// Duration of the first ejection; it doubles with each further one.
@@ -38,8 +39,8 @@
 /// Upper bound of the duration of an ejection.
 const MAX_EJECTION_TIME: Duration = Duration::from_mins(1);
 
-/// Good calls since the start of an ejection that are needed to end it, once its time has passed;
-/// a bad test call starts a new ejection.
+/// Number of good calls since the start of an ejection that are needed to end the ejection, once
+/// its time has passed; a bad test call starts a new ejection.
 const RECOVERY_CALLS: u32 = 3;
 
 /// Time without an ejection after which earlier ejections are forgotten.
@@ -48,20 +49,20 @@
 /// Outcome of a call, as far as it concerns the health of its backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Sample {
-    /// Answered after this multiple of the normal duration of its route.
+    /// The call was answered after this multiple of the normal duration of its route.
     Answered(f64),
-    /// Failed.
+    /// The call failed.
     Failed,
 }
 
 /// Whether a backend server may be selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionState {
-    /// It may be selected.
+    /// The backend server may be selected.
     Active,
-    /// It may not be selected.
+    /// The backend server may not be selected.
     Ejected,
-    /// It may be tested by one call at a time.
+    /// The backend server may be tested by one call at a time.
     HalfOpen,
 }
 
@@ -74,7 +75,8 @@
     consecutive_failures: u32,
     consecutive_slow: u32,
     ejection: Option<Ejection>,
-    ejections: u32,
+    /// Number of ejections, forgotten as [`EJECTION_MEMORY`] says.
+    ejection_count: u32,
     active_since: Instant,
 }
 
@@ -95,7 +97,7 @@
             consecutive_failures: 0,
             consecutive_slow: 0,
             ejection: None,
-            ejections: 0,
+            ejection_count: 0,
             active_since: now,
         }
     }
@@ -113,7 +115,7 @@
         self.slowdown
     }
 
-    /// Returns whether it may be selected.
+    /// Returns whether the backend server may be selected.
     #[must_use]
     pub fn state(&self, now: Instant) -> EjectionState {
         match self.ejection {
@@ -123,13 +125,13 @@
         }
     }
 
-    /// Returns the end of its ejection.
+    /// Returns the end of the ejection time, if the backend server is not active.
     #[must_use]
     pub fn ejected_until(&self) -> Option<Instant> {
         self.ejection.map(|ejection| ejection.until)
     }
 
-    /// Records the outcome of a call. Returns whether a test call ended an ejection.
+    /// Records the outcome of a call. Returns whether the call ended an ejection.
     pub fn record<R>(
         &mut self,
         now: Instant,
@@ -149,7 +151,8 @@
             Sample::Failed => false,
         };
         if !is_good {
-            // Calls that began before the ejection are recorded as well.
+            // A call that fails before the end of the ejection time began before the ejection,
+            // which is not renewed for it.
             if now >= ejection.until {
                 self.eject(now, rng);
             }
@@ -159,15 +162,15 @@
         if now < ejection.until || ejection.good_calls < RECOVERY_CALLS {
             return false;
         }
-        let ejections = self.ejections;
+        let ejection_count = self.ejection_count;
         *self = Self {
-            ejections,
+            ejection_count,
             ..Self::new(now)
         };
         true
     }
 
-    /// Returns whether it differs widely from its peers.
+    /// Returns whether the backend server differs widely from its peers.
     #[must_use]
     pub fn is_outlier(&self, peers: &PeerAverages) -> bool {
         if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
@@ -185,7 +188,8 @@
             || self.slowdown > SLOW_FACTOR * peers.slowdown
     }
 
-    /// Ejects it for a time that doubles with each ejection and is spread by jitter.
+    /// Ejects the backend server for a time that doubles with each ejection and is spread by
+    /// jitter.
     pub fn eject<R>(&mut self, now: Instant, rng: &mut R)
     where
         R: Rng,
@@ -193,12 +197,12 @@
         if self.ejection.is_none()
             && now.saturating_duration_since(self.active_since) > EJECTION_MEMORY
         {
-            self.ejections = 0;
+            self.ejection_count = 0;
         }
         let wait = FIRST_EJECTION_TIME
-            .saturating_mul(1 << self.ejections.min(8))
+            .saturating_mul(1 << self.ejection_count.min(8))
             .min(MAX_EJECTION_TIME);
-        self.ejections += 1;
+        self.ejection_count += 1;
         self.ejection = Some(Ejection {
             until: now + wait.mul_f64(rng.random_range(0.75..1.25)),
             good_calls: 0,
@@ -229,7 +233,8 @@
                 } else {
                     self.consecutive_slow + 1
                 };
-                // A single extreme value must not cause an ejection, so the ratio is capped at ten.
+                // A single extreme value must not cause an ejection, so the slowdown is capped at
+                // ten.
                 self.slowdown += SAMPLE_WEIGHT * (slowdown.min(10.0) - self.slowdown);
                 0.0
             }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,15 +1,13 @@
 //! Quarantine of requests that crash the backend servers that run them.
 //!
-//! A request may crash every process that runs it, and be sent again, through any
-//! node. Without quarantine, each repeat and each retry takes down one more backend
-//! server of the service. Outlier ejection and retry budgets do not help: they
-//! penalize all other requests and let this one through, since every node sees it
-//! for the first time. Such a "query of death" (Google's SRE book, "Addressing
-//! Cascading Failures") can be recognized only by its content, so all nodes record
-//! crashes under a digest of the request. A request is held after three
-//! crashes. A request that merely ran at the same time is cleared by its first
-//! answer, and is held only if at least one process crashed with no other request
-//! as likely to be the cause.
+//! A request may crash every process that runs it, and be sent again, through any node. Without
+//! quarantine, each repeat and each retry takes down one more backend server of the service.
+//! Outlier ejection and retry budgets do not help: they penalize all other requests and let this
+//! one through, since every node sees it for the first time. Such a "query of death" (Google's SRE
+//! book, "Addressing Cascading Failures") can be recognized only by its content, so all nodes
+//! record crashes under a digest of the request. A request is held after three crashes. A request
+//! that merely ran at the same time as the cause is cleared by its first answer, and is held only
+//! if at least one process crashed with no other request as likely to be the cause.
 //!
 //! The state is a set of crash records, each of which may later be marked as
 //! cleared. Merging is commutative and idempotent, so nodes may exchange records in
@@ -25,13 +23,13 @@
 /// How long a request is held after its last crash.
 pub const HOLD_TIME: Duration = Duration::from_mins(10);
 
-/// How long after the hold a single further crash holds the request again.
+/// Time after the end of a hold within which a single further crash holds the request again.
 const PROBATION_TIME: Duration = Duration::from_mins(50);
 
 /// How long a crash record is kept.
 pub const CRASH_RETENTION: Duration = HOLD_TIME.saturating_add(PROBATION_TIME);
 
-/// Maximum number of requests tracked; those with the fewest crashes are evicted first.
+/// Maximum number of requests tracked; those with the fewest uncleared crashes are evicted first.
 pub const MAX_REQUESTS: usize = 512;
 
 /// Maximum number of crash records kept per request; the oldest are evicted first.
@@ -40,11 +38,11 @@
 /// Quarantine status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// No crash is attributed to it.
+    /// No crash is attributed to the request.
     Clear,
-    /// A backend server crashed while it ran.
+    /// A backend server crashed while it ran the request.
     Suspect,
-    /// It must not be run.
+    /// The request must not be run.
     Held {
         /// Remaining time of the hold.
         wait: Duration,
@@ -94,7 +92,7 @@
         let records = self.requests.entry(crash.request).or_default();
         records.push(record);
         if records.len() > MAX_CRASHES_PER_REQUEST {
-            // A total order, so that all nodes evict the same record.
+            // The order is total, so that all nodes evict the same record.
             let order = |index: &usize| (records[*index].expires_at, records[*index].crash.id);
             let oldest = (0..records.len()).min_by_key(order);
             let dropped = oldest.map(|index| records.remove(index));
@@ -173,8 +171,8 @@
         });
     }
 
-    /// Evicts a request in favour of a new one if the history is full and the new one ranks
-    /// higher; returns whether there is room.
+    /// Evicts a request in favour of that of `record` if the history is full and the new request
+    /// ranks higher; returns whether there is room for the new request.
     fn make_room(&mut self, record: &Record) -> bool {
         if self.requests.len() < MAX_REQUESTS {
             return true;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -17,26 +17,27 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// Scheduling tier of a waiting call: its class while its answer can be in time.
+/// Scheduling tier of a waiting call, by its class, by whether it is nested, and by whether it is
+/// past its latency target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tier {
-    /// Commits.
+    /// Commits that are nested or not past their latency target.
     Commit,
     /// Calls, except commits, that a running commit or look-up waits for.
     Nested,
     /// Calls, except commits, that a running refresh waits for.
     NestedRefresh,
-    /// Look-ups.
+    /// Look-ups, and commits that are past their latency target.
     Lookup,
     /// Refreshes.
     Refresh,
-    /// Calls of any class that are past their latency target.
+    /// Look-ups and refreshes that are past their latency target.
     Overdue,
 }
 
 impl Tier {
-    /// Returns whether calls of the tier must start in time for their latency target; for the
-    /// others, late is better than lost.
+    /// Returns whether calls of the tier must start in time for their latency target; for calls of
+    /// other tiers, a late answer is better than none.
     pub(crate) fn uses_target(self) -> bool {
         matches!(self, Self::Lookup | Self::Refresh)
     }
@@ -54,15 +55,15 @@
 
 /// Weights of the tiers when all of them have waiting calls.
 ///
-/// As long as commits alone fit, all of them must get in, up to nine tenths of the capacity.
-/// What they leave goes to look-ups and refreshes at four to one, and no tier is ever starved.
+/// Commits get all the slots that they need, up to nine tenths of the capacity while no nested
+/// calls wait. What commits leave goes to look-ups and refreshes at four to one, and no tier is
+/// ever starved.
 ///
-/// Nested calls of refreshes get as much as fresh look-ups. When they got everything, a service
-/// that had one backend server left ran 761 of them within 14 s and none of the service's direct
-/// calls (releases of claims).
-/// Nested calls of commits and look-ups get three times as much: each refusal wastes what the
-/// parent has used of another service, and they are short compared with the other work of the
-/// service that runs them.
+/// Nested calls of refreshes have the same weight as direct look-ups. When these nested calls went
+/// before all others, a service that had one backend server left ran 761 of them within 14 s and
+/// none of the service's direct calls (releases of claims). Nested calls of commits and look-ups
+/// have three times that weight: each refusal wastes the time that the parent has used of another
+/// service, and these calls are short compared with the other work of the service that runs them.
 ///
 /// Overdue calls get next to nothing while other calls are still in time.
 const WEIGHTS: [f64; TIERS.len()] = [90.0, 24.0, 8.0, 8.0, 2.0, 0.05];
@@ -70,15 +71,15 @@
 /// Number of lanes: a short and a long one for each tier.
 pub(crate) const LANE_COUNT: usize = 2 * TIERS.len();
 
-/// Lane length up to which the work ahead of a call is summed exactly. In a longer lane all of
-/// the work counts, so that the time spent in a burst doesn't grow quadratically.
+/// Lane length up to which the work ahead of a call is summed exactly. In a longer lane all of the
+/// work counts, so that the CPU time spent in a burst doesn't grow quadratically.
 const EXACT_SUM_MAX: usize = 64;
 
-/// Stale heap items that a lane may keep beyond the number of live ones before they are
-/// removed.
+/// Number of stale heap items that a lane may keep beyond the number of live ones before the stale
+/// items are removed.
 const MAX_STALE_ITEMS: usize = 64;
 
-/// Handle of a waiting call.
+/// Identifies a waiting call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     index: u32,
@@ -94,13 +95,13 @@
     pub caller: Cells,
     /// Cells of the call's key in the usage sketch.
     pub key: Cells,
-    /// Route.
+    /// Route of the call, as a [`crate::hash`].
     pub route: u64,
     /// Whether the call is expected to take many times as long as the typical call.
     pub long: bool,
     /// Expected slot-seconds.
     pub cost: f64,
-    /// When the call is given up if it has not started.
+    /// Time at which the call is given up if it has not started.
     pub start_by: Instant,
 }
 
@@ -110,7 +111,10 @@
     slab: Vec<SlabSlot>,
     free_indices: Vec<u32>,
     lanes: [Lane; LANE_COUNT],
+    /// Work that each tier has started, in slot-nanoseconds divided by the weight of the tier; the
+    /// tier with the lowest pass is next.
     passes: [u64; TIERS.len()],
+    /// Pass of the tier that was served last, before that call.
     virtual_time: u64,
     waiting: usize,
 }
@@ -125,8 +129,10 @@
 struct Lane {
     /// Earliest deadline first; removed calls stay until they reach the top.
     heap: BinaryHeap<Reverse<(Instant, Key)>>,
+    /// Work that the lane has started, in slot-nanoseconds.
     pass: u64,
     waiting: usize,
+    /// Expected slot-seconds of the waiting calls.
     work: f64,
 }
 
@@ -173,8 +179,8 @@
             .any(|long| self.lanes[lane_index(tier, *long)].waiting > 0)
     }
 
-    /// Removes an overdue call if any call is waiting that can still be in time, as those go
-    /// first.
+    /// Removes and returns an overdue call if a call waits that can still be answered in time, as
+    /// the timely call goes first.
     pub fn pop_overdue(&mut self) -> Option<(Key, Entry)> {
         if !self.has_timely() {
             return None;
@@ -193,8 +199,8 @@
             .any(|tier| *tier != Tier::Overdue && self.has_tier(*tier))
     }
 
-    /// Returns the slot-seconds of work ahead of a call that must start by `start_by`: the
-    /// calls of its lane that go first, and what its tier has used ahead of its turn.
+    /// Returns the slot-seconds of work ahead of a call that must start by `start_by`: the calls of
+    /// the same lane that go first, and the work that the tier has received beyond its share.
     #[must_use]
     pub fn work_ahead(&self, tier: Tier, long: bool, start_by: Instant) -> f64 {
         let index = tier_index(tier);
@@ -221,7 +227,8 @@
             .sum()
     }
 
-    /// Returns the minimum share of the slots that a lane gets, given the tiers that wait now.
+    /// Returns the minimum share of the slots that a lane gets, given the tiers that have waiting
+    /// calls.
     #[must_use]
     pub fn min_share(&self, tier: Tier, long: bool) -> f64 {
         let sibling = self.lanes[lane_index(tier, !long)].waiting > 0;
@@ -246,7 +253,7 @@
         key
     }
 
-    /// Removes the call that is next; long calls are considered only if `long` is set.
+    /// Removes and returns the call that is next; long calls are considered only if `long` is set.
     pub fn pop(&mut self, long: bool) -> Option<(Key, Entry)> {
         let (tier, long) = self.choose_lane(long)?;
         let index = tier_index(tier);
@@ -278,7 +285,7 @@
         Some(entry)
     }
 
-    /// Removes a call that has waited too long.
+    /// Removes and returns a call whose latest start has passed, if there is any.
     pub fn expire(&mut self, now: Instant) -> Option<(Key, Entry)> {
         let (at, key) = self.earliest()?;
         if at > now {
@@ -310,8 +317,8 @@
         None
     }
 
-    /// Starts a tier at the current virtual time when its first call arrives: neither tiers nor
-    /// lanes get credit for the time in which they had none.
+    /// Moves the pass of a tier without waiting calls up to the virtual time, before a call is
+    /// added: neither tiers nor lanes get credit for the time in which they had no calls.
     fn activate_tier(&mut self, tier: Tier) {
         if !self.has_tier(tier) {
             let pass = &mut self.passes[tier_index(tier)];
@@ -371,8 +378,8 @@
         }
     }
 
-    /// Removes stale heap items: calls withdrawn from the middle would otherwise accumulate
-    /// until their deadlines reach the top.
+    /// Removes stale heap items once there are many: the items of calls withdrawn from the middle
+    /// of the heap would otherwise stay until they reach the top at their deadlines.
     fn drop_stale(&mut self, lane: usize) {
         let lane = &mut self.lanes[lane];
         if lane.heap.len() > 2 * lane.waiting + MAX_STALE_ITEMS {
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,14 +1,14 @@
 //! Decides which calls are retried, and when.
 //!
-//! If a backend server fails or is full and every caller makes three attempts, in a call chain of
-//! 26 layers, the load is multiplied just when there is already too much of it, and stays high
-//! after the cause is gone.
+//! In a call chain of 26 layers in which every caller makes three attempts when a backend server
+//! fails or is full, the load is multiplied just when it is already too high, and stays high after
+//! the cause is gone.
 //!
 //! Retries are therefore limited to a share of successes (Google's SRE book, "Handling Overload":
-//! 10% a server; Finagle's retry budget: 20%), so that there are almost none when everything fails.
-//! Only failures of this hop are retried: an answer of the backend server, error or not, is passed
-//! to the caller. When a call fails deep in the chain, only the layer next to the failure retries
-//! it.
+//! 10% a server; Finagle's retry budget: 20%), so that there are almost no retries when everything
+//! fails. Only failures of this hop are retried: an answer of the backend server, error or not, is
+//! passed to the caller. When a call fails deep in the chain, only the layer next to the failure
+//! retries it.
 
 use crate::backoff;
 use crate::retry_quota::{FleetLimits, RetryQuota};
@@ -23,14 +23,14 @@
 /// Why an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// The backend server is leaving; another one can take the call.
+    /// The backend server is leaving; another backend server can take the call.
     Leaving,
     /// The inbound proxy refused the call because of overload; the backend server never received
     /// it.
     Full,
     /// The backend server refused the call.
     Shed,
-    /// The node could not be reached; another one can take the call.
+    /// The node could not be reached; another node can take the call.
     Unreached,
     /// The attempt failed.
     Failed,
@@ -53,7 +53,7 @@
     pub dispatched: u8,
     /// Backend servers that ended while they ran the call.
     pub crashes: u8,
-    /// Attempts allowed by the retry rule.
+    /// Maximum number of dispatched attempts, from the retry rule.
     pub max_attempts: u8,
     /// Whether the caller, or a layer above it, marked the call as a retry ([`HEADER`]).
     pub retried_by_caller: bool,
@@ -92,21 +92,22 @@
     Crashes,
 }
 
-/// Initial and maximum number of tokens: a service with few calls can retry as well, and saved-up
-/// successes cannot pay for a retry storm.
+/// Initial and maximum number of tokens, each of which pays for a retry: a service with few calls
+/// can retry as well, and saved-up successes cannot pay for a retry storm.
 const MAX_TOKENS: f64 = 10.0;
 
 /// Tokens added a second without any success, for services with only occasional calls.
 const TOKENS_PER_SECOND: f64 = 0.2;
 
-/// Backend servers that may refuse a call as full before it is given up. The load known to an
-/// outbound proxy is some hundred milliseconds old, so the first choice may be full while another
-/// backend server has room. If a third of a service's four backend servers have room, three
-/// attempts find it in 97 of 100 cases. Each attempt costs a round trip.
+/// Number of backend servers that may refuse a call as full before the call is given up. The load
+/// known to an outbound proxy is some hundred milliseconds old, so the first choice may be full
+/// while another backend server has room. If each of the four backend servers of a service is full
+/// with a probability of one third, three attempts find room in 97 of 100 cases in which any of the
+/// four has room. Each attempt costs a round trip.
 const MAX_ADMISSION_ATTEMPTS: u8 = 3;
 
-/// Backend servers that may end while running a call. The first may have been taken down by another
-/// call that ran at the same time; a second one points to the call itself.
+/// Number of backend servers that may end while running a call. The first may have been taken down
+/// by another call that ran at the same time; a second one points to the call itself.
 const MAX_CRASHES: u8 = 2;
 
 /// First and highest ceiling of the backoff delay after a failed call.
@@ -191,8 +192,8 @@
         if now + wait + failed.expected_duration > failed.deadline {
             return Decision::GiveUp(GiveUpReason::Deadline);
         }
-        // A call refused because the backend server is leaving, full or unreachable has cost no
-        // backend server anything. A rolling restart, or a single slow backend server while the
+        // An attempt that fails because the backend server is leaving, full or unreachable has cost
+        // no backend server any work. A rolling restart, or a single slow backend server while the
         // others have room, must not use up the budget.
         let is_free = matches!(
             failed.cause,
@@ -245,7 +246,7 @@
     }
     let is_exhausted = match failed.cause {
         Cause::Leaving | Cause::Unreached => false,
-        // A call that is not admitted has cost no backend server anything.
+        // An attempt that is not admitted has cost no backend server any work.
         Cause::Full => failed.attempts >= MAX_ADMISSION_ATTEMPTS.max(failed.max_attempts),
         Cause::Shed | Cause::Failed | Cause::Held => failed.dispatched >= failed.max_attempts,
     };
--- a/crates/policy/src/retry_quota.rs
+++ b/crates/policy/src/retry_quota.rs
@@ -14,15 +14,15 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Buckets that a window is divided into; one that has just left the window may still count
-/// for its own length.
+/// Number of buckets that a window is divided into. A bucket counts as a whole until all of it has
+/// left the window, so retries may count for longer than the window by the length of a bucket.
 const BUCKETS_PER_WINDOW: u32 = 20;
 
 /// Share of the extra retries that is used: nodes that have just joined aren't known to all
 /// others yet, and windows are counted in buckets.
 const SAFETY_FACTOR: f64 = 0.8;
 
-/// Time for which the highest node count is used.
+/// Time for which the highest node count is used after it was last seen.
 const NODE_COUNT_MEMORY: Duration = Duration::from_mins(1);
 
 /// Limits on the retries of the whole fleet.
@@ -30,9 +30,9 @@
 pub struct FleetLimits {
     /// Retries as a share of the requests.
     pub share: f64,
-    /// Retries in addition to that share.
+    /// Number of retries in a window in addition to that share.
     pub extra: f64,
-    /// Window in which both are counted.
+    /// Length of the window in which requests and retries are counted.
     pub window: Duration,
 }
 
@@ -88,7 +88,7 @@
         self.bucket(now).retries += 1;
     }
 
-    /// Counts a retry and returns true, if the quota allows one.
+    /// Counts a retry if the quota allows one; returns whether it does.
     pub fn spend(&mut self, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.started).as_secs_f64();
         let earned = (age / self.limits.window.as_secs_f64()).min(1.0);
@@ -106,7 +106,7 @@
         true
     }
 
-    /// Returns the current bucket, after dropping those that have left the window.
+    /// Returns the current bucket, after dropping the buckets that have left the window.
     fn bucket(&mut self, now: Instant) -> &mut Bucket {
         let length = self.limits.window / BUCKETS_PER_WINDOW;
         let is_expired = |bucket: &Bucket| {
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -9,7 +9,7 @@
 //! version: an idle endpoint would hide faults that appear only under load. The results are
 //! compared with those of the old version, by kind of call and over the same seconds, using Wald's
 //! sequential probability ratio test ("Sequential Tests of Statistical Hypotheses", 1945), so that
-//! a burst, a slow zone or a faulty old version does not count against the new one.
+//! a burst, a slow zone or a faulty old version does not count against the new version.
 
 use crate::balance::Track;
 use config::rollout::{Counts, KIND_COUNT, Rollout, Stage, Tally};
@@ -26,15 +26,15 @@
 /// Minimum duration of [`Stage::Both`].
 const MIN_BOTH_TIME: Duration = Duration::from_millis(600);
 
-/// Minimum time between the change to the new version alone and completion: the change crosses
-/// several links before all nodes stop sending calls to the old version.
+/// Minimum duration of [`Stage::Whole`], in which only the new version takes calls: the change of
+/// stage crosses several links before all nodes stop sending calls to the old version.
 const MIN_WHOLE_TIME: Duration = Duration::from_millis(1_200);
 
-/// Time for which no call may have been pending at the old version before completion.
+/// Time without pending calls at the old version that must pass before completion.
 const IDLE_TIME: Duration = Duration::from_millis(500);
 
-/// Maximum wait for the calls pending at the old version; the callers of those that have not ended
-/// by then are gone.
+/// Maximum duration of [`Stage::Whole`]: the callers of calls that are still pending at the old
+/// version by then are gone.
 const MAX_WHOLE_TIME: Duration = Duration::from_secs(4);
 
 /// Minimum number of calls that the new version must have finished to pass the canary stage.
@@ -70,10 +70,11 @@
 pub const SLOW_FACTOR: f64 = 3.0;
 
 /// Fraction of the allowed share that is used: retries, and calls of nodes that learn late of a
-/// change, add to it.
+/// change of stage, add to the share that is used.
 const SHARE_MARGIN: f64 = 0.7;
 
-/// Returns the share of calls to send to a new version, given the share that may reach a bad one.
+/// Returns the share of calls to send to a new version, given the share that may reach a bad
+/// version.
 #[must_use]
 pub fn trial_share(allowed: f64) -> f64 {
     SHARE_MARGIN * allowed
@@ -86,8 +87,8 @@
 }
 
 impl Sampler {
-    /// Creates a sampler with an initial credit, which is random so that many proxies with few
-    /// calls each also keep to the share.
+    /// Creates a sampler with an initial credit, which should be random, so that many proxies with
+    /// few calls each also keep to the share.
     #[must_use]
     pub fn new(credit: f64) -> Self {
         Self { credit }
@@ -129,8 +130,8 @@
 
 /// Returns which calls an endpoint takes; `has_old` tells whether other versions have endpoints.
 ///
-/// If they have none, the endpoints of the new version take all calls, as the service has no
-/// others: the running version was rolled out again, or all other endpoints are gone.
+/// If other versions have no endpoints, those of the new version take all calls: the running
+/// version was rolled out again, or all other endpoints are gone.
 #[must_use]
 pub fn track_of(stage: Stage, endpoint: Endpoint, has_old: bool) -> Track {
     if !has_old {
@@ -170,9 +171,9 @@
 /// Next step of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It remains at its stage.
+    /// The roll-out remains at its stage.
     Remain,
-    /// It advances to this stage.
+    /// The roll-out advances to this stage.
     Advance(Stage),
     /// The new version gets no more calls.
     Stop(StopReason),
@@ -186,7 +187,7 @@
     latest: Tally,
     stage: Stage,
     stage_since: Instant,
-    /// Since when no call has been pending at the old version.
+    /// Time since which no call has been pending at the old version.
     idle_since: Option<Instant>,
 }
 
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -37,11 +37,11 @@
 /// unanswered probe delays its call by the full probe timeout.
 const PROBE_PAUSE: Duration = Duration::from_millis(500);
 
-/// Weight of the failure rate in a score: a failure rate of 10% doubles it.
+/// Weight of the failure rate in a score: a failure rate of 10% doubles the score.
 const FAILURE_COST: f64 = 10.0;
 
-/// The same for calls that must not be repeated, each of which is lost if it fails: after one
-/// failure, nearly any other backend server is better.
+/// Weight of the failure rate in the score for calls that must not be repeated, each of which is
+/// lost if it fails: after one failure, nearly any other backend server is better.
 const UNREPEATABLE_FAILURE_COST: f64 = 100.0;
 
 /// Answers needed before the measured slowdown of a backend server is used.
@@ -63,9 +63,11 @@
     /// Sum of the start times of the calls in flight, in seconds since `epoch`.
     start_sum: f64,
     epoch: Instant,
+    /// Mean slowdown of the calls, as of `answered_at`.
     slowdown: f64,
     answers: u32,
     answered_at: Instant,
+    /// Load that was last reported, or assumed after a refusal.
     load: f64,
     load_reported_at: Instant,
     pub(crate) slow_start_from: Option<Instant>,
@@ -77,8 +79,9 @@
 }
 
 impl Server {
-    /// Creates the state of a backend server, which is assumed to be healthy and fast. It is in
-    /// slow start unless it `is_initial`: one of those that were known from the beginning.
+    /// Creates the state of a backend server, which is assumed to be healthy and fast. The backend
+    /// server is in slow start unless `is_initial` is set, which means that it was in the first
+    /// view of this proxy.
     pub(crate) fn new(now: Instant, candidate: &Candidate, is_initial: bool) -> Self {
         Self {
             identity: candidate.identity.clone(),
@@ -97,8 +100,8 @@
             answered_at: now,
             load: 0.0,
             load_reported_at: now,
-            // When the proxy itself starts, all backend servers are new to it; that does not make
-            // them cold.
+            // When the proxy itself starts, all backend servers are new to the proxy; that does not
+            // make them cold.
             slow_start_from: (!is_initial).then_some(now),
             slow_start_duration: candidate.warm_up.unwrap_or(SLOW_START),
             probes_paused_until: None,
@@ -106,10 +109,12 @@
         }
     }
 
-    /// Resets the state if another process of the backend server is now behind the node.
+    /// Resets the health and restarts the slow start if the node's backend server is now another
+    /// process.
     ///
-    /// The identity does not change, because the node was not restarted. Without the reset, a cold
-    /// process would get the share of a warm one and be judged by the calls of its predecessor.
+    /// The identity names the process of the node, which was not restarted, so the identity does
+    /// not change then. Without the reset, a cold process would get the share of a warm one and be
+    /// judged by the calls of its predecessor.
     pub(crate) fn update_process(&mut self, now: Instant, candidate: &Candidate) {
         if self.process == candidate.process {
             return;
@@ -146,6 +151,8 @@
         (1.0 + wait) * self.cost_factor(now, mean_duration, repeatable)
     }
 
+    /// Returns the factor by which slowness and failures of the backend server raise the cost of a
+    /// call.
     fn cost_factor(&self, now: Instant, mean_duration: f64, repeatable: bool) -> f64 {
         let slowdown = self
             .slowdown(now)
@@ -153,7 +160,7 @@
         slowdown * self.failure_factor(repeatable)
     }
 
-    /// Returns the factor by which its failures raise the cost of a call.
+    /// Returns the factor by which failures of the backend server raise the cost of a call.
     pub(crate) fn failure_factor(&self, repeatable: bool) -> f64 {
         let cost = if repeatable {
             FAILURE_COST
@@ -179,8 +186,8 @@
         };
     }
 
-    /// Returns the mean age of the calls in flight, in seconds. It reveals a backend server that
-    /// never answers long before the first deadline expires.
+    /// Returns the mean age of the calls in flight, in seconds. A high age reveals a backend server
+    /// that never answers long before the first deadline expires.
     fn mean_call_age(&self, now: Instant) -> f64 {
         if self.in_flight == 0 {
             return 0.0;
@@ -207,12 +214,12 @@
         self.load_reported_at = now;
     }
 
-    /// Records that it did not answer a load probe.
+    /// Records that the backend server did not answer a load probe.
     pub(crate) fn record_missed_probe(&mut self, now: Instant) {
         self.probes_paused_until = Some(now + PROBE_PAUSE);
     }
 
-    /// Returns whether it may be probed.
+    /// Returns whether the backend server may be probed.
     pub(crate) fn may_probe(&self, now: Instant) -> bool {
         self.probes_paused_until.is_none_or(|until| until <= now)
     }
@@ -234,6 +241,7 @@
         1.0 + (self.slowdown - 1.0) * (-age / SLOWDOWN_DECAY_TIME).exp()
     }
 
+    /// Returns the share of its calls that the backend server gets; less than 1 in slow start.
     pub(crate) fn slow_start_weight(&self, now: Instant) -> f64 {
         let Some(from) = self.slow_start_from else {
             return 1.0;
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -6,8 +6,8 @@
 
 use std::time::Instant;
 
-/// Bounds of a Retry-After in seconds: below, it would not be worth the round trips of another
-/// refusal; above, a person has given up waiting.
+/// Shortest and longest Retry-After, in seconds: a shorter one would not be worth the round trips
+/// of another refusal, and before the end of a longer one, a person has given up waiting.
 const RETRY_AFTER_RANGE: (f64, f64) = (0.05, 10.0);
 
 /// Time constant of the speed, in seconds: one second of 6 slots is 200 calls of 30 ms.
@@ -27,12 +27,17 @@
 /// at all; it is recognized by the age of its running calls.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlotSpeed {
+    /// Expected durations of finished calls, as a decayed sum in seconds.
     expected: f64,
+    /// Actual durations of finished calls, as a decayed sum in seconds.
     took: f64,
     updated_at: Instant,
     epoch: Instant,
+    /// Number of running calls.
     running: f64,
+    /// Sum of the expected durations of the running calls, in seconds.
     running_expected: f64,
+    /// Sum of the start times of the running calls, in seconds since `epoch`.
     running_start_sum: f64,
 }
 
@@ -90,7 +95,7 @@
 
 /// Time constant, in seconds, with which the rate of a lane without waiting calls approaches the
 /// total rate. It is longer than [`LANE_DECAY_TIME`]: a lane with a small share has waiting calls
-/// only intermittently, and with a faster approach its low rate was forgotten each time.
+/// only intermittently, and with a faster approach the low rate was forgotten each time.
 const IDLE_DECAY_TIME: f64 = 2.0;
 
 /// Minimum number of calls over which a lane's rate is averaged.
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Records that no call of the lane has waited since the last query.
+    /// Records that no call of the lane has waited since the last update.
     pub(crate) fn record_idle(&mut self, now: Instant, total_rate: f64) {
         let decay = decay(now, self.updated_at, IDLE_DECAY_TIME);
         self.rate = total_rate + (self.rate - total_rate) * decay;
@@ -128,7 +133,7 @@
         self.updated_at = now;
     }
 
-    /// Returns the rate for calls that are expected to take `work`.
+    /// Returns the rate for calls that are expected to take `work` slot-seconds.
     pub(crate) fn get(self, now: Instant, work: f64) -> f64 {
         self.rate
             * decay(
--- a/crates/policy/tests/balance.rs
+++ b/crates/policy/tests/balance.rs
@@ -10,7 +10,7 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// Number of calls, 6 ms apart.
+/// Number of calls in a measurement.
 const CALLS: u32 = 2_000;
 
 /// Duration of a call at a healthy backend server.
@@ -49,8 +49,8 @@
 }
 
 // A backend server restarts behind a node that keeps running, and advertises a warm-up time of 4 s.
-// When only a new node counted as a new backend server, the restarted one got as many calls as the
-// warm ones, and look-ups queued there.
+// When only a restarted node counted as a new backend server, the restarted backend server got as
+// many calls as the warm ones, and look-ups queued in front of it.
 #[test]
 fn restart_behind_node() {
     let clock = Manual::new();
@@ -82,9 +82,9 @@
 }
 
 // One of four backend servers is ten times slower, and its late look-ups are hedged elsewhere after
-// three times the usual duration. When a call that a hedge overtook counted with its elapsed time,
-// a backend server whose calls were all overtaken looked only three times slower, with an empty
-// queue, and kept one call in twenty, commits among them.
+// three times the usual duration. When a call whose hedge was answered first counted with the time
+// elapsed until then, a backend server that lost all its calls to hedges looked only three times
+// slower, with an empty queue, and kept one call in twenty, commits among them.
 #[test]
 fn hedged_server_avoided() {
     let clock = Manual::new();
@@ -123,9 +123,10 @@
     assert!(slow_calls * 100 < CALLS, "{slow_calls} calls");
 }
 
-// One of two backend servers is ejected for its errors when the other one is drained. Calls must go
-// to the ejected one, which still answers most of them, instead of failing at once for lack of a
-// backend server. The limit on ejections was only checked at the time of an ejection.
+// One of two backend servers has been ejected for its errors when the other one is drained. Calls
+// must go to the ejected one, which still answers most of them, instead of failing at once for lack
+// of a backend server. The limit on ejections does not prevent this case, as it is checked only
+// when a backend server is ejected.
 #[test]
 fn only_ejected_left() {
     let clock = Manual::new();
@@ -169,7 +170,8 @@
     );
 }
 
-/// Returns the share of calls that a second backend server gets in its first second.
+/// Returns the share of calls that a second backend server gets in the first second after it was
+/// added.
 fn first_second_share(warm_up: Option<Duration>) -> f64 {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(5);
@@ -190,8 +192,8 @@
     f64::from(new_calls) / 1_000.0
 }
 
-// All nodes are restarted one after the other while their backend servers keep running. When a
-// node's new process looked like a new backend server, one backend server in three was in slow
+// All nodes are restarted one after the other while their backend servers keep running. When the
+// new process of a node counted as a new backend server, one backend server in three was in slow
 // start at any time, and the others became too full.
 #[test]
 fn warm_after_restart() {
@@ -231,8 +233,8 @@
     assert_eq!(owners.len(), 5, "requests are spread over all owners");
 }
 
-/// The version under trial must get only the calls that are to try it, and an excluded version
-/// none.
+/// The version under trial must get only the calls that are to try it, and an excluded version must
+/// get none.
 #[test]
 fn tracks_kept_apart() {
     let clock = Manual::new();
--- a/crates/policy/tests/body_scheduler.rs
+++ b/crates/policy/tests/body_scheduler.rs
@@ -14,13 +14,13 @@
 const LINK_RATE: f64 = 1_050_000.0;
 
 /// Maximum bytes of bodies that a VM holds.
-const MAX_HELD: u64 = 8 << 20;
+const MAX_HELD_BYTES: u64 = 8 << 20;
 
 /// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(1);
 
-/// Time from giving a credit to its bytes at the sender's link: the round trip and a sender
-/// that wakes late.
+/// Time from a credit until the bytes sent for it reach the link: the round trip and the delay of a
+/// sender that wakes late.
 const SEND_DELAY: Duration = Duration::from_millis(5);
 
 /// How long an upload runs once its body has arrived.
@@ -38,8 +38,9 @@
 /// Length of a check in bytes.
 const CHECK_BYTES: f64 = 600.0;
 
-/// Offered load: uploads as a share of the link, and checks.
+/// Offered load: uploads and checks.
 struct Load {
+    /// Bytes of uploads per second, as a share of the capacity of the link.
     uploads: f64,
     checks_per_second: f64,
     /// Mean length of an upload in bytes; lengths vary around it in both directions.
@@ -88,7 +89,7 @@
     let clock = Manual::new();
     let start = clock.now();
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut scheduler = BodyScheduler::new(start, advertised, MAX_HELD);
+    let mut scheduler = BodyScheduler::new(start, advertised, MAX_HELD_BYTES);
     let mut link: VecDeque<(QueuedItem, f64)> = VecDeque::new();
     let mut credits: Vec<(Instant, Key, f64)> = Vec::new();
     let mut uploads: Vec<Upload> = Vec::new();
@@ -240,8 +241,8 @@
     }
 }
 
-// As `saturated_link`, on a link that carries less than its VM advertises, for instance because it is
-// throttled, and on one whose VM advertises nothing.
+// As `saturated_link`, but on a link that carries less than its VM advertises, for instance because
+// it is throttled, and on a link whose VM advertises nothing.
 #[test]
 fn slower_than_advertised() {
     let load = Load {
@@ -271,13 +272,13 @@
     assert_eq!(report.uploads - report.uploads_in_time, 0);
 }
 
-// When a sender loses power, the credit that it doesn't use must not block uploads from other
-// senders to the same backend server until their deadlines.
+// When a sender loses power, the credit that this sender no longer uses must not block uploads from
+// other senders to the same backend server until their deadlines.
 #[test]
 fn unresponsive_sender() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut scheduler = BodyScheduler::new(clock.now(), Some(LINK_RATE), MAX_HELD);
+    let mut scheduler = BodyScheduler::new(clock.now(), Some(LINK_RATE), MAX_HELD_BYTES);
     let unresponsive: Vec<_> = (0..4)
         .map(|_| {
             scheduler
@@ -309,13 +310,13 @@
     assert!(credited.contains(&live), "{credited:?}");
 }
 
-// A body that takes longer than its caller waits is refused before any of it is sent, and so is
-// one that has waited until it can't be complete in time any more.
+// A body whose transfer takes longer than its caller waits is refused before any of it is sent, and
+// so is a body that has waited until it can't be complete in time any more.
 #[test]
 fn too_late() {
     let clock = Manual::new();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut scheduler = BodyScheduler::new(clock.now(), Some(LINK_RATE), MAX_HELD);
+    let mut scheduler = BodyScheduler::new(clock.now(), Some(LINK_RATE), MAX_HELD_BYTES);
     let first = scheduler.offer(clock.now(), &upload_offer(clock.now(), 300_000.0), &mut rng);
     assert!(first.is_ok(), "nothing is before it");
     while scheduler.next(clock.now(), &mut rng).is_some() {}
@@ -337,9 +338,9 @@
     assert_eq!(refused_waiting, Some((waits, Reason::Deadline)));
 }
 
-// Uploads arrive faster than slots become free. Their bodies must not all arrive first: a VM of
-// 160 MB has run out of memory with less. Bodies beyond the limit get credit as others are
-// released.
+// Uploads arrive faster than slots become free. Their bodies must not all be received before they
+// can run: that can exhaust the memory of a VM of 160 MB. A body beyond the limit gets credit only
+// once earlier ones are released.
 #[test]
 fn max_held_bytes() {
     let clock = Manual::new();
--- a/crates/policy/tests/elapsed.rs
+++ b/crates/policy/tests/elapsed.rs
@@ -9,8 +9,8 @@
     Duration::from_millis(ms)
 }
 
-// A look-up that is refused and comes back 0.9 s later must not get the target of a new one: a
-// request states how much time is left, not when its caller began to wait.
+// A look-up that is refused and comes back 0.9 s later must not get the latency target of a new
+// one: a request states how much time is left, not when its caller began to wait.
 #[test]
 fn returning_caller() {
     let mut estimator = Estimator::new();
@@ -20,8 +20,8 @@
     assert_eq!(estimator.observe(ROUTE, ms(2_500)), ms(0));
 }
 
-// When operators shorten the timeout of a route's callers, these must soon count as new again,
-// or all of them would stay behind other routes for ever.
+// When operators shorten the timeout of a route's callers, these callers must soon count as new
+// ones again, or they would be served after the callers of other routes for ever.
 #[test]
 fn shortened_timeout() {
     let mut estimator = Estimator::new();
--- a/crates/policy/tests/first_calls.rs
+++ b/crates/policy/tests/first_calls.rs
@@ -7,12 +7,12 @@
 use rand::rngs::SmallRng;
 use std::time::Duration;
 
-/// Longest wait of a call behind long ones while a slot is free.
+/// Longest wait of a short call behind long calls while a slot is free.
 const MAX_WAIT: Duration = Duration::from_millis(250);
 
 // Long reports are fetched over slow lines right after a backend server has started. When the first
-// probe lasted until a call ended, half of the slots stayed closed meanwhile, and look-ups were
-// refused although slots were free.
+// probe of its concurrency limit lasted until a call ended, half of the slots stayed closed until
+// then, and look-ups were refused although slots were free.
 #[yare::parameterized(
     two_slots = { 2 },
     three_slots = { 3 },
--- a/crates/policy/tests/in_flight.rs
+++ b/crates/policy/tests/in_flight.rs
@@ -36,7 +36,7 @@
         self.table.finish(self.clock.now(), key, outcome);
     }
 
-    /// Ends the process; returns the path of each suspect and whether it is the only one likely.
+    /// Ends the process; returns the path of each suspect and whether it is the only likely cause.
     fn crash(&mut self) -> Vec<(String, bool)> {
         let suspects = self.table.take_suspects(self.clock.now(), 1).into_iter();
         let summary = |suspect: Suspect| (suspect.request.path.to_string(), suspect.is_alone);
@@ -51,8 +51,8 @@
     owned.collect()
 }
 
-/// The only request in flight at a crash is the only suspect: calls that were answered or never
-/// started before are not suspected.
+/// The only request in flight at a crash is the only suspect: calls that were answered before the
+/// crash, or never started, are not suspected.
 #[test]
 fn sole_suspect() {
     let mut server = Server::new();
@@ -100,8 +100,8 @@
     assert_eq!(server.crash(), expected(&[("/a", false), ("/b", false)]));
 }
 
-/// A call whose caller gave up just before the crash is still a suspect; one that ended long
-/// before is not.
+/// A call whose caller gave up just before the crash is still a suspect; a call that ended long
+/// before the crash is not.
 #[test]
 fn cancelled_before_crash() {
     let mut server = Server::new();
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -3,9 +3,9 @@
 use policy::limit::{ConcurrencyLimit, Outcome};
 use std::time::{Duration, Instant};
 
-/// Ends `calls` calls, one every 10 ms, that were started as the limit allows, and returns the
-/// lowest limit in the second half. `is_shed` decides for each call, by its number and the
-/// number of running calls, whether it is refused.
+/// Runs `calls` calls, as many at once as the limit allows, of which one ends every 10 ms; returns
+/// the lowest limit during the second half of the calls. `is_shed` decides for each call, by its
+/// number and the number of running calls, whether the backend server refuses it.
 fn min_slots_after<F>(calls: u32, is_shed: F) -> f64
 where
     F: Fn(u32, u32) -> bool,
@@ -32,9 +32,9 @@
     min_slots
 }
 
-// Backend servers that refuse every other call, even when they run only one, must keep their
-// limit: if each refusal counted as a sign of excess concurrency, the service would run at half
-// of its speed.
+// A backend server that refuses every other call, even when it runs only one, must keep its limit:
+// if each refusal counted as a sign of excess concurrency, the service would run at half of its
+// speed.
 #[test]
 fn refusals_at_any_load() {
     assert!(min_slots_after(2_000, |call, _| call.is_multiple_of(2)) >= 5.0);
--- a/crates/policy/tests/load/burst.rs
+++ b/crates/policy/tests/load/burst.rs
@@ -2,10 +2,9 @@
 use crate::sim::run;
 use config::Class;
 
-// For two seconds a hundred callers send refreshes at eight times the capacity,
-// on top of steady commits and look-ups, and retry once when refused. With an
-// unbounded queue, the calls queued afterwards are all of callers that have given
-// up, so the service never recovers.
+// For two seconds a hundred callers send refreshes at eight times the capacity, on top of steady
+// commits and look-ups, and retry once when refused. With an unbounded queue, all calls that wait
+// after the burst are from callers that have given up, so the service never recovers.
 #[test]
 fn recovers() {
     let mut flows = Flow::new(Class::Commit, 0.1 * CAPACITY).split(0..20);
--- a/crates/policy/tests/load/hot_caller.rs
+++ b/crates/policy/tests/load/hot_caller.rs
@@ -3,6 +3,7 @@
 use config::Class;
 use yare::parameterized;
 
+/// Measured interval, in seconds.
 const STEADY: std::ops::Range<f64> = 2.0..10.0;
 
 // One caller sends up to ten times the capacity, while thirty others send look-ups
--- a/crates/policy/tests/load/large_fleet.rs
+++ b/crates/policy/tests/load/large_fleet.rs
@@ -21,7 +21,7 @@
 /// Interval, in seconds, in which some VMs have lost power but are still in every node's view.
 const OUTAGE: std::ops::Range<f64> = 6.0..9.0;
 
-fn fleet(load: f64, is_dead: fn(f64) -> bool, probes: bool) -> Scenario {
+fn fleet_scenario(load: f64, is_dead: fn(f64) -> bool, probes: bool) -> Scenario {
     let servers = (0..5 * SERVERS_PER_ZONE).map(|index| Server {
         zone: index % 5,
         advertised_slots: 5,
@@ -45,34 +45,34 @@
     }
 }
 
-fn lost(report: &Report) -> f64 {
+fn lost_share(report: &Report) -> f64 {
     1.0 - report.answered_share(report.all_flows(), OUTAGE)
 }
 
 // One in ten VMs of a large fleet loses power. Until the failure is detected, nearly 200 nodes keep
-// sending commits there, and one commit in twelve is lost without it being known whether it ran:
-// each node sends to a given VM only every few seconds, so it detects each dead VM on its own, by
-// losing a commit to it.
+// sending commits to these VMs, and one commit in twelve is lost without it being known whether it
+// ran: each node sends to a given VM only every few seconds, so it detects each dead VM on its own,
+// by losing a commit to that VM.
 #[test]
 fn dead_servers_avoided() {
     let is_dead: fn(f64) -> bool = |now| OUTAGE.contains(&now);
     let (unprobed, probed) = (
-        run(&fleet(0.7, is_dead, false), System::Policy),
-        run(&fleet(0.7, is_dead, true), System::Policy),
+        run(&fleet_scenario(0.7, is_dead, false), System::Policy),
+        run(&fleet_scenario(0.7, is_dead, true), System::Policy),
     );
     println!(
         "lost: unprobed {:.4} probed {:.4}",
-        lost(&unprobed),
-        lost(&probed)
+        lost_share(&unprobed),
+        lost_share(&probed)
     );
-    assert!(lost(&probed) * 5.0 < lost(&unprobed));
+    assert!(lost_share(&probed) * 5.0 < lost_share(&unprobed));
 }
 
-// All servers are healthy, and a third of the slots is free. Load probes make no answer miss the
-// latency target and send no call to another availability zone.
+// All backend servers are healthy, and a third of the slots are free. Load probes must make hardly
+// any answer miss the latency target, and send hardly any call to another availability zone.
 #[test]
 fn probes_cost_nothing() {
-    let probed = run(&fleet(0.7, |_| false, true), System::Policy);
+    let probed = run(&fleet_scenario(0.7, |_| false, true), System::Policy);
     let in_time =
         probed.answered_within(probed.all_flows(), 2.0..10.0, TARGET) / (CAPACITY * 0.7 * 8.0);
     let remote = probed.remote_share(2.0..10.0);
--- a/crates/policy/tests/load/nested.rs
+++ b/crates/policy/tests/load/nested.rs
@@ -6,13 +6,14 @@
 /// Measured interval: the first two seconds fill the queues and train the duration estimates.
 const STEADY: std::ops::Range<f64> = 2.0..10.0;
 
-/// A service that is at capacity with direct calls, and receives nested calls (checks)
-/// from backend servers that hold a slot elsewhere while they wait.
-fn mixed(nested: Option<Class>, checks: f64) -> Scenario {
+/// Describes a service that is at capacity with direct calls, and also receives nested calls
+/// (checks) from backend servers that each hold a slot elsewhere while they wait. The checks make
+/// up the share `checks` of the capacity.
+fn mixed_scenario(parent_class: Option<Class>, checks: f64) -> Scenario {
     let mut checks = Flow::new(Class::Refresh, CAPACITY * checks);
     checks.target = Some(0.2);
     checks.timeout = 0.6;
-    checks.nested = nested;
+    checks.parent_class = parent_class;
     let mut direct_calls = Flow::new(Class::Lookup, CAPACITY);
     direct_calls.target = Some(0.3);
     direct_calls.timeout = 1.5;
@@ -24,7 +25,7 @@
     }
 }
 
-fn answered(report: &Report) -> f64 {
+fn answered_share(report: &Report) -> f64 {
     report.answered(0..1, STEADY) / (CAPACITY * 0.3 * 8.0)
 }
 
@@ -35,41 +36,41 @@
 #[test]
 fn parents_survive() {
     let (as_direct, as_nested) = (
-        run(&mixed(None, 0.3), System::Policy),
-        run(&mixed(Some(Class::Refresh), 0.3), System::Policy),
+        run(&mixed_scenario(None, 0.3), System::Policy),
+        run(&mixed_scenario(Some(Class::Refresh), 0.3), System::Policy),
     );
     let direct = as_nested.answered(1..100, STEADY) / (CAPACITY * 8.0);
     println!(
         "checks answered: as direct {:.3} as nested {:.3}; direct calls {direct:.3}",
-        answered(&as_direct),
-        answered(&as_nested)
+        answered_share(&as_direct),
+        answered_share(&as_nested)
     );
-    assert!(answered(&as_direct) < 0.7);
-    assert!(answered(&as_nested) > 0.97);
+    assert!(answered_share(&as_direct) < 0.7);
+    assert!(answered_share(&as_nested) > 0.97);
     // The remaining slots still go to the direct calls.
     assert!(direct > 0.6, "{direct}");
 }
 
-// When nested calls had absolute priority and alone exceeded the capacity, direct
-// calls were starved: the one slow backend server left ran 761 nested calls and no
-// direct one in 15 s, although callers waited for both.
+// When nested calls had absolute priority and alone exceeded the capacity, direct calls were
+// starved: the one slow backend server left ran 761 nested calls and no direct call within 14 s,
+// although callers waited for both.
 #[test]
 fn direct_calls_not_starved() {
-    let crowded = run(&mixed(Some(Class::Refresh), 1.2), System::Policy);
+    let crowded = run(&mixed_scenario(Some(Class::Refresh), 1.2), System::Policy);
     let direct = crowded.answered(1..100, STEADY) / (CAPACITY * 8.0);
     let checks = crowded.answered(0..1, STEADY) / (CAPACITY * 8.0);
     println!("checks {checks:.3} of the capacity, direct calls {direct:.3}");
     assert!(direct > 0.35 && checks > 0.35);
 }
 
-// The class of the parent call counts. When a nested call had no larger share of
-// the slots than a direct one, whatever the class of its parent, four in ten nested
-// calls were refused at the one backend server left, and each refusal failed a
-// parent call that had already run.
+// The tier of a nested call depends on the class of its parent. When a nested call had no larger
+// share of the slots than a direct one, whatever the class of its parent, four in ten nested calls
+// were refused at the one backend server left, and each refusal failed a parent call that had
+// already run.
 #[test]
 fn higher_class_parents_survive() {
-    let refresh = run(&mixed(Some(Class::Refresh), 0.8), System::Policy);
-    let lookup = run(&mixed(Some(Class::Lookup), 0.8), System::Policy);
+    let refresh = run(&mixed_scenario(Some(Class::Refresh), 0.8), System::Policy);
+    let lookup = run(&mixed_scenario(Some(Class::Lookup), 0.8), System::Policy);
     let share = |report: &Report| report.answered(0..1, STEADY) / (CAPACITY * 0.8 * 8.0);
     println!(
         "for refreshes {:.3}, for look-ups {:.3}",
--- a/crates/policy/tests/load/report.rs
+++ b/crates/policy/tests/load/report.rs
@@ -116,7 +116,7 @@
         remote / all
     }
 
-    /// Returns the time from start to end of the matching events, in seconds.
+    /// Returns the time from start to end of each matching event, in seconds.
     fn durations(&self, flows: &Range<usize>, span: &Range<f64>, kind: Kind) -> Vec<f64> {
         let matching = self.events.iter().filter(|event| {
             event.kind == kind && flows.contains(&event.flow) && span.contains(&event.started)
--- a/crates/policy/tests/load/scenario.rs
+++ b/crates/policy/tests/load/scenario.rs
@@ -46,8 +46,9 @@
     pub timeout: f64,
     /// Latency target in seconds, if the callers state one.
     pub target: Option<f64>,
-    /// Class of the running calls elsewhere that wait for these, if they are nested.
-    pub nested: Option<Class>,
+    /// Class of the parent calls, which run elsewhere and wait for these calls, if these are
+    /// nested.
+    pub parent_class: Option<Class>,
 }
 
 impl Flow {
@@ -69,7 +70,7 @@
             service_time: SERVICE_TIME,
             timeout: 1.0,
             target: None,
-            nested: None,
+            parent_class: None,
         }
     }
 
@@ -98,9 +99,10 @@
     pub slowdown: fn(f64) -> f64,
     /// Whether a call that starts at the given second fails at once.
     pub is_failing: fn(f64) -> bool,
-    /// Whether it has no power at the given second, so that what is sent to it is lost.
+    /// Whether the backend server has no power at the given second, so that anything sent to it is
+    /// lost.
     pub is_dead: fn(f64) -> bool,
-    /// Interval, in seconds, in which it is in the views of the outbound proxies.
+    /// Interval, in seconds, in which the backend server is in the views of the outbound proxies.
     pub in_view: (f64, f64),
 }
 
--- a/crates/policy/tests/load/sim.rs
+++ b/crates/policy/tests/load/sim.rs
@@ -39,7 +39,8 @@
     AttemptArrives(usize),
     WorkEnds(usize, usize),
     AdmissionTimer(usize),
-    /// With the load figure of an answer, or the retry-after time of a refusal.
+    /// An attempt and its result, with the load figure of an answer or the retry-after time of a
+    /// refusal in seconds.
     Reply(usize, AttemptResult, f64),
     AttemptTimeout(usize),
     HedgeDue(usize),
@@ -51,7 +52,8 @@
 struct Call {
     flow: usize,
     proxy: usize,
-    /// When its caller first made it; earlier than `started` for a caller's retry.
+    /// When the caller first made the call; earlier than `started` if this is a retry by the
+    /// caller.
     first_started: f64,
     started: f64,
     deadline: f64,
@@ -74,7 +76,7 @@
     is_first: bool,
 }
 
-/// Arguments for picking a backend server, except those tried before.
+/// Arguments for picking a backend server for a call, without the backend servers already tried.
 #[derive(Clone, Copy)]
 struct CallArgs {
     repeatable: bool,
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Adds a call that starts at `started` and that its caller first made at `first_started`.
+    /// Adds a call that starts at `started` and that the caller first made at `first_started`.
     fn add_call(
         &mut self,
         flow: usize,
@@ -339,7 +341,7 @@
         self.schedule(self.now + NETWORK_DELAY, Event::ProbesArrive(call));
     }
 
-    /// The probes reach the inbound proxies, which reply at once.
+    /// Handles the arrival of load probes at the inbound proxies, which reply at once.
     fn answer_probes(&mut self, call: usize) {
         let now = self.at(self.now);
         let request = self.request_of(call);
@@ -392,7 +394,7 @@
         }
     }
 
-    /// Returns the time of the latency target, as far as the nodes know.
+    /// Returns the time of the latency target as the nodes know it.
     fn target_of(&self, call: usize) -> Option<Instant> {
         let call = &self.calls[call];
         let from = match self.scenario.caller_retry {
@@ -455,7 +457,7 @@
             route: policy::hash(&format!("route-{}", flow.route)),
             deadline: self.at(call.deadline),
             target,
-            parent_class: flow.nested,
+            parent_class: flow.parent_class,
         }
     }
 
@@ -490,7 +492,7 @@
         }
     }
 
-    /// Starts a call at the backend server, which queues it if all slots are busy.
+    /// Starts an attempt at the backend server, which queues it if all its slots are busy.
     fn start_work(&mut self, attempt: usize, server: usize) {
         let spec = &self.scenario.servers[server];
         if (spec.is_failing)(self.now) {
@@ -645,7 +647,8 @@
         }
     }
 
-    /// Cancels the first attempt, whose hedge was answered before it; its reply is ignored.
+    /// Cancels the first attempt of a call after the hedge was answered; the reply to the first
+    /// attempt is ignored.
     fn cancel_first_attempt(&mut self, call: usize, route: u64) {
         let now = self.at(self.now);
         let others = self.attempts.iter_mut().rev();
--- a/crates/policy/tests/load/sustained_overload.rs
+++ b/crates/policy/tests/load/sustained_overload.rs
@@ -7,8 +7,9 @@
 /// Measured interval: the first two seconds fill the queues and train the duration estimates.
 const STEADY: std::ops::Range<f64> = 2.0..10.0;
 
-/// A fifth commits, half look-ups and the rest refreshes, from 50 callers each.
-fn mixed(load: f64) -> Scenario {
+/// Describes a load of one fifth commits, one half look-ups and the rest refreshes, each from 50
+/// callers.
+fn mixed_scenario(load: f64) -> Scenario {
     let flow = |class, share: f64| Flow::new(class, CAPACITY * load * share);
     let mut flows = flow(Class::Commit, 0.2).split(0..50);
     flows.extend(flow(Class::Lookup, 0.5).split(50..100));
@@ -23,7 +24,7 @@
     report.answered(report.all_flows(), STEADY) / (CAPACITY * 8.0)
 }
 
-fn show(name: &str, load: f64, report: &Report) {
+fn print_report(name: &str, load: f64, report: &Report) {
     let classes = [0..50, 50..100, 100..150];
     let shares = classes
         .clone()
@@ -46,10 +47,10 @@
     tenfold = { 10.0, 0.95, 0.40 },
 )]
 fn goodput_holds(load: f64, least_goodput: f64, least_commits: f64) {
-    let policy = run(&mixed(load), System::Policy);
-    let baseline = run(&mixed(load), System::Baseline);
-    show("policy", load, &policy);
-    show("baseline", load, &baseline);
+    let policy = run(&mixed_scenario(load), System::Policy);
+    let baseline = run(&mixed_scenario(load), System::Baseline);
+    print_report("policy", load, &policy);
+    print_report("baseline", load, &baseline);
     assert!(goodput(&policy) >= least_goodput);
     assert!(policy.answered_share(0..50, STEADY) >= least_commits);
     assert!(policy.timed_out() <= 0.001 * policy.answered(policy.all_flows(), STEADY));
--- a/crates/policy/tests/load/uneven_zone.rs
+++ b/crates/policy/tests/load/uneven_zone.rs
@@ -5,9 +5,9 @@
 /// Latency target in seconds: two and a half mean service times.
 const TARGET: f64 = 2.5 * SERVICE_TIME;
 
-/// Three availability zones with one backend server each: the first takes twice as
-/// long as the second, the third two thirds as long.
-fn zones(target: Option<f64>) -> Scenario {
+/// Describes three availability zones with one backend server each: the first backend server takes
+/// twice as long as the second, the third two thirds as long as the second.
+fn zones_scenario(target: Option<f64>) -> Scenario {
     let slowdowns: [fn(f64) -> f64; 3] = [|_| 2.0, |_| 1.0, |_| 0.67];
     let server = |(zone, slowdown)| Server {
         zone,
@@ -32,8 +32,8 @@
 fn slow_zone_spills_over() {
     let span = 5.0..19.0;
     let (untargeted, targeted) = (
-        run(&zones(None), System::Policy),
-        run(&zones(Some(TARGET)), System::Policy),
+        run(&zones_scenario(None), System::Policy),
+        run(&zones_scenario(Some(TARGET)), System::Policy),
     );
     let offered = 0.5 * 18.0 / SERVICE_TIME * 14.0;
     let timely = |report: &crate::report::Report| {
--- a/crates/policy/tests/load_probe.rs
+++ b/crates/policy/tests/load_probe.rs
@@ -10,10 +10,11 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// Duration of the calls that set the expected duration.
+/// Duration of the calls from which the balancer learns the expected duration.
 const NORMAL_DURATION: Duration = Duration::from_millis(100);
 
-/// A service of four backend servers in the local zone and two in another one.
+/// Creates the balancer of a service with four backend servers in the local zone and two in another
+/// one.
 fn make_balancer(clock: &Manual, rng: &mut SmallRng, load: f64) -> Balancer {
     let make = |index: u64| Candidate {
         identity: Identity {
@@ -126,8 +127,8 @@
 }
 
 // Each zone has its own backend servers, and traffic between zones costs money. Another zone is
-// only probed for a call that would be late in its own, and gets it only if it would finish sooner
-// there.
+// probed only for a call that would be late in the local zone, and gets the call only if it would
+// finish sooner there.
 #[parameterized(
     in_time_near = { 100, 0, 0, false },
     late_near = { 900, 2, 0, true },
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -74,8 +74,8 @@
     assert_eq!(history.status(now, request(1)), RequestStatus::Suspect);
 }
 
-/// A request that was answered on any node is cleared on all nodes, also on one that learns of the
-/// answer before it learns of the crash.
+/// A request that was answered on any node is cleared on all nodes, including a node that learns of
+/// the answer before it learns of the crash.
 #[test]
 fn cleared_by_answer() {
     let now = Manual::new().now();
@@ -269,13 +269,14 @@
     }
 }
 
-/// Number of steps in the exhaustive test.
-const DEPTH: usize = 5;
+/// Number of steps in each sequence of the exhaustive test.
+const EXHAUSTIVE_STEPS: usize = 5;
 
 /// Number of nodes in the exhaustive test.
 const EXHAUSTIVE_NODES: usize = 2;
 
-/// State of a fleet: the crash records of its nodes, and how often the request crashed a server.
+/// State of a fleet in the exhaustive test: the crash records of its nodes, and how often the
+/// request has crashed a backend server.
 #[derive(Clone)]
 struct Fleet {
     nodes: Vec<Vec<Crash>>,
@@ -350,11 +351,11 @@
         crashes: 0,
     }];
     let mut held = 0;
-    for depth in 0..DEPTH {
+    for step_index in 0..EXHAUSTIVE_STEPS {
         let mut next = Vec::new();
         for fleet in &fleets {
             for step in &steps {
-                let after = apply(fleet, step, depth as u64, now);
+                let after = apply(fleet, step, step_index as u64, now);
                 for records in &after.nodes {
                     let is_held = is_held(&history_of(records, now), now, 0);
                     held += usize::from(is_held);
--- a/crates/policy/tests/retry_quota.rs
+++ b/crates/policy/tests/retry_quota.rs
@@ -16,7 +16,8 @@
 /// Requests that each node receives per step, a tenth of a second.
 const REQUESTS_PER_STEP: usize = 1;
 
-/// Returns the most retries of the fleet in any window, and the most that the limits allow.
+/// Returns the highest number of retries of the fleet in any window, and the highest number that
+/// the limits allow.
 ///
 /// Every request is refused by the backend server; `retry` returns whether a node may send it
 /// again.
@@ -83,8 +84,8 @@
     assert!(retries <= 3, "{retries}");
 }
 
-// A node that is killed and restarted after each retry must not exceed its part, although the
-// new process doesn't know what the previous ones have sent.
+// A node that is killed and restarted after each retry must not exceed its part of the limit,
+// although the new process doesn't know what the previous ones have sent.
 #[test]
 fn restarted_node() {
     let clock = Manual::new();
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -63,11 +63,11 @@
 struct Outcome {
     stage: Stage,
     stop_reason: Option<StopReason>,
-    /// Time until it ended.
+    /// Time until the roll-out ended.
     after: Duration,
     /// Calls that reached the new version within the duration of the roll-out.
     exposed: f64,
-    /// All calls within that duration.
+    /// All calls within the duration of the roll-out.
     calls: f64,
 }
 
@@ -242,7 +242,8 @@
     );
 }
 
-/// At every stage a roll-out leaves a service at least the endpoints of one of its versions.
+/// At every stage of a roll-out, the endpoints of at least one version take the calls of the
+/// service.
 #[yare::parameterized(
     canary_old = { Stage::Canary, false, false, true, Track::Stable },
     canary_in_trial = { Stage::Canary, true, true, true, Track::Trial },
@@ -264,7 +265,7 @@
     assert_eq!(track_of(stage, endpoint, has_old), track);
 }
 
-/// Many proxies with few calls each keep to the share as a whole.
+/// Many proxies with few calls each keep to the allowed share in total.
 #[yare::parameterized(
     few = { 10, 1_000 },
     many = { 2_000, 5 },
@@ -285,8 +286,8 @@
     assert!((sampled_share - share).abs() < 0.005, "{sampled_share}");
 }
 
-/// The trial uses so few endpoints that each is as loaded as those of the old version, instead of
-/// all new ones.
+/// The trial uses only so many of the new endpoints that each is as loaded as those of the old
+/// version.
 #[yare::parameterized(
     large = { 30, 30, 2 },
     small = { 4, 4, 1 },
