--- a/crates/node/benches/reserve.rs
+++ b/crates/node/benches/reserve.rs
@@ -1,9 +1,9 @@
 //! Measures reservations against a stand-in platform with the specified latency and rate limits.
 //!
-//! For several rates of keyed calls, prints the latency of reservations, the
-//! number of refusals and the load on the platform: with group commit and, as
-//! the baseline, with one object per key. Before that, prints the memory and
-//! time that a full shard's table takes.
+//! First prints the memory that the table of a full shard takes, and the time to fill it. Then
+//! makes keyed calls at several rates and prints, for each rate, the latency of reservations, the
+//! number of refusals and the load on the platform: with group commit and, as the baseline, with
+//! one object per key.
 
 use call::Id;
 use call::reserve::{Claim, Entry, Fingerprint, Holder, Key, KeyTable, MAX_SHARD_KEYS};
@@ -24,27 +24,28 @@
 use tokio::net::TcpListener;
 use wire::{LinkKind, codec};
 
-/// Offered keyed calls per second; the last is one in a thousand of all calls at the design size.
-const OFFERED: [u32; 4] = [20, 100, 400, 1_100];
+/// Offered rates of keyed calls, per second. The last rate is a thousandth of all calls in a fleet
+/// of the design size.
+const OFFERED_RATES: [u32; 4] = [20, 100, 400, 1_100];
 
 /// Duration of the run at each rate.
-const RUN: Duration = Duration::from_secs(8);
+const RUN_DURATION: Duration = Duration::from_secs(8);
 
 /// Time that the platform takes for a call, in milliseconds.
-const PLATFORM_MS: u64 = 2;
+const PLATFORM_DELAY_MS: u64 = 2;
 
 /// Number of nodes that the calls are distributed over.
-const NODES: u32 = 3;
+const NODE_COUNT: u32 = 3;
 
 #[tokio::main]
 async fn main() {
     measure_table();
     println!("way      offered_s granted refused p50_ms p99_ms writes_s reads_s");
-    for offered in OFFERED {
+    for offered in OFFERED_RATES {
         let platform = spawn_platform().await;
         let nodes = spawn_nodes(platform.1).await;
-        let claims = drive(offered, |number| {
-            let node = nodes[(number % NODES) as usize].clone();
+        let claims = run_open_loop(offered, |number| {
+            let node = nodes[(number % NODE_COUNT) as usize].clone();
             async move {
                 let call = Id {
                     origin: 1,
@@ -53,7 +54,7 @@
                 let text = number.to_string();
                 let fingerprint = Fingerprint::of("POST", &text, b"");
                 let key = Key::of("claims", &text);
-                let claimed = node.claim(key, fingerprint, call, RUN).await;
+                let claimed = node.claim(key, fingerprint, call, RUN_DURATION).await;
                 if let ClaimResult::Granted(grant) = claimed {
                     node.complete(grant, None);
                     return true;
@@ -65,7 +66,7 @@
 
         let platform = spawn_platform().await;
         let client = Client::open(platform.1, Limits::default());
-        let claims = drive(offered, |number| {
+        let claims = run_open_loop(offered, |number| {
             let client = client.clone();
             async move {
                 let name = format!("keys/{number}");
@@ -76,9 +77,9 @@
     }
 }
 
-/// Fills a shard's table and prints the memory and time that this takes.
+/// Fills the table of a shard and prints the memory that the table takes and the time to fill it.
 fn measure_table() {
-    let before = read_resident();
+    let before = read_resident_bytes();
     let start = Instant::now();
     let mut table = KeyTable::default();
     for number in 0..MAX_SHARD_KEYS as u64 {
@@ -94,7 +95,7 @@
         table.apply(&Entry::Reserve(claim), number);
     }
     let micros = start.elapsed().as_micros();
-    let bytes = read_resident().saturating_sub(before);
+    let bytes = read_resident_bytes().saturating_sub(before);
     println!(
         "table    keys {} bytes {bytes} micros {micros}",
         table.len()
@@ -102,12 +103,12 @@
 }
 
 /// Returns the resident memory of this process, in bytes.
-fn read_resident() -> usize {
-    /// Page size in bytes on the machines that this runs on.
-    const PAGE: usize = 4_096;
+fn read_resident_bytes() -> usize {
+    /// Page size in bytes on the machines that run this benchmark.
+    const PAGE_BYTES: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse().ok());
-    pages.unwrap_or(0_usize) * PAGE
+    pages.unwrap_or(0_usize) * PAGE_BYTES
 }
 
 async fn spawn_platform() -> (MemoryStore, SocketAddr) {
@@ -115,7 +116,7 @@
     let address = listener.local_addr().expect("an address");
     let memory = MemoryStore::new();
     memory.set_faults(Faults {
-        slow_ms: PLATFORM_MS,
+        slow_ms: PLATFORM_DELAY_MS,
         ..Faults::default()
     });
     tokio::spawn(serve(listener, memory.clone(), RateLimits::default()));
@@ -125,7 +126,7 @@
 async fn spawn_nodes(platform: SocketAddr) -> Vec<Handle<System>> {
     let mut handles = Vec::new();
     let mut members = Vec::new();
-    for number in 0..NODES {
+    for number in 0..NODE_COUNT {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let text = format!(
@@ -181,16 +182,17 @@
     }
 }
 
-/// Starts claims at a steady rate, regardless of how long each takes (open loop).
+/// Starts `offered` claims per second at a steady rate, regardless of how long each claim takes
+/// (open loop).
 ///
 /// Returns the sorted latencies of granted claims and the number of refused ones.
-async fn drive<F, R>(offered: u32, claim: F) -> (Vec<Duration>, u32)
+async fn run_open_loop<F, R>(offered: u32, claim: F) -> (Vec<Duration>, u32)
 where
     F: Fn(u32) -> R,
     R: Future<Output = bool> + Send + 'static,
 {
     let mut ticks = tokio::time::interval(Duration::from_secs(1) / offered);
-    let end = Instant::now() + RUN;
+    let end = Instant::now() + RUN_DURATION;
     let mut claims = Vec::new();
     let mut number = 0;
     while Instant::now() < end {
@@ -226,7 +228,7 @@
         time.map_or(f64::NAN, |time| time.as_secs_f64() * 1e3)
     };
     let counts = platform.counts();
-    let seconds = RUN.as_secs_f64();
+    let seconds = RUN_DURATION.as_secs_f64();
     let rate = |calls: u64| f64::from(u32::try_from(calls).unwrap_or(u32::MAX)) / seconds;
     println!(
         "{method:8} {offered:9} {:7} {refused:7} {:6.1} {:6.1} {:8.1} {:7.1}",
--- a/crates/node/tests/announce.rs
+++ b/crates/node/tests/announce.rs
@@ -37,9 +37,9 @@
     handle.stop(Duration::from_secs(1)).await;
 }
 
-// A backend server that has left and exited must get no further calls, which would fail. Its
-// heartbeat thread had one more announcement in flight on another connection, which arrived after
-// the leave request.
+// A backend server that has left and exited must get no further calls, because they would fail.
+// Guards against an announcement that the heartbeat thread of the server still had in flight on
+// another connection, and that arrives after the leave request.
 #[tokio::test]
 async fn heartbeat_after_leave() {
     let shared = make_shared();
@@ -57,9 +57,10 @@
     assert!(!shared.backend.borrow().as_ref().unwrap().leaving);
 }
 
-// A node restarts, and its backend server is stopped before its next heartbeat. The new node
-// ignored the leave request of a server that it did not know yet. The server waited for the node to
-// report it as leaving, and the stop took 30 s, until it timed out.
+// A node restarts, and its backend server is stopped before the server's next heartbeat.
+// Regression: the restarted node ignored the leave request of a server that the node did not know
+// yet. The server waited for the node to report `leaving`, and its stop took 30 s, until the wait
+// timed out.
 #[tokio::test]
 async fn leave_before_announcement() {
     let shared = make_shared();
--- a/crates/node/tests/announcement_order.rs
+++ b/crates/node/tests/announcement_order.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Announces a process with a number of slots; returns the status code of the response.
+    /// Announces a process with `slots` slots; returns the status code of the response.
     async fn put(&self, process: Option<u64>, sequence: u64, slots: u16) -> u16 {
         let mut body = json!({"service": "records", "address": "127.0.0.1:9000", "slots": slots});
         if let Some(process) = process {
@@ -54,7 +54,7 @@
         backend.as_ref().map(node::shared::Backend::process)
     }
 
-    /// Returns the slots of the backend server, unless it is leaving.
+    /// Returns the slots of the backend server; `None` if it is leaving.
     fn serving_slots(&self) -> Option<u16> {
         let backend = self.shared.backend.borrow();
         backend
@@ -65,11 +65,12 @@
 }
 
 // A leaving backend server must get no new calls, even if a heartbeat arrives after its leave
-// request. A node was paused with a heartbeat in a socket. When it resumed, it read the leave
-// request first, over another connection, and then the heartbeat, and announced the server as ready
-// again. Its log had `backend_leaving` and 1 ms later `backend_announced`, and the server ran new
-// calls for 25 s, as long as it waited to exit. The next process at the same address must still be
-// accepted, whether the former one was named or not.
+// request. Regression: a node was paused while a heartbeat was unread in one of its sockets. When
+// the node resumed, it read the leave request first, over another connection, and then the
+// heartbeat, and announced the server as ready again. The log of the node had `backend_leaving` and
+// 1 ms later `backend_announced`, and the server ran new calls for 25 s, as long as it waited to
+// exit. The next process at the same address must still be accepted, whether or not the former
+// process announced an incarnation.
 #[tokio::test]
 async fn heartbeat_after_leave() {
     for process in [Some(1), None] {
@@ -91,9 +92,10 @@
     }
 }
 
-// A process that replaces another at its address must not be removed by the leave request of the
-// former one. A pause of the node delayed that request until after the first announcement of the
-// new process, and nothing in it said which process was leaving, so the new one got no calls.
+// The leave request of a former process must not remove the process that has replaced it at the
+// same address. Regression: a pause of the node delayed the leave request until after the first
+// announcement of the new process. Nothing in the request said which process was leaving, so the
+// new process got no calls.
 #[tokio::test]
 async fn leave_of_former() {
     let listener = Listener::open().await;
@@ -106,8 +108,9 @@
     assert_eq!(listener.serving_slots(), None);
 }
 
-// A backend server that lowers its slots must not get as many calls as before. A heartbeat from
-// before the change was read after it, over another connection.
+// A backend server that lowers its number of slots must not get as many calls as before.
+// Regression: the node read a heartbeat from before the change after the announcement of the
+// change, over another connection.
 #[tokio::test]
 async fn older_heartbeat() {
     let listener = Listener::open().await;
@@ -118,9 +121,9 @@
     assert_eq!(listener.serving_slots(), Some(3));
 }
 
-// Calls must not be sent to a process that was replaced without a leave request when one of its
-// heartbeats arrives late. Two heartbeats show that it still runs: the process that goes on
-// announcing itself is the current one.
+// A process was replaced without a leave request. If a single heartbeat of that process arrives
+// late, calls must not be sent to it. Two heartbeats show that the process still runs: it then
+// becomes the current process again.
 #[tokio::test]
 async fn heartbeat_of_former() {
     let listener = Listener::open().await;
@@ -132,11 +135,11 @@
     assert_eq!(listener.serving_slots(), Some(6));
 }
 
-// A former process must not come back after its leave request. The request was counted as a
-// message that shows that the process runs, so that a late heartbeat was the second one and made
-// the leaving process the current one again.
+// A former process must not become the current process again after its leave request. Regression:
+// the leave request was counted as a message that shows that the process runs, so that a late
+// heartbeat was the second such message and made the leaving process the current process again.
 #[tokio::test]
-async fn former_stays_left() {
+async fn former_after_leave() {
     let listener = Listener::open().await;
     listener.put(Some(1), 1, 6).await;
     listener.put(Some(2), 1, 4).await;
@@ -147,8 +150,9 @@
     }
 }
 
-// The sequence numbers of a process must not be compared with those of the former one. Here both
-// processes number their heartbeats, but the first announcement of the new one has no number.
+// The sequence numbers of a process must not be compared with those of the former process. In this
+// test, both processes number their heartbeats, but the first announcement of the new process has
+// no sequence number.
 #[tokio::test]
 async fn sequence_restarts() {
     let listener = Listener::open().await;
@@ -165,9 +169,9 @@
     assert_eq!(listener.serving_slots(), Some(3));
 }
 
-// A node is killed while its backend server leaves, and the new node receives a heartbeat that was
-// still on its way. The backend server repeats its leave request until the node acknowledges it,
-// and no heartbeat may undo it.
+// A node is killed while its backend server leaves, and the next process of the node receives a
+// heartbeat that was still in transit. The backend server repeats its leave request until the node
+// acknowledges the request; after that, no heartbeat may cancel the leave.
 #[tokio::test]
 async fn leave_first() {
     let listener = Listener::open().await;
@@ -182,7 +186,8 @@
 // A backend server that is killed and restarts at its address with the same slots must count as a
 // new process. Otherwise its node keeps half-closed connections to the former process until the
 // next calls, and the whole fleet sends the new process a full share of calls without a slow start.
-// The announcements differ only in the incarnation, which was left out of the comparison.
+// Regression: the announcements differ only in the incarnation, which the node left out of its
+// comparison.
 #[tokio::test]
 async fn restart_with_same_slots() {
     let listener = Listener::open().await;
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input on the HTTP listeners of a node: it gets an error response or a
-//! closed connection, and other connections are served meanwhile.
+//! Bad input on the HTTP listeners of a node. The node must respond with an error or close the
+//! connection, and serve other connections meanwhile.
 
 mod support;
 
@@ -65,7 +65,7 @@
 async fn refused_or_closed(bytes: Vec<u8>) {
     let shared = make_shared();
     for handle in spawn_listeners(&shared).await {
-        // Returns only when the listener closes the connection.
+        // `exchange` returns only when the listener closes the connection.
         let answer = exchange(handle.address(), &bytes).await;
         let (status, _) = split_answer(&answer);
         assert!(
@@ -119,7 +119,7 @@
 }
 
 #[parameterized(
-    half_way = { "content-length: 100", r#"{"service":"#, 408, "did not end in time" },
+    incomplete = { "content-length: 100", r#"{"service":"#, 408, "did not end in time" },
     oversized = { "content-length: 2000", "", 413, "over 1024 bytes" },
     oversized_chunks = { "transfer-encoding: chunked", "7d0\r\n", 413, "over 1024 bytes" },
 )]
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn cut_body() {
+async fn truncated_body() {
     let shared = make_shared();
     let handle = announce::spawn_with_limits(bind().await, Arc::clone(&shared), LIMITS).unwrap();
     let mut stream = TcpStream::connect(handle.address()).await.unwrap();
@@ -157,14 +157,14 @@
     assert!(shared.backend.borrow().is_none());
 }
 
-// Guards against idle timeouts that are counted as bad requests: a scraper keeps
-// its connection open, and each idle timeout of it used to be counted.
+// Guards against idle timeouts that are counted as bad requests: a scraper keeps its connection
+// open, and each idle timeout of that connection used to be counted.
 #[tokio::test]
 async fn idle_connection() {
     let shared = make_shared();
     let handle = operate::spawn_with_limits(bind().await, Arc::clone(&shared), LIMITS).unwrap();
     let request = b"GET /healthz HTTP/1.1\r\nhost: node\r\n\r\n";
-    // Returns when the listener closes the connection.
+    // `exchange` returns when the listener closes the connection.
     let answer = exchange(handle.address(), request).await;
     assert_eq!(split_answer(&answer), (200, "alive\n".into()));
     assert_eq!(exchange(handle.address(), b"").await, "");
--- a/crates/node/tests/calls/early_end.rs
+++ b/crates/node/tests/calls/early_end.rs
@@ -1,7 +1,7 @@
 //! Calls that end early: cancelled, past the deadline, broken off, or refused by a leaving
 //! server.
 
-use crate::mesh::{Answer, Node, bind, call, spawn_node, spawn_server, wait_recorded};
+use crate::mesh::{Answer, Node, bind, call, spawn_node, spawn_server, wait_for_run};
 use bytes::Bytes;
 use config::Repeat;
 use http::{Method, StatusCode};
@@ -11,10 +11,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Starts a node for callers and a node whose backend server has one slot; returns the record of
-/// that server as well.
+/// Starts a node for callers and a node whose backend server has one slot. Returns both nodes and
+/// the run log of the backend server.
 async fn spawn_pair() -> (Node, Node, RunLog) {
-    let (address, record) = spawn_server(1).await;
+    let (address, run_log) = spawn_server(1).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 1);
@@ -28,7 +28,7 @@
         Repeat::Never,
         &[far.endpoint("jobs", far.nodes_address)],
     );
-    (near, far, record)
+    (near, far, run_log)
 }
 
 async fn post(address: SocketAddr, request: &str, work_ms: &str, timeout_ms: &str) -> Answer {
@@ -42,7 +42,8 @@
         .unwrap()
 }
 
-/// The node that a caller connects to.
+/// The node that a caller connects to: `Far` is the node next to the backend server, `Near` the
+/// other node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Entry {
     Near,
@@ -57,12 +58,12 @@
 }
 
 // The node of a service's only backend server restarts, and the backend server keeps running.
-// Calls from all other nodes were refused from the start of the stop, although the node served
-// its own callers for another second. It must accept calls from other nodes for as long, and
-// break none of them off.
+// Regression: the node refused calls from all other nodes from the start of its stop, although it
+// served its own callers for another second. During that second, the node must accept calls from
+// other nodes as well, and break none of them off.
 #[tokio::test]
 async fn last_endpoint_restarts() {
-    let (near, far, record) = spawn_pair().await;
+    let (near, far, run_log) = spawn_pair().await;
     let limit = Duration::from_secs(4);
     let ending = node::node::end_calls(&far.shared, &far.inbound, &far.outbound, limit);
     let calling = async {
@@ -78,35 +79,35 @@
     assert_eq!(left, (0, 0));
     assert!(answered > 20, "{answered}");
     assert_eq!(late.verdict(), "not-run");
-    assert!(record.entries().iter().all(|run| run.request == "r"));
+    assert!(run_log.entries().iter().all(|run| run.request == "r"));
 }
 
-// A caller disconnects while its call runs. The backend server must be notified and stop,
+// A caller disconnects while its call runs. The backend server must be notified and stop the work,
 // whichever node the call entered on.
 #[yare::parameterized(remote = { Entry::Near }, local = { Entry::Far })]
 #[test_macro(tokio::test)]
 async fn cancelled(entry: Entry) {
-    let (near, far, record) = spawn_pair().await;
+    let (near, far, run_log) = spawn_pair().await;
     let address = entry_address(entry, &near, &far);
     let mut caller = TcpStream::connect(address).await.unwrap();
     let head = "POST /jobs/1 HTTP/1.1\r\nhost: m\r\nx-request: r1\r\nx-work-ms: 4000\r\ncontent-length: 0\r\n\r\n";
     caller.write_all(head.as_bytes()).await.unwrap();
-    wait_recorded(&record, |run| run.request == "r1").await;
+    wait_for_run(&run_log, |run| run.request == "r1").await;
     drop(caller);
-    wait_recorded(&record, |run| run.outcome == Outcome::Cancelled).await;
+    wait_for_run(&run_log, |run| run.outcome == Outcome::Cancelled).await;
     assert_eq!(far.inbound.drain(Duration::from_secs(1)).await, 0);
 }
 
 // The deadline of one call passes while it runs, and that of another while it waits for the slot.
-// Both must be answered at their deadline, and only the second with "not run".
+// Each call must be answered at its deadline, and only the waiting call with "not run".
 #[yare::parameterized(remote = { Entry::Near }, local = { Entry::Far })]
 #[test_macro(tokio::test)]
 async fn deadline(entry: Entry) {
-    let (near, far, record) = spawn_pair().await;
+    let (near, far, run_log) = spawn_pair().await;
     let address = entry_address(entry, &near, &far);
     let started = Instant::now();
     let running = tokio::spawn(async move { post(address, "r1", "4000", "400").await });
-    wait_recorded(&record, |run| run.request == "r1").await;
+    wait_for_run(&run_log, |run| run.request == "r1").await;
     let waited = post(address, "r2", "0", "200").await;
     assert_eq!(
         (waited.status, waited.verdict()),
@@ -121,20 +122,20 @@
     // The backend server's own response at its deadline, or the inbound proxy's.
     assert_eq!(ran.status, StatusCode::GATEWAY_TIMEOUT);
     assert_ne!(ran.verdict(), "not-run");
-    assert!(record.entries().iter().all(|run| run.request != "r2"));
+    assert!(run_log.entries().iter().all(|run| run.request != "r2"));
 }
 
 // A backend server announces that it leaves, or its node is stopped, while one call runs and
-// another waits. New calls and the waiting one must be refused immediately as "not run" and run
-// elsewhere; the running call must not be broken off.
+// another waits. New calls and the waiting call must be refused immediately as "not run" and run on
+// another backend server; the running call must not be broken off.
 #[yare::parameterized(backend_server = { false }, node = { true })]
 #[test_macro(tokio::test)]
 async fn leaving(node: bool) {
-    let (near, far, record) = spawn_pair().await;
+    let (near, far, run_log) = spawn_pair().await;
     let address = near.outbound.address();
     let running = tokio::spawn(async move { post(address, "r1", "500", "3000").await });
-    wait_recorded(&record, |run| run.request == "r1").await;
-    let (other_address, other_record) = spawn_server(1).await;
+    wait_for_run(&run_log, |run| run.request == "r1").await;
+    let (other_address, other_run_log) = spawn_server(1).await;
     let other = spawn_node("other").await;
     other.announce("jobs", other_address, 1);
     let endpoints = [
@@ -163,17 +164,17 @@
     );
     assert_eq!(far.inbound.drain(Duration::from_secs(2)).await, 0);
     assert_eq!(running.await.unwrap().status, StatusCode::OK);
-    assert_eq!(record.entries().len(), 1);
-    assert_eq!(other_record.entries().len(), 9);
+    assert_eq!(run_log.entries().len(), 1);
+    assert_eq!(other_run_log.entries().len(), 9);
 }
 
 // The time limit of a graceful stop ends the wait for a running call.
 #[tokio::test]
 async fn drain_limit() {
-    let (near, far, record) = spawn_pair().await;
+    let (near, far, run_log) = spawn_pair().await;
     let address = near.outbound.address();
     let running = tokio::spawn(async move { post(address, "r1", "900", "3000").await });
-    wait_recorded(&record, |run| run.request == "r1").await;
+    wait_for_run(&run_log, |run| run.request == "r1").await;
     assert_eq!(far.inbound.drain(Duration::from_millis(100)).await, 1);
     assert_eq!(running.await.unwrap().status, StatusCode::OK);
     assert_eq!(far.inbound.drain(Duration::from_secs(1)).await, 0);
@@ -183,11 +184,11 @@
 // announce that the connection ends; then the connection must be closed.
 #[tokio::test]
 async fn connections_closed() {
-    let (near, _far, record) = spawn_pair().await;
+    let (near, _far, run_log) = spawn_pair().await;
     let mut caller = TcpStream::connect(near.outbound.address()).await.unwrap();
     let head = "POST /jobs/1 HTTP/1.1\r\nhost: m\r\nx-request: r1\r\nx-work-ms: 300\r\ncontent-length: 0\r\n\r\n";
     caller.write_all(head.as_bytes()).await.unwrap();
-    wait_recorded(&record, |run| run.request == "r1").await;
+    wait_for_run(&run_log, |run| run.request == "r1").await;
     assert_eq!(near.outbound.drain(Duration::from_secs(5)).await, 0);
     let mut answer = String::new();
     caller.read_to_string(&mut answer).await.unwrap();
@@ -196,12 +197,12 @@
     assert!(answer.contains("\"request\":\"r1\""), "{answer}");
 }
 
-// A caller connects to a node that is being stopped, and its request is on the way when the node
-// closes its listener. It must get the complete response. The node used to close the connection,
-// and the caller couldn't tell whether the call had run.
+// A caller connects to a node that is being stopped, and its request is in transit when the node
+// closes its listener. The caller must get the complete response. Regression: the node closed the
+// connection, and the caller couldn't tell whether the call had run.
 #[tokio::test]
 async fn stopped_after_connect() {
-    let (near, _far, _record) = spawn_pair().await;
+    let (near, _far, _run_log) = spawn_pair().await;
     let address = near.outbound.address();
     let mut caller = TcpStream::connect(address).await.unwrap();
     let calling = async {
@@ -231,7 +232,7 @@
 )]
 #[test_macro(tokio::test)]
 async fn truncated_response(entry: Entry, framing: &'static str) {
-    let (near, far, _record) = spawn_pair().await;
+    let (near, far, _run_log) = spawn_pair().await;
     let (listener, address) = bind().await;
     far.announce("jobs", address, 1);
     tokio::spawn(async move {
@@ -246,11 +247,11 @@
     assert!(answer.is_err(), "{answer:?}");
 }
 
-// A backend server dies before it responds. The call may have run.
+// A backend server dies before it responds. The caller must be told that the call may have run.
 #[yare::parameterized(remote = { Entry::Near }, local = { Entry::Far })]
 #[test_macro(tokio::test)]
 async fn connection_broken(entry: Entry) {
-    let (near, far, _record) = spawn_pair().await;
+    let (near, far, _run_log) = spawn_pair().await;
     let (listener, address) = bind().await;
     far.announce("jobs", address, 1);
     tokio::spawn(async move {
@@ -266,7 +267,7 @@
         (first.status, first.verdict()),
         (StatusCode::BAD_GATEWAY, "may-have-run")
     );
-    // Nothing listens there any more, so nothing was sent.
+    // Nothing listens at the address any more, so the request was not sent.
     let second = post(address, "r2", "0", "1000").await;
     assert_eq!(
         (second.status, second.verdict()),
@@ -274,13 +275,13 @@
     );
 }
 
-// The only backend server of a service leaves. All its callers were told to retry after a
-// millisecond, and retried in lockstep for the whole restart: a leaving server has no measured
-// wait, and the outbound proxy passed that on.
+// The only backend server of a service leaves. Regression: all callers of the service were told to
+// retry after a millisecond, and retried in lockstep for the whole restart. A leaving server
+// measures no wait time, and the outbound proxy passed that value on to callers.
 #[yare::parameterized(leaving = { true }, gone = { false })]
 #[test_macro(tokio::test)]
 async fn retry_after_spread(is_leaving: bool) {
-    let (near, far, _record) = spawn_pair().await;
+    let (near, far, _run_log) = spawn_pair().await;
     if is_leaving {
         let backend = &far.shared.backend;
         backend.send_modify(|backend| backend.as_mut().unwrap().leaving = true);
@@ -307,12 +308,12 @@
     assert!(waits.len() > 10, "in lockstep: {waits:?}");
 }
 
-// A backend server restarts while its node stays. Calls must reach it again once it is back. It
-// stayed idle while the others were full, because a backend server that had once announced that
-// it leaves was never tried again.
+// A backend server restarts while its node keeps running. Calls must reach the server again once it
+// is back. Regression: the server stayed idle while the other backend servers were full, because a
+// backend server that had once announced that it leaves was never tried again.
 #[tokio::test]
 async fn backend_returns() {
-    let (near, far, record) = spawn_pair().await;
+    let (near, far, run_log) = spawn_pair().await;
     let address = near.outbound.address();
     assert_eq!(
         post(address, "before", "0", "1000").await.status,
@@ -343,17 +344,18 @@
         after = post(address, "after", "0", "1000").await;
     }
     assert_eq!(after.status, StatusCode::OK);
-    assert_eq!(record.entries().len(), 2);
+    assert_eq!(run_log.entries().len(), 2);
 }
 
-/// Headers by which a backend server states that it hasn't started this call.
+/// Headers by which a backend server states that it hasn't started the call. `OWN` stands for the
+/// id of the call.
 const NOT_RUN_HEADERS: &str = "bluebellpick-verdict: not-run\r\nbluebellpick-call: OWN\r\n";
 
-/// The same statement about another call.
+/// Headers that state the same about another call.
 const FORWARDED_HEADERS: &str =
     "bluebellpick-verdict: not-run\r\nbluebellpick-call: 00000000000000aa-1\r\n";
 
-/// Starts a backend server that sheds each call, and adds `header` to its response.
+/// Starts a backend server that sheds each call with `status`, and adds `header` to its response.
 async fn spawn_shedding(status: u16, header: &'static str) -> SocketAddr {
     let (listener, address) = bind().await;
     tokio::spawn(async move {
@@ -372,9 +374,9 @@
 }
 
 // A full backend server sheds a call. If it states that it hasn't started the call, the call must
-// run on another one. Without that statement, the caller must be told that the call may have run,
-// and the call isn't retried. The same holds if the backend server forwards such a statement
-// about a nested call, after work of its own.
+// run on another backend server. Without that statement, the caller must be told that the call may
+// have run, and the call must not be retried. The same holds if the backend server forwards such a
+// statement about a nested call, after work of its own.
 #[yare::parameterized(
     stated_remote = { Entry::Near, 503, NOT_RUN_HEADERS, 200, "ran", 1 },
     stated_local = { Entry::Far, 503, NOT_RUN_HEADERS, 200, "ran", 1 },
@@ -382,7 +384,7 @@
     unstated_local = { Entry::Far, 503, "", 503, "may-have-run", 0 },
     forwarded_remote = { Entry::Near, 503, FORWARDED_HEADERS, 503, "may-have-run", 0 },
     forwarded_local = { Entry::Far, 503, FORWARDED_HEADERS, 503, "may-have-run", 0 },
-    unnamed = { Entry::Near, 503, "bluebellpick-verdict: not-run\r\n", 503, "may-have-run", 0 },
+    without_call_id = { Entry::Near, 503, "bluebellpick-verdict: not-run\r\n", 503, "may-have-run", 0 },
     failed_after = { Entry::Near, 500, FORWARDED_HEADERS, 500, "ran", 0 },
 )]
 #[test_macro(tokio::test)]
@@ -394,12 +396,12 @@
     verdict: &str,
     runs: usize,
 ) {
-    let (near, far, _record) = spawn_pair().await;
+    let (near, far, _run_log) = spawn_pair().await;
     far.announce("jobs", spawn_shedding(backend_status, header).await, 1);
     let other = spawn_node("other").await;
-    let (server, record) = spawn_server(1).await;
+    let (server, run_log) = spawn_server(1).await;
     other.announce("jobs", server, 1);
-    // The spare is in another region, so that it isn't the first choice.
+    // The spare endpoint is in another region, so that it isn't the first choice.
     let mut spare = other.endpoint("jobs", other.nodes_address);
     spare.region = "jb".into();
     for node in [&near, &far] {
@@ -408,5 +410,5 @@
     }
     let got = post(entry_address(entry, &near, &far), "r1", "0", "2000").await;
     assert_eq!((got.status.as_u16(), got.verdict()), (status, verdict));
-    assert_eq!(record.entries().len(), runs);
+    assert_eq!(run_log.entries().len(), runs);
 }
--- a/crates/node/tests/calls/forward.rs
+++ b/crates/node/tests/calls/forward.rs
@@ -9,7 +9,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::watch;
 
-/// What happens to the bytes of one direction.
+/// What happens to the bytes of one direction of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
     /// They are forwarded.
@@ -64,14 +64,14 @@
     }
 
     /// Sets the modes of all existing connections, towards the target and back.
-    pub fn set(&self, up: Mode, down: Mode) {
+    pub fn set_modes(&self, up: Mode, down: Mode) {
         for connection in self.connections.lock().unwrap().iter() {
             connection.0.send_replace(up);
             connection.1.send_replace(down);
         }
     }
 
-    /// Sends new connections to another target.
+    /// Sets the target of connections that are opened from now on.
     pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock().unwrap() = target;
     }
@@ -96,7 +96,7 @@
         if now == Mode::Drop && count > 0 {
             continue;
         }
-        // In this mode, the end of the connection is discarded as well.
+        // In `Mode::Drop`, the end of the connection is discarded as well.
         if now == Mode::Drop {
             std::future::pending::<()>().await;
         }
--- a/crates/node/tests/calls/hedge.rs
+++ b/crates/node/tests/calls/hedge.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Calls from which the node learns the usual latency.
+/// Number of calls from which the node learns the usual latency.
 const WARM_UP_CALLS: usize = 120;
 
-/// Calls while the connection to the first backend server is held.
+/// Number of calls made while the connection to the first backend server is held.
 const HELD_CALLS: usize = 8;
 
 /// Duration of the call that occupies the second backend server's slot: longer than a look-up
@@ -45,10 +45,9 @@
     mesh
 }
 
-// The connection to the first backend server's node is held. The call may be
-// repeated and its rule allows hedges, so a hedge to the other backend server
-// answers it. Without the hedge, the caller waits until the silent link is
-// detected.
+// The connection to the first backend server's node is held. The calls may be repeated and their
+// retry rule allows hedges, so hedges to the second backend server must answer them. Without a
+// hedge, a caller would wait until the silent link is detected.
 #[tokio::test(flavor = "multi_thread")]
 async fn hedge_answers() {
     let (caller, first, second) = tokio::join!(
@@ -57,11 +56,11 @@
         spawn_node("second")
     );
     let forwarder = Forwarder::spawn(first.nodes_address).await;
-    let mut records = Vec::new();
+    let mut run_logs = Vec::new();
     for node in [&first, &second] {
-        let (address, record) = spawn_server(6).await;
+        let (address, run_log) = spawn_server(6).await;
         node.announce("desk", address, 6);
-        records.push(record);
+        run_logs.push(run_log);
     }
     let endpoints = [
         first.endpoint("desk", forwarder.address),
@@ -74,10 +73,10 @@
     for _ in 0..WARM_UP_CALLS {
         assert_eq!(look_up().await.unwrap().status, StatusCode::OK);
     }
-    let before = records[1].entries().len();
-    forwarder.set(Mode::Hold, Mode::Hold);
+    let before = run_logs[1].entries().len();
+    forwarder.set_modes(Mode::Hold, Mode::Hold);
     let start = Instant::now();
-    // Concurrent, so that some go to the first backend server.
+    // The calls are concurrent, so that some of them go to the first backend server.
     let mut held = JoinSet::new();
     for _ in 0..HELD_CALLS {
         held.spawn(look_up());
@@ -87,14 +86,15 @@
         assert_eq!(answer.status, StatusCode::OK, "{:?}", answer.body);
     }
     assert!(start.elapsed() < Duration::from_millis(500));
-    // The second backend server answered all calls, including those first sent to the other one.
-    assert_eq!(records[1].entries().len() - before, HELD_CALLS);
+    // The second backend server answered all calls, including those that were first sent to the
+    // first backend server.
+    assert_eq!(run_logs[1].entries().len() - before, HELD_CALLS);
 }
 
-// The link to the first backend server has gone silent, and the hedge is
-// refused because the second one's only slot is occupied. By the time the
-// silence is detected, that slot is free again, and the call must be answered.
-// The call failed when the refusal by the full backend server counted as a used attempt.
+// The link to the first backend server has gone silent, and the hedge is refused because the only
+// slot of the second backend server is occupied. By the time the silence is detected, that slot is
+// free again, and the call must be answered. Regression: the call failed, because the refusal by
+// the full backend server counted as a used attempt.
 #[tokio::test(flavor = "multi_thread")]
 async fn hedge_refused() {
     let (caller, first, second) = tokio::join!(
@@ -104,7 +104,7 @@
     );
     let forwarder = Forwarder::spawn(first.nodes_address).await;
     for (node, slots) in [(&first, 6), (&second, 1)] {
-        let (address, _record) = spawn_server(slots).await;
+        let (address, _run_log) = spawn_server(slots).await;
         node.announce("desk", address, slots);
     }
     let mut near = first.endpoint("desk", forwarder.address);
@@ -129,7 +129,7 @@
         assert_eq!(look_up(&caller, "0").await.status, StatusCode::OK);
     }
     let occupant = tokio::spawn(look_up(&second, OCCUPANT_WORK_MS));
-    forwarder.set(Mode::Hold, Mode::Hold);
+    forwarder.set_modes(Mode::Hold, Mode::Hold);
     let answer = look_up(&caller, "0").await;
     assert_eq!(answer.status, StatusCode::OK, "{:?}", answer.body);
     assert_eq!(occupant.await.unwrap().status, StatusCode::OK);
--- a/crates/node/tests/calls/keyed.rs
+++ b/crates/node/tests/calls/keyed.rs
@@ -2,7 +2,7 @@
 
 use crate::forward::{Forwarder, Mode};
 use crate::mesh::{
-    Answer, Node, bind, call, spawn_node, spawn_node_with, spawn_server, wait_recorded,
+    Answer, Node, bind, call, spawn_node, spawn_node_with, spawn_server, wait_for_run,
 };
 use bytes::Bytes;
 use config::{Class, Repeat};
@@ -16,18 +16,18 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Two nodes for callers, and one whose backend server runs the bookings.
+/// Nodes `one` and `two`, which callers call, and node `far`, whose backend server runs the calls.
 struct Mesh {
     one: Node,
     two: Node,
     far: Node,
-    record: RunLog,
+    run_log: RunLog,
     store: MemoryStore,
 }
 
 async fn spawn_mesh() -> Mesh {
     let store = MemoryStore::new();
-    let (address, record) = spawn_server(2).await;
+    let (address, run_log) = spawn_server(2).await;
     let one = spawn_node_with("one", &store).await;
     let two = spawn_node_with("two", &store).await;
     let far = spawn_node_with("far", &store).await;
@@ -43,7 +43,7 @@
         one,
         two,
         far,
-        record,
+        run_log,
         store,
     }
 }
@@ -71,7 +71,7 @@
     assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
     assert_eq!(repeat.headers["idempotent-replayed"], "true");
     assert_eq!(repeat.body, first.body);
-    assert_eq!(mesh.record.entries().len(), 1);
+    assert_eq!(mesh.run_log.entries().len(), 1);
 }
 
 // A repeat arrives while the first call still runs. It is told "may have run"
@@ -81,18 +81,18 @@
     let mesh = spawn_mesh().await;
     let address = mesh.one.outbound.address();
     let first = tokio::spawn(async move { book(address, "k1", "r1", "400").await });
-    wait_recorded(&mesh.record, |entry| entry.request == "r1").await;
+    wait_for_run(&mesh.run_log, |entry| entry.request == "r1").await;
     let repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
     assert_eq!(
         (repeat.status, repeat.verdict()),
         (StatusCode::CONFLICT, "may-have-run")
     );
     assert_eq!(first.await.unwrap().status, StatusCode::OK);
-    assert_eq!(mesh.record.entries().len(), 1);
+    assert_eq!(mesh.run_log.entries().len(), 1);
 }
 
-// The caller's connection breaks while the call runs. The call continues, so
-// that the repeat gets its response rather than "may have run".
+// The caller's connection breaks while the call runs. The call continues, so that the repeat gets
+// the response of the call rather than "may have run".
 #[tokio::test]
 async fn caller_disconnected() {
     let mesh = spawn_mesh().await;
@@ -101,9 +101,9 @@
         .unwrap();
     let head = "POST /jobs/1 HTTP/1.1\r\nhost: m\r\nidempotency-key: k1\r\nx-request: r1\r\nx-work-ms: 200\r\ncontent-length: 5\r\n\r\nbay 3";
     caller.write_all(head.as_bytes()).await.unwrap();
-    wait_recorded(&mesh.record, |entry| entry.request == "r1").await;
+    wait_for_run(&mesh.run_log, |entry| entry.request == "r1").await;
     drop(caller);
-    wait_recorded(&mesh.record, |entry| entry.end_us.is_some()).await;
+    wait_for_run(&mesh.run_log, |entry| entry.end_us.is_some()).await;
     let address = mesh.two.outbound.address();
     let mut repeat = book(address, "k1", "r2", "0").await;
     // The response is stored under the key shortly after the call has ended.
@@ -117,7 +117,7 @@
     assert_eq!(repeat.status, StatusCode::OK);
     let stored: serde_json::Value = serde_json::from_slice(&repeat.body).unwrap();
     assert_eq!(stored["request"], "r1");
-    assert_eq!(mesh.record.entries().len(), 1);
+    assert_eq!(mesh.run_log.entries().len(), 1);
 }
 
 // A call is refused as "not run" because its backend server is leaving. The key
@@ -132,7 +132,7 @@
         (StatusCode::SERVICE_UNAVAILABLE, "not-run")
     );
     let other = spawn_node("other").await;
-    let (address, record) = spawn_server(1).await;
+    let (address, run_log) = spawn_server(1).await;
     other.announce("jobs", address, 1);
     mesh.two.set_route(
         "jobs",
@@ -148,7 +148,7 @@
     }
     assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
     assert_eq!(
-        (mesh.record.entries().len(), record.entries().len()),
+        (mesh.run_log.entries().len(), run_log.entries().len()),
         (0, 1)
     );
 }
@@ -176,7 +176,7 @@
         Bytes::new(),
     );
     assert_eq!(plain.await.unwrap().status, StatusCode::OK);
-    assert_eq!(mesh.record.entries().len(), 1);
+    assert_eq!(mesh.run_log.entries().len(), 1);
 }
 
 // Two different requests use the same key by mistake. The second is rejected
@@ -200,12 +200,11 @@
         (second.status, second.verdict()),
         (StatusCode::UNPROCESSABLE_ENTITY, "not-run")
     );
-    assert_eq!(mesh.record.entries().len(), 1);
+    assert_eq!(mesh.run_log.entries().len(), 1);
 }
 
-// The link goes silent while a call runs, and the node that runs it is replaced
-// by a new process, so the outcome stays unknown. Every repeat with the key is
-// told "may have run".
+// The link goes silent while a call runs, and the node that runs it is replaced by a new process,
+// so the outcome of the call stays unknown. Every repeat with the key is told "may have run".
 #[tokio::test]
 async fn outcome_unknown() {
     let mesh = spawn_mesh().await;
@@ -214,23 +213,23 @@
     mesh.one.set_route("jobs", Repeat::Never, &[far]);
     let address = mesh.one.outbound.address();
     let first = tokio::spawn(async move { book(address, "k1", "r1", "3000").await });
-    wait_recorded(&mesh.record, |entry| entry.request == "r1").await;
+    wait_for_run(&mesh.run_log, |entry| entry.request == "r1").await;
     forwarder.set_target(spawn_node("far").await.nodes_address);
-    forwarder.set(Mode::Drop, Mode::Drop);
+    forwarder.set_modes(Mode::Drop, Mode::Drop);
     assert_eq!(first.await.unwrap().verdict(), "may-have-run");
     let repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
     assert_eq!(
         (repeat.status, repeat.verdict()),
         (StatusCode::CONFLICT, "may-have-run")
     );
-    assert_eq!(mesh.record.entries().len(), 1);
+    assert_eq!(mesh.run_log.entries().len(), 1);
 }
 
-// Responses from the backend server's node are held beyond the deadline, as if
-// the node were stopped for some seconds. The caller is told "may have run".
-// Once the node resumes, the repeat gets the response, and nothing runs again.
-// Otherwise the repeats are told "may have run" forever, although the node
-// knows the outcome.
+// Responses from the backend server's node are held beyond the deadline, as if the node were
+// stopped for some seconds. The caller is told "may have run". Once the node resumes, the repeat
+// gets the response, and nothing runs again. If the caller's node did not wait for the outcome past
+// the deadline, the repeats would be told "may have run" forever, although the backend server's
+// node knows the outcome.
 #[tokio::test]
 async fn resolved_after_deadline() {
     let mesh = spawn_mesh().await;
@@ -249,14 +248,14 @@
     let body = Bytes::from_static(b"bay 3");
     let first =
         tokio::spawn(async move { call(address, Method::POST, "/jobs/1", &headers, body).await });
-    wait_recorded(&mesh.record, |entry| entry.request == "r1").await;
-    forwarder.set(Mode::Pass, Mode::Hold);
+    wait_for_run(&mesh.run_log, |entry| entry.request == "r1").await;
+    forwarder.set_modes(Mode::Pass, Mode::Hold);
     let response = first.await.unwrap().unwrap();
     assert_eq!(
         (response.status, response.verdict()),
         (StatusCode::GATEWAY_TIMEOUT, "may-have-run")
     );
-    forwarder.set(Mode::Pass, Mode::Pass);
+    forwarder.set_modes(Mode::Pass, Mode::Pass);
     let address = mesh.two.outbound.address();
     let mut repeat = book(address, "k1", "r2", "0").await;
     for _ in 0..500 {
@@ -267,11 +266,11 @@
         repeat = book(address, "k1", "r2", "0").await;
     }
     assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
-    assert_eq!(mesh.record.entries().len(), 2);
+    assert_eq!(mesh.run_log.entries().len(), 2);
 }
 
 /// Spawns a backend server that responds to its first call when `resume` is notified. The returned
-/// `Notify` signals that it has received the call.
+/// `Notify` signals that the server has received the call.
 async fn spawn_paused_server(resume: Arc<Notify>) -> (SocketAddr, Arc<Notify>) {
     let (listener, address) = bind().await;
     let reached = Arc::new(Notify::new());
@@ -289,9 +288,8 @@
     (address, reached)
 }
 
-// The backend server is stopped during a call and resumes after the deadline.
-// The repeat gets the response of that call, whether the call entered on the
-// backend server's own VM or on another.
+// The backend server is stopped during a call and resumes after the deadline. The repeat gets the
+// response of that call, whether the call entered on the backend server's own VM or on another VM.
 #[yare::parameterized(remote = { false }, local = { true })]
 #[test_macro(tokio::test)]
 async fn server_stopped(local: bool) {
@@ -337,10 +335,10 @@
     );
 }
 
-// The node that owns the key has received the request and is reserving the key
-// when its replies begin to be lost. The caller is told "not run" in the end,
-// but the key has been reserved. The repeat must run, rather than be told "may
-// have run" because of a call that never runs.
+// The node that owns the key has received the request for a reservation and is writing the
+// reservation when its replies begin to be lost. The caller is told "not run" in the end, but the
+// key has been reserved. The repeat must run, rather than be told "may have run" because of a call
+// that never runs.
 #[tokio::test]
 async fn reservation_reply_lost() {
     let mesh = spawn_mesh().await;
@@ -358,7 +356,7 @@
     while mesh.store.counts() == before {
         tokio::task::yield_now().await;
     }
-    front.set(Mode::Pass, Mode::Drop);
+    front.set_modes(Mode::Pass, Mode::Drop);
     let first = first.await.unwrap();
     assert_eq!(
         (first.status, first.verdict()),
@@ -374,5 +372,5 @@
         repeat = book(address, "k1", "r2", "0").await;
     }
     assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
-    assert_eq!(mesh.record.entries().len(), 2);
+    assert_eq!(mesh.run_log.entries().len(), 2);
 }
--- a/crates/node/tests/calls/load_probe.rs
+++ b/crates/node/tests/calls/load_probe.rs
@@ -7,7 +7,7 @@
 use wire::call::{Estimate, Frame, LoadProbe};
 
 async fn probe(service: &str, is_leaving: bool) -> Estimate {
-    let (address, _record) = spawn_server(6).await;
+    let (address, _run_log) = spawn_server(6).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 6);
@@ -41,9 +41,9 @@
     assert_eq!(estimate.load_percent, 0);
 }
 
-// Guards against calls being sent one after the other to a backend server that is leaving, only
-// to be refused and retried elsewhere. Its node reported a load of 0 when probed and so looked
-// like the least loaded of all to proxies that picked without probing.
+// Guards against calls being sent one after the other to a backend server that is leaving, only to
+// be refused and retried elsewhere. The node of such a server reported a load of 0 to probes, so
+// that the server looked like the least loaded of all to proxies that picked without probing.
 #[yare::parameterized(
     leaving = { "jobs", true },
     another_service = { "claims", false },
--- a/crates/node/tests/calls/mesh.rs
+++ b/crates/node/tests/calls/mesh.rs
@@ -1,4 +1,5 @@
-//! Test environment: several nodes in one process, with backend servers and HTTP callers.
+//! Test environment: several nodes in one process, with backend servers and HTTP callers. In most
+//! tests, callers call the node `near`, and the backend server runs next to the node `far`.
 
 use bytes::Bytes;
 use clock::System;
@@ -108,7 +109,7 @@
         }));
     }
 
-    /// Announces another process of the backend server.
+    /// Announces the process `process` of a backend server with 6 slots.
     pub fn announce_process(&self, service: &str, address: SocketAddr, process: u64) {
         self.announce(service, address, 6);
         self.shared.backend.send_modify(|backend| {
@@ -168,31 +169,32 @@
     }
 }
 
-/// Starts a backend server with `slots` slots; its record lists the calls that it ran.
+/// Starts a backend server with `slots` slots. Returns its address and the log of the calls that it
+/// runs.
 pub async fn spawn_server(slots: u16) -> (SocketAddr, RunLog) {
     let (listener, address) = bind().await;
-    let record = RunLog::open(None).unwrap();
+    let run_log = RunLog::open(None).unwrap();
     let behavior = backend::Behavior {
         slots,
-        queue: 20,
-        work: Duration::ZERO,
+        max_queued: 20,
+        mean_work: Duration::ZERO,
         long_percent: 0,
         long_work: Duration::ZERO,
         warm_up: Duration::ZERO,
         crash_trigger: None,
     };
-    // It serves until the runtime ends; only its record is inspected.
-    let _running = Server::spawn(listener, behavior, record.clone(), 1);
-    (address, record)
+    // The server runs until the runtime ends; tests inspect only its run log.
+    let _running = Server::spawn(listener, behavior, run_log.clone(), 1);
+    (address, run_log)
 }
 
-/// Waits until the record contains a run that `matches`.
-pub async fn wait_recorded<F>(record: &RunLog, matches: F)
+/// Waits until the run log contains a run for which `matches` returns true, for at most 5 s.
+pub async fn wait_for_run<F>(run_log: &RunLog, matches: F)
 where
     F: Fn(&Entry) -> bool,
 {
     let recorded = async {
-        while !record.entries().iter().any(&matches) {
+        while !run_log.entries().iter().any(&matches) {
             tokio::task::yield_now().await;
         }
     };
@@ -210,7 +212,7 @@
 }
 
 impl Answer {
-    /// Returns the verdict header; empty when there is none.
+    /// Returns the value of the verdict header; empty if the answer has no such header.
     pub fn verdict(&self) -> &str {
         let value = self.headers.get(call::Verdict::HEADER);
         value.map_or("", |value| value.to_str().unwrap())
--- a/crates/node/tests/calls/misbehaving_peer.rs
+++ b/crates/node/tests/calls/misbehaving_peer.rs
@@ -13,7 +13,7 @@
 /// Number of ordinary calls that are made while a peer misbehaves.
 const CALL_COUNT: usize = 20;
 
-/// Time limit for one of these calls, which takes a millisecond or two.
+/// Timeout of each ordinary call; such a call takes a millisecond or two.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn unknown_id(sequence: u64) -> ::call::Id {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns the length prefix of a frame, which never follows.
+/// Returns the length prefix of a frame that is never sent.
 fn length_prefix(length: usize) -> Vec<u8> {
     u32::try_from(length).unwrap().to_le_bytes().to_vec()
 }
@@ -53,10 +53,9 @@
     frame.repeat(10_000)
 }
 
-// A node of another build, or a compromised one, sends its input byte by byte,
-// announces a frame that never arrives, or sends frames of calls that nobody
-// made. Callers at other nodes must still get their answers, although all
-// links share one listener and one table of calls.
+// A node of another build, or a compromised one, sends its input byte by byte, announces a frame
+// that never arrives, or sends frames of calls that nobody made. Callers at other nodes must still
+// get their answers, although all links share one listener and one attempt table.
 #[yare::parameterized(
     byte_by_byte = { encode(Frame::Ping), true },
     never_ends = { length_prefix(MAX_FRAME_BYTES), false },
@@ -66,7 +65,7 @@
 )]
 #[test_macro(tokio::test)]
 async fn other_calls_unaffected(input: Vec<u8>, is_slow: bool) {
-    let (address, record) = spawn_server(6).await;
+    let (address, run_log) = spawn_server(6).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     let bad = spawn_node("bad").await;
@@ -81,7 +80,7 @@
     let sending = async {
         let size = if is_slow { 1 } else { input.len() };
         for part in input.chunks(size) {
-            // The node may close the link at what it reads.
+            // The node may close the link because of this input.
             if stream.write_all(part).await.is_err() {
                 break;
             }
@@ -97,7 +96,7 @@
         }
     };
     tokio::join!(sending, calling);
-    assert_eq!(record.entries().len(), CALL_COUNT);
+    assert_eq!(run_log.entries().len(), CALL_COUNT);
     if is_slow {
         let mut scratch = Vec::new();
         let pong = codec::read::<_, wire::Frame>(&mut stream, &mut scratch).await;
--- a/crates/node/tests/calls/quarantine.rs
+++ b/crates/node/tests/calls/quarantine.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests that crash the backend servers that run them.
 
-use crate::mesh::{Answer, Node, bind, call, spawn_node, wait_recorded};
+use crate::mesh::{Answer, Node, bind, call, spawn_node, wait_for_run};
 use bytes::Bytes;
 use config::Repeat;
 use http::{Method, StatusCode};
@@ -12,7 +12,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Runs that a request may have after its third crash of a backend server.
+/// Maximum number of runs of a request after it has crashed a backend server three times.
 const MAX_FURTHER_RUNS: usize = 3;
 
 /// Timeout of all waits in these tests.
@@ -20,15 +20,15 @@
 
 /// A backend server that is restarted whenever a request has crashed it.
 struct SupervisedServer {
-    record: RunLog,
+    run_log: RunLog,
     address: SocketAddr,
 }
 
 fn behavior(pattern: RequestPattern) -> Behavior {
     Behavior {
         slots: 6,
-        queue: 20,
-        work: Duration::ZERO,
+        max_queued: 20,
+        mean_work: Duration::ZERO,
         long_percent: 0,
         long_work: Duration::ZERO,
         warm_up: Duration::ZERO,
@@ -46,14 +46,14 @@
 /// Starts a backend server of the service `records` next to `node`.
 async fn spawn_supervised(node: &Arc<Node>, pattern: RequestPattern) -> SupervisedServer {
     let (mut listener, address) = bind().await;
-    let record = RunLog::open(None).unwrap();
-    let (server_record, node) = (record.clone(), Arc::clone(node));
+    let run_log = RunLog::open(None).unwrap();
+    let (server_run_log, node) = (run_log.clone(), Arc::clone(node));
     tokio::spawn(async move {
         for process in 1.. {
             let server = Server::spawn(
                 listener,
                 behavior(pattern.clone()),
-                server_record.clone(),
+                server_run_log.clone(),
                 process,
             );
             node.announce_process("records", address, process);
@@ -62,10 +62,10 @@
             listener = rebind(address).await;
         }
     });
-    SupervisedServer { record, address }
+    SupervisedServer { run_log, address }
 }
 
-/// Binds the address of a crashed server again, once its connections are gone.
+/// Binds the address of a crashed server again, once the connections of the server are gone.
 async fn rebind(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Starts a node whose backend server is crashed by requests with `pattern`.
+/// Starts a node whose backend server is crashed by requests that match `pattern`.
 async fn spawn_crashing(pattern: RequestPattern, repeat: Repeat) -> (Arc<Node>, SupervisedServer) {
     let node = Arc::new(spawn_node("near").await);
     let server = spawn_supervised(&node, pattern).await;
@@ -89,7 +89,7 @@
 
 impl SupervisedServer {
     fn count_crashes(&self) -> usize {
-        let runs = self.record.entries();
+        let runs = self.run_log.entries();
         let crashes = runs.iter().filter(|run| run.outcome == Outcome::Crashed);
         crashes.count()
     }
@@ -174,7 +174,7 @@
     let (node, server) = spawn_crashing(deadly_path(), Repeat::ByMethod).await;
     let deadly = Call::new(Method::GET, "/records/deadly");
     send_until_held(&node, &server, &deadly).await;
-    let runs = server.record.entries().len();
+    let runs = server.run_log.entries().len();
     let started = Instant::now();
     let answer = deadly.send(&node).await;
     assert!(started.elapsed() < Duration::from_millis(100));
@@ -187,11 +187,12 @@
         (500_000..=600_000).contains(&wait.parse::<u64>().unwrap()),
         "{wait}"
     );
-    assert_eq!(server.record.entries().len(), runs);
+    assert_eq!(server.run_log.entries().len(), runs);
     assert_eq!(server.count_crashes(), 3);
 }
 
-/// A crashing body must be held whatever its length, and no other body on the same path.
+/// A request with a crashing body must be held whatever the length of the body. A request with
+/// another body on the same path must not be held.
 #[yare::parameterized(short = { 0 }, requested = { 20_000 }, longer_than_digest = { 300_000 })]
 #[test_macro(tokio::test)]
 async fn crashing_body(padding: usize) {
@@ -213,16 +214,16 @@
     let (node, server) = spawn_crashing(deadly_path(), Repeat::Never).await;
     let mut deadly = Call::new(Method::POST, "/records/deadly");
     send_until_held(&node, &server, &deadly).await;
-    let runs = server.record.entries().len();
+    let runs = server.run_log.entries().len();
     for key in ["a", "b", "c"] {
         deadly.headers = vec![("idempotency-key", key), ("bluebellpick-caller", key)];
         assert!(is_held(&deadly.send(&node).await));
     }
-    assert_eq!(server.record.entries().len(), runs);
+    assert_eq!(server.run_log.entries().len(), runs);
 }
 
-/// Requests that ran next to a crashing one at each crash must be answered, and none of them
-/// held.
+/// Requests that run concurrently with a crashing request at each of its crashes must be answered,
+/// and none of them may be held.
 #[tokio::test]
 async fn concurrent_requests() {
     let (node, _server) = spawn_crashing(deadly_path(), Repeat::ByMethod).await;
@@ -279,7 +280,8 @@
     }
 }
 
-/// The end of a backend server that has announced that it leaves must not make requests suspects.
+/// If a backend server exits after it has announced that it leaves, the requests that it was
+/// running must not become suspects.
 #[tokio::test]
 async fn announced_exit() {
     let (node, server) = spawn_crashing(deadly_path(), Repeat::Never).await;
@@ -290,7 +292,7 @@
             call.send(&caller).await
         });
         let begun = async {
-            while server.record.entries().len() < runs {
+            while server.run_log.entries().len() < runs {
                 tokio::task::yield_now().await;
             }
         };
@@ -303,8 +305,8 @@
     }
 }
 
-/// A suspect that waits for its own nested call, which is a suspect as well, must not keep that
-/// call from running until the deadline.
+/// A suspect request waits for its nested call, which is a suspect as well. The parent must not
+/// keep the nested call from running until the deadline.
 #[tokio::test]
 async fn nested_suspect() {
     let (node, server) = spawn_crashing(deadly_path(), Repeat::Never).await;
@@ -325,8 +327,8 @@
         send("/records/parent", vec![work(500)]),
         send("/records/child", vec![work(500)]),
     ];
-    wait_recorded(&server.record, |run| run.path == "/records/child").await;
-    wait_recorded(&server.record, |run| run.path == "/records/parent").await;
+    wait_for_run(&server.run_log, |run| run.path == "/records/child").await;
+    wait_for_run(&server.run_log, |run| run.path == "/records/parent").await;
     Call::new(Method::POST, "/records/deadly").send(&node).await;
     for one in concurrent {
         one.await.unwrap();
@@ -336,8 +338,8 @@
         "/records/parent",
         vec![work(900), ("x-request", "again".to_owned())],
     );
-    wait_recorded(&server.record, |run| run.request == "again").await;
-    let runs = server.record.entries();
+    wait_for_run(&server.run_log, |run| run.request == "again").await;
+    let runs = server.run_log.entries();
     let run = runs.iter().find(|run| run.request == "again").unwrap();
     let started = Instant::now();
     let headers = vec![work(0), ("bluebellpick-parent", run.call.to_string())];
--- a/crates/node/tests/calls/raw_peer.rs
+++ b/crates/node/tests/calls/raw_peer.rs
@@ -10,7 +10,7 @@
 use wire::call::{Frame, Header, Request};
 use wire::codec;
 
-/// Opens a call link to `far` in the name of the node `peer`.
+/// Opens a call link to `far` with the hello of the node `peer`.
 pub async fn open_link(peer: &Node, far: &Node) -> TcpStream {
     let mut stream = TcpStream::connect(far.nodes_address).await.unwrap();
     let hello = make_hello(&peer.shared, LinkKind::Call);
@@ -36,8 +36,8 @@
     }
 }
 
-/// Makes a request from `peer` for an answer of `answer` bytes.
-pub fn make_request(peer: &Node, class: Class, answer: usize, timeout_ms: u32) -> Request {
+/// Makes a request from `peer` for an answer of `answer_bytes` bytes.
+pub fn make_request(peer: &Node, class: Class, answer_bytes: usize, timeout_ms: u32) -> Request {
     Request {
         id: ::call::Id {
             origin: peer.shared.incarnation,
@@ -48,7 +48,7 @@
         path: "/jobs/1".into(),
         headers: vec![Header {
             name: "x-answer-bytes".into(),
-            value: Bytes::from(answer.to_string()),
+            value: Bytes::from(answer_bytes.to_string()),
         }],
         timeout_ms,
         target_ms: None,
--- a/crates/node/tests/calls/reuse.rs
+++ b/crates/node/tests/calls/reuse.rs
@@ -25,10 +25,10 @@
     (address, count)
 }
 
-// Calls that entered on the backend server's own VM took twice as long as direct
-// ones, because each one opened a new connection to the backend server. The
-// caller's side stops reading a response of known length at its last byte and
-// never polls for the end, so the connection was dropped instead of reused.
+// Regression: calls that entered on the backend server's own VM took twice as long as direct calls,
+// because each call opened a new connection to the backend server. The caller's side stops reading
+// a response of known length at its last byte and never polls for the end, so the connection was
+// dropped instead of reused.
 #[yare::parameterized(
     no_body = { "0" },
     short_body = { "100" },
@@ -36,7 +36,7 @@
 )]
 #[test_macro(tokio::test)]
 async fn local_connection_reused(length: &str) {
-    let (server, _record) = spawn_server(6).await;
+    let (server, _run_log) = spawn_server(6).await;
     let (address, count) = spawn_counter(server).await;
     let node = spawn_node("own").await;
     node.announce("jobs", address, 6);
--- a/crates/node/tests/calls/round_trip.rs
+++ b/crates/node/tests/calls/round_trip.rs
@@ -1,6 +1,6 @@
 //! Calls through both proxies: complete responses, to the right caller.
 
-use crate::mesh::{bind, call, spawn_node, spawn_server, wait_recorded};
+use crate::mesh::{bind, call, spawn_node, spawn_server, wait_for_run};
 use ::call::Verdict;
 use bytes::Bytes;
 use config::Repeat;
@@ -22,8 +22,8 @@
     large = { 700_000, 900_000 },
 )]
 #[test_macro(tokio::test)]
-async fn remote(upload: usize, answer: usize) {
-    let (address, record) = spawn_server(6).await;
+async fn remote(request_bytes: usize, answer_bytes: usize) {
+    let (address, run_log) = spawn_server(6).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 6);
@@ -32,8 +32,8 @@
         Repeat::Never,
         &[far.endpoint("jobs", far.nodes_address)],
     );
-    let body = Bytes::from(vec![7; upload]);
-    let length = answer.to_string();
+    let body = Bytes::from(vec![7; request_bytes]);
+    let length = answer_bytes.to_string();
     let headers = [("x-request", "r1"), ("x-answer-bytes", length.as_str())];
     let got = call(
         near.outbound.address(),
@@ -46,17 +46,17 @@
     .unwrap();
     assert_eq!(got.status, StatusCode::OK);
     assert_eq!(got.verdict(), "ran");
-    assert!(got.body.len() >= answer);
+    assert!(got.body.len() >= answer_bytes);
     let reported: serde_json::Value = serde_json::from_slice(&got.body).unwrap();
     assert_eq!(reported["request"], "r1");
     assert_eq!(reported["body_fingerprint"], backend::fingerprint(&body));
     assert_eq!(far.inbound.drain(Duration::from_secs(5)).await, 0);
-    assert_eq!(record.entries().len(), 1);
+    assert_eq!(run_log.entries().len(), 1);
 }
 
 #[tokio::test]
 async fn local() {
-    let (address, _record) = spawn_server(6).await;
+    let (address, _run_log) = spawn_server(6).await;
     let local = spawn_node("own").await;
     local.announce("jobs", address, 6);
     local.set_route(
@@ -79,8 +79,8 @@
     assert_eq!(reported["body_fingerprint"], backend::fingerprint(&body));
 }
 
-// A node that has just started tells its callers to retry. Once it has its configuration, a path
-// without a route is the caller's fault.
+// A node that has just started must tell its callers to retry. Once the node has its configuration,
+// a path without a route is an error of the caller, but a route without endpoints is not.
 #[tokio::test]
 async fn no_route() {
     let local = spawn_node("own").await;
@@ -114,13 +114,13 @@
 /// and frames of an unknown call.
 async fn respond_interleaved(listener: TcpListener) {
     let (mut stream, _) = listener.accept().await.unwrap();
-    let theirs = codec::read_hello(&mut stream).await.unwrap();
-    let ours = Hello {
+    let peer_hello = codec::read_hello(&mut stream).await.unwrap();
+    let own_hello = Hello {
         node: "far".into(),
         incarnation: 2,
-        ..theirs
+        ..peer_hello
     };
-    codec::write(&mut stream, &ours).await.unwrap();
+    codec::write(&mut stream, &own_hello).await.unwrap();
     let mut requests = Vec::new();
     while requests.len() < 2 {
         let frame = codec::read(&mut stream, &mut Vec::new()).await.unwrap();
@@ -184,7 +184,7 @@
     let two = call(address, Method::GET, "/parts/two", &[], Bytes::new());
     let (one, two) = tokio::join!(one, two);
     let mut bodies = [one.unwrap().body, two.unwrap().body];
-    // The order of the requests decides who gets the longer response.
+    // The order in which the requests arrive decides which caller gets the longer response.
     bodies.sort();
     let long = bodies
         .iter()
@@ -194,11 +194,11 @@
     assert!(bodies[0].starts_with(b"/parts/one") && bodies[1].starts_with(b"/parts/two"));
 }
 
-// A slow caller reads a long response bit by bit. The nodes must hold no more than a window of
-// it, and other calls over the link must continue.
+// A slow caller reads a long response bit by bit. The nodes must hold no more than a window of the
+// response, and other calls over the link must continue.
 #[tokio::test]
 async fn slow_reader() {
-    let (address, record) = spawn_server(2).await;
+    let (address, run_log) = spawn_server(2).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 2);
@@ -211,7 +211,7 @@
     let mut slow = TcpStream::connect(address).await.unwrap();
     let head = "GET /jobs/1 HTTP/1.1\r\nhost: m\r\nx-request: slow\r\nx-answer-bytes: 30000000\r\nbluebellpick-timeout-ms: 60000\r\n\r\n";
     slow.write_all(head.as_bytes()).await.unwrap();
-    wait_recorded(&record, |entry| entry.request == "slow").await;
+    wait_for_run(&run_log, |entry| entry.request == "slow").await;
     let mut first = [0; 1_000];
     slow.read_exact(&mut first).await.unwrap();
     for _ in 0..20 {
@@ -232,8 +232,8 @@
 // another backend server of the zone has free slots as well: that saves a hop.
 #[tokio::test]
 async fn prefers_local() {
-    let (local_server, local_record) = spawn_server(6).await;
-    let (other_server, other_record) = spawn_server(6).await;
+    let (local_server, local_run_log) = spawn_server(6).await;
+    let (other_server, other_run_log) = spawn_server(6).await;
     let local = spawn_node("own").await;
     let other = spawn_node("other").await;
     local.announce("jobs", local_server, 6);
@@ -257,14 +257,14 @@
         assert_eq!(got.unwrap().status, StatusCode::OK);
     }
     assert_eq!(
-        (local_record.entries().len(), other_record.entries().len()),
+        (local_run_log.entries().len(), other_run_log.entries().len()),
         (20, 0)
     );
 }
 
 // A caller sends a chunked body of exactly one window, so that its end arrives separately. The
-// backend server must get the end, although it has granted no further credit. The call used to
-// hang until its deadline.
+// backend server's node must get the end of the body, although that node has granted no further
+// credit. Regression: the call hung until its deadline.
 #[tokio::test]
 async fn end_without_credit() {
     let near = spawn_node("near").await;
@@ -273,19 +273,19 @@
     near.set_route("photos", Repeat::Never, &[far.endpoint("photos", address)]);
     let receiving = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let theirs = codec::read_hello(&mut stream).await.unwrap();
-        let ours = Hello {
+        let peer_hello = codec::read_hello(&mut stream).await.unwrap();
+        let own_hello = Hello {
             node: "far".into(),
             incarnation: 2,
-            ..theirs
+            ..peer_hello
         };
-        codec::write(&mut stream, &ours).await.unwrap();
+        codec::write(&mut stream, &own_hello).await.unwrap();
         let mut length = 0;
         loop {
             let frame = codec::read(&mut stream, &mut Vec::new()).await.unwrap();
             match frame {
                 wire::Frame::Call(Frame::Request(request)) => {
-                    // Credit for the known length of the body, and no more.
+                    // Grants credit for the known length of the body, and no more.
                     let (id, bytes) = (request.id, u32::try_from(request.length).unwrap());
                     let credit = wire::Frame::Call(Frame::Credit { id, bytes });
                     codec::write(&mut stream, &credit).await.unwrap();
@@ -320,7 +320,7 @@
     let (listener, address) = bind().await;
     let far = spawn_node("far").await;
     let other = spawn_node("other").await;
-    let (server, record) = spawn_server(6).await;
+    let (server, run_log) = spawn_server(6).await;
     other.announce("photos", server, 6);
     let mut full = far.endpoint("photos", address);
     full.zone = near.shared.settings.zone.clone();
@@ -331,13 +331,13 @@
     let (body_bytes, refusals) = (Arc::clone(&bodies), Arc::clone(&refused));
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let theirs = codec::read_hello(&mut stream).await.unwrap();
-        let ours = Hello {
+        let peer_hello = codec::read_hello(&mut stream).await.unwrap();
+        let own_hello = Hello {
             node: "far".into(),
             incarnation: 2,
-            ..theirs
+            ..peer_hello
         };
-        codec::write(&mut stream, &ours).await.unwrap();
+        codec::write(&mut stream, &own_hello).await.unwrap();
         loop {
             match codec::read(&mut stream, &mut Vec::new()).await.unwrap() {
                 wire::Frame::Call(Frame::Request(request)) => {
@@ -369,14 +369,14 @@
         );
         assert_eq!(answer.await.unwrap().status, StatusCode::OK);
     }
-    assert_eq!(record.entries().len(), 20);
+    assert_eq!(run_log.entries().len(), 20);
     assert!(refused.load(Ordering::Relaxed) > 0);
     assert_eq!(bodies.load(Ordering::Relaxed), 0);
 }
 
 // A faulty peer keeps sending requests and never reads the replies. The node must close that link
-// instead of keeping the replies for ever, and serve the other links. The memory of a node grew
-// until it was killed.
+// instead of keeping the replies forever. Regression: the memory of a node grew until the node was
+// killed.
 #[tokio::test]
 async fn unread_replies() {
     let far = spawn_node("far").await;
@@ -390,7 +390,7 @@
         codec::encode(&wire::Frame::Call(Frame::Ping), &mut pings).unwrap();
     }
     let mut sent = 0;
-    // More than both sockets and the limit of the send queue hold together.
+    // This is more than the buffers of both sockets and the bounded send queue hold together.
     while sent < 64 << 20 {
         match stream.write_all(&pings).await {
             Ok(()) => sent += pings.len(),
--- a/crates/node/tests/calls/silent_link.rs
+++ b/crates/node/tests/calls/silent_link.rs
@@ -1,7 +1,7 @@
 //! Calls over links that go silent: resolved by a query, never run twice.
 
 use crate::forward::{Forwarder, Mode};
-use crate::mesh::{Answer, Node, bind, call, spawn_node, spawn_server, wait_recorded};
+use crate::mesh::{Answer, Node, bind, call, spawn_node, spawn_server, wait_for_run};
 use bytes::Bytes;
 use config::Repeat;
 use http::{Method, StatusCode};
@@ -12,12 +12,12 @@
 struct Pair {
     near: Node,
     far: Node,
-    record: RunLog,
+    run_log: RunLog,
     forwarder: Forwarder,
 }
 
 async fn spawn_pair(repeat: Repeat) -> Pair {
-    let (address, record) = spawn_server(1).await;
+    let (address, run_log) = spawn_server(1).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 1);
@@ -26,7 +26,7 @@
     let pair = Pair {
         near,
         far,
-        record,
+        run_log,
         forwarder,
     };
     // Establishes the link.
@@ -40,7 +40,7 @@
     }
 
     fn runs_of(&self, request: &str) -> usize {
-        let entries = self.record.entries();
+        let entries = self.run_log.entries();
         entries
             .iter()
             .filter(|entry| entry.request == request)
@@ -69,8 +69,8 @@
     let pair = spawn_pair(Repeat::Never).await;
     let address = pair.near.outbound.address();
     let calling = tokio::spawn(async move { post(address, "r1", "300").await });
-    wait_recorded(&pair.record, |entry| entry.request == "r1").await;
-    pair.forwarder.set(Mode::Pass, Mode::Drop);
+    wait_for_run(&pair.run_log, |entry| entry.request == "r1").await;
+    pair.forwarder.set_modes(Mode::Pass, Mode::Drop);
     let started = Instant::now();
     let answer = calling.await.unwrap();
     assert_eq!((answer.status, answer.verdict()), (StatusCode::OK, "ran"));
@@ -80,15 +80,16 @@
     assert_eq!(pair.forwarder.count(), 2);
 }
 
-// The request direction of a connection is lost. The call must run on another backend server, and
-// not on the first one when the delayed request arrives later: its bytes are still in transit.
+// The request direction of a connection goes silent, with the bytes of a request still in transit.
+// The caller is told "not run", and the repeat must run on another backend server. The first
+// backend server must not run the call when the delayed request arrives later.
 #[tokio::test]
 async fn request_delayed() {
     let pair = spawn_pair(Repeat::Never).await;
-    let (address, other_record) = spawn_server(1).await;
+    let (address, other_run_log) = spawn_server(1).await;
     let other = spawn_node("other").await;
     other.announce("jobs", address, 1);
-    pair.forwarder.set(Mode::Hold, Mode::Pass);
+    pair.forwarder.set_modes(Mode::Hold, Mode::Pass);
     let late = pair.far.endpoint("jobs", pair.forwarder.address);
     pair.near.set_route("jobs", Repeat::Never, &[late]);
     let address = pair.near.outbound.address();
@@ -102,7 +103,7 @@
         &[other.endpoint("jobs", other.nodes_address)],
     );
     assert_eq!(pair.post("r1", "0").await.status, StatusCode::OK);
-    pair.forwarder.set(Mode::Pass, Mode::Pass);
+    pair.forwarder.set_modes(Mode::Pass, Mode::Pass);
     // The frames of the old link are read before a call over the new one is answered.
     let far = pair.far.endpoint("jobs", pair.forwarder.address);
     pair.near.set_route("jobs", Repeat::Never, &[far]);
@@ -110,21 +111,20 @@
         assert_eq!(pair.post("after", "1").await.status, StatusCode::OK);
     }
     assert_eq!(pair.runs_of("r1"), 0);
-    assert_eq!(other_record.entries().len(), 1);
+    assert_eq!(other_run_log.entries().len(), 1);
 }
 
-// Two calls are sent to a backend server with one slot, and the connection goes silent. The
-// waiting call must be withdrawn and reported as not run; the response of the other one must
-// arrive.
+// Two calls are sent to a backend server with one slot, and the connection goes silent. The waiting
+// call must be withdrawn and reported as not run; the response of the running call must arrive.
 #[tokio::test]
 async fn queued_withdrawn() {
     let pair = spawn_pair(Repeat::Never).await;
     let address = pair.near.outbound.address();
     let running = tokio::spawn(async move { post(address, "r1", "1500").await });
-    wait_recorded(&pair.record, |entry| entry.request == "r1").await;
+    wait_for_run(&pair.run_log, |entry| entry.request == "r1").await;
     let waiting = tokio::spawn(async move { post(address, "r2", "0").await });
     tokio::time::sleep(Duration::from_millis(50)).await;
-    pair.forwarder.set(Mode::Drop, Mode::Drop);
+    pair.forwarder.set_modes(Mode::Drop, Mode::Drop);
     let waited = waiting.await.unwrap();
     assert_eq!(
         (waited.status, waited.verdict()),
@@ -135,17 +135,17 @@
 }
 
 // The inbound proxy is killed while a call runs, and another process starts at its address. The
-// caller must be told immediately that the call may have run, and the new process must not run
-// it: its attempt table doesn't know the call.
+// caller must be told immediately that the call may have run, and the new process must not run the
+// call: the attempt table of that process doesn't contain it.
 #[tokio::test]
 async fn peer_restarted() {
     let pair = spawn_pair(Repeat::Never).await;
     let address = pair.near.outbound.address();
     let calling = tokio::spawn(async move { post(address, "r1", "3000").await });
-    wait_recorded(&pair.record, |entry| entry.request == "r1").await;
+    wait_for_run(&pair.run_log, |entry| entry.request == "r1").await;
     let restarted = spawn_node("far").await;
     pair.forwarder.set_target(restarted.nodes_address);
-    pair.forwarder.set(Mode::Drop, Mode::Drop);
+    pair.forwarder.set_modes(Mode::Drop, Mode::Drop);
     let started = Instant::now();
     let answer = calling.await.unwrap();
     assert_eq!(
@@ -161,10 +161,10 @@
 #[tokio::test]
 async fn lookup_retried() {
     let pair = spawn_pair(Repeat::Always).await;
-    let (address, _record) = spawn_server(1).await;
+    let (address, _run_log) = spawn_server(1).await;
     let other = spawn_node("other").await;
     other.announce("jobs", address, 1);
-    pair.forwarder.set(Mode::Drop, Mode::Drop);
+    pair.forwarder.set_modes(Mode::Drop, Mode::Drop);
     let far = pair.far.endpoint("jobs", pair.forwarder.address);
     let spare = other.endpoint("jobs", other.nodes_address);
     pair.near.set_route("jobs", Repeat::Always, &[far, spare]);
@@ -188,8 +188,8 @@
         let headers = [("x-request", "r1"), ("x-answer-bytes", "8000000")];
         call(address, Method::GET, "/jobs/1", &headers, Bytes::new()).await
     });
-    wait_recorded(&pair.record, |entry| entry.request == "r1").await;
-    pair.forwarder.set(Mode::Pass, Mode::Drop);
+    wait_for_run(&pair.run_log, |entry| entry.request == "r1").await;
+    pair.forwarder.set_modes(Mode::Pass, Mode::Drop);
     let answer = calling.await.unwrap().unwrap();
     assert_eq!(
         (answer.status, answer.body.len()),
@@ -200,9 +200,9 @@
     assert_eq!(pair.runs_of("r1"), 1);
 }
 
-// A link has been idle for a while when a call of half a second is sent over it. It must not be
-// taken for silent: until then, nothing was expected of the peer. Look-ups were answered with
-// "may have run" because of such a mistake.
+// A link has been idle for a while when a call of half a second is sent over it. The link must not
+// be taken for silent: before the call, nothing was expected of the peer. Regression: look-ups were
+// answered with "may have run" because an idle link was taken for silent.
 #[tokio::test]
 async fn idle_is_not_silent() {
     let pair = spawn_pair(Repeat::Always).await;
@@ -214,9 +214,9 @@
 }
 
 // An availability zone is unreachable: connections to a node there are never answered. Twenty
-// callers call at the same time. All must be told "not run" when the first attempt to connect is
-// given up, and a later caller must be told so immediately. Each call used to wait for the
-// attempts of the calls before it, and then made one of its own.
+// callers call at the same time. All of them must be told "not run" when the first attempt to
+// connect is given up, and a later caller must be told so immediately. Regression: each call waited
+// for the attempts to connect of the calls before it, and then made another attempt of its own.
 #[tokio::test]
 async fn unreachable_zone() {
     let near = spawn_node("near").await;
--- a/crates/node/tests/calls/unread_answers.rs
+++ b/crates/node/tests/calls/unread_answers.rs
@@ -1,6 +1,6 @@
 //! Responses that nobody reads: of peers that have died, and of live peers that have stalled.
 
-use crate::mesh::{Node, bind, call, spawn_node, spawn_server, wait_recorded};
+use crate::mesh::{Node, bind, call, spawn_node, spawn_server, wait_for_run};
 use crate::raw_peer::{encode, make_request, open_link, read_frame};
 use bytes::Bytes;
 use config::{Class, Repeat};
@@ -13,21 +13,22 @@
 use wire::call::Frame;
 use wire::codec;
 
-/// Size of a response that the node holds in full.
+/// Size in bytes of a response that the node holds in full.
 const SHORT_RESPONSE_BYTES: usize = 200_000;
 
-/// Size of a response that exceeds all buffers on its way.
+/// Size in bytes of a response that exceeds all buffers on its way.
 const LONG_RESPONSE_BYTES: usize = 40 << 20;
 
 /// Longest time that an unread response may hold a slot or delay a stop.
 const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Allowance for a busy machine.
+/// Time added to the limits of these tests for a busy machine.
 const MARGIN: Duration = Duration::from_secs(2);
 
-/// Starts a node for callers and a node whose backend server has one slot.
+/// Starts a node for callers and a node whose backend server has one slot. Returns both nodes and
+/// the run log of the backend server.
 async fn spawn_pair() -> (Node, Node, RunLog) {
-    let (address, record) = spawn_server(1).await;
+    let (address, run_log) = spawn_server(1).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
     far.announce("jobs", address, 1);
@@ -35,10 +36,11 @@
         let endpoints = [far.endpoint("jobs", far.nodes_address)];
         node.set_route_of_class(Class::Commit, "jobs", Repeat::Never, &endpoints);
     }
-    (near, far, record)
+    (near, far, run_log)
 }
 
-/// Calls until a response arrives; returns how long that took.
+/// Repeats a call until it succeeds; returns how long that took. Panics if that takes longer than
+/// `limit`.
 async fn wait_slot(address: SocketAddr, limit: Duration) -> Duration {
     let start = Instant::now();
     while start.elapsed() < limit {
@@ -60,11 +62,11 @@
     Stalled,
 }
 
-// A node was killed while a large response was being sent to it. 65,296 bytes of the response
-// remained unread at the node next to the backend server, and the slot stayed taken for 32 s:
-// only the reader grants credit, and the wait for it ended at the deadline plus the 30 s that a
-// commit may run past it. A stop of that node was delayed by as much, without a `cut_off` line in
-// its log.
+// Regression: a node was killed while a large response was being sent to it. 65,296 bytes of the
+// response remained unread at the node next to the backend server, and the slot stayed taken for 32
+// s. Only the reader of a response grants credit, and the wait for credit ended 30 s after the
+// deadline of the call, which is how long a commit may run past its deadline. A stop of the node
+// next to the backend server was delayed by as much, without a `cut_off` line in its log.
 #[yare::parameterized(
     killed_short = { PeerState::Killed, SHORT_RESPONSE_BYTES, Duration::ZERO },
     stalled_short = { PeerState::Stalled, SHORT_RESPONSE_BYTES, Duration::ZERO },
@@ -72,11 +74,11 @@
     stalled_long = { PeerState::Stalled, LONG_RESPONSE_BYTES, STALL_TIMEOUT },
 )]
 #[test_macro(tokio::test)]
-async fn slot_freed(state: PeerState, answer: usize, limit: Duration) {
-    let (near, far, record) = spawn_pair().await;
+async fn slot_freed(state: PeerState, answer_bytes: usize, limit: Duration) {
+    let (near, far, run_log) = spawn_pair().await;
     let peer = spawn_node("peer").await;
     let mut stream = open_link(&peer, &far).await;
-    let request = make_request(&peer, Class::Commit, answer, 1_000);
+    let request = make_request(&peer, Class::Commit, answer_bytes, 1_000);
     stream
         .write_all(&encode(Frame::Request(request)))
         .await
@@ -84,12 +86,12 @@
     let Frame::Answer(_) = read_frame(&mut stream).await else {
         panic!("no answer");
     };
-    wait_recorded(&record, |run| run.outcome == Outcome::Completed).await;
+    wait_for_run(&run_log, |run| run.outcome == Outcome::Completed).await;
     if state == PeerState::Killed {
         drop(stream);
     }
     let took = wait_slot(near.outbound.address(), limit + MARGIN).await;
-    println!("{state:?}, {answer} bytes: a slot after {took:?}");
+    println!("{state:?}, {answer_bytes} bytes: a slot after {took:?}");
     let stop = Instant::now();
     let left = far.inbound.drain(4 * STALL_TIMEOUT).await;
     assert_eq!(left, 0);
@@ -100,13 +102,13 @@
     );
 }
 
-// A caller stalls in the middle of a response. Its connection was kept open, and the slot of the
-// backend server stayed taken: without any limit if the call entered on the backend server's own
-// VM, because nothing limited how long a caller may stall.
+// A caller stalls in the middle of a response. Regression: the connection of the caller was kept
+// open, and the slot of the backend server stayed taken, without any limit if the call entered on
+// the backend server's own VM, because nothing limited how long a caller may stall.
 #[yare::parameterized(local = { true }, remote = { false })]
 #[test_macro(tokio::test)]
 async fn caller_reads_nothing(is_local: bool) {
-    let (near, far, record) = spawn_pair().await;
+    let (near, far, run_log) = spawn_pair().await;
     let entry = if is_local { &far } else { &near };
     let mut stream = TcpStream::connect(entry.outbound.address()).await.unwrap();
     let request = format!(
@@ -114,7 +116,7 @@
          bluebellpick-timeout-ms: 60000\r\ncontent-length: 0\r\n\r\n"
     );
     stream.write_all(request.as_bytes()).await.unwrap();
-    wait_recorded(&record, |run| run.outcome == Outcome::Completed).await;
+    wait_for_run(&run_log, |run| run.outcome == Outcome::Completed).await;
     let other = if is_local { &near } else { &far };
     let took = wait_slot(other.outbound.address(), 2 * STALL_TIMEOUT + MARGIN).await;
     println!("local {is_local}: a slot after {took:?}");
@@ -122,12 +124,12 @@
     drop(stream);
 }
 
-// A response was complete in time, but its reader read it only after the deadline, because its VM
-// had been paused. The rest was cut off and the caller told "may have run", although the response
-// was complete.
+// A response was complete in time, but its reader read it only after the deadline, because the
+// reader's VM had been paused. Regression: the rest of the response was cut off and the caller was
+// told "may have run", although the response was complete.
 #[tokio::test]
 async fn read_after_deadline() {
-    let (_near, far, _record) = spawn_pair().await;
+    let (_near, far, _run_log) = spawn_pair().await;
     let peer = spawn_node("peer").await;
     let mut stream = open_link(&peer, &far).await;
     let request = make_request(&peer, Class::Lookup, SHORT_RESPONSE_BYTES, 300);
@@ -158,9 +160,9 @@
     assert!(received >= SHORT_RESPONSE_BYTES, "{received}");
 }
 
-// A backend server restarts. Its node kept the half-closed sockets of the previous process until
-// the next call. In a fault experiment, 1 to 6 such sockets were left 2 s after all faults had
-// ended.
+// A backend server restarts. Regression: its node kept the half-closed sockets to the previous
+// process until the next call. In a fault experiment, 1 to 6 such sockets were left 2 s after all
+// faults had ended.
 #[tokio::test]
 async fn idle_sockets_closed() {
     let far = spawn_node("far").await;
@@ -195,9 +197,10 @@
     ended.expect("the node closes its end").unwrap();
 }
 
-// A peer's process restarted, and the socket of its previous link stayed half closed (CLOSE-WAIT)
-// for as long as a call's response or the peer's last link was remembered. A node had up to 4 such
-// sockets for 20 s, each a file descriptor here and a half-closed connection at the peer.
+// Regression: the process of a peer restarted, and the node kept the socket of the previous link
+// half closed (CLOSE-WAIT) for as long as the node remembered the response to a call over it or the
+// last link of the peer. A node had up to 4 such sockets for 20 s. Each of them takes a file
+// descriptor at the node and is a half-closed connection at the peer.
 #[tokio::test]
 async fn peer_socket_closed() {
     let near = spawn_node("near").await;
@@ -228,11 +231,12 @@
     ended.unwrap();
 }
 
-// A VM loses power while it sends a large request body. Nothing closes its connection, and the
-// backend server waited for the rest until 30 s after the call's deadline, with a slot taken.
+// A VM loses power while it sends a large request body. Nothing closes the connection of the VM.
+// Regression: the backend server waited for the rest of the body until 30 s after the call's
+// deadline, with a slot taken.
 #[tokio::test]
 async fn incomplete_upload() {
-    let (near, far, record) = spawn_pair().await;
+    let (near, far, run_log) = spawn_pair().await;
     let peer = spawn_node("peer").await;
     let mut stream = open_link(&peer, &far).await;
     let mut request = make_request(&peer, Class::Commit, 0, 60_000);
@@ -262,7 +266,11 @@
     println!("a slot after {took:?}");
     let completed = |run: &standin::record::Entry| run.outcome == Outcome::Completed;
     assert_eq!(
-        record.entries().iter().filter(|run| completed(run)).count(),
+        run_log
+            .entries()
+            .iter()
+            .filter(|run| completed(run))
+            .count(),
         1
     );
 }
--- a/crates/node/tests/control.rs
+++ b/crates/node/tests/control.rs
@@ -15,9 +15,9 @@
     [fleet]\nplatform = 127.0.0.1:5\n[operators]\ntoken = 0123456789abcdef\n";
 
 // A backend server that announces itself before the control component of its node has started must
-// still be propagated to other nodes. The control component subscribed to announcements a moment
-// later and waited for the next change, so that callers found no backend server of the service for
-// as long as the node ran.
+// still be propagated to other nodes. Regression: the control component subscribed to announcements
+// a moment after the announcement and waited for the next change, so that callers found no backend
+// server of the service for as long as the node ran.
 #[tokio::test]
 async fn announced_before_start() {
     let shared = Shared::new(Settings::parse(SETTINGS, "test").unwrap(), 7, System);
--- a/crates/node/tests/listener.rs
+++ b/crates/node/tests/listener.rs
@@ -8,8 +8,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-// A node stops while the body of a request is still arriving: the request is
-// answered, and new connections are refused.
+// A node stops while the body of a request is still arriving. The request must be answered, and new
+// connections must be refused.
 #[tokio::test]
 async fn graceful_stop() {
     let limits = Limits::default();
--- a/crates/node/tests/logs.rs
+++ b/crates/node/tests/logs.rs
@@ -93,8 +93,8 @@
     assert_eq!(written + dropped, 5_000, "dropped lines must be counted");
 }
 
-// In an overload a node refuses hundreds of calls per second. The log keeps the
-// first lines of each second, and reports how many it dropped.
+// In an overload a node refuses hundreds of calls per second. The log must keep the first lines of
+// each second, and report how many lines it dropped.
 #[test]
 fn line_rate_limit() {
     let limiter = RateLimiter::default();
--- a/crates/node/tests/operate.rs
+++ b/crates/node/tests/operate.rs
@@ -88,9 +88,9 @@
     assert_eq!(status.withheld_routes, ["/jobs"]);
 }
 
-// Guards against a report without burn rates while every call of a service is
-// refused because its last endpoint is gone: the service's objective went away
-// with its endpoints, and counts without an objective are not evaluated.
+// Guards against a report without burn rates while every call of a service is refused because the
+// last endpoint of the service is gone: the objective of the service went away with its endpoints,
+// and counts without an objective are not evaluated.
 #[tokio::test]
 async fn burn_without_endpoints() {
     let shared = make_shared();
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -16,10 +16,10 @@
 /// Timeout for operations that take milliseconds, long enough for a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-const CALLERS: u16 = 7001;
-const BACKEND: u16 = 7002;
-const NODES: u16 = 7003;
-const OPERATORS: u16 = 7004;
+const CALLERS_PORT: u16 = 7001;
+const BACKEND_PORT: u16 = 7002;
+const NODES_PORT: u16 = 7003;
+const OPERATORS_PORT: u16 = 7004;
 
 /// A node that runs as a child process on its own loopback address.
 struct Node {
@@ -42,8 +42,8 @@
         let settings = folder.path().join("node.ini");
         let text = format!(
             "[node]\nname = records-1\nzone = kl-a\nregion = kl\n\
-             [listen]\ncallers = {ip}:{CALLERS}\nbackend = {ip}:{BACKEND}\n\
-             nodes = {ip}:{NODES}\noperators = {ip}:{OPERATORS}\n\
+             [listen]\ncallers = {ip}:{CALLERS_PORT}\nbackend = {ip}:{BACKEND_PORT}\n\
+             nodes = {ip}:{NODES_PORT}\noperators = {ip}:{OPERATORS_PORT}\n\
              [fleet]\nplatform = {ip}:7100\n\
              [limits]\ndrain_timeout = 1 min\nroutes_wait = 1 ms\n{limits}[operators]\ntoken = 0123456789abcdef\n"
         );
@@ -58,7 +58,7 @@
             .unwrap();
         let node = Self { child, ip, folder };
         wait_until("listening", || {
-            let ready = node.try_get(OPERATORS, "/readyz");
+            let ready = node.try_get(OPERATORS_PORT, "/readyz");
             ready.is_some_and(|answer| !answer.contains("listeners do not run yet"))
         });
         node
@@ -89,7 +89,7 @@
     }
 
     fn read_metric(&self, name: &str) -> f64 {
-        let answer = self.get(OPERATORS, "/metrics");
+        let answer = self.get(OPERATORS_PORT, "/metrics");
         let line = answer.lines().find(|line| line.starts_with(name)).unwrap();
         line.rsplit(' ').next().unwrap().parse().unwrap()
     }
@@ -99,7 +99,7 @@
         kill_process(pid, signal).unwrap();
     }
 
-    fn wait_code(&mut self) -> Option<i32> {
+    fn wait_for_exit_code(&mut self) -> Option<i32> {
         wait_until("ended", || self.child.try_wait().unwrap().is_some());
         self.child.wait().unwrap().code()
     }
@@ -152,7 +152,7 @@
 fn fractional_limits(number: u8, limits: &str) {
     let mut node = Node::spawn_with_limits(number, limits);
     node.signal(Signal::TERM);
-    assert_eq!(node.wait_code(), Some(0));
+    assert_eq!(node.wait_for_exit_code(), Some(0));
 }
 
 #[parameterized(
@@ -175,7 +175,7 @@
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     let errors = String::from_utf8(output.stderr).unwrap();
     assert!(
-        errors.contains(&format!("{}:{CALLERS}", node.ip)),
+        errors.contains(&format!("{}:{CALLERS_PORT}", node.ip)),
         "{errors}"
     );
 }
@@ -184,28 +184,28 @@
 fn graceful_stop() {
     let mut node = Node::spawn(2);
     node.signal(Signal::TERM);
-    assert_eq!(node.wait_code(), Some(0));
+    assert_eq!(node.wait_for_exit_code(), Some(0));
     let log = node.read_log();
     assert!(log.contains("stopped") && !log.contains("cut_off"), "{log}");
 }
 
-// Guards against a planned stop that makes calls fail for two seconds: whoever
-// routes callers checks the node's readiness once per second, and sends calls to
-// a closed port until it notices that the node is leaving.
+// Guards against a planned stop that makes calls fail for two seconds: the component that routes
+// callers checks the readiness of the node once per second, and sends calls to a closed port until
+// it notices that the node is leaving.
 #[test]
 fn handover() {
     let mut node = Node::spawn_with_limits(7, "handover = 1500 ms\n");
     node.signal(Signal::TERM);
     wait_until("not ready", || {
-        node.get(OPERATORS, "/readyz").contains("is leaving")
+        node.get(OPERATORS_PORT, "/readyz").contains("is leaving")
     });
-    let answer = node.get(CALLERS, "/jobs/1");
+    let answer = node.get(CALLERS_PORT, "/jobs/1");
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(
         !node.read_log().contains(" leaving"),
         "the node must serve during the handover"
     );
-    assert_eq!(node.wait_code(), Some(0));
+    assert_eq!(node.wait_for_exit_code(), Some(0));
 }
 
 // An operator sends SIGHUP after an invalid change of the settings file. The
@@ -229,7 +229,7 @@
     wait_until("noted", || {
         node.read_log().contains("settings_wait_for_restart")
     });
-    assert!(node.get(OPERATORS, "/healthz").contains("alive"));
+    assert!(node.get(OPERATORS_PORT, "/healthz").contains("alive"));
 }
 
 // A caller that never completes its request body keeps a node from stopping. A
@@ -237,14 +237,14 @@
 #[test]
 fn second_signal() {
     let mut node = Node::spawn(3);
-    let mut caller = node.connect(CALLERS);
+    let mut caller = node.connect(CALLERS_PORT);
     caller
         .write_all(b"POST /jobs HTTP/1.1\r\nhost: node\r\ncontent-length: 9\r\n\r\nx")
         .unwrap();
     node.signal(Signal::TERM);
     wait_until("leaving", || node.read_log().contains("leaving"));
     node.signal(Signal::TERM);
-    assert_eq!(node.wait_code(), Some(1));
+    assert_eq!(node.wait_for_exit_code(), Some(1));
     assert!(node.read_log().contains("stopped_at_once"));
 }
 
@@ -271,7 +271,7 @@
     bytes
 }
 
-/// Returns malformed input: a length prefix of 4 GB, noise, half a hello, the hello of a later
+/// Returns malformed inputs: a length prefix of 4 GB, noise, half a hello, the hello of a later
 /// protocol version, and valid hellos that are followed by invalid frames.
 fn make_malformed_input() -> Vec<Vec<u8>> {
     let huge = u32::MAX.to_le_bytes().to_vec();
@@ -296,7 +296,7 @@
 
 /// Sends bytes, shuts down the sending side and waits until the node closes the connection.
 fn send_and_wait(mut stream: TcpStream, bytes: &[u8]) {
-    // The node may close before it has read all of it.
+    // The node may close the connection before it has read all bytes.
     let _sent = stream.write_all(bytes);
     let _ended = stream.shutdown(std::net::Shutdown::Write);
     let mut answer = Vec::new();
@@ -310,24 +310,27 @@
 fn malformed_peers() {
     let mut node = Node::spawn(4);
     for bytes in make_malformed_input() {
-        for port in [CALLERS, BACKEND, NODES, OPERATORS] {
+        for port in [CALLERS_PORT, BACKEND_PORT, NODES_PORT, OPERATORS_PORT] {
             send_and_wait(node.connect(port), &bytes);
         }
-        assert!(node.get(CALLERS, "/nowhere").starts_with("HTTP/1.1 503"));
+        assert!(
+            node.get(CALLERS_PORT, "/nowhere")
+                .starts_with("HTTP/1.1 503")
+        );
     }
     for listener in ["callers", "backend", "nodes", "operators"] {
         let name = format!("bluebellpick_bad_requests_total{{listener=\"{listener}\"}}");
         assert!(node.read_metric(&name) > 0.0, "{listener}");
     }
     // A valid peer must still receive a hello.
-    let mut peer = node.connect(NODES);
+    let mut peer = node.connect(NODES_PORT);
     peer.write_all(&make_hello(PROTOCOL_VERSION, LinkKind::Call))
         .unwrap();
     let mut prefix = [0; codec::PREFIX_LEN];
     peer.read_exact(&mut prefix).unwrap();
     drop(peer);
     node.signal(Signal::TERM);
-    assert_eq!(node.wait_code(), Some(0));
+    assert_eq!(node.wait_for_exit_code(), Some(0));
     let log = node.read_log();
     assert!(!log.contains("panicked"), "{log}");
 }
@@ -343,20 +346,23 @@
             .set_read_timeout(Some(Duration::from_millis(10)))
             .unwrap();
         let mut answer = [0; 512];
-        // Until the node closes the connection.
+        // Sends until the node closes the connection.
         while stream.write_all(b"x").is_ok() && !matches!(stream.read(&mut answer), Ok(0)) {}
     };
     std::thread::scope(|scope| {
         for _ in 0..4 {
-            let mut stream = node.connect(CALLERS);
+            let mut stream = node.connect(CALLERS_PORT);
             stream.write_all(b"GET / HTTP/1.1\r\n").unwrap();
             scope.spawn(move || send_slowly(stream));
         }
-        assert!(node.get(CALLERS, "/nowhere").starts_with("HTTP/1.1 503"));
+        assert!(
+            node.get(CALLERS_PORT, "/nowhere")
+                .starts_with("HTTP/1.1 503")
+        );
     });
 }
 
-/// Rounds of 1,200 bad connections: a leak of 1 kB each would come to 9.6 MB.
+/// Number of rounds of 1,200 bad connections. A leak of 1 kB per connection would come to 9.6 MB.
 const ROUNDS: u32 = 8;
 
 // Guards against memory that leaks with each malformed connection: a port
@@ -366,7 +372,7 @@
     let node = Node::spawn(5);
     let inputs = make_malformed_input();
     let run_round = || {
-        for port in [CALLERS, BACKEND, NODES, OPERATORS] {
+        for port in [CALLERS_PORT, BACKEND_PORT, NODES_PORT, OPERATORS_PORT] {
             for bytes in inputs.iter().cycle().take(300) {
                 send_and_wait(node.connect(port), bytes);
             }
--- a/crates/node/tests/reserve.rs
+++ b/crates/node/tests/reserve.rs
@@ -23,7 +23,7 @@
 use tokio::task::JoinHandle;
 use wire::{LinkKind, codec};
 
-const LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The parts of a node that reservations need.
 struct Node<C = System>
@@ -115,11 +115,11 @@
         };
         let fingerprint = Fingerprint::of("POST", key, b"");
         let key = Key::of("claims", key);
-        self.reserve.claim(key, fingerprint, call, LIMIT).await
+        self.reserve.claim(key, fingerprint, call, TIMEOUT).await
     }
 }
 
-/// Starts three nodes that agree on the owners.
+/// Starts three nodes that agree on which node owns which shard.
 async fn spawn_fleet(store: &MemoryStore) -> Vec<Node> {
     let mut fleet = Vec::new();
     for name in ["first", "second", "third"] {
@@ -162,9 +162,9 @@
     }
 }
 
-// A client loses the answer to a call and repeats the call at another node. It
-// must not run twice: the repeat gets the answer of the first call, or "may have
-// run" as long as that is not known.
+// A client loses the answer to a call and repeats the call at another node. It must not run twice:
+// the repeat gets the answer of the first call, or "may have run" as long as that answer is not
+// known.
 #[tokio::test]
 async fn repeat_at_other_node() {
     let fleet = spawn_fleet(&MemoryStore::new()).await;
@@ -195,8 +195,8 @@
     let _grant = expect_grant(claim_while(&fleet[1], "k1", unsettled).await);
 }
 
-// A node stops right after a call has run. The outcome must be written before, or
-// the caller's repeat gets "may have run" for a day.
+// A node stops right after a call has run. The outcome of the call must be written before the node
+// exits. Otherwise the caller's repeat gets "may have run" for a day.
 #[tokio::test(start_paused = true)]
 async fn flush_at_stop() {
     let memory = MemoryStore::new();
@@ -206,7 +206,7 @@
         let grant = expect_grant(node.claim(key).await);
         node.reserve.complete(grant, Some(answer()));
     }
-    node.reserve.flush(LIMIT).await;
+    node.reserve.flush(TIMEOUT).await;
     let successor = spawn_node("successor", &memory).await;
     for key in keys {
         let result = successor.claim(key).await;
@@ -224,10 +224,10 @@
     let node = spawn_node_with("own", &memory, clock.clone()).await;
     let grant = expect_grant(node.claim("k1").await);
     node.reserve.complete(grant, Some(answer()));
-    node.reserve.flush(LIMIT).await;
+    node.reserve.flush(TIMEOUT).await;
     clock.advance(Duration::from_hours(23));
-    // Expired keys are removed along with the next record; claims of other keys
-    // cause one in each shard.
+    // Expired keys are removed when the next record is written. The claims of other keys cause a
+    // record in each shard.
     for number in 0..64 {
         let _grant = expect_grant(node.claim(&format!("a{number}")).await);
     }
@@ -238,7 +238,7 @@
     for number in 0..64 {
         let _grant = expect_grant(successor.claim(&format!("b{number}")).await);
     }
-    // The successor has not known the key for a day yet.
+    // The successor has known the key for less than a day.
     assert_eq!(successor.claim("k1").await, known);
     for number in 0..64 {
         let _grant = expect_grant(node.claim(&format!("c{number}")).await);
@@ -246,9 +246,9 @@
     let _grant = expect_grant(node.claim("k1").await);
 }
 
-// A shard is full. New keys must be refused, since removing others early might
-// let their calls run twice. Keys that are a quarter of an hour old are removed,
-// so that new ones are granted again.
+// A shard is full. New keys must be refused, since the early removal of other keys might let their
+// calls run twice. Once keys are a quarter of an hour old, they are removed, so that new keys are
+// granted again.
 #[tokio::test(start_paused = true)]
 async fn full_shard() {
     let clock = Manual::new();
@@ -281,8 +281,8 @@
     let _grant = expect_grant(claim_while(&node, &keys[MAX_SHARD_KEYS + 1], refused).await);
 }
 
-// Hundreds of keyed calls arrive at once. One write for each would overload the
-// platform, so each record must contain many reservations.
+// Hundreds of keyed calls arrive at once. One write for each call would overload the platform, so
+// each record must contain many reservations.
 #[tokio::test]
 async fn group_commit() {
     let memory = MemoryStore::new();
@@ -304,7 +304,8 @@
     assert!(writes <= 96, "{writes} writes for 960 keys");
 }
 
-// The owner of a key's shard is gone, and nothing answers at its address.
+// The owner of a key's shard is gone, and nothing answers at its address. The key must still be
+// granted, and only once.
 #[tokio::test]
 async fn owner_gone() {
     let fleet = spawn_fleet(&MemoryStore::new()).await;
@@ -344,10 +345,10 @@
     let _grant = expect_grant(claim_while(&node, "k1", refused).await);
 }
 
-// A node closes its link to the owner of a key while the platform answers slowly.
-// The owner waited for the reservation in order to send a reply that could no
-// longer be delivered, and kept its end of the link half closed (CLOSE-WAIT) until
-// then: 1 to 6 sockets at a node 2 s after all faults had ended.
+// A node closes its link to the owner of a key while the platform answers slowly. Regression: the
+// owner waited for the reservation to be written in order to send a reply that could no longer be
+// delivered. Meanwhile it kept its end of the link half closed (CLOSE-WAIT): a node had 1 to 6 such
+// sockets 2 s after all faults had ended.
 #[tokio::test]
 async fn link_closed() {
     let memory = MemoryStore::new();
@@ -408,9 +409,8 @@
     assert!(waits[1..].iter().all(Duration::is_zero), "{waits:?}");
 }
 
-// The record with a key is committed, but every response to its write is lost, so
-// that the caller is told "not run". Its repeat must eventually run, and not get
-// "may have run" for a day.
+// The record with a key is committed, but every response to its write is lost, so that the caller
+// is told "not run". The caller's repeat must eventually run, and not get "may have run" for a day.
 #[tokio::test(start_paused = true)]
 async fn record_in_doubt() {
     let memory = MemoryStore::new();
@@ -432,7 +432,7 @@
 /// Number of calls that ran under each key.
 type Runs = Arc<Mutex<HashMap<String, u32>>>;
 
-/// Repeats a call at random nodes; returns whether it got the stored answer within 20 attempts.
+/// Repeats a call at random nodes; returns whether one of 20 attempts got the stored answer.
 async fn call_until_answered(
     nodes: Arc<Vec<Node>>,
     key: String,
@@ -473,10 +473,9 @@
     }
 }
 
-// The nodes of three zones are partitioned from each other but reach the
-// platform, so each considers itself the owner of every shard. Callers repeat
-// their calls at all of them while writes to the platform are lost, delayed or
-// refused. No call may run twice under one key.
+// The nodes of three zones are partitioned from each other but reach the platform, so each
+// considers itself the owner of every shard. Callers repeat their calls at all nodes while writes
+// to the platform are lost, delayed or refused. No call may run twice under one key.
 #[yare::parameterized(one = { 1 }, two = { 2 }, three = { 3 }, four = { 4 })]
 #[test_macro(tokio::test(start_paused = true))]
 async fn rival_owners(seed: u64) {
@@ -489,7 +488,8 @@
     assert!(known > 60, "{known} of 120 callers got their answer");
 }
 
-/// Makes the open connections to one random node after another stop forwarding data.
+/// Repeatedly stalls the open connections to a randomly chosen node: they stay open but forward no
+/// more data.
 async fn stall_connections(nodes: Arc<Vec<Node>>, mut rng: SmallRng) {
     loop {
         let pause = Duration::from_millis(rng.random_range(0..400));
@@ -515,9 +515,9 @@
     assert!(known > 30, "{known} of 120 callers got their answer");
 }
 
-/// Runs callers while the platform is faulty; returns how many got their answer.
+/// Runs callers while the platform is faulty; returns how many callers got their answer.
 ///
-/// Panics if more than one call ran under a key.
+/// Panics if more than one call ran under the same key.
 async fn run_callers(seed: u64, memory: MemoryStore, nodes: Arc<Vec<Node>>) -> u32 {
     let runs = Runs::default();
     let faults = tokio::spawn(inject_faults(memory.clone(), SmallRng::seed_from_u64(seed)));
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -14,26 +14,31 @@
 use yare::parameterized;
 
 /// How long a listener may take to stop.
-const LIMIT: Duration = Duration::from_millis(300);
+const LISTENER_STOP_LIMIT: Duration = Duration::from_millis(300);
 
 // Guards against a stop that exceeds its limit. When a backend server was killed in the middle of
-// an announcement, the listener waited 5 s for the rest of it. It waited without end for a peer
-// that did not read its response.
+// an announcement, the listener waited 5 s for the rest of it. For a peer that did not read its
+// response, the listener waited without any limit.
 #[tokio::test]
 async fn half_request() {
     let handle = announce::spawn(bind().await, make_shared()).unwrap();
     let mut stream = TcpStream::connect(handle.address()).await.unwrap();
     let half = b"PUT /v1/announce HTTP/1.1\r\nhost: node\r\ncontent-length: 100\r\n\r\n{";
     stream.write_all(half).await.unwrap();
-    // The response shows that the listener has accepted the connection before.
+    // The response shows that the listener has also accepted the earlier connection, `stream`.
     request(handle.address(), "GET /v1/announce", "").await;
     let start = Instant::now();
-    handle.stop(LIMIT).await;
-    assert!(start.elapsed() < 4 * LIMIT, "{:?}", start.elapsed());
+    handle.stop(LISTENER_STOP_LIMIT).await;
+    assert!(
+        start.elapsed() < 4 * LISTENER_STOP_LIMIT,
+        "{:?}",
+        start.elapsed()
+    );
 }
 
 // Guards against a node that is killed while it announces to other nodes that it leaves: the calls
-// had used all of the time for the stop, and the steps after them had independent limits or none.
+// used up the whole time limit of the stop, and the steps after the calls had independent limits or
+// none.
 #[parameterized(
     killed_after_6_s = { 3_300 },
     default = { 30_000 },
@@ -80,5 +85,5 @@
             "{row}: {text}"
         );
     }
-    handle.stop(LIMIT).await;
+    handle.stop(LISTENER_STOP_LIMIT).await;
 }
--- a/crates/standin/src/announce.rs
+++ b/crates/standin/src/announce.rs
@@ -29,13 +29,13 @@
 pub struct Announcement {
     /// Service of the backend server.
     pub service: SmolStr,
-    /// Address at which it accepts calls.
+    /// Address at which the backend server accepts calls.
     pub address: SocketAddr,
     /// Maximum number of concurrent calls.
     pub slots: u16,
     /// Identifies the process of the backend server.
     pub incarnation: u64,
-    /// Increases with each announcement, so that the node detects delayed ones.
+    /// Increases with each announcement, so that the node detects delayed announcements.
     pub sequence: u64,
 }
 
@@ -49,7 +49,7 @@
 /// The node's view of the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Calls that the node has sent to the backend server and that have not ended.
+    /// Number of calls that the node has sent to the backend server and that have not ended.
     pub in_flight: usize,
     /// Whether the node knows that the backend server is leaving.
     pub leaving: bool,
@@ -82,10 +82,12 @@
         }
     }
 
-    /// Sends a leave request and waits until the node has no calls in flight, at most `limit`.
+    /// Sends a leave request and waits until the node reports no calls in flight to the backend
+    /// server, for at most `limit`.
     ///
-    /// The node may be killed after it has acknowledged the request. Its successor then reports
-    /// that the backend server is not leaving, and the request is sent again.
+    /// The node may be killed after it has acknowledged the request. The node process that replaces
+    /// it then reports that the backend server is not leaving, and this function sends the request
+    /// again.
     ///
     /// `on_acknowledged` is called each time that a node acknowledges the request.
     pub async fn leave<F>(&self, request: LeaveRequest, limit: Duration, mut on_acknowledged: F)
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,11 +1,12 @@
 //! A simulated backend server with slots, slow start, load shedding, draining, and health and
 //! load reports that can be made false.
 //!
-//! All paths except `/health`, `/load`, `/record` and `/fault` are calls. A response describes
-//! its request, so that a test can check that the two belong together. The request header
-//! `x-work-ms` sets the duration of the work, `x-answer-bytes` pads the response, and
+//! All paths except `/health`, `/load`, `/record` and `/fault` are calls. A response describes its
+//! request, so that a test can check that a caller got the response to its own request. The request
+//! header `x-work-ms` sets the duration of the work, `x-answer-bytes` pads the response, and
 //! [`TIMEOUT_HEADER`] limits the work. A request that matches [`Behavior::crash_trigger`] crashes
-//! the process, or in a test the simulated server.
+//! the process. In tests that run the server in their own process, only the simulated server
+//! crashes.
 
 use crate::http::{Body, Error, bytes_response, json_response, read_json};
 use crate::record::{Entry, Outcome, RunLog};
@@ -45,10 +46,11 @@
 pub struct Behavior {
     /// Maximum number of concurrent calls.
     pub slots: u16,
-    /// Maximum number of calls that wait for a slot; further ones are shed with status 503.
-    pub queue: usize,
-    /// Mean duration of a call's work; sampled uniformly between 0.5 and 1.5 times this value.
-    pub work: Duration,
+    /// Maximum number of calls that wait for a slot; further calls are shed with status 503.
+    pub max_queued: usize,
+    /// Mean duration of a call's work. The duration of each call is sampled uniformly between 0.5
+    /// and 1.5 times this value.
+    pub mean_work: Duration,
     /// Percentage of long calls.
     pub long_percent: u8,
     /// Duration of a long call's work.
@@ -59,10 +61,10 @@
     pub crash_trigger: Option<CrashTrigger>,
 }
 
-/// Requests that crash the process that executes them.
+/// Which requests crash the process that executes them, and when.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashTrigger {
-    /// Requests that cause the crash.
+    /// Property by which the crashing requests are recognized.
     pub pattern: RequestPattern,
     /// Time from the start of the work to the crash.
     pub delay: Duration,
@@ -99,9 +101,9 @@
     pub slow_factor: u32,
     /// Percentage of calls that fail immediately with status 500.
     pub fail_percent: u8,
-    /// Overrides the state that `/health` reports.
+    /// Health that `/health` reports; without it, the server reports that it is healthy.
     pub health: Option<bool>,
-    /// Overrides the number of calls in flight that `/load` reports.
+    /// Number of calls in flight that `/load` reports instead of the actual number.
     pub load: Option<usize>,
     /// Maximum age in milliseconds of the load that `/load` reports.
     pub load_lag_ms: u64,
@@ -130,9 +132,9 @@
     started: Instant,
     slots: Semaphore,
     in_flight: AtomicUsize,
-    shed: AtomicUsize,
+    shed_count: AtomicUsize,
     faults: Mutex<Faults>,
-    /// Calls in flight that `/load` reports, and when they were counted.
+    /// Time at which the calls in flight were last counted for `/load`, and their number.
     counted_load: Mutex<(Instant, usize)>,
     rng: Mutex<SmallRng>,
     stage: watch::Sender<LifecycleStage>,
@@ -175,7 +177,7 @@
             run_log,
             started: now,
             in_flight: AtomicUsize::new(0),
-            shed: AtomicUsize::new(0),
+            shed_count: AtomicUsize::new(0),
             faults: Mutex::default(),
             counted_load: Mutex::new((now, 0)),
             rng: Mutex::new(SmallRng::seed_from_u64(seed)),
@@ -188,15 +190,15 @@
     /// Stops accepting connections and waits until all responses are written.
     pub async fn drain(&self) {
         self.0.stage.send_replace(LifecycleStage::Draining);
-        self.wait_stage(LifecycleStage::Drained).await;
+        self.wait_for_stage(LifecycleStage::Drained).await;
     }
 
     /// Waits until a request has crashed the backend server.
     pub async fn crashed(&self) {
-        self.wait_stage(LifecycleStage::Crashed).await;
+        self.wait_for_stage(LifecycleStage::Crashed).await;
     }
 
-    async fn wait_stage(&self, expected: LifecycleStage) {
+    async fn wait_for_stage(&self, expected: LifecycleStage) {
         let mut stages = self.0.stage.subscribe();
         // The wait can't fail, because `self` keeps the sender alive.
         drop(stages.wait_for(|stage| *stage == expected).await);
@@ -249,7 +251,7 @@
             *counted_load = (Instant::now(), self.in_flight());
         }
         let in_flight = load_override.unwrap_or(counted_load.1);
-        let shed = self.0.shed.load(Ordering::Relaxed);
+        let shed = self.0.shed_count.load(Ordering::Relaxed);
         let slots = self.0.behavior.slots;
         json_response(
             StatusCode::OK,
@@ -260,8 +262,8 @@
     async fn handle_call(&self, request: Request<Incoming>) -> Result<Response<Body>, Error> {
         let shared = &*self.0;
         let _in_flight = InFlight::enter(&shared.in_flight);
-        if self.in_flight() > usize::from(shared.behavior.slots) + shared.behavior.queue {
-            shared.shed.fetch_add(1, Ordering::Relaxed);
+        if self.in_flight() > usize::from(shared.behavior.slots) + shared.behavior.max_queued {
+            shared.shed_count.fetch_add(1, Ordering::Relaxed);
             return Ok(bytes_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 Bytes::new(),
@@ -294,7 +296,7 @@
         let work = self.sample_work(&head.headers);
         let limit = header_number(&head.headers, TIMEOUT_HEADER)
             .map_or(Duration::MAX, Duration::from_millis);
-        // Even a timer of zero length takes up to a millisecond.
+        // Even a timer of zero length takes up to a millisecond, so none is started for zero work.
         if !work.is_zero() && timeout(limit, sleep(work)).await.is_err() {
             run.end(Outcome::Expired);
             return Ok(bytes_response(StatusCode::GATEWAY_TIMEOUT, Bytes::new()));
@@ -315,7 +317,7 @@
         if rng.random_range(0..100) < behavior.long_percent {
             behavior.long_work
         } else {
-            behavior.work.mul_f64(rng.random_range(0.5..1.5))
+            behavior.mean_work.mul_f64(rng.random_range(0.5..1.5))
         }
     }
 
@@ -329,7 +331,8 @@
     }
 }
 
-/// Accepts connections until the server drains, then waits until all responses are written.
+/// Accepts connections until the server drains or crashes. If it drains, waits until all responses
+/// are written.
 async fn accept(listener: TcpListener, backend: Backend) {
     let connections = GracefulShutdown::new();
     let stage = &backend.0.stage;
@@ -397,7 +400,7 @@
     }
 }
 
-/// Returns the fingerprint of a body, which responses report.
+/// Returns the fingerprint by which a response identifies the body of its request.
 #[must_use]
 pub fn fingerprint(body: &[u8]) -> String {
     let digest = Sha256::digest(body);
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// Body of a response.
+/// Response body of both stand-ins, which is complete in memory.
 pub type Body = BoxBody<Bytes, Infallible>;
 
 quick_error! {
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -29,7 +29,7 @@
         announce: Option<SocketAddr>,
         service: SmolStr,
         behavior: Behavior,
-        record: Option<PathBuf>,
+        run_log_path: Option<PathBuf>,
         drain_timeout: Duration,
         seed: u64,
     },
@@ -81,11 +81,11 @@
         .help("Calls that run at once")
         .argument("N")
         .fallback(6);
-    let queue = long("queue")
+    let max_queued = long("queue")
         .help("Calls that may wait for a slot before others are shed")
         .argument("N")
         .fallback(6);
-    let work = parse_ms("work-ms", "Mean work of a call", 2);
+    let mean_work = parse_ms("work-ms", "Mean work of a call", 2);
     let long_percent = long("long-percent")
         .help("Share of long calls, in per cent")
         .argument("PERCENT")
@@ -95,8 +95,8 @@
     let crash_trigger = parse_crash_trigger();
     construct!(Behavior {
         slots,
-        queue,
-        work,
+        max_queued,
+        mean_work,
         long_percent,
         long_work,
         warm_up,
@@ -139,7 +139,7 @@
         .map(SmolStr::from)
         .fallback("records".into());
     let behavior = parse_behavior();
-    let record = long("record")
+    let run_log_path = long("record")
         .help("File for a line at each start and end of a run")
         .argument("FILE")
         .optional();
@@ -150,7 +150,7 @@
         announce,
         service,
         behavior,
-        record,
+        run_log_path,
         drain_timeout,
         seed
     })
@@ -196,12 +196,12 @@
             announce,
             service,
             behavior,
-            record,
+            run_log_path,
             drain_timeout,
             seed,
         } => {
             let mut stop = signal(SignalKind::terminate())?;
-            let run_log = RunLog::open(record.as_deref())?;
+            let run_log = RunLog::open(run_log_path.as_deref())?;
             let listener = standin::http::bind(listen).await?;
             let announcement = Announcement {
                 service,
@@ -234,7 +234,8 @@
     run_log: RunLog,
 }
 
-/// Serves until SIGTERM, then waits until no calls are in flight here or at the node.
+/// Serves until SIGTERM, then waits until the node and after it the backend server have no calls in
+/// flight, for at most `drain_timeout` each.
 async fn serve_backend(
     backend: &Backend,
     announcer: Announcer,
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use parking_lot::Mutex;
-use platform::api::{Change, Changes, ERA_HEADER, Item, MAX_WAIT_MS, OBJECTS_PATH, Page};
+use platform::api::{Change, Changes, ERA_HEADER, Item, MAX_WATCH_HOLD_MS, OBJECTS_PATH, Page};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -36,8 +36,8 @@
 }
 
 impl Default for RateLimits {
-    /// Of the same order of magnitude as the platform's limits: several hundred writes and about
-    /// two thousand reads.
+    /// Returns limits of the same order of magnitude as the platform's: several hundred writes and
+    /// about two thousand reads per second.
     fn default() -> Self {
         Self {
             writes: 400,
@@ -48,8 +48,8 @@
 
 struct Shared {
     memory: MemoryStore,
-    writes: Mutex<RateLimiter>,
-    reads: Mutex<RateLimiter>,
+    write_limiter: Mutex<RateLimiter>,
+    read_limiter: Mutex<RateLimiter>,
     /// Backup that `POST /restore` restores.
     backup: Mutex<Option<store::memory::Backup>>,
 }
@@ -59,8 +59,8 @@
     let now = Instant::now();
     let shared = Arc::new(Shared {
         memory,
-        writes: Mutex::new(RateLimiter::new(rates.writes, now)),
-        reads: Mutex::new(RateLimiter::new(rates.reads, now)),
+        write_limiter: Mutex::new(RateLimiter::new(rates.writes, now)),
+        read_limiter: Mutex::new(RateLimiter::new(rates.reads, now)),
         backup: Mutex::default(),
     });
     loop {
@@ -125,8 +125,8 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Error> {
     let limiter = match *request.method() {
-        Method::GET => &shared.reads,
-        _ => &shared.writes,
+        Method::GET => &shared.read_limiter,
+        _ => &shared.write_limiter,
     };
     let admitted = limiter.lock().admit(Instant::now());
     if let Err(wait) = admitted {
@@ -202,7 +202,8 @@
     Ok(json_response(StatusCode::CREATED, &written))
 }
 
-/// Replaces an object; if its revision isn't the expected one, responds with the current object.
+/// Replaces an object; if the revision of the object isn't the expected one, responds with the
+/// current object.
 async fn replace(
     memory: &MemoryStore,
     kind: &str,
@@ -215,8 +216,8 @@
     write_response(memory, &name, replaced).await
 }
 
-/// Replaces the status of an object; if its revision isn't the expected one, responds with the
-/// current object.
+/// Replaces the status of an object; if the revision of the object isn't the expected one, responds
+/// with the current object.
 async fn replace_status(
     memory: &MemoryStore,
     kind: &str,
@@ -243,11 +244,11 @@
     Ok(json_response(status, &make_item(object)))
 }
 
-/// Time to wait for a further change before the response is sent. The store is in this process,
-/// so changes that are already pending arrive sooner than this.
+/// Time to wait for a further change before the response is sent. The store is in this process, so
+/// changes that are already pending arrive within this time.
 const BATCH_WAIT: Duration = Duration::from_millis(1);
 
-/// Waits until an object of a kind changes or the wait time of the request expires.
+/// Waits until an object of the given kind changes or the wait time of the request expires.
 async fn wait_changes(
     memory: &MemoryStore,
     kind: &str,
@@ -255,8 +256,8 @@
 ) -> Result<Response<Body>, store::Error> {
     let from = read_revision(memory, query, "watch").unwrap_or_default();
     let wait = query.get("wait_ms").and_then(|text| text.parse().ok());
-    let wait = Duration::from_millis(wait.unwrap_or(MAX_WAIT_MS).min(MAX_WAIT_MS));
-    let until = tokio::time::Instant::now() + wait;
+    let wait = Duration::from_millis(wait.unwrap_or(MAX_WATCH_HOLD_MS).min(MAX_WATCH_HOLD_MS));
+    let hold_until = tokio::time::Instant::now() + wait;
     if memory.faults().silent_watches {
         // The connection stays open without a response.
         std::future::pending::<()>().await;
@@ -267,14 +268,14 @@
         revision: from.number,
     };
     while changes.events.is_empty() {
-        let Ok(event) = tokio::time::timeout_at(until, watch.next()).await else {
+        let Ok(event) = tokio::time::timeout_at(hold_until, watch.next()).await else {
             break;
         };
         let event = event?;
         changes.revision = event.revision().number;
         changes.events.extend(make_change(event));
     }
-    // Adds the changes that have occurred in the meantime.
+    // Adds further changes that are already pending.
     while let Ok(event) = tokio::time::timeout(BATCH_WAIT, watch.next()).await {
         let event = event?;
         changes.revision = event.revision().number;
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,4 +1,4 @@
-//! Log of the calls that a backend server executed, against which tests check histories.
+//! Log of the calls that a backend server executed. Tests compare it with what callers were told.
 
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Outcome of a run.
+/// Outcome of a run, which is one execution of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
@@ -27,10 +27,10 @@
     Crashed,
 }
 
-/// Log entry of a run: one execution of a call.
+/// Log entry of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Number of the run, counted per backend server.
+    /// Number of the run, counted from 0 in each log.
     pub run: usize,
     /// Value of the header `idempotency-key`; may be empty.
     pub key: SmolStr,
@@ -38,15 +38,15 @@
     pub request: SmolStr,
     /// Value of the header `bluebellpick-call`; may be empty.
     pub call: SmolStr,
-    /// HTTP method.
+    /// HTTP method of the call.
     pub method: SmolStr,
-    /// Path and query.
+    /// Path and query of the call.
     pub path: SmolStr,
     /// Start of the work, in microseconds since the Unix epoch.
     pub start_us: u64,
-    /// End of the work, in microseconds since the Unix epoch.
+    /// End of the work, in microseconds since the Unix epoch; `None` until the run has ended.
     pub end_us: Option<u64>,
-    /// Outcome of the run.
+    /// Outcome of the run so far.
     pub outcome: Outcome,
 }
 
@@ -68,7 +68,8 @@
 }
 
 impl RunLog {
-    /// Creates an empty log; if a file is given, each start and end of a run appends a line to it.
+    /// Creates an empty log; if a file is given, each start and end of a run appends a line to the
+    /// file.
     ///
     /// A second file, with the extension `left`, receives the time at which the first node
     /// acknowledged the leave request.
@@ -129,7 +130,8 @@
         self.write(&entries[run]);
     }
 
-    /// Writes a line to the file without buffering, so that it survives a kill of the process.
+    /// Writes a line to the file without buffering, so that the line survives a kill of the
+    /// process.
     fn write(&self, entry: &Entry) {
         let Some(file) = &self.file else { return };
         let mut line = serde_json::to_vec(entry).unwrap_or_default();
--- a/crates/standin/tests/backend_server.rs
+++ b/crates/standin/tests/backend_server.rs
@@ -18,8 +18,8 @@
 
 const BEHAVIOR: Behavior = Behavior {
     slots: 1,
-    queue: 1,
-    work: Duration::from_millis(1),
+    max_queued: 1,
+    mean_work: Duration::from_millis(1),
     long_percent: 0,
     long_work: Duration::ZERO,
     warm_up: Duration::ZERO,
--- a/crates/standin/tests/drain.rs
+++ b/crates/standin/tests/drain.rs
@@ -136,9 +136,9 @@
     assert_eq!(leave_request, json!({"incarnation": incarnation}));
 }
 
-// The node that acknowledged the leave request is killed, and its successor reports
-// `leaving: false`. The backend server must repeat the request. Regression: it didn't, and waited
-// until its drain timeout.
+// The node that acknowledged the leave request is killed, and the node process that replaces it
+// reports `leaving: false`. The backend server must repeat the request. Regression: the backend
+// server didn't, and waited until its drain timeout.
 #[tokio::test]
 async fn repeated_leave_request() {
     let (node, mut received) = spawn_node(json!({"in_flight": 0, "leaving": false})).await;
@@ -177,8 +177,8 @@
     timeout(TEST_TIMEOUT, busy).await.unwrap();
 }
 
-// While the node reports calls in flight, the backend server must not stop even if it is idle: the
-// calls may not have reached it yet.
+// While the node reports calls in flight, the backend server must not stop, even if it is idle: the
+// calls may not have reached the backend server yet.
 #[tokio::test]
 async fn wait_for_node() {
     let (node, mut received) = spawn_node(json!({"in_flight": 1, "leaving": true})).await;
--- a/crates/standin/tests/object_api.rs
+++ b/crates/standin/tests/object_api.rs
@@ -116,7 +116,7 @@
 }
 
 // A watch must end with an error when its connection falls silent. Regression: middleboxes lost the
-// state of the roots' connections, which only shows in missing responses, and a version reached no
+// state of the roots' connections, which shows only in missing responses, and a version reached no
 // zone for an hour although the platform was healthy.
 #[tokio::test]
 async fn silent_watch() {
@@ -147,7 +147,7 @@
 }
 
 // A middlebox loses the state of all pooled connections, which stay open at the node, while new
-// connections work. Only one call may fail, not one for each pooled connection.
+// connections work. Only a single call may fail, not a call for each pooled connection.
 #[tokio::test]
 async fn silent_connections() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -176,8 +176,9 @@
     }
 }
 
-// The platform is slow for a long time: each response takes more than twice as long as the
-// initial timeout. Two calls fail; the operators' writes after them must succeed.
+// Each response takes more than twice the initial timeout. After two failed calls, the client has
+// raised its timeout, so that later writes succeed. Once the platform is fast again, the timeout
+// must be as short as before.
 #[tokio::test]
 async fn slow_platform() {
     let (memory, client) = open(RateLimits::default(), SHORT_LIMITS).await;
@@ -306,8 +307,8 @@
     assert_eq!(object.value, json!("x".repeat(1_000)));
 }
 
-// The connection falls silent in the middle of a response body. The call must time out; the next
-// one uses a new connection.
+// The connection falls silent in the middle of a response body. The call must time out. (The client
+// then uses a new connection for its next call, which this test doesn't check.)
 #[tokio::test]
 async fn stalled_body() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
