--- a/crates/node/tests/announce.rs
+++ b/crates/node/tests/announce.rs
@@ -81,7 +81,7 @@
     no_slots = { r#"{"service":"a","address":"127.0.0.1:9","slots":0}"#, "slots: must be at least 1" },
 )]
 #[test_macro(tokio::test)]
-async fn refused(body: &str, message: &str) {
+async fn invalid_announcement(body: &str, message: &str) {
     let shared = make_shared();
     let handle = announce::spawn(bind().await, std::sync::Arc::clone(&shared)).unwrap();
     let (status, text) = request(handle.address(), PUT, body).await;
--- a/crates/node/tests/announcement_order.rs
+++ b/crates/node/tests/announcement_order.rs
@@ -68,9 +68,9 @@
 // request. Regression: a node was paused while a heartbeat was unread in one of its sockets. When
 // the node resumed, it read the leave request first, over another connection, and then the
 // heartbeat, and announced the server as ready again. The log of the node had `backend_leaving` and
-// 1 ms later `backend_announced`, and the server ran new calls for 25 s, as long as it waited to
-// exit. The next process at the same address must still be accepted, whether or not the former
-// process announced an incarnation.
+// 1 ms later `backend_announced`, and the server ran new calls for 25 s, which is how long the
+// server waited to exit. The next process at the same address must still be accepted, whether or
+// not the former process announced an incarnation.
 #[tokio::test]
 async fn heartbeat_after_leave() {
     for process in [Some(1), None] {
--- a/crates/node/tests/calls/early_end.rs
+++ b/crates/node/tests/calls/early_end.rs
@@ -45,15 +45,15 @@
 /// The node that a caller connects to: `Far` is the node next to the backend server, `Near` the
 /// other node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Entry {
+enum EntryNode {
     Near,
     Far,
 }
 
-fn entry_address(entry: Entry, near: &Node, far: &Node) -> SocketAddr {
+fn entry_address(entry: EntryNode, near: &Node, far: &Node) -> SocketAddr {
     match entry {
-        Entry::Near => near.outbound.address(),
-        Entry::Far => far.outbound.address(),
+        EntryNode::Near => near.outbound.address(),
+        EntryNode::Far => far.outbound.address(),
     }
 }
 
@@ -75,8 +75,8 @@
         let late = post(near.outbound.address(), "late", "10", "1000").await;
         (answered, late)
     };
-    let (left, (answered, late)) = tokio::join!(ending, calling);
-    assert_eq!(left, (0, 0));
+    let (remaining, (answered, late)) = tokio::join!(ending, calling);
+    assert_eq!(remaining, (0, 0));
     assert!(answered > 20, "{answered}");
     assert_eq!(late.verdict(), "not-run");
     assert!(run_log.entries().iter().all(|run| run.request == "r"));
@@ -84,9 +84,9 @@
 
 // A caller disconnects while its call runs. The backend server must be notified and stop the work,
 // whichever node the call entered on.
-#[yare::parameterized(remote = { Entry::Near }, local = { Entry::Far })]
+#[yare::parameterized(remote = { EntryNode::Near }, local = { EntryNode::Far })]
 #[test_macro(tokio::test)]
-async fn cancelled(entry: Entry) {
+async fn cancelled(entry: EntryNode) {
     let (near, far, run_log) = spawn_pair().await;
     let address = entry_address(entry, &near, &far);
     let mut caller = TcpStream::connect(address).await.unwrap();
@@ -100,9 +100,9 @@
 
 // The deadline of one call passes while it runs, and that of another while it waits for the slot.
 // Each call must be answered at its deadline, and only the waiting call with "not run".
-#[yare::parameterized(remote = { Entry::Near }, local = { Entry::Far })]
+#[yare::parameterized(remote = { EntryNode::Near }, local = { EntryNode::Far })]
 #[test_macro(tokio::test)]
-async fn deadline(entry: Entry) {
+async fn deadline(entry: EntryNode) {
     let (near, far, run_log) = spawn_pair().await;
     let address = entry_address(entry, &near, &far);
     let started = Instant::now();
@@ -216,22 +216,22 @@
         caller.read_to_string(&mut answer).await.unwrap();
         answer
     };
-    let (left, answer) = tokio::join!(near.outbound.drain(Duration::from_secs(5)), calling);
+    let (remaining, answer) = tokio::join!(near.outbound.drain(Duration::from_secs(5)), calling);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
-    assert_eq!(left, 0);
+    assert_eq!(remaining, 0);
 }
 
 // A backend server dies in the middle of a response. The caller must see that the response is
 // truncated.
 #[yare::parameterized(
-    remote_length = { Entry::Near, "content-length: 1000" },
-    remote_chunked = { Entry::Near, "transfer-encoding: chunked" },
-    local_length = { Entry::Far, "content-length: 1000" },
-    local_chunked = { Entry::Far, "transfer-encoding: chunked" },
+    remote_length = { EntryNode::Near, "content-length: 1000" },
+    remote_chunked = { EntryNode::Near, "transfer-encoding: chunked" },
+    local_length = { EntryNode::Far, "content-length: 1000" },
+    local_chunked = { EntryNode::Far, "transfer-encoding: chunked" },
 )]
 #[test_macro(tokio::test)]
-async fn truncated_response(entry: Entry, framing: &'static str) {
+async fn truncated_response(entry: EntryNode, framing: &'static str) {
     let (near, far, _run_log) = spawn_pair().await;
     let (listener, address) = bind().await;
     far.announce("jobs", address, 1);
@@ -248,9 +248,9 @@
 }
 
 // A backend server dies before it responds. The caller must be told that the call may have run.
-#[yare::parameterized(remote = { Entry::Near }, local = { Entry::Far })]
+#[yare::parameterized(remote = { EntryNode::Near }, local = { EntryNode::Far })]
 #[test_macro(tokio::test)]
-async fn connection_broken(entry: Entry) {
+async fn connection_broken(entry: EntryNode) {
     let (near, far, _run_log) = spawn_pair().await;
     let (listener, address) = bind().await;
     far.announce("jobs", address, 1);
@@ -276,8 +276,9 @@
 }
 
 // The only backend server of a service leaves. Regression: all callers of the service were told to
-// retry after a millisecond, and retried in lockstep for the whole restart. A leaving server
-// measures no wait time, and the outbound proxy passed that value on to callers.
+// retry after a millisecond, and retried in lockstep for the whole restart. A leaving server has no
+// measured wait time to report, and the outbound proxy passed this on to callers as their retry
+// delay.
 #[yare::parameterized(leaving = { true }, gone = { false })]
 #[test_macro(tokio::test)]
 async fn retry_after_spread(is_leaving: bool) {
@@ -378,18 +379,18 @@
 // have run, and the call must not be retried. The same holds if the backend server forwards such a
 // statement about a nested call, after work of its own.
 #[yare::parameterized(
-    stated_remote = { Entry::Near, 503, NOT_RUN_HEADERS, 200, "ran", 1 },
-    stated_local = { Entry::Far, 503, NOT_RUN_HEADERS, 200, "ran", 1 },
-    unstated_remote = { Entry::Near, 503, "", 503, "may-have-run", 0 },
-    unstated_local = { Entry::Far, 503, "", 503, "may-have-run", 0 },
-    forwarded_remote = { Entry::Near, 503, FORWARDED_HEADERS, 503, "may-have-run", 0 },
-    forwarded_local = { Entry::Far, 503, FORWARDED_HEADERS, 503, "may-have-run", 0 },
-    without_call_id = { Entry::Near, 503, "bluebellpick-verdict: not-run\r\n", 503, "may-have-run", 0 },
-    failed_after = { Entry::Near, 500, FORWARDED_HEADERS, 500, "ran", 0 },
+    stated_remote = { EntryNode::Near, 503, NOT_RUN_HEADERS, 200, "ran", 1 },
+    stated_local = { EntryNode::Far, 503, NOT_RUN_HEADERS, 200, "ran", 1 },
+    unstated_remote = { EntryNode::Near, 503, "", 503, "may-have-run", 0 },
+    unstated_local = { EntryNode::Far, 503, "", 503, "may-have-run", 0 },
+    forwarded_remote = { EntryNode::Near, 503, FORWARDED_HEADERS, 503, "may-have-run", 0 },
+    forwarded_local = { EntryNode::Far, 503, FORWARDED_HEADERS, 503, "may-have-run", 0 },
+    without_call_id = { EntryNode::Near, 503, "bluebellpick-verdict: not-run\r\n", 503, "may-have-run", 0 },
+    failed_after = { EntryNode::Near, 500, FORWARDED_HEADERS, 500, "ran", 0 },
 )]
 #[test_macro(tokio::test)]
 async fn shed(
-    entry: Entry,
+    entry: EntryNode,
     backend_status: u16,
     header: &'static str,
     status: u16,
--- a/crates/node/tests/calls/hedge.rs
+++ b/crates/node/tests/calls/hedge.rs
@@ -107,15 +107,20 @@
         let (address, _run_log) = spawn_server(slots).await;
         node.announce("desk", address, slots);
     }
-    let mut near = first.endpoint("desk", forwarder.address);
-    near.zone = caller.shared.settings.zone.clone();
-    let far = second.endpoint("desk", second.nodes_address);
-    let view = View::build(Version(1), &hedged_mesh(), &[near, far.clone()]);
+    let mut first_endpoint = first.endpoint("desk", forwarder.address);
+    first_endpoint.zone = caller.shared.settings.zone.clone();
+    let second_endpoint = second.endpoint("desk", second.nodes_address);
+    let view = View::build(
+        Version(1),
+        &hedged_mesh(),
+        &[first_endpoint, second_endpoint.clone()],
+    );
     caller.shared.view.store(Arc::new(view));
-    second
-        .shared
-        .view
-        .store(Arc::new(View::build(Version(1), &hedged_mesh(), &[far])));
+    second.shared.view.store(Arc::new(View::build(
+        Version(1),
+        &hedged_mesh(),
+        &[second_endpoint],
+    )));
     let look_up = |node: &Node, work_ms: &'static str| {
         let entry = node.outbound.address();
         async move {
--- a/crates/node/tests/calls/keyed.rs
+++ b/crates/node/tests/calls/keyed.rs
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 
 /// Nodes `one` and `two`, which callers call, and node `far`, whose backend server runs the calls.
-struct Mesh {
+struct TestNodes {
     one: Node,
     two: Node,
     far: Node,
@@ -25,7 +25,7 @@
     store: MemoryStore,
 }
 
-async fn spawn_mesh() -> Mesh {
+async fn spawn_nodes() -> TestNodes {
     let store = MemoryStore::new();
     let (address, run_log) = spawn_server(2).await;
     let one = spawn_node_with("one", &store).await;
@@ -39,7 +39,7 @@
             &[far.endpoint("jobs", far.nodes_address)],
         );
     }
-    Mesh {
+    TestNodes {
         one,
         two,
         far,
@@ -64,47 +64,47 @@
 // response, and nothing runs again.
 #[tokio::test]
 async fn repeat_replayed() {
-    let mesh = spawn_mesh().await;
-    let first = book(mesh.one.outbound.address(), "k1", "r1", "0").await;
+    let nodes = spawn_nodes().await;
+    let first = book(nodes.one.outbound.address(), "k1", "r1", "0").await;
     assert_eq!((first.status, first.verdict()), (StatusCode::OK, "ran"));
-    let repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
+    let repeat = book(nodes.two.outbound.address(), "k1", "r2", "0").await;
     assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
     assert_eq!(repeat.headers["idempotent-replayed"], "true");
     assert_eq!(repeat.body, first.body);
-    assert_eq!(mesh.run_log.entries().len(), 1);
+    assert_eq!(nodes.run_log.entries().len(), 1);
 }
 
 // A repeat arrives while the first call still runs. It is told "may have run"
 // at once, and nothing runs again.
 #[tokio::test]
 async fn repeat_while_running() {
-    let mesh = spawn_mesh().await;
-    let address = mesh.one.outbound.address();
+    let nodes = spawn_nodes().await;
+    let address = nodes.one.outbound.address();
     let first = tokio::spawn(async move { book(address, "k1", "r1", "400").await });
-    wait_for_run(&mesh.run_log, |entry| entry.request == "r1").await;
-    let repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
+    wait_for_run(&nodes.run_log, |run| run.request == "r1").await;
+    let repeat = book(nodes.two.outbound.address(), "k1", "r2", "0").await;
     assert_eq!(
         (repeat.status, repeat.verdict()),
         (StatusCode::CONFLICT, "may-have-run")
     );
     assert_eq!(first.await.unwrap().status, StatusCode::OK);
-    assert_eq!(mesh.run_log.entries().len(), 1);
+    assert_eq!(nodes.run_log.entries().len(), 1);
 }
 
 // The caller's connection breaks while the call runs. The call continues, so that the repeat gets
 // the response of the call rather than "may have run".
 #[tokio::test]
 async fn caller_disconnected() {
-    let mesh = spawn_mesh().await;
-    let mut caller = TcpStream::connect(mesh.one.outbound.address())
+    let nodes = spawn_nodes().await;
+    let mut caller = TcpStream::connect(nodes.one.outbound.address())
         .await
         .unwrap();
     let head = "POST /jobs/1 HTTP/1.1\r\nhost: m\r\nidempotency-key: k1\r\nx-request: r1\r\nx-work-ms: 200\r\ncontent-length: 5\r\n\r\nbay 3";
     caller.write_all(head.as_bytes()).await.unwrap();
-    wait_for_run(&mesh.run_log, |entry| entry.request == "r1").await;
+    wait_for_run(&nodes.run_log, |run| run.request == "r1").await;
     drop(caller);
-    wait_for_run(&mesh.run_log, |entry| entry.end_us.is_some()).await;
-    let address = mesh.two.outbound.address();
+    wait_for_run(&nodes.run_log, |run| run.end_us.is_some()).await;
+    let address = nodes.two.outbound.address();
     let mut repeat = book(address, "k1", "r2", "0").await;
     // The response is stored under the key shortly after the call has ended.
     for _ in 0..200 {
@@ -117,16 +117,16 @@
     assert_eq!(repeat.status, StatusCode::OK);
     let stored: serde_json::Value = serde_json::from_slice(&repeat.body).unwrap();
     assert_eq!(stored["request"], "r1");
-    assert_eq!(mesh.run_log.entries().len(), 1);
+    assert_eq!(nodes.run_log.entries().len(), 1);
 }
 
 // A call is refused as "not run" because its backend server is leaving. The key
 // is released, and the repeat runs.
 #[tokio::test]
 async fn repeat_after_refusal() {
-    let mesh = spawn_mesh().await;
-    mesh.far.shared.leaving.send_replace(true);
-    let refused = book(mesh.one.outbound.address(), "k1", "r1", "0").await;
+    let nodes = spawn_nodes().await;
+    nodes.far.shared.leaving.send_replace(true);
+    let refused = book(nodes.one.outbound.address(), "k1", "r1", "0").await;
     assert_eq!(
         (refused.status, refused.verdict()),
         (StatusCode::SERVICE_UNAVAILABLE, "not-run")
@@ -134,21 +134,21 @@
     let other = spawn_node("other").await;
     let (address, run_log) = spawn_server(1).await;
     other.announce("jobs", address, 1);
-    mesh.two.set_route(
+    nodes.two.set_route(
         "jobs",
         Repeat::Never,
         &[other.endpoint("jobs", other.nodes_address)],
     );
-    let mut repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
+    let mut repeat = book(nodes.two.outbound.address(), "k1", "r2", "0").await;
     for _ in 0..200 {
         if repeat.status == StatusCode::OK {
             break;
         }
-        repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
+        repeat = book(nodes.two.outbound.address(), "k1", "r2", "0").await;
     }
     assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
     assert_eq!(
-        (mesh.run_log.entries().len(), run_log.entries().len()),
+        (nodes.run_log.entries().len(), run_log.entries().len()),
         (0, 1)
     );
 }
@@ -157,39 +157,39 @@
 // with a retry delay, and a call without a key runs.
 #[tokio::test]
 async fn platform_down() {
-    let mesh = spawn_mesh().await;
-    mesh.store.set_faults(Faults {
+    let nodes = spawn_nodes().await;
+    nodes.store.set_faults(Faults {
         down: true,
         ..Faults::default()
     });
-    let refused = book(mesh.one.outbound.address(), "k1", "r1", "0").await;
+    let refused = book(nodes.one.outbound.address(), "k1", "r1", "0").await;
     assert_eq!(
         (refused.status, refused.verdict()),
         (StatusCode::SERVICE_UNAVAILABLE, "not-run")
     );
     assert!(refused.headers.contains_key("retry-after"));
     let plain = call(
-        mesh.one.outbound.address(),
+        nodes.one.outbound.address(),
         Method::POST,
         "/jobs/1",
         &[],
         Bytes::new(),
     );
     assert_eq!(plain.await.unwrap().status, StatusCode::OK);
-    assert_eq!(mesh.run_log.entries().len(), 1);
+    assert_eq!(nodes.run_log.entries().len(), 1);
 }
 
 // Two different requests use the same key by mistake. The second is rejected
 // and does not get the response to the first.
 #[tokio::test]
 async fn key_of_another_request() {
-    let mesh = spawn_mesh().await;
-    let first = book(mesh.one.outbound.address(), "k1", "r1", "0").await;
+    let nodes = spawn_nodes().await;
+    let first = book(nodes.one.outbound.address(), "k1", "r1", "0").await;
     assert_eq!(first.status, StatusCode::OK);
     let headers = [("idempotency-key", "k1")];
     let body = Bytes::from_static(b"bay 4");
     let second = call(
-        mesh.two.outbound.address(),
+        nodes.two.outbound.address(),
         Method::POST,
         "/jobs/1",
         &headers,
@@ -200,29 +200,29 @@
         (second.status, second.verdict()),
         (StatusCode::UNPROCESSABLE_ENTITY, "not-run")
     );
-    assert_eq!(mesh.run_log.entries().len(), 1);
+    assert_eq!(nodes.run_log.entries().len(), 1);
 }
 
 // The link goes silent while a call runs, and the node that runs it is replaced by a new process,
 // so the outcome of the call stays unknown. Every repeat with the key is told "may have run".
 #[tokio::test]
 async fn outcome_unknown() {
-    let mesh = spawn_mesh().await;
-    let forwarder = Forwarder::spawn(mesh.far.nodes_address).await;
-    let far = mesh.far.endpoint("jobs", forwarder.address);
-    mesh.one.set_route("jobs", Repeat::Never, &[far]);
-    let address = mesh.one.outbound.address();
+    let nodes = spawn_nodes().await;
+    let forwarder = Forwarder::spawn(nodes.far.nodes_address).await;
+    let far = nodes.far.endpoint("jobs", forwarder.address);
+    nodes.one.set_route("jobs", Repeat::Never, &[far]);
+    let address = nodes.one.outbound.address();
     let first = tokio::spawn(async move { book(address, "k1", "r1", "3000").await });
-    wait_for_run(&mesh.run_log, |entry| entry.request == "r1").await;
+    wait_for_run(&nodes.run_log, |run| run.request == "r1").await;
     forwarder.set_target(spawn_node("far").await.nodes_address);
     forwarder.set_modes(Mode::Drop, Mode::Drop);
     assert_eq!(first.await.unwrap().verdict(), "may-have-run");
-    let repeat = book(mesh.two.outbound.address(), "k1", "r2", "0").await;
+    let repeat = book(nodes.two.outbound.address(), "k1", "r2", "0").await;
     assert_eq!(
         (repeat.status, repeat.verdict()),
         (StatusCode::CONFLICT, "may-have-run")
     );
-    assert_eq!(mesh.run_log.entries().len(), 1);
+    assert_eq!(nodes.run_log.entries().len(), 1);
 }
 
 // Responses from the backend server's node are held beyond the deadline, as if the node were
@@ -232,11 +232,11 @@
 // node knows the outcome.
 #[tokio::test]
 async fn resolved_after_deadline() {
-    let mesh = spawn_mesh().await;
-    let forwarder = Forwarder::spawn(mesh.far.nodes_address).await;
-    let far = mesh.far.endpoint("jobs", forwarder.address);
-    mesh.one.set_route("jobs", Repeat::Never, &[far]);
-    let address = mesh.one.outbound.address();
+    let nodes = spawn_nodes().await;
+    let forwarder = Forwarder::spawn(nodes.far.nodes_address).await;
+    let far = nodes.far.endpoint("jobs", forwarder.address);
+    nodes.one.set_route("jobs", Repeat::Never, &[far]);
+    let address = nodes.one.outbound.address();
     let warm = book(address, "k0", "r0", "0").await;
     assert_eq!(warm.status, StatusCode::OK);
     let headers = [
@@ -248,7 +248,7 @@
     let body = Bytes::from_static(b"bay 3");
     let first =
         tokio::spawn(async move { call(address, Method::POST, "/jobs/1", &headers, body).await });
-    wait_for_run(&mesh.run_log, |entry| entry.request == "r1").await;
+    wait_for_run(&nodes.run_log, |run| run.request == "r1").await;
     forwarder.set_modes(Mode::Pass, Mode::Hold);
     let response = first.await.unwrap().unwrap();
     assert_eq!(
@@ -256,7 +256,7 @@
         (StatusCode::GATEWAY_TIMEOUT, "may-have-run")
     );
     forwarder.set_modes(Mode::Pass, Mode::Pass);
-    let address = mesh.two.outbound.address();
+    let address = nodes.two.outbound.address();
     let mut repeat = book(address, "k1", "r2", "0").await;
     for _ in 0..500 {
         if repeat.status == StatusCode::OK {
@@ -266,7 +266,7 @@
         repeat = book(address, "k1", "r2", "0").await;
     }
     assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
-    assert_eq!(mesh.run_log.entries().len(), 2);
+    assert_eq!(nodes.run_log.entries().len(), 2);
 }
 
 /// Spawns a backend server that responds to its first call when `resume` is notified. The returned
@@ -293,17 +293,17 @@
 #[yare::parameterized(remote = { false }, local = { true })]
 #[test_macro(tokio::test)]
 async fn server_stopped(local: bool) {
-    let mesh = spawn_mesh().await;
+    let nodes = spawn_nodes().await;
     let resume = Arc::new(Notify::new());
     let (server, reached) = spawn_paused_server(Arc::clone(&resume)).await;
-    mesh.far.announce("jobs", server, 2);
-    let node = if local { &mesh.far } else { &mesh.one };
-    for node in [&mesh.one, &mesh.two, &mesh.far] {
+    nodes.far.announce("jobs", server, 2);
+    let node = if local { &nodes.far } else { &nodes.one };
+    for node in [&nodes.one, &nodes.two, &nodes.far] {
         node.set_route_of_class(
             Class::Commit,
             "jobs",
             Repeat::Never,
-            &[mesh.far.endpoint("jobs", mesh.far.nodes_address)],
+            &[nodes.far.endpoint("jobs", nodes.far.nodes_address)],
         );
     }
     let address = node.outbound.address();
@@ -320,7 +320,7 @@
         (StatusCode::GATEWAY_TIMEOUT, "may-have-run")
     );
     resume.notify_one();
-    let address = mesh.two.outbound.address();
+    let address = nodes.two.outbound.address();
     let mut repeat = book(address, "k1", "r2", "0").await;
     for _ in 0..500 {
         if repeat.status == StatusCode::OK {
@@ -341,19 +341,19 @@
 // that never runs.
 #[tokio::test]
 async fn reservation_reply_lost() {
-    let mesh = spawn_mesh().await;
-    let front = Forwarder::spawn(mesh.far.nodes_address).await;
-    let far = mesh.far.endpoint("jobs", front.address);
-    mesh.one.set_route("jobs", Repeat::Never, &[far]);
-    let address = mesh.one.outbound.address();
+    let nodes = spawn_nodes().await;
+    let front = Forwarder::spawn(nodes.far.nodes_address).await;
+    let far = nodes.far.endpoint("jobs", front.address);
+    nodes.one.set_route("jobs", Repeat::Never, &[far]);
+    let address = nodes.one.outbound.address();
     assert_eq!(book(address, "k0", "r0", "0").await.status, StatusCode::OK);
-    mesh.store.set_faults(Faults {
+    nodes.store.set_faults(Faults {
         slow_ms: 400,
         ..Faults::default()
     });
-    let before = mesh.store.counts();
+    let before = nodes.store.counts();
     let first = tokio::spawn(async move { book(address, "k1", "r1", "0").await });
-    while mesh.store.counts() == before {
+    while nodes.store.counts() == before {
         tokio::task::yield_now().await;
     }
     front.set_modes(Mode::Pass, Mode::Drop);
@@ -362,8 +362,8 @@
         (first.status, first.verdict()),
         (StatusCode::SERVICE_UNAVAILABLE, "not-run")
     );
-    mesh.store.set_faults(Faults::default());
-    let address = mesh.two.outbound.address();
+    nodes.store.set_faults(Faults::default());
+    let address = nodes.two.outbound.address();
     let mut repeat = book(address, "k1", "r2", "0").await;
     for _ in 0..500 {
         if repeat.status == StatusCode::OK {
@@ -372,5 +372,5 @@
         repeat = book(address, "k1", "r2", "0").await;
     }
     assert_eq!((repeat.status, repeat.verdict()), (StatusCode::OK, "ran"));
-    assert_eq!(mesh.run_log.entries().len(), 2);
+    assert_eq!(nodes.run_log.entries().len(), 2);
 }
--- a/crates/node/tests/calls/misbehaving_peer.rs
+++ b/crates/node/tests/calls/misbehaving_peer.rs
@@ -79,9 +79,9 @@
     let is_too_long = input == length_prefix(MAX_FRAME_BYTES + 1);
     let sending = async {
         let size = if is_slow { 1 } else { input.len() };
-        for part in input.chunks(size) {
+        for chunk in input.chunks(size) {
             // The node may close the link because of this input.
-            if stream.write_all(part).await.is_err() {
+            if stream.write_all(chunk).await.is_err() {
                 break;
             }
             tokio::task::yield_now().await;
--- a/crates/node/tests/calls/quarantine.rs
+++ b/crates/node/tests/calls/quarantine.rs
@@ -230,7 +230,7 @@
     let deadly = Call::new(Method::GET, "/records/deadly");
     for _ in 0..4 {
         let paths = ["/records/1", "/records/2", "/records/3"];
-        let innocent = paths.map(|path| {
+        let tasks = paths.map(|path| {
             let node = Arc::clone(&node);
             tokio::spawn(async move {
                 let mut call = Call::new(Method::GET, path);
@@ -247,8 +247,8 @@
         });
         tokio::time::sleep(Duration::from_millis(20)).await;
         deadly.send(&node).await;
-        for one in innocent {
-            tokio::time::timeout(TIMEOUT, one).await.unwrap().unwrap();
+        for task in tasks {
+            tokio::time::timeout(TIMEOUT, task).await.unwrap().unwrap();
         }
     }
     assert!(is_held(&deadly.send(&node).await));
--- a/crates/node/tests/calls/round_trip.rs
+++ b/crates/node/tests/calls/round_trip.rs
@@ -22,7 +22,7 @@
     large = { 700_000, 900_000 },
 )]
 #[test_macro(tokio::test)]
-async fn remote(request_bytes: usize, answer_bytes: usize) {
+async fn remote_call(request_bytes: usize, answer_bytes: usize) {
     let (address, run_log) = spawn_server(6).await;
     let near = spawn_node("near").await;
     let far = spawn_node("far").await;
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn local() {
+async fn local_call() {
     let (address, _run_log) = spawn_server(6).await;
     let local = spawn_node("own").await;
     local.announce("jobs", address, 6);
@@ -133,7 +133,7 @@
         origin: one.id.origin,
         sequence: u64::MAX,
     };
-    let head = |id| {
+    let head_frame = |id| {
         Frame::Answer(Answer {
             id,
             status: 200,
@@ -143,22 +143,22 @@
             end: false,
         })
     };
-    let part = |id, text: &str, end| Frame::Body {
+    let body_frame = |id, text: &str, end| Frame::Body {
         id,
         bytes: Bytes::copy_from_slice(text.as_bytes()),
         end,
     };
     let frames = [
-        head(two.id),
-        part(two.id, &two.path, false),
-        head(unknown),
-        part(unknown, "of nobody", false),
-        head(one.id),
-        part(one.id, &one.path, true),
+        head_frame(two.id),
+        body_frame(two.id, &two.path, false),
+        head_frame(unknown),
+        body_frame(unknown, "of nobody", false),
+        head_frame(one.id),
+        body_frame(one.id, &one.path, true),
         // Late and duplicate frames: the call has ended.
-        part(one.id, "late", true),
-        head(one.id),
-        part(two.id, " and more", true),
+        body_frame(one.id, "late", true),
+        head_frame(one.id),
+        body_frame(two.id, " and more", true),
     ];
     for frame in frames {
         codec::write(&mut stream, &wire::Frame::Call(frame))
@@ -211,7 +211,7 @@
     let mut slow = TcpStream::connect(address).await.unwrap();
     let head = "GET /jobs/1 HTTP/1.1\r\nhost: m\r\nx-request: slow\r\nx-answer-bytes: 30000000\r\nbluebellpick-timeout-ms: 60000\r\n\r\n";
     slow.write_all(head.as_bytes()).await.unwrap();
-    wait_for_run(&run_log, |entry| entry.request == "slow").await;
+    wait_for_run(&run_log, |run| run.request == "slow").await;
     let mut first = [0; 1_000];
     slow.read_exact(&mut first).await.unwrap();
     for _ in 0..20 {
@@ -375,8 +375,8 @@
 }
 
 // A faulty peer keeps sending requests and never reads the replies. The node must close that link
-// instead of keeping the replies forever. Regression: the memory of a node grew until the node was
-// killed.
+// instead of keeping the replies forever, and go on serving its other links. Regression: the memory
+// of a node grew until the node was killed.
 #[tokio::test]
 async fn unread_replies() {
     let far = spawn_node("far").await;
--- a/crates/node/tests/calls/silent_link.rs
+++ b/crates/node/tests/calls/silent_link.rs
@@ -41,10 +41,7 @@
 
     fn runs_of(&self, request: &str) -> usize {
         let entries = self.run_log.entries();
-        entries
-            .iter()
-            .filter(|entry| entry.request == request)
-            .count()
+        entries.iter().filter(|run| run.request == request).count()
     }
 }
 
@@ -69,7 +66,7 @@
     let pair = spawn_pair(Repeat::Never).await;
     let address = pair.near.outbound.address();
     let calling = tokio::spawn(async move { post(address, "r1", "300").await });
-    wait_for_run(&pair.run_log, |entry| entry.request == "r1").await;
+    wait_for_run(&pair.run_log, |run| run.request == "r1").await;
     pair.forwarder.set_modes(Mode::Pass, Mode::Drop);
     let started = Instant::now();
     let answer = calling.await.unwrap();
@@ -121,7 +118,7 @@
     let pair = spawn_pair(Repeat::Never).await;
     let address = pair.near.outbound.address();
     let running = tokio::spawn(async move { post(address, "r1", "1500").await });
-    wait_for_run(&pair.run_log, |entry| entry.request == "r1").await;
+    wait_for_run(&pair.run_log, |run| run.request == "r1").await;
     let waiting = tokio::spawn(async move { post(address, "r2", "0").await });
     tokio::time::sleep(Duration::from_millis(50)).await;
     pair.forwarder.set_modes(Mode::Drop, Mode::Drop);
@@ -142,7 +139,7 @@
     let pair = spawn_pair(Repeat::Never).await;
     let address = pair.near.outbound.address();
     let calling = tokio::spawn(async move { post(address, "r1", "3000").await });
-    wait_for_run(&pair.run_log, |entry| entry.request == "r1").await;
+    wait_for_run(&pair.run_log, |run| run.request == "r1").await;
     let restarted = spawn_node("far").await;
     pair.forwarder.set_target(restarted.nodes_address);
     pair.forwarder.set_modes(Mode::Drop, Mode::Drop);
@@ -188,7 +185,7 @@
         let headers = [("x-request", "r1"), ("x-answer-bytes", "8000000")];
         call(address, Method::GET, "/jobs/1", &headers, Bytes::new()).await
     });
-    wait_for_run(&pair.run_log, |entry| entry.request == "r1").await;
+    wait_for_run(&pair.run_log, |run| run.request == "r1").await;
     pair.forwarder.set_modes(Mode::Pass, Mode::Drop);
     let answer = calling.await.unwrap().unwrap();
     assert_eq!(
--- a/crates/node/tests/calls/unread_answers.rs
+++ b/crates/node/tests/calls/unread_answers.rs
@@ -63,8 +63,8 @@
 }
 
 // Regression: a node was killed while a large response was being sent to it. 65,296 bytes of the
-// response remained unread at the node next to the backend server, and the slot stayed taken for 32
-// s. Only the reader of a response grants credit, and the wait for credit ended 30 s after the
+// response remained unread at the node next to the backend server, and the slot remained taken for
+// 32 s. Only the reader of a response grants credit, and the wait for credit ended 30 s after the
 // deadline of the call, which is how long a commit may run past its deadline. A stop of the node
 // next to the backend server was delayed by as much, without a `cut_off` line in its log.
 #[yare::parameterized(
@@ -92,13 +92,13 @@
     }
     let took = wait_slot(near.outbound.address(), limit + MARGIN).await;
     println!("{state:?}, {answer_bytes} bytes: a slot after {took:?}");
-    let stop = Instant::now();
-    let left = far.inbound.drain(4 * STALL_TIMEOUT).await;
-    assert_eq!(left, 0);
+    let stop_start = Instant::now();
+    let calls_left = far.inbound.drain(4 * STALL_TIMEOUT).await;
+    assert_eq!(calls_left, 0);
     assert!(
-        stop.elapsed() < STALL_TIMEOUT + MARGIN,
+        stop_start.elapsed() < STALL_TIMEOUT + MARGIN,
         "{:?}",
-        stop.elapsed()
+        stop_start.elapsed()
     );
 }
 
@@ -253,10 +253,10 @@
             panic!("no credit for the body");
         };
         sent += bytes;
-        for part in vec![7; bytes as usize].chunks(16 << 10) {
+        for chunk in vec![7; bytes as usize].chunks(16 << 10) {
             let body = Frame::Body {
                 id,
-                bytes: Bytes::copy_from_slice(part),
+                bytes: Bytes::copy_from_slice(chunk),
                 end: false,
             };
             stream.write_all(&encode(body)).await.unwrap();
--- a/crates/node/tests/reserve.rs
+++ b/crates/node/tests/reserve.rs
@@ -139,7 +139,7 @@
     }
 }
 
-fn answer() -> Answer {
+fn stored_answer() -> Answer {
     Answer {
         status: 201,
         headers: Vec::new(),
@@ -162,9 +162,9 @@
     }
 }
 
-// A client loses the answer to a call and repeats the call at another node. It must not run twice:
-// the repeat gets the answer of the first call, or "may have run" as long as that answer is not
-// known.
+// A client loses the answer to a call and repeats the call at another node. The call must not run
+// twice: the repeat gets the answer of the first call, or "may have run" as long as that answer is
+// not known.
 #[tokio::test]
 async fn repeat_at_other_node() {
     let fleet = spawn_fleet(&MemoryStore::new()).await;
@@ -176,12 +176,12 @@
                 ClaimResult::NotGranted(Reply::Unsettled)
             );
         }
-        fleet[0].reserve.complete(grant, Some(answer()));
+        fleet[0].reserve.complete(grant, Some(stored_answer()));
         let unsettled = |reply: &Reply| *reply == Reply::Unsettled;
         let result = claim_while(&fleet[1], key, unsettled).await;
         assert_eq!(
             result,
-            ClaimResult::NotGranted(Reply::Known(Arc::new(answer())))
+            ClaimResult::NotGranted(Reply::Known(Arc::new(stored_answer())))
         );
     }
 }
@@ -204,7 +204,7 @@
     let keys = ["k1", "k2", "k3", "k4", "k5", "k6"];
     for key in keys {
         let grant = expect_grant(node.claim(key).await);
-        node.reserve.complete(grant, Some(answer()));
+        node.reserve.complete(grant, Some(stored_answer()));
     }
     node.reserve.flush(TIMEOUT).await;
     let successor = spawn_node("successor", &memory).await;
@@ -212,7 +212,7 @@
         let result = successor.claim(key).await;
         assert_eq!(
             result,
-            ClaimResult::NotGranted(Reply::Known(Arc::new(answer())))
+            ClaimResult::NotGranted(Reply::Known(Arc::new(stored_answer())))
         );
     }
 }
@@ -223,7 +223,7 @@
     let clock = Manual::new();
     let node = spawn_node_with("own", &memory, clock.clone()).await;
     let grant = expect_grant(node.claim("k1").await);
-    node.reserve.complete(grant, Some(answer()));
+    node.reserve.complete(grant, Some(stored_answer()));
     node.reserve.flush(TIMEOUT).await;
     clock.advance(Duration::from_hours(23));
     // Expired keys are removed when the next record is written. The claims of other keys cause a
@@ -231,7 +231,7 @@
     for number in 0..64 {
         let _grant = expect_grant(node.claim(&format!("a{number}")).await);
     }
-    let known = ClaimResult::NotGranted(Reply::Known(Arc::new(answer())));
+    let known = ClaimResult::NotGranted(Reply::Known(Arc::new(stored_answer())));
     assert_eq!(node.claim("k1").await, known);
     let successor = spawn_node_with("successor", &memory, clock.clone()).await;
     clock.advance(Duration::from_hours(2));
@@ -447,9 +447,9 @@
             ClaimResult::Granted(grant) => {
                 *runs.lock().unwrap().entry(key.clone()).or_default() += 1;
                 tokio::time::sleep(pause).await;
-                node.reserve.complete(grant, Some(answer()));
+                node.reserve.complete(grant, Some(stored_answer()));
             }
-            ClaimResult::NotGranted(Reply::Known(known)) => return *known == answer(),
+            ClaimResult::NotGranted(Reply::Known(known)) => return *known == stored_answer(),
             ClaimResult::NotGranted(_) => {}
         }
         tokio::time::sleep(pause).await;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -234,8 +234,8 @@
     run_log: RunLog,
 }
 
-/// Serves until SIGTERM, then waits until the node and after it the backend server have no calls in
-/// flight, for at most `drain_timeout` each.
+/// Serves until SIGTERM, then waits until the node has no calls in flight and after that until the
+/// backend server has none, for at most `drain_timeout` each.
 async fn serve_backend(
     backend: &Backend,
     announcer: Announcer,
