--- a/crates/policy/tests/first_calls.rs
+++ b/crates/policy/tests/first_calls.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use std::time::Duration;
 
-/// Longest wait of a short call behind long calls while a slot is free.
+/// Longest time for which a call may wait because a probe of the limit keeps a slot closed.
 const MAX_WAIT: Duration = Duration::from_millis(250);
 
 // Long reports are fetched over slow lines right after a backend server has started. When the first
--- a/crates/policy/tests/load/hot_caller.rs
+++ b/crates/policy/tests/load/hot_caller.rs
@@ -3,8 +3,8 @@
 use config::Class;
 use yare::parameterized;
 
-/// Measured interval, in seconds.
-const STEADY: std::ops::Range<f64> = 2.0..10.0;
+/// Interval, in seconds, in which the calls that are measured start.
+const MEASURED_SPAN: std::ops::Range<f64> = 2.0..10.0;
 
 // One caller sends up to ten times the capacity, while thirty others send look-ups
 // that would all fit. In a first-come, first-served queue the hot caller's calls
@@ -24,11 +24,11 @@
     let policy = run(&scenario, System::Policy);
     let baseline = run(&scenario, System::Baseline);
     let least = (0..30)
-        .map(|flow| policy.answered_share(flow..flow + 1, STEADY))
+        .map(|flow| policy.answered_share(flow..flow + 1, MEASURED_SPAN))
         .fold(1.0, f64::min);
-    let share = policy.answered_share(0..30, STEADY);
-    let hot_share = policy.answered(30..31, STEADY) / policy.answered(0..31, STEADY);
-    let baseline_share = baseline.answered_share(0..30, STEADY);
+    let share = policy.answered_share(0..30, MEASURED_SPAN);
+    let hot_share = policy.answered(30..31, MEASURED_SPAN) / policy.answered(0..31, MEASURED_SPAN);
+    let baseline_share = baseline.answered_share(0..30, MEASURED_SPAN);
     println!(
         "hot {hot}: others {share:.3} least {least:.3} hot {hot_share:.3} baseline {baseline_share:.3}"
     );
--- a/crates/policy/tests/load/large_fleet.rs
+++ b/crates/policy/tests/load/large_fleet.rs
@@ -40,7 +40,7 @@
         proxies: (0..195).map(|index| index % 5).collect(),
         seconds: 14.0,
         probes,
-        uniform: true,
+        uniform_service_times: true,
         ..Scenario::default()
     }
 }
--- a/crates/policy/tests/load/latency_target.rs
+++ b/crates/policy/tests/load/latency_target.rs
@@ -3,8 +3,9 @@
 use crate::sim::run;
 use config::Class;
 
-/// Measured interval: the first two seconds fill the queues and train the duration estimates.
-const STEADY: std::ops::Range<f64> = 2.0..10.0;
+/// Interval, in seconds, in which the calls that are measured start: the first two seconds fill the
+/// queues and train the duration estimates.
+const MEASURED_SPAN: std::ops::Range<f64> = 2.0..10.0;
 
 /// Latency target of the callers, in seconds: few callers still wait for an answer that comes
 /// later.
@@ -20,7 +21,7 @@
 }
 
 fn timely_share(report: &Report) -> f64 {
-    report.answered_within(report.all_flows(), STEADY, TARGET) / (CAPACITY * 8.0)
+    report.answered_within(report.all_flows(), MEASURED_SPAN, TARGET) / (CAPACITY * 8.0)
 }
 
 // At one and a half times the capacity, and without a latency target, the backend servers answer
@@ -37,7 +38,7 @@
         timely_share(&untargeted),
         timely_share(&targeted)
     );
-    let all = targeted.answered(targeted.all_flows(), STEADY) / (CAPACITY * 8.0);
+    let all = targeted.answered(targeted.all_flows(), MEASURED_SPAN) / (CAPACITY * 8.0);
     assert!(timely_share(&targeted) > timely_share(&untargeted) * 1.3);
     assert!(timely_share(&targeted) > 0.75 && all > 0.9, "{all}");
 }
@@ -64,7 +65,7 @@
         timely_share(&unmarked),
         timely_share(&marked)
     );
-    let all = marked.answered(marked.all_flows(), STEADY) / (CAPACITY * 8.0);
+    let all = marked.answered(marked.all_flows(), MEASURED_SPAN) / (CAPACITY * 8.0);
     assert!(timely_share(&marked) > timely_share(&unmarked) * 1.08);
     assert!(timely_share(&marked) > 0.7 && all > 0.9, "{all}");
 }
--- a/crates/policy/tests/load/nested.rs
+++ b/crates/policy/tests/load/nested.rs
@@ -3,8 +3,9 @@
 use crate::sim::run;
 use config::Class;
 
-/// Measured interval: the first two seconds fill the queues and train the duration estimates.
-const STEADY: std::ops::Range<f64> = 2.0..10.0;
+/// Interval, in seconds, in which the calls that are measured start: the first two seconds fill the
+/// queues and train the duration estimates.
+const MEASURED_SPAN: std::ops::Range<f64> = 2.0..10.0;
 
 /// Describes a service that is at capacity with direct calls, and also receives nested calls
 /// (checks) from backend servers that each hold a slot elsewhere while they wait. The checks make
@@ -26,7 +27,7 @@
 }
 
 fn answered_share(report: &Report) -> f64 {
-    report.answered(0..1, STEADY) / (CAPACITY * 0.3 * 8.0)
+    report.answered(0..1, MEASURED_SPAN) / (CAPACITY * 0.3 * 8.0)
 }
 
 // A service is at capacity with direct calls of a higher class than the nested
@@ -39,7 +40,7 @@
         run(&mixed_scenario(None, 0.3), System::Policy),
         run(&mixed_scenario(Some(Class::Refresh), 0.3), System::Policy),
     );
-    let direct = as_nested.answered(1..100, STEADY) / (CAPACITY * 8.0);
+    let direct = as_nested.answered(1..100, MEASURED_SPAN) / (CAPACITY * 8.0);
     println!(
         "checks answered: as direct {:.3} as nested {:.3}; direct calls {direct:.3}",
         answered_share(&as_direct),
@@ -57,8 +58,8 @@
 #[test]
 fn direct_calls_not_starved() {
     let crowded = run(&mixed_scenario(Some(Class::Refresh), 1.2), System::Policy);
-    let direct = crowded.answered(1..100, STEADY) / (CAPACITY * 8.0);
-    let checks = crowded.answered(0..1, STEADY) / (CAPACITY * 8.0);
+    let direct = crowded.answered(1..100, MEASURED_SPAN) / (CAPACITY * 8.0);
+    let checks = crowded.answered(0..1, MEASURED_SPAN) / (CAPACITY * 8.0);
     println!("checks {checks:.3} of the capacity, direct calls {direct:.3}");
     assert!(direct > 0.35 && checks > 0.35);
 }
@@ -71,7 +72,7 @@
 fn higher_class_parents_survive() {
     let refresh = run(&mixed_scenario(Some(Class::Refresh), 0.8), System::Policy);
     let lookup = run(&mixed_scenario(Some(Class::Lookup), 0.8), System::Policy);
-    let share = |report: &Report| report.answered(0..1, STEADY) / (CAPACITY * 0.8 * 8.0);
+    let share = |report: &Report| report.answered(0..1, MEASURED_SPAN) / (CAPACITY * 0.8 * 8.0);
     println!(
         "for refreshes {:.3}, for look-ups {:.3}",
         share(&refresh),
@@ -79,6 +80,6 @@
     );
     assert!(share(&refresh) < 0.8);
     assert!(share(&lookup) > 0.85);
-    let direct = lookup.answered(1..100, STEADY) / (CAPACITY * 8.0);
+    let direct = lookup.answered(1..100, MEASURED_SPAN) / (CAPACITY * 8.0);
     assert!(direct > 0.15, "{direct}");
 }
--- a/crates/policy/tests/load/scenario.rs
+++ b/crates/policy/tests/load/scenario.rs
@@ -140,7 +140,7 @@
     /// Whether load probes are sent to backend servers before a call.
     pub probes: bool,
     /// Whether service times are uniform within half of their mean, instead of exponential.
-    pub uniform: bool,
+    pub uniform_service_times: bool,
 }
 
 impl Default for Scenario {
@@ -156,7 +156,7 @@
             attempt_timeout: f64::MAX,
             hedge: false,
             probes: true,
-            uniform: false,
+            uniform_service_times: false,
         }
     }
 }
--- a/crates/policy/tests/load/sim.rs
+++ b/crates/policy/tests/load/sim.rs
@@ -506,7 +506,7 @@
         self.inbound[server].running += 1;
         let call = &self.calls[self.attempts[attempt].call];
         let (mean, deadline) = (self.scenario.flows[call.flow].service_time, call.deadline);
-        let work = if self.scenario.uniform {
+        let work = if self.scenario.uniform_service_times {
             mean * self.rng.random_range(0.5..1.5)
         } else {
             self.exponential(mean)
--- a/crates/policy/tests/load/sustained_overload.rs
+++ b/crates/policy/tests/load/sustained_overload.rs
@@ -4,8 +4,9 @@
 use config::Class;
 use yare::parameterized;
 
-/// Measured interval: the first two seconds fill the queues and train the duration estimates.
-const STEADY: std::ops::Range<f64> = 2.0..10.0;
+/// Interval, in seconds, in which the calls that are measured start: the first two seconds fill the
+/// queues and train the duration estimates.
+const MEASURED_SPAN: std::ops::Range<f64> = 2.0..10.0;
 
 /// Describes a load of one fifth commits, one half look-ups and the rest refreshes, each from 50
 /// callers.
@@ -21,15 +22,15 @@
 }
 
 fn goodput(report: &Report) -> f64 {
-    report.answered(report.all_flows(), STEADY) / (CAPACITY * 8.0)
+    report.answered(report.all_flows(), MEASURED_SPAN) / (CAPACITY * 8.0)
 }
 
 fn print_report(name: &str, load: f64, report: &Report) {
     let classes = [0..50, 50..100, 100..150];
     let shares = classes
         .clone()
-        .map(|flows| report.answered_share(flows, STEADY));
-    let p99s = classes.map(|flows| report.p99(flows, STEADY));
+        .map(|flows| report.answered_share(flows, MEASURED_SPAN));
+    let p99s = classes.map(|flows| report.p99(flows, MEASURED_SPAN));
     let (good, refusal) = (goodput(report), report.refusal_p99());
     println!(
         "{name} {load}: goodput {good:.3} shares {shares:.3?} p99 {p99s:.3?} refusal {refusal:.4}"
@@ -52,13 +53,13 @@
     print_report("policy", load, &policy);
     print_report("baseline", load, &baseline);
     assert!(goodput(&policy) >= least_goodput);
-    assert!(policy.answered_share(0..50, STEADY) >= least_commits);
-    assert!(policy.timed_out() <= 0.001 * policy.answered(policy.all_flows(), STEADY));
+    assert!(policy.answered_share(0..50, MEASURED_SPAN) >= least_commits);
+    assert!(policy.timed_out() <= 0.001 * policy.answered(policy.all_flows(), MEASURED_SPAN));
     if load > 1.0 {
         assert!(goodput(&baseline) < 0.1);
         // Two attempts with a network round trip of 1 ms each: refusals do not wait in a queue.
         assert!(policy.refusal_p99() <= 0.005);
         // No class is starved.
-        assert!(policy.answered(100..150, STEADY) > 40.0);
+        assert!(policy.answered(100..150, MEASURED_SPAN) > 40.0);
     }
 }
--- a/crates/policy/tests/load/zone_recovery.rs
+++ b/crates/policy/tests/load/zone_recovery.rs
@@ -2,9 +2,9 @@
 use crate::sim::run;
 use config::Class;
 
-// An availability zone with half of the backend servers is lost and comes back with
-// cold ones, which are five times slower at first. If they get their full share at
-// once, every second call is slow.
+// An availability zone with half of the backend servers is lost and comes back with cold backend
+// servers, which are five times slower at first. If the cold backend servers get their full share
+// at once, every second call is slow.
 #[test]
 fn cold_start() {
     let warm_up: fn(f64) -> f64 = |now| 1.0 + 4.0 * ((9.0 - now) / 3.0).clamp(0.0, 1.0);
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -29,10 +29,11 @@
 #[derive(Debug, Clone, Copy)]
 struct Model {
     old: Quality,
-    /// The new version, for the first and the second kind of call.
+    /// Rates at the new version, for the first and the second kind of call.
     new: [Quality; 2],
     /// Time from which the new version's faults show.
     fault_start: Duration,
+    /// Time allowed for the roll-out.
     duration: Duration,
 }
 
