--- a/crates/node/benches/reserve.rs
+++ b/crates/node/benches/reserve.rs
@@ -185,7 +185,7 @@
 /// Starts `offered` claims per second at a steady rate, regardless of how long each claim takes
 /// (open loop).
 ///
-/// Returns the sorted latencies of granted claims and the number of refused ones.
+/// Returns the sorted latencies of the granted claims and the number of refused claims.
 async fn run_open_loop<F, R>(offered: u32, claim: F) -> (Vec<Duration>, u32)
 where
     F: Fn(u32) -> R,
--- a/crates/node/tests/calls/early_end.rs
+++ b/crates/node/tests/calls/early_end.rs
@@ -98,8 +98,9 @@
     assert_eq!(far.inbound.drain(Duration::from_secs(1)).await, 0);
 }
 
-// The deadline of one call passes while it runs, and that of another while it waits for the slot.
-// Each call must be answered at its deadline, and only the waiting call with "not run".
+// The deadline of a call passes while the call runs, and the deadline of another call while that
+// call waits for the slot. Each call must be answered at its deadline, and only the waiting call
+// with "not run".
 #[yare::parameterized(remote = { EntryNode::Near }, local = { EntryNode::Far })]
 #[test_macro(tokio::test)]
 async fn deadline(entry: EntryNode) {
@@ -125,8 +126,8 @@
     assert!(run_log.entries().iter().all(|run| run.request != "r2"));
 }
 
-// A backend server announces that it leaves, or its node is stopped, while one call runs and
-// another waits. New calls and the waiting call must be refused immediately as "not run" and run on
+// A backend server announces that it leaves, or its node is stopped, while a call runs and another
+// call waits. New calls and the waiting call must be refused immediately as "not run" and run on
 // another backend server; the running call must not be broken off.
 #[yare::parameterized(backend_server = { false }, node = { true })]
 #[test_macro(tokio::test)]
@@ -277,8 +278,8 @@
 
 // The only backend server of a service leaves. Regression: all callers of the service were told to
 // retry after a millisecond, and retried in lockstep for the whole restart. A leaving server has no
-// measured wait time to report, and the outbound proxy passed this on to callers as their retry
-// delay.
+// measured wait time to report, and the outbound proxy passed the value from that server on to
+// callers.
 #[yare::parameterized(leaving = { true }, gone = { false })]
 #[test_macro(tokio::test)]
 async fn retry_after_spread(is_leaving: bool) {
--- a/crates/node/tests/calls/misbehaving_peer.rs
+++ b/crates/node/tests/calls/misbehaving_peer.rs
@@ -53,7 +53,7 @@
     frame.repeat(10_000)
 }
 
-// A node of another build, or a compromised one, sends its input byte by byte, announces a frame
+// A compromised node, or a node of another build, sends its input byte by byte, announces a frame
 // that never arrives, or sends frames of calls that nobody made. Callers at other nodes must still
 // get their answers, although all links share one listener and one attempt table.
 #[yare::parameterized(
--- a/crates/node/tests/calls/round_trip.rs
+++ b/crates/node/tests/calls/round_trip.rs
@@ -110,8 +110,8 @@
     );
 }
 
-/// Answers two requests from one link, interleaved and in reverse order, with duplicate frames
-/// and frames of an unknown call.
+/// Answers two requests that arrive over the same link, interleaved and in reverse order, with
+/// duplicate frames and frames of an unknown call.
 async fn respond_interleaved(listener: TcpListener) {
     let (mut stream, _) = listener.accept().await.unwrap();
     let peer_hello = codec::read_hello(&mut stream).await.unwrap();
@@ -228,8 +228,9 @@
     }
 }
 
-// A call enters on the VM of a backend server with free slots. It must run there, although
-// another backend server of the zone has free slots as well: that saves a hop.
+// A call enters on the VM of a backend server with free slots. The call must run on that backend
+// server, although another backend server of the zone has free slots as well: a local run saves a
+// hop.
 #[tokio::test]
 async fn prefers_local() {
     let (local_server, local_run_log) = spawn_server(6).await;
@@ -311,9 +312,9 @@
     assert_eq!(taken.expect("the end comes").unwrap(), 0x10000);
 }
 
-// A body is sent to a backend server without free slots, and then to one with free slots. A
-// refused attempt must transfer the head only. If the bodies of all refused attempts were
-// transferred, a slow link would carry nothing else.
+// A call with a body is sent to a backend server without free slots, and then to another backend
+// server with free slots. A refused attempt must transfer the head only. If the bodies of all
+// refused attempts were transferred, a slow link would carry nothing else.
 #[tokio::test]
 async fn refused_without_body() {
     let near = spawn_node("near").await;
--- a/crates/node/tests/calls/silent_link.rs
+++ b/crates/node/tests/calls/silent_link.rs
@@ -101,7 +101,7 @@
     );
     assert_eq!(pair.post("r1", "0").await.status, StatusCode::OK);
     pair.forwarder.set_modes(Mode::Pass, Mode::Pass);
-    // The frames of the old link are read before a call over the new one is answered.
+    // The far node reads the frames of the old link before it answers a call over the new link.
     let far = pair.far.endpoint("jobs", pair.forwarder.address);
     pair.near.set_route("jobs", Repeat::Never, &[far]);
     for _ in 0..20 {
@@ -210,10 +210,11 @@
     assert_eq!((pair.runs_of("r1"), pair.forwarder.count()), (1, 1));
 }
 
-// An availability zone is unreachable: connections to a node there are never answered. Twenty
-// callers call at the same time. All of them must be told "not run" when the first attempt to
-// connect is given up, and a later caller must be told so immediately. Regression: each call waited
-// for the attempts to connect of the calls before it, and then made another attempt of its own.
+// An availability zone is unreachable: connections to a node in that zone are never answered.
+// Twenty callers call at the same time. All of them must be told "not run" when the first attempt
+// to connect is given up, and a later caller must be told so immediately. Regression: each call
+// waited for the attempts to connect of the calls before it, and then made another attempt of its
+// own.
 #[tokio::test]
 async fn unreachable_zone() {
     let near = spawn_node("near").await;
--- a/crates/node/tests/calls/unread_answers.rs
+++ b/crates/node/tests/calls/unread_answers.rs
@@ -216,9 +216,9 @@
     );
     let serving = async {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let theirs = codec::read_hello(&mut stream).await.unwrap();
-        let ours = node::nodes::make_hello(&far.shared, theirs.link);
-        codec::write(&mut stream, &ours).await.unwrap();
+        let peer_hello = codec::read_hello(&mut stream).await.unwrap();
+        let own_hello = node::nodes::make_hello(&far.shared, peer_hello.link);
+        codec::write(&mut stream, &own_hello).await.unwrap();
         while !matches!(read_frame(&mut stream).await, Frame::Request(_)) {}
         drop(listener);
         stream.shutdown().await.unwrap();
--- a/crates/node/tests/reserve.rs
+++ b/crates/node/tests/reserve.rs
@@ -1,4 +1,5 @@
-//! Reservations of idempotency keys: one call per key runs, whichever node it is claimed at.
+//! Reservations of idempotency keys: only one call per key runs, whichever node the key is claimed
+//! at.
 
 use bytes::Bytes;
 use call::Id;
@@ -347,8 +348,8 @@
 
 // A node closes its link to the owner of a key while the platform answers slowly. Regression: the
 // owner waited for the reservation to be written in order to send a reply that could no longer be
-// delivered. Meanwhile it kept its end of the link half closed (CLOSE-WAIT): a node had 1 to 6 such
-// sockets 2 s after all faults had ended.
+// delivered. Meanwhile the owner kept its end of the link half closed (CLOSE-WAIT): a node had 1 to
+// 6 such sockets 2 s after all faults had ended.
 #[tokio::test]
 async fn link_closed() {
     let memory = MemoryStore::new();
@@ -385,8 +386,8 @@
     ended.await.expect("the owner closes its end").unwrap();
 }
 
-// The platform takes a minute for each call. The first claim may wait until its
-// timeout; the following ones must be refused immediately.
+// The platform takes a minute for each call. The first claim may wait until its timeout; later
+// claims must be refused immediately.
 #[tokio::test(start_paused = true)]
 async fn slow_platform() {
     let memory = MemoryStore::new();
@@ -473,7 +474,7 @@
     }
 }
 
-// The nodes of three zones are partitioned from each other but reach the platform, so each
+// The nodes of three zones are partitioned from each other but reach the platform, so each node
 // considers itself the owner of every shard. Callers repeat their calls at all nodes while writes
 // to the platform are lost, delayed or refused. No call may run twice under one key.
 #[yare::parameterized(one = { 1 }, two = { 2 }, three = { 3 }, four = { 4 })]
--- a/crates/standin/src/forward.rs
+++ b/crates/standin/src/forward.rs
@@ -1,4 +1,4 @@
-//! TCP forwarder that can stall its existing connections while new ones work.
+//! TCP forwarder that can stall its existing connections while new connections work.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -227,7 +227,7 @@
 
 /// Announces a backend server to its node.
 struct Announcer {
-    /// The node on the same VM, if there is one.
+    /// The node on the same VM; `None` if the backend server doesn't announce itself.
     node: Option<NodeClient>,
     announcement: Announcement,
     /// Log that records when the node acknowledges the leave request.
