--- a/crates/fleet/src/bootstrap.rs
+++ b/crates/fleet/src/bootstrap.rs
@@ -1,10 +1,9 @@
 //! Readiness of a new process.
 //!
-//! A restarted process holds no configuration, although its VM served some
-//! version until just before. If the process started from a peer that lags
-//! behind, the VM would revert to an older version, and its callers would see
-//! outdated routes. A process therefore serves only once it holds the highest
-//! version it has heard of.
+//! A restarted process holds no configuration, although the VM's previous process served some
+//! version until just before. If the new process served the version of a peer that lags behind, the
+//! VM would revert to an older version, and its callers would see outdated routes. A process
+//! therefore serves only once it holds the highest version it has heard of.
 //!
 //! The process asks the platform for the latest version. While the platform
 //! does not answer, the process requires reports from two serving nodes
@@ -19,26 +18,27 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Sources required without an answer of the platform; two peers rarely lag at the same time.
-const MIN_SOURCES: usize = 2;
+/// Number of serving nodes whose reports are required while the platform does not answer; two nodes
+/// rarely lag at the same time.
+const MIN_PEER_SOURCES: usize = 2;
 
-/// Interval between queries to further peers.
+/// Interval at which this process queries further peers for their version.
 const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Interval between queries to a platform that does not answer. 1,000 new nodes then send 200
-/// queries per second.
+/// Interval at which this process queries a platform that does not answer. 1,000 new nodes together
+/// then send 200 queries per second.
 const PLATFORM_QUERY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Maximum number of sources remembered.
+/// Maximum number of sources whose names are kept.
 const MAX_SOURCES: usize = 8;
 
-/// Stands for the platform in the set of sources; no node may have this name.
+/// Name of the platform in the set of sources; no node may have this name.
 const PLATFORM: SmolStr = SmolStr::new_static("(platform)");
 
 /// Keeps a new process from serving until it holds the highest version reported to it.
 #[derive(Debug)]
 pub struct ReadinessGate {
-    /// Names of the sources heard from, up to [`MAX_SOURCES`].
+    /// Names of the sources that have reported a version, at most [`MAX_SOURCES`].
     sources: BTreeSet<SmolStr>,
     /// Highest version reported by any source.
     highest: Version,
@@ -80,10 +80,11 @@
         }
     }
 
-    /// Records the version reported by a serving node; `is_same_zone` if it is in this node's zone.
+    /// Records the version reported by a serving node; `is_same_zone` tells whether that node is in
+    /// the zone of this node.
     ///
-    /// Nodes that do not serve must not be recorded: two new processes would
-    /// take each other's empty configuration for the latest one.
+    /// The reports of nodes that do not serve must not be recorded: otherwise two new processes
+    /// would each take the other's empty configuration for the latest version.
     pub fn record_peer_version(&mut self, source: &SmolStr, version: Version, is_same_zone: bool) {
         if self.is_open {
             return;
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Records the latest version reported by the platform, which needs no second source.
+    /// Records the latest version reported by the platform; this report needs no confirmation by a
+    /// node.
     pub fn record_platform_version(&mut self, version: Version) {
         self.record_peer_version(&PLATFORM, version, true);
         self.platform_query = PlatformQuery::Answered;
@@ -110,9 +112,11 @@
         }
     }
 
-    /// Returns whether to query the platform now, and if so marks the query as sent.
+    /// Returns whether to query the platform for its latest version now; if so, marks the query as
+    /// sent.
     ///
-    /// The platform is queried once the highest version heard of is held.
+    /// The query is due once a source has reported and `held` is at least the highest version
+    /// reported, and again some time after each query that the platform did not answer.
     pub fn begin_platform_query(&mut self, held: Version, now: Instant) -> bool {
         if self.query_platform_at.take_if(|at| now >= *at).is_some() {
             self.platform_query = PlatformQuery::NotSent;
@@ -140,10 +144,11 @@
     }
 
     fn has_enough_sources(&self) -> bool {
-        self.has_own_zone_source && self.sources.len() >= MIN_SOURCES
+        self.has_own_zone_source && self.sources.len() >= MIN_PEER_SOURCES
     }
 
-    /// Opens the gate permanently if `held` suffices; returns whether the gate is open.
+    /// Opens the gate permanently if `held` is at least the highest version reported and the
+    /// reports suffice; returns whether the gate is open.
     pub fn try_open(&mut self, held: Version) -> bool {
         let is_confirmed = match self.platform_query {
             PlatformQuery::Answered => true,
--- a/crates/fleet/src/children.rs
+++ b/crates/fleet/src/children.rs
@@ -1,11 +1,11 @@
 //! Admission of nodes as children.
 //!
-//! Load pattern: a zone of 1,000 nodes restarts at once, and all ask its three roots. For each new
-//! child, the parent sends the full configuration and list of endpoints, about a megabyte.
-//! Without a limit, the roots would send gigabytes and answer no node in time. Children are
-//! therefore admitted up to a fixed number, and at a rate limited by the bytes to be sent. A node
-//! that is refused learns at once when to retry and which other nodes to ask, and the tree grows
-//! level by level.
+//! Load pattern: all 1,000 nodes of a zone restart at once, and all of them ask the zone's three
+//! roots for admission. To each new child, a parent sends the full configuration and the list of
+//! endpoints, about a megabyte. Without a limit, the roots would send gigabytes and answer no node
+//! in time. A node therefore admits children only up to a fixed number, and at a rate that is
+//! limited by the bytes to be sent to them. A node that is refused learns at once when to retry and
+//! which other nodes to ask, so that the tree grows level by level.
 
 use crate::link::{LinkKey, Role};
 use crate::node::Node;
@@ -15,40 +15,47 @@
 use std::time::{Duration, Instant};
 use wire::control::{Frame, Peer};
 
-/// Most children of a node that is not a root.
+/// Maximum number of children of a node that is not a root.
 pub const FAN_OUT: usize = 24;
 
-/// Most children of a root, which also has links to the other roots.
+/// Maximum number of children of a root, which also has links to the other roots.
 ///
-/// Three roots then have capacity for 48 + 48 × 24 = 1,200 nodes.
+/// The two levels below a zone's three roots then have room for 48 + 48 × 24 = 1,200 nodes.
 pub const ROOT_FAN_OUT: usize = 16;
 
-/// Longest path from a root to a leaf: longer ones would add hops but no capacity.
+/// Maximum number of nodes on a path from a root to a leaf, both included; longer paths would add
+/// hops but no capacity.
 pub const MAX_DEPTH: usize = 6;
 
-/// Maximum sending time of all recently admitted children together: eight of a megabyte each.
+/// Maximum total time to send the data of all recently admitted children: enough for eight children
+/// with a megabyte each.
 pub const JOIN_BURST: Duration = Duration::from_millis(1_600);
 
-/// Time to send a byte to a new child, at 40 Mbit/s.
+/// Time to send one byte to a new child, at 40 Mbit/s.
 ///
-/// The limit is on bytes, not on the number of children: at one child every 200 ms, the 20 nodes
-/// of a zone had to wait for each other after a restart of all, although a hundred endpoints and
-/// 2,000 routes are just 18 kB by the figures below.
+/// The rate of admission is limited by bytes and not by the number of children. With one child
+/// every 200 ms, the 20 nodes of a zone had to wait for each other after all of them were
+/// restarted, although a hundred endpoints and 2,000 routes are just 18 kB, at [`ENDPOINT_BYTES`]
+/// and [`ROUTE_BYTES`] each.
 const JOIN_TIME_PER_BYTE: Duration = Duration::from_nanos(200);
 
-/// Bytes of an endpoint sent to a new child.
+/// Bytes that one endpoint takes up when it is sent to a new child.
 const ENDPOINT_BYTES: u32 = 60;
 
-/// Bytes of a compressed route: the names on one host differ in a few characters only.
+/// Bytes that one route takes up in the compressed configuration: the names of one host's routes
+/// differ in a few characters only.
 const ROUTE_BYTES: u32 = 6;
 
-/// Retry delay given by a node without capacity, as it won't have any soon.
+/// Retry delay that a node sends when it refuses a child because it has its maximum number of
+/// children, which won't change soon. A node that is not a root also sends it in reply to
+/// [`Frame::Meet`].
 pub const RETRY_AFTER_FULL: Duration = Duration::from_secs(5);
 
-/// Retry delay given by a node that has no path to a root or is not ready.
+/// Retry delay that a node sends when it can't be the parent of the asking node now: it has no path
+/// to a root, does not serve yet, is shutting down, or is a descendant of the asking node.
 pub const RETRY_AFTER_UNREADY: Duration = Duration::from_millis(250);
 
-/// Most other parents named in one reply.
+/// Maximum number of other candidates for a parent that are named in one reply.
 pub const MAX_HINTS: usize = 8;
 
 impl Node {
@@ -92,7 +99,7 @@
         if !self.has_root() || !self.is_ready() || self.is_leaving || self.path.contains(&name) {
             return Err(RETRY_AFTER_UNREADY);
         }
-        // A child that reconnects replaces its old link.
+        // When a child reconnects, its new link replaces the old one.
         let is_same = |other: &SmolStr| *other == name;
         let replaced = self.find_links(|link| {
             link.role == Role::Child && link.peer.as_ref().is_some_and(|peer| is_same(&peer.node))
@@ -109,7 +116,7 @@
     /// Returns the time to send the configuration and the endpoints to a new child.
     fn join_cost(&self) -> Duration {
         let count = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
-        let endpoints = count(self.table.iter().count()).saturating_mul(ENDPOINT_BYTES);
+        let endpoints = count(self.endpoint_table.iter().count()).saturating_mul(ENDPOINT_BYTES);
         let routes = count(self.replica.held().mesh().routes.len()).saturating_mul(ROUTE_BYTES);
         JOIN_TIME_PER_BYTE.saturating_mul(endpoints.saturating_add(routes))
     }
@@ -139,8 +146,8 @@
         self.send(key, frame);
         self.establish_link(now, key, role, version);
         if role == Role::RootPeer && !self.has_synced_endpoints {
-            // The checksum exchange that the dialling root starts completes only that root's
-            // endpoints. This root therefore starts one too.
+            // The dialling root starts an exchange of checksums that completes only its own
+            // endpoints. This root therefore starts another exchange.
             self.send_checksums(key, false);
         }
     }
--- a/crates/fleet/src/crashes.rs
+++ b/crates/fleet/src/crashes.rs
@@ -1,11 +1,11 @@
 //! Propagation of requests that crashed backend servers.
 //!
-//! Each node floods new crashes immediately over all its links but the one they came from,
-//! as a request that crashes a backend server is repeated within milliseconds. All known
-//! crashes are sent over each new link, so that a new process knows them before it serves.
-//! Zones that are partitioned from each other, and a fleet that restarts as a whole, learn
-//! them through the platform: roots write the crashes of their own part of the fleet there,
-//! and read those of other roots.
+//! A request that crashes a backend server is repeated within milliseconds. Each node therefore
+//! sends new crashes immediately over all its links, except the link over which they arrived. All
+//! known crashes are sent over each new link, so that a new process knows these crashes before it
+//! serves. Zones that are partitioned from each other, and a fleet that restarts as a whole, learn
+//! of crashes through the platform: a root writes its crashes to the platform when its own subtree
+//! reports new ones, and reads the crashes that other roots have written.
 
 use crate::event::{Action, PlatformRequest};
 use crate::link::{Link, LinkKey, Role};
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct CrashState {
     history: CrashHistory,
-    /// When this root writes its crashes to the platform.
+    /// When the next write of this root's crashes to the platform is due.
     write_at: Option<Instant>,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl Node {
-    /// Merges crashes and forwards those that are new.
+    /// Merges crashes into the crash history, and forwards those that are new.
     pub(crate) fn on_crashes(&mut self, now: Instant, origin: Origin, list: &[Crash]) {
         let history = &mut self.crashes.history;
         let list = list.iter().take(MAX_CRASHES);
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Returns whether this root is the one to write crashes of that origin to the platform.
+    /// Returns whether crashes of that origin come from this root's own subtree. Only these cause
+    /// the root to write to the platform.
     fn is_from_subtree(&self, origin: Origin) -> bool {
         match origin {
             Origin::Local => true,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Queries the platform for crashes, for a node that hears from no root.
+    /// Queries the platform for crashes. Called on a node that hears from no root.
     pub(crate) fn query_crashes(&mut self) {
         self.actions
             .push(Action::QueryPlatform(PlatformRequest::Crashes));
--- a/crates/fleet/src/endpoints.rs
+++ b/crates/fleet/src/endpoints.rs
@@ -1,8 +1,8 @@
 //! The table of all endpoints that a node knows of, merged from announcements.
 //!
-//! Announcements are ordered by [`Endpoint::rank`], so the result of merging them
-//! does not depend on their order, repetition or path. Departed endpoints are kept
-//! as tombstones. Two nodes find out in which entries they differ by comparing one
+//! Announcements are ordered by [`Endpoint::rank`], so the result of merging announcements does not
+//! depend on the order in which they arrive, on repetition or on their path. Departed endpoints are
+//! kept as tombstones. Two nodes find the entries in which their tables differ by comparing one
 //! checksum per bucket of entries (anti-entropy).
 
 use config::{Endpoint, State};
@@ -12,9 +12,10 @@
 use std::time::{Duration, Instant};
 use wire::control::{BUCKET_COUNT, MAX_ENDPOINTS};
 
-/// Interval at which a node announces its endpoint again without a change.
+/// Interval at which a node announces its endpoint again even if the endpoint has not changed.
 ///
-/// With 14,000 nodes, each link then carries 0.65 such announcements, about 50 bytes, per second.
+/// In a fleet of 14,000 nodes, each link then carries 0.65 such announcements (about 50 bytes) per
+/// second.
 pub const REFRESH_INTERVAL: Duration = Duration::from_hours(6);
 
 /// Time without an announcement after which an endpoint counts as gone.
@@ -22,17 +23,19 @@
 /// Three refresh intervals, which is longer than partitions between regions last.
 pub const ENDPOINT_TTL: Duration = Duration::from_hours(18);
 
-/// Maximum number of entries: four times the planned maximum of 14,000.
+/// Maximum number of entries of the table: four times the 14,000 nodes of the largest planned
+/// fleet.
 pub const MAX_TABLE_SIZE: usize = 56_000;
 
 /// Effect of merging an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It was not newer than the entry, or the table takes no new entry for it.
+    /// The announcement was not newer than the node's entry. Or the node has no entry and gets
+    /// none, because the announcement is a tombstone or the table is full.
     Ignored,
-    /// It was newer but changes nothing else.
+    /// The announcement was newer, but differed from the node's entry only in its sequence number.
     Refreshed,
-    /// It changes something that matters to calls.
+    /// The announcement has changed or created the node's entry.
     Changed,
 }
 
@@ -42,7 +45,7 @@
     updated_at: Instant,
 }
 
-/// The endpoints that a node knows of, by node.
+/// The endpoints that a node knows of, by node name.
 #[derive(Debug)]
 pub struct EndpointTable {
     entries: BTreeMap<SmolStr, Entry>,
@@ -61,8 +64,8 @@
 impl EndpointTable {
     /// Merges an announcement; returns its effect.
     ///
-    /// A tombstone of an unknown node is ignored. Otherwise it would circulate
-    /// forever between nodes that drop tombstones at different times.
+    /// A tombstone of an unknown node is ignored. Otherwise tombstones would circulate forever
+    /// between nodes that drop tombstones at different times.
     pub fn merge(&mut self, endpoint: &Arc<Endpoint>, now: Instant) -> MergeOutcome {
         let known = self.get(&endpoint.node);
         let is_newer = match known {
@@ -164,7 +167,7 @@
     }
 }
 
-/// Returns whether the two differ in nothing but their sequence number.
+/// Returns whether `newer` differs from `known` in nothing but its sequence number.
 fn is_refresh_of(known: &Endpoint, newer: &Endpoint) -> bool {
     let known = Endpoint {
         sequence: newer.sequence,
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -15,25 +15,25 @@
 pub enum PlatformRequest {
     /// Read the leases of all roots.
     Leases {
-        /// Whether they must be current; otherwise they may be some seconds stale.
+        /// Whether the response must be current; otherwise it may be some seconds stale.
         is_exact: bool,
     },
-    /// Acquire an expired lease of this node's zone.
+    /// Acquire a lease of this node's zone that is free or has expired.
     AcquireLease {
-        /// Which of the zone's leases.
+        /// Index of the lease among the leases of this node's zone.
         slot: u8,
-        /// Whether to also seize an unexpired lease, provided that it has not been
-        /// renewed since the last response to [`PlatformRequest::Leases`].
+        /// Whether to take over the lease even if it has not expired. This succeeds only if the
+        /// lease has not been renewed since the last response to [`PlatformRequest::Leases`].
         is_forced: bool,
     },
     /// Renew a lease that this node holds.
     RenewLease {
-        /// Which of the zone's leases.
+        /// Index of the lease among the leases of this node's zone.
         slot: u8,
     },
     /// Release a lease.
     ReleaseLease {
-        /// Which of the zone's leases.
+        /// Index of the lease among the leases of this node's zone.
         slot: u8,
     },
     /// Get the number of the latest version.
@@ -41,7 +41,7 @@
         /// The highest version known to this node.
         after: Version,
     },
-    /// Get the latest version, with the steps or the full configuration that lead to it.
+    /// Get the latest version, as the steps that lead to it or as a full configuration.
     FetchLatest {
         /// The version held by this node.
         after: Version,
@@ -65,11 +65,11 @@
 /// The lease of a root, as last read from the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RootLease {
-    /// Which of its zone's leases.
+    /// Index of the lease among the leases of the holder's zone.
     pub slot: u8,
     /// The holder, which is in the zone of the lease.
     pub holder: Peer,
-    /// Whether it had not expired when it was read.
+    /// Whether the lease was unexpired when it was read.
     pub is_live: bool,
 }
 
@@ -80,21 +80,21 @@
     Leases(Vec<RootLease>),
     /// The lease was acquired or renewed.
     LeaseGranted {
-        /// Which of the zone's leases.
+        /// Index of the lease among the leases of this node's zone.
         slot: u8,
     },
     /// Another node holds the lease.
     LeaseLost {
-        /// Which of the zone's leases.
+        /// Index of the lease among the leases of this node's zone.
         slot: u8,
     },
     /// The platform did not answer this request.
     Failed(PlatformRequest),
     /// The number of the latest version, sent when a watch starts and repeatedly after that.
     LatestVersion(Version),
-    /// A version, as the change from the previous one.
+    /// A version, as the change from the previous version.
     Step {
-        /// Its number.
+        /// Number of the version.
         version: Version,
         /// The changes.
         patch: Arc<Patch>,
@@ -103,16 +103,16 @@
     },
     /// A version, as a full configuration.
     Full {
-        /// Its number.
+        /// Number of the version.
         version: Version,
         /// The configuration.
         mesh: Mesh,
     },
-    /// A version that cannot be read; the current one stays in force.
+    /// A version that cannot be read; the version that this node holds stays in force.
     InvalidVersion {
-        /// Its number.
+        /// Number of the version.
         version: Version,
-        /// What is wrong with it, and where.
+        /// What is wrong with the version's content, and where.
         reason: SmolStr,
     },
     /// Crashes that roots have written, sent when a watch starts and as they are written.
@@ -126,17 +126,17 @@
 /// This VM's backend server, as it announced itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
-    /// Service that it belongs to.
+    /// Service that the backend server belongs to.
     pub service: SmolStr,
-    /// Version of its software; empty if not announced.
+    /// Version of the backend server's software; empty if not announced.
     pub version: SmolStr,
-    /// Number of calls that it runs concurrently.
+    /// Number of calls that the backend server runs concurrently.
     pub slots: u16,
-    /// Identifies its process.
+    /// Identifies the process of the backend server.
     pub process: u64,
-    /// How long it will be slow while it warms up, in milliseconds, if announced.
+    /// Time for which the backend server is slow while it warms up, in milliseconds, if announced.
     pub cold_ms: Option<u32>,
-    /// Whether it accepts new work.
+    /// State of the backend server, which tells whether it accepts new work.
     pub state: config::State,
 }
 
@@ -162,13 +162,14 @@
         /// The frame.
         frame: Frame,
     },
-    /// The platform answered.
+    /// The platform responded, sent a notification, or did not answer a request.
     Platform(PlatformResponse),
     /// This VM's backend server announced itself.
     BackendAnnounced(Backend),
-    /// Requests that crashed this VM's backend server, or were answered since.
+    /// Crashes of this VM's backend server, and those that an answer to the same request has
+    /// cleared.
     LocalCrashes(Vec<Crash>),
-    /// Counts of this VM's outbound proxy for roll-outs, by service.
+    /// Call results of roll-outs, as counted by this VM's outbound proxy for each service.
     LocalTallies(Vec<(SmolStr, Tally)>),
     /// The time returned by [`crate::Node::next_wake`] has been reached.
     Wake,
@@ -176,7 +177,7 @@
     Leave,
 }
 
-/// An output of the state machine, to be carried out by its owner.
+/// An output of the state machine, to be carried out by the code that runs it.
 #[derive(Debug)]
 pub enum Action {
     /// Open a link.
@@ -208,8 +209,8 @@
     WriteCrashes {
         /// Slot of the lease of the root that writes.
         slot: u8,
-        /// All crashes that the root knows of. If there are too many, those of the requests with
-        /// the most uncleared crashes.
+        /// All crashes that the root knows of. If they are more than
+        /// [`wire::control::MAX_CRASHES`], those of the requests with the most uncleared crashes.
         list: Vec<Crash>,
     },
     /// Apply these roll-outs to calls from now on.
--- a/crates/fleet/src/fallback_poll.rs
+++ b/crates/fleet/src/fallback_poll.rs
@@ -14,15 +14,16 @@
 
 /// Time without contact to a root after which a node polls the platform.
 ///
-/// Heartbeats come every second, so at least one is missing by then. A version
-/// is then in force about 1.5 s after it was written, of the 2 s that it may take.
+/// Heartbeats come every second, so at least one is missing after this time. A version then comes
+/// into force about 1.5 s after it was written; it may take 2 s at most.
 const MAX_SILENCE: Duration = Duration::from_millis(1_400);
 
-/// Minimum interval between polls; a version then arrives within a second.
+/// Minimum interval between two polls of a node, so that a node that polls gets a version within a
+/// second after it was written.
 const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Total polls per second of all nodes of a zone. 15 zones without any root then use
-/// 750 of the platform's 2,000 reads per second.
+/// Maximum number of polls per second by all nodes of a zone together. 15 zones without any root
+/// then use 750 of the platform's 2,000 reads per second.
 const ZONE_POLL_RATE: u32 = 50;
 
 /// When a node last heard from a root, and last polled the platform.
@@ -64,9 +65,9 @@
 impl Node {
     /// Returns when this node polls the platform next.
     ///
-    /// `None` if it does not serve yet, is shutting down, or is a root.
+    /// `None` if this node does not serve yet, is shutting down, or is a root.
     pub(crate) fn next_fallback_poll(&self) -> Option<Instant> {
-        let may_poll = self.gate.is_open() && !self.is_leaving && !self.lease.is_root();
+        let may_poll = self.readiness_gate.is_open() && !self.is_leaving && !self.lease.is_root();
         may_poll.then(|| self.fallback_poll.due_at())
     }
 
@@ -84,7 +85,11 @@
             return;
         }
         let zone = &self.settings.local.zone;
-        let nodes = self.table.iter().filter(|one| one.zone == *zone).count();
+        let nodes = self
+            .endpoint_table
+            .iter()
+            .filter(|endpoint| endpoint.zone == *zone)
+            .count();
         self.fallback_poll.polled_at = Some(now);
         self.fallback_poll.interval = poll_interval(nodes);
         let after = self.version();
--- a/crates/fleet/src/heartbeat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -8,8 +8,9 @@
 use std::time::Instant;
 use wire::control::{Frame, Heartbeat, Status};
 
-/// Number of consecutive heartbeats with a differing endpoint checksum after which the tables are
-/// compared. Updates in flight make the checksums differ for a moment.
+/// Number of consecutive heartbeats with a differing endpoint checksum after which two nodes
+/// compare their endpoint tables. A single difference proves nothing: updates in flight make the
+/// checksums differ for a moment.
 const MISMATCH_LIMIT: u8 = 3;
 
 impl Node {
@@ -23,8 +24,11 @@
         let Some(status) = self.status_for(key) else {
             return;
         };
-        let (version, endpoints_checksum, child_capacity) =
-            (self.version(), self.table.checksum(), self.child_capacity());
+        let (version, endpoints_checksum, child_capacity) = (
+            self.version(),
+            self.endpoint_table.checksum(),
+            self.child_capacity(),
+        );
         let is_ready = self.is_ready();
         let Some(link) = self.links.get_mut(&key) else {
             return;
@@ -47,7 +51,7 @@
     }
 
     pub(crate) fn on_heartbeat(&mut self, now: Instant, key: LinkKey, beat: &Heartbeat) {
-        let differs = beat.endpoints_checksum != self.table.checksum();
+        let differs = beat.endpoints_checksum != self.endpoint_table.checksum();
         let own = self.settings.local.node.clone();
         let Some(link) = self.links.get_mut(&key) else {
             return;
@@ -70,7 +74,7 @@
         self.on_peer_version(now, key, beat.version);
     }
 
-    /// Returns the status to send over a link.
+    /// Returns the status to send over a link, or `None` if the link is not established.
     fn status_for(&self, key: LinkKey) -> Option<Status> {
         let link = self.links.get(&key)?;
         match link.role {
@@ -125,8 +129,9 @@
         self.aggregate_with(&self.subtree_status(), roots)
     }
 
-    /// Returns the status of the fleet: aggregated from the other roots' reports on a root, else as
-    /// last sent by the parent.
+    /// Returns the status of the fleet. A root aggregates it from the reports of the other roots.
+    /// Any other node returns what its parent last sent, or the status of its own subtree if no
+    /// parent has sent any.
     pub(crate) fn aggregate_fleet_status(&self) -> Status {
         if !self.lease.is_root() {
             let parents = self.statuses_from(|link| link.role == Role::Parent);
--- a/crates/fleet/src/initial_reads.rs
+++ b/crates/fleet/src/initial_reads.rs
@@ -1,8 +1,9 @@
 //! Data that a new root reads from the platform before it serves.
 //!
-//! Other nodes learn from their parent which requests are held and which versions are being rolled
-//! out. If all nodes restart at once, there is no node to learn it from. Without these reads, each
-//! of them would run a held request again, and a bad version would get its full share of calls.
+//! A node that is not a root learns from its parent which requests are held in quarantine and which
+//! versions are being rolled out. If all nodes restart at once, no node knows this. Without these
+//! reads, each node would then run a held request again, and a bad version would get its full share
+//! of calls.
 
 use crate::event::{Action, PlatformRequest};
 use crate::node::Node;
@@ -14,12 +15,12 @@
 /// Maximum wait for the responses, after which the process serves without them.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// The reads that are still missing.
+/// The reads whose responses are still missing.
 #[derive(Debug, Default)]
 pub(crate) struct InitialReads {
     missing: Vec<PlatformRequest>,
     send_at: Option<Instant>,
-    until: Option<Instant>,
+    give_up_at: Option<Instant>,
 }
 
 impl InitialReads {
@@ -28,7 +29,7 @@
     }
 
     pub(crate) fn deadline(&self) -> Option<Instant> {
-        let all = [self.send_at, self.until];
+        let all = [self.send_at, self.give_up_at];
         let next = all.into_iter().flatten().min();
         next.filter(|_| !self.is_done())
     }
@@ -45,7 +46,7 @@
         self.initial_reads = InitialReads {
             missing: wanted.into_iter().flatten().collect(),
             send_at: Some(now),
-            until: Some(now + MAX_WAIT),
+            give_up_at: Some(now + MAX_WAIT),
         };
         self.step_initial_reads(now);
     }
@@ -63,7 +64,7 @@
     }
 
     pub(crate) fn step_initial_reads(&mut self, now: Instant) {
-        if self.initial_reads.until.is_some_and(|until| now >= until) {
+        if self.initial_reads.give_up_at.is_some_and(|at| now >= at) {
             self.initial_reads = InitialReads::default();
         }
         if self
--- a/crates/fleet/src/leaky_bucket.rs
+++ b/crates/fleet/src/leaky_bucket.rs
@@ -2,7 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-/// A leaky bucket of work. Its level is stored as the time at which it will have drained.
+/// A leaky bucket of work, which is measured by the time that it takes. The level of the bucket is
+/// stored as the time at which the bucket will be empty.
 #[derive(Debug, Clone)]
 pub struct LeakyBucket {
     capacity: Duration,
@@ -23,7 +24,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the time until the work fits, if the bucket is too full.
+    /// If the bucket is too full, returns the time until the work fits or the bucket is empty,
+    /// whichever comes first.
     pub fn admit(&mut self, now: Instant, work: Duration) -> Result<(), Duration> {
         let begins_at = self.drained_at.map_or(now, |at| at.max(now));
         let done_at = begins_at + work;
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,38 +1,40 @@
 //! The leases of a zone's roots.
 //!
-//! Only roots read and watch the platform, so that its load grows with the number of zones and
-//! not of nodes. A lease limits load; correctness doesn't depend on it: two holders of one lease
-//! both distribute the same numbered versions. A lease may thus be taken from a holder that can't
-//! be reached, without waiting until it expires.
+//! Only roots read and watch the platform, so that the platform's load grows with the number of
+//! zones and not with the number of nodes. Leases only limit this load. Correctness doesn't depend
+//! on them, because two holders of one lease distribute the same numbered versions. A lease may
+//! thus be taken from a holder that can't be reached, without waiting until it expires.
 
 use crate::event::{PlatformRequest, RootLease};
 use smol_str::SmolStr;
 use std::time::{Duration, Instant};
 use wire::control::Peer;
 
-/// Number of roots of a zone: two may be lost at once. 15 zones have 45 roots.
+/// Number of roots of a zone, of which two may be lost at once. 15 zones have 45 roots.
 pub const ROOTS_PER_ZONE: u8 = 3;
 
 /// Time after which a lease expires unless it is renewed.
 pub const LEASE_DURATION: Duration = Duration::from_secs(10);
 
-/// Time between renewals: two in a row may fail. 45 roots write 15 times a second.
+/// Time between a root's renewals of its lease: two renewals in a row may fail before the lease
+/// expires. 45 roots together write 15 times a second.
 const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time between a root's reads of all leases: 45 roots read 9 times a second.
+/// Time between a root's reads of all leases: 45 roots together read 9 times a second.
 const READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time from a nomination to the next read of the leases.
+/// Time from the nomination of a child for a vacant lease to the next read of the leases.
 const NOMINATION_READ_DELAY: Duration = Duration::from_secs(1);
 
-/// Time between the reads of a new root that isn't linked to any other root yet.
+/// Time between a new root's reads of the leases, until it is linked to another root.
 ///
-/// After a restart of all VMs, the node that is to dial a root is mostly not a root itself when it
-/// first reads the leases. With the next read 5 s later, all VMs waited 2 s for the endpoints that
-/// other nodes know, and until then had only their own.
+/// After a restart of all VMs, the node that is to dial another root is mostly not a root yet when
+/// it first reads the leases. When its next read came 5 s later, every VM waited 2 s for the
+/// endpoints that other nodes know, and until then knew only its own endpoint.
 const INITIAL_READ_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for which a root waits to be dialled by the roots of zones with lower names.
+/// Time for which a root waits to be dialled by the roots of zones with lower names, before it
+/// dials them itself.
 const CROSS_ZONE_DIAL_DELAY: Duration = Duration::from_secs(7);
 
 /// State of this node's own lease.
@@ -45,7 +47,7 @@
     Held {
         slot: u8,
     },
-    /// Root without a lease, while the platform can't grant one.
+    /// Root without a lease, while the platform can't grant a lease.
     Acting,
 }
 
@@ -57,9 +59,9 @@
     renew_at: Instant,
     read_at: Instant,
     leases: Vec<RootLease>,
-    was_vacant: bool,
-    /// Whether the next read must be up to date. A periodic one may be seconds old, which costs
-    /// the platform a tenth as much.
+    had_vacancy: bool,
+    /// Whether the next read of the leases must be exact. Periodic reads may be some seconds stale,
+    /// which costs the platform a tenth of an exact read.
     wants_exact_read: bool,
 }
 
@@ -73,7 +75,7 @@
             renew_at: now,
             read_at: now,
             leases: Vec::new(),
-            was_vacant: false,
+            had_vacancy: false,
             wants_exact_read: true,
         }
     }
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Returns the slot of the lease held.
+    /// Returns the slot of the lease that this node holds.
     #[must_use]
     pub fn slot(&self) -> Option<u8> {
         match self.state {
@@ -117,9 +119,10 @@
         &self.leases
     }
 
-    /// Returns the request for a lease, unless one is already held or requested.
+    /// Returns the request for a lease, unless this node already holds or has requested a lease.
     ///
-    /// `is_forced` takes the lease from a holder that can't be reached.
+    /// If `is_forced`, the lease is taken even from a holder that has not let it expire but can't
+    /// be reached.
     pub fn request(&mut self, slot: u8, is_forced: bool) -> Option<PlatformRequest> {
         if self.state != State::None || slot >= ROOTS_PER_ZONE {
             return None;
@@ -152,15 +155,15 @@
 
     /// Records that the platform did not answer the request for a lease.
     ///
-    /// A holder remains a root: no other node can take over during an outage of the platform, and
-    /// the zone needs the links to other zones.
+    /// A node that holds a lease remains a root: no other node can take over during an outage of
+    /// the platform, and the zone needs the links to other zones.
     pub fn on_failed(&mut self, slot: u8) {
         if self.state == (State::Requested { slot }) {
             self.state = State::None;
         }
     }
 
-    /// Stores the leases of all roots as read.
+    /// Stores the leases of all roots as last read.
     pub fn set_leases(&mut self, leases: Vec<RootLease>) {
         self.leases = leases;
     }
@@ -192,8 +195,9 @@
 
     /// Returns the slot of a vacant lease to nominate a child for.
     ///
-    /// The root with the zone's lowest slot nominates at once. The others do so only if the lease
-    /// is still vacant at their next read: the lowest one may have no child.
+    /// The root with the zone's lowest slot nominates at once. The other roots nominate only if a
+    /// lease was vacant at their previous read too, in case the root with the lowest slot has no
+    /// child.
     pub fn vacant_slot(&mut self, zone: &str) -> Option<u8> {
         let own = self.slot()?;
         let is_live = |slot: u8| {
@@ -205,8 +209,8 @@
         };
         let vacant = (0..ROOTS_PER_ZONE).find(|slot| !is_live(*slot));
         let is_lowest = !(0..own).any(is_live);
-        let was_vacant = std::mem::replace(&mut self.was_vacant, vacant.is_some());
-        vacant.filter(|_| is_lowest || was_vacant)
+        let had_vacancy = std::mem::replace(&mut self.had_vacancy, vacant.is_some());
+        vacant.filter(|_| is_lowest || had_vacancy)
     }
 
     /// Records that a child was nominated, and schedules a read of the leases.
@@ -215,7 +219,7 @@
         self.wants_exact_read = true;
     }
 
-    /// Schedules a read of the leases soon, while no other root is linked yet.
+    /// Schedules an exact read of the leases soon. Called until another root is linked.
     pub fn read_soon(&mut self, now: Instant) {
         self.read_at = self.read_at.min(now + INITIAL_READ_INTERVAL);
         self.wants_exact_read = true;
@@ -224,12 +228,14 @@
     /// Returns the slot of the lease that a node without a path to a root should claim.
     ///
     /// `is_unreachable` returns whether a holder could not be reached. If any root of the zone may
-    /// be reachable, there is no slot to claim, as that root nominates others. A lease of a former
-    /// process of this node is claimed again: after the restart of a whole zone all holders can be
-    /// reached, but none of them is a root. The same goes for a lease whose holder had this node's
-    /// address: that VM is gone, and nodes that dial it reach this node, which is not a root. When
-    /// such a lease was left to expire, a zone in which all VMs had restarted had no configuration
-    /// for 10 s.
+    /// be reachable, there is no slot to claim, because that root nominates nodes for vacant
+    /// leases.
+    ///
+    /// Two leases are claimed in any case. The first is a lease that a former process of this node
+    /// held: after the restart of a whole zone all holders can be reached, but none of them is a
+    /// root. The second is a lease whose holder had this node's address: the holder's VM is gone,
+    /// and nodes that dial the address reach this node, which is not a root. When such a lease was
+    /// left to expire, a zone in which all VMs had restarted had no configuration for 10 s.
     pub fn slot_to_claim<F>(&self, local: &Peer, is_unreachable: F) -> Option<u8>
     where
         F: Fn(&Peer) -> bool,
@@ -263,12 +269,13 @@
         !others.any(|lease| lease.holder.zone == local.zone && lease.holder.node != local.node)
     }
 
-    /// Returns the roots to dial: those of this zone and one of each other zone.
+    /// Returns the roots to dial: the other roots of this zone, and one root of each other zone.
     ///
-    /// The node with the lower zone and name dials, so that two roots don't dial each other at the
-    /// same time. Only the root with a zone's lowest slot dials other zones: if all three did, the
-    /// links between 45 roots would cost each root some 1.6 KB a second. A root that isn't linked
-    /// to any other yet (`is_new`) doesn't wait to be dialled.
+    /// Of two roots, the one with the lower zone and name dials, so that they don't dial each other
+    /// at the same time. Only the root with a zone's lowest slot dials other zones: if all three
+    /// roots of each zone did, the links between 45 roots would cost each root some 1.6 KB a
+    /// second. A root that isn't linked to any other root yet (`is_new`) dials in either case,
+    /// without waiting to be dialled.
     pub fn roots_to_dial<F>(
         &self,
         local: &Peer,
--- a/crates/fleet/src/link.rs
+++ b/crates/fleet/src/link.rs
@@ -9,7 +9,8 @@
 
 /// Time without any frame from the peer after which a link counts as dead.
 ///
-/// 3.5 heartbeats: two may be late, and a new parent is still found well within 6 s.
+/// 3.5 heartbeat intervals: two heartbeats in a row may be late, and a node whose parent is dead
+/// still finds a new parent well within 6 s.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// Time without a new echo of this node's heartbeats after which a link counts as dead.
@@ -18,15 +19,15 @@
 /// heartbeat.
 pub const ECHO_TIMEOUT: Duration = Duration::from_millis(4_500);
 
-/// Longest wait for the connection or for the reply to the handshake frame.
+/// Longest time from the start of a link to the end of its handshake.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest wait for the connection alone, to a candidate parent in the same zone.
+/// Longest wait for the connection to a candidate parent in the same zone, without the handshake.
 ///
-/// A VM that has lost power doesn't answer, and leases and endpoint lists name it for some
-/// seconds more. After a restart of all VMs, a node would spend most of its time waiting for one
-/// of these. A VM with a tenth of a core that is itself starting up answers within a fraction of
-/// this timeout.
+/// A VM that has lost power doesn't answer, but leases and endpoint lists still name it for some
+/// seconds. With a longer timeout, a node would spend most of its time after a restart of all VMs
+/// waiting for connections to such VMs. A VM with a tenth of a core that is itself starting up
+/// answers within a fraction of this timeout.
 const SAME_ZONE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Identifies a link of this process.
@@ -44,7 +45,7 @@
     QueryVersion,
 }
 
-/// The state of a link, and the peer's relation to this node once it is established.
+/// The state of a link and, once the link is established, the peer's relation to this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// Dialled by this node; connecting, or waiting for the reply to the handshake frame.
@@ -78,13 +79,14 @@
     pub(crate) tallies: Vec<RolloutTally>,
     /// Roll-out tallies last sent to the peer.
     pub(crate) sent_tallies: Vec<RolloutTally>,
-    /// Consecutive heartbeats whose endpoint checksum differed from this node's.
+    /// Number of consecutive heartbeats of the peer whose endpoint checksum differed from this
+    /// node's.
     pub(crate) mismatches: u8,
     opened_at: Instant,
     last_heard: Instant,
-    sent_count: u32,
-    received_count: u32,
-    echoed_count: u32,
+    heartbeats_sent: u32,
+    last_received_count: u32,
+    highest_echo: u32,
     echoed_at: Instant,
 }
 
@@ -102,9 +104,9 @@
             mismatches: 0,
             opened_at: now,
             last_heard: now,
-            sent_count: 0,
-            received_count: 0,
-            echoed_count: 0,
+            heartbeats_sent: 0,
+            last_received_count: 0,
+            highest_echo: 0,
             echoed_at: now,
         }
     }
@@ -133,10 +135,10 @@
 
     /// Records a heartbeat of the peer.
     pub(crate) fn record_heartbeat(&mut self, beat: &Heartbeat, now: Instant) {
-        self.received_count = beat.count;
+        self.last_received_count = beat.count;
         self.child_capacity = beat.child_capacity;
-        if beat.echo > self.echoed_count {
-            self.echoed_count = beat.echo;
+        if beat.echo > self.highest_echo {
+            self.highest_echo = beat.echo;
             self.echoed_at = now;
         }
         if let Some(status) = &beat.status {
@@ -144,19 +146,19 @@
         }
     }
 
-    /// Returns the counters of the next heartbeat: its own number, and as echo the number of the
-    /// peer's last one.
+    /// Returns the `count` and the `echo` of the next heartbeat: the number of this heartbeat, and
+    /// the number of the last heartbeat received from the peer.
     pub(crate) fn next_heartbeat_counts(&mut self) -> (u32, u32) {
-        self.sent_count += 1;
-        (self.sent_count, self.received_count)
+        self.heartbeats_sent += 1;
+        (self.heartbeats_sent, self.last_received_count)
     }
 
     /// Returns when the link counts as dead unless the peer is heard from before.
     ///
-    /// Guards against a connection that goes silent because a device in between has dropped its
-    /// state: neither end sees an error, and the node would keep an outdated configuration
-    /// forever. The echo covers the case in which only the direction towards the peer is dead:
-    /// the peer's heartbeats still arrive then.
+    /// Guards against a connection that goes silent because a network device between the nodes has
+    /// dropped the connection's state: neither end sees an error, and the node would keep an
+    /// outdated configuration forever. The echo covers the case in which only the direction towards
+    /// the peer is dead: the peer's heartbeats still arrive then.
     pub(crate) fn deadline(&self) -> Instant {
         if self.is_established() {
             (self.last_heard + SILENCE_TIMEOUT).min(self.echoed_at + ECHO_TIMEOUT)
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -30,7 +30,8 @@
 /// Identity and settings of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Name and availability zone of this node, and the address at which it listens for others.
+    /// Name and availability zone of this node, and the address at which it listens for other
+    /// nodes.
     pub local: Peer,
     /// Region of the availability zone.
     pub region: SmolStr,
@@ -38,7 +39,7 @@
     pub incarnation: u64,
     /// Start of this process, in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// Addresses of nodes to ask when the platform doesn't answer.
+    /// Addresses of nodes to ask for a parent when the platform doesn't answer.
     pub seeds: Vec<SocketAddr>,
     /// Whether roots read the operators' roll-outs from the platform.
     pub follows_rollouts: bool,
@@ -49,13 +50,13 @@
 /// Events counted since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Views built.
+    /// Views of configuration and endpoints that were built for the proxies.
     pub built_views: u64,
-    /// Versions applied.
+    /// Versions of the configuration that were applied.
     pub applied_versions: u64,
-    /// Versions that could not be applied.
+    /// Versions of the configuration that could not be read or applied.
     pub refused_versions: u64,
-    /// Times that the node joined a parent.
+    /// Number of times that this node joined a parent.
     pub parent_joins: u64,
     /// Nodes that this node declared gone.
     pub departures: u64,
@@ -68,12 +69,12 @@
     pub(crate) rng: SmallRng,
     pub(crate) links: BTreeMap<LinkKey, Link>,
     pub(crate) replica: Replica,
-    pub(crate) table: EndpointTable,
-    pub(crate) gate: ReadinessGate,
-    pub(crate) guard: DepartureGuard,
+    pub(crate) endpoint_table: EndpointTable,
+    pub(crate) readiness_gate: ReadinessGate,
+    pub(crate) departure_guard: DepartureGuard,
     pub(crate) lease: LeaseClient,
     pub(crate) candidates: Candidates,
-    /// Names of the nodes from the root down to this one; empty without a path to a root.
+    /// Names of the nodes from the root down to this node; empty while there is no path to a root.
     pub(crate) path: Vec<SmolStr>,
     pub(crate) join_limiter: LeakyBucket,
     pub(crate) search: search::ParentSearch,
@@ -112,9 +113,9 @@
             rng,
             links: BTreeMap::new(),
             replica: Replica::default(),
-            table: EndpointTable::default(),
-            gate: ReadinessGate::new(),
-            guard: DepartureGuard::default(),
+            endpoint_table: EndpointTable::default(),
+            readiness_gate: ReadinessGate::new(),
+            departure_guard: DepartureGuard::default(),
             lease: LeaseClient::new(now),
             candidates,
             path: Vec::new(),
@@ -161,7 +162,7 @@
             Event::Leave => self.leave(now),
             Event::Wake => {}
         }
-        self.run_due(now);
+        self.run_due_tasks(now);
         assert!(
             self.version() >= before,
             "the version held must not decrease"
@@ -176,8 +177,8 @@
             self.search.deadline(),
             self.sync.deadline(),
             self.lease.deadline(),
-            self.guard.deadline(now),
-            self.gate.deadline(),
+            self.departure_guard.deadline(now),
+            self.readiness_gate.deadline(),
             self.next_fallback_poll(),
             self.outage.deadline(),
             self.crashes.deadline(),
@@ -195,10 +196,10 @@
         self.replica.version()
     }
 
-    /// Returns whether the process holds enough to serve.
+    /// Returns whether the process has all the data that it needs to serve.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.gate.is_open() && self.has_synced_endpoints && self.initial_reads.is_done()
+        self.readiness_gate.is_open() && self.has_synced_endpoints && self.initial_reads.is_done()
     }
 
     /// Returns whether this node is a root.
@@ -207,15 +208,16 @@
         self.lease.is_root()
     }
 
-    /// Returns the names of the nodes from the root down to this one.
+    /// Returns the path to this node: the names of the nodes from the root down to this node.
     ///
-    /// It is empty while this node has no path to a root.
+    /// The path is empty while no root can be reached through the tree.
     #[must_use]
     pub fn path(&self) -> &[SmolStr] {
         &self.path
     }
 
-    /// Returns the configuration replica, with any version that could not be applied.
+    /// Returns this node's replica of the configuration, which also records a version that could
+    /// not be applied.
     #[must_use]
     pub fn replica(&self) -> &Replica {
         &self.replica
@@ -224,7 +226,7 @@
     /// Returns all known endpoints.
     #[must_use]
     pub fn endpoints(&self) -> &EndpointTable {
-        &self.table
+        &self.endpoint_table
     }
 
     /// Returns the event counters.
@@ -233,7 +235,7 @@
         self.counters
     }
 
-    /// Returns the number of links with a role: parent, child or other root.
+    /// Returns the number of links whose peer has the given role: parent, child or other root.
     #[must_use]
     pub fn count_links(&self, role: Role) -> usize {
         self.links.values().filter(|link| link.role == role).count()
@@ -245,7 +247,7 @@
         self.aggregate_fleet_status()
     }
 
-    fn run_due(&mut self, now: Instant) {
+    fn run_due_tasks(&mut self, now: Instant) {
         self.drop_silent_links(now);
         self.remove_lost_nodes(now);
         self.send_due_lease_requests(now);
@@ -260,7 +262,7 @@
         }
         if now >= self.expire_at {
             self.expire_at = now + EXPIRY_INTERVAL;
-            self.table.expire(now);
+            self.endpoint_table.expire(now);
         }
         if now >= self.reannounce_at {
             self.reannounce_at = now + crate::endpoints::REFRESH_INTERVAL;
@@ -279,11 +281,13 @@
         match link.role {
             Role::Accepted => self.on_handshake(now, key, &frame),
             Role::Dialled(purpose) => self.on_handshake_reply(now, key, purpose, frame),
-            Role::Parent | Role::Child | Role::RootPeer => self.on_update(now, key, frame),
+            Role::Parent | Role::Child | Role::RootPeer => {
+                self.on_established_frame(now, key, frame)
+            }
         }
     }
 
-    fn on_update(&mut self, now: Instant, key: LinkKey, frame: Frame) {
+    fn on_established_frame(&mut self, now: Instant, key: LinkKey, frame: Frame) {
         match frame {
             Frame::Heartbeat(beat) => self.on_heartbeat(now, key, &beat),
             Frame::Step {
@@ -318,7 +322,8 @@
                 self.add_hints(now, parents);
                 self.drop_link(now, key, true);
             }
-            // Valid only during the handshake; a later one is a bug in the peer.
+            // These frames are valid only during the handshake; a peer that sends such a frame
+            // later has a bug.
             Frame::Join { .. }
             | Frame::Meet { .. }
             | Frame::QueryVersion
--- a/crates/fleet/src/outage.rs
+++ b/crates/fleet/src/outage.rs
@@ -1,17 +1,15 @@
 //! How nodes find each other during an outage of the platform.
 //!
-//! Load pattern: nodes are restarted one after the other while the platform is
-//! down. A restarted node knows no other node, and a zone that has lost all its
-//! roots cannot get new ones, as no lease can be acquired. Without the measures
-//! below, such nodes refuse nearly all calls until the outage is over, as they
-//! know of no endpoint but their own.
+//! Load pattern: nodes are restarted one after the other while the platform is down. A restarted
+//! node knows no other node, and a zone that has lost all its roots cannot get new roots, because
+//! no lease can be acquired. Without the measures below, such nodes refuse nearly all calls until
+//! the outage is over, as they know of no endpoint but their own.
 //!
-//! A node that loses a neighbour *redials* it: it keeps dialling the neighbour's
-//! address, and a process that has started there learns which node to join. A
-//! node that serves, has no path to a root and gets no answer from the platform
-//! becomes an *acting root* of its zone until the platform answers. Leases limit
-//! load and are not needed for correctness, so two acting roots do no harm. They
-//! link to each other and to the roots of other zones through the endpoints they
+//! A node that loses a neighbour *redials* it: it keeps dialling the neighbour's address, so that a
+//! new process at that address learns which node to join. A node that serves, has no path to a root
+//! and gets no answer from the platform becomes an *acting root* of its zone until the platform
+//! answers. Leases limit load and are not needed for correctness, so two acting roots do no harm.
+//! To link to each other and to the roots of other zones, acting roots dial the endpoints that they
 //! know.
 
 use crate::event::PlatformRequest;
@@ -28,22 +26,23 @@
 /// Interval between dials of a lost neighbour; a process starts in about a second.
 const REDIAL_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How long a lost neighbour is dialled: slightly more than the slowest restart of a VM.
-const REDIAL_FOR: Duration = Duration::from_secs(20);
+/// How long a lost neighbour is dialled: slightly longer than the slowest restart of a VM takes.
+const REDIAL_DURATION: Duration = Duration::from_secs(20);
 
-/// Maximum number of lost neighbours to dial; a root has 16 children and links to some other roots.
+/// Maximum number of lost neighbours that are dialled: enough for a root, which has 16 children and
+/// links to some other roots.
 const MAX_REDIALS: usize = 32;
 
 /// Minimum time without a root before a node becomes an acting root.
 ///
-/// Up to the same time again is added at random, so that the other nodes of the
-/// zone usually find the first acting root.
+/// A random time of at most the same length is added, so that one node becomes the zone's first
+/// acting root and the other nodes usually find it.
 const MIN_ROOTLESS_TIME: Duration = Duration::from_millis(500);
 
 /// Interval between the rounds of an acting root.
 ///
-/// In each, it reads the leases and dials one more node of each zone that it has
-/// no link to.
+/// In each round, the acting root reads the leases, and dials one node of its own zone and one node
+/// of each zone that it has no link to.
 const ROUND_INTERVAL: Duration = Duration::from_millis(700);
 
 /// A lost neighbour that is being dialled.
@@ -51,7 +50,7 @@
 struct Redial {
     address: SocketAddr,
     next_at: Instant,
-    until: Instant,
+    give_up_at: Instant,
 }
 
 /// Progress of the measures against an outage of the platform.
@@ -95,7 +94,7 @@
             let redial = Redial {
                 address: peer.address,
                 next_at: now + REDIAL_INTERVAL,
-                until: now + REDIAL_FOR,
+                give_up_at: now + REDIAL_DURATION,
             };
             self.outage.redials.insert(peer.node.clone(), redial);
         }
@@ -124,7 +123,9 @@
     }
 
     fn dial_lost_neighbours(&mut self, now: Instant) {
-        self.outage.redials.retain(|_, redial| now < redial.until);
+        self.outage
+            .redials
+            .retain(|_, redial| now < redial.give_up_at);
         let has_root = self.has_root();
         let due = self.outage.redials.values_mut();
         let due: Vec<_> = due
@@ -141,7 +142,8 @@
     }
 
     fn step_acting_root(&mut self, now: Instant) {
-        let is_needed = self.outage.platform_failed && self.gate.is_open() && !self.has_root();
+        let is_needed =
+            self.outage.platform_failed && self.readiness_gate.is_open() && !self.has_root();
         if !is_needed {
             self.outage.start_acting_at = None;
             return;
@@ -168,7 +170,7 @@
         self.propagate_path(vec![self.settings.local.node.clone()]);
     }
 
-    /// Adds the nodes of this zone as parent candidates: one of them may be an acting root.
+    /// Adds the nodes of this zone as parent candidates: one of these nodes may be an acting root.
     fn add_zone_candidates(&mut self, now: Instant) {
         for address in self.known_nodes(|zone, own| zone == own) {
             self.candidates.add(address, Source::Hint, now);
@@ -180,16 +182,20 @@
         F: Fn(&str, &str) -> bool,
     {
         let own = &self.settings.local;
-        let others = self.table.iter().filter(|one| one.node != own.node);
-        let present = others.filter(|one| one.state != State::Gone);
+        let others = self
+            .endpoint_table
+            .iter()
+            .filter(|endpoint| endpoint.node != own.node);
+        let present = others.filter(|endpoint| endpoint.state != State::Gone);
         present
-            .filter(|one| is_wanted(&one.zone, &own.zone))
-            .map(|one| one.address)
+            .filter(|endpoint| is_wanted(&endpoint.zone, &own.zone))
+            .map(|endpoint| endpoint.address)
             .take(crate::parent::MAX_CANDIDATES / 2)
             .collect()
     }
 
-    /// Dials a node of each zone that this root has no link to, and one of its own zone.
+    /// Dials one node of each other zone without a root that is linked to this one, and one
+    /// unlinked node of this root's own zone.
     fn dial_unlinked_zones(&mut self, now: Instant) {
         let is_linked = |node: &str| {
             let mut links = self.links.values().filter(|link| link.is_established());
@@ -197,14 +203,17 @@
         };
         let mut zones: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
         let own = &self.settings.local;
-        for one in self.table.iter() {
-            let is_linked_zone = one.zone != own.zone && self.has_root_link_to(&one.zone);
-            if one.node != own.node
-                && one.state != State::Gone
+        for endpoint in self.endpoint_table.iter() {
+            let is_linked_zone = endpoint.zone != own.zone && self.has_root_link_to(&endpoint.zone);
+            if endpoint.node != own.node
+                && endpoint.state != State::Gone
                 && !is_linked_zone
-                && !is_linked(&one.node)
+                && !is_linked(&endpoint.node)
             {
-                zones.entry(&one.zone).or_default().push(one.address);
+                zones
+                    .entry(&endpoint.zone)
+                    .or_default()
+                    .push(endpoint.address);
             }
         }
         let round = self.outage.rounds;
@@ -226,7 +235,7 @@
         root_links.any(is_in_zone)
     }
 
-    /// Resigns as acting root, as the platform grants leases again.
+    /// Resigns as acting root, because the platform answers again and can grant leases.
     fn resign_acting_root(&mut self, now: Instant) {
         self.lease.stop_acting();
         self.leave_other_roots();
@@ -234,8 +243,8 @@
         self.start_search(now);
     }
 
-    /// Adds a root to the candidate parents after this node, not being a root, refused its `Meet`
-    /// frame.
+    /// Adds a root to the candidates after this node has refused the root's `Meet` frame, because
+    /// this node is not a root itself.
     pub(crate) fn add_refused_root(&mut self, peer: &Peer, now: Instant) {
         if self.has_root() {
             return;
--- a/crates/fleet/src/parent.rs
+++ b/crates/fleet/src/parent.rs
@@ -1,17 +1,17 @@
 //! Selection of the candidate parent to ask next.
 //!
-//! Load pattern: all nodes of a zone look for parents in the same second. If all tried the same
-//! candidates in the same order, a few candidates would be overloaded while others stay unused.
-//! Each node ranks the candidates by a hash of its own name with their address (rendezvous
-//! hashing, Thaler and Ravishankar 1998), so that the load spreads evenly, and adding or removing
-//! a candidate moves only a few nodes.
+//! Load pattern: all nodes of a zone look for parents in the same second. If all nodes tried the
+//! same candidates in the same order, a few candidates would be overloaded while the others stay
+//! unused. Each node ranks the candidates by a hash of its own name with their address (rendezvous
+//! hashing, Thaler and Ravishankar 1998), so that the load spreads evenly, and adding or removing a
+//! candidate moves only a few nodes.
 
 use crate::endpoints::stable_hash;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Most candidates remembered: the roots, and some other nodes that they named.
+/// Maximum number of candidates kept: the roots, and some other nodes that the roots named.
 pub const MAX_CANDIDATES: usize = 64;
 
 /// Time before the next attempt at a node that could not be reached.
@@ -20,13 +20,14 @@
 /// Where a candidate's address comes from; earlier variants are tried first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
-    /// Named by another node, such as one that had no capacity.
+    /// Named by another node, for example by a node that had no capacity itself.
     Hint,
     /// Holder of one of the zone's root leases.
     Root,
     /// Listed in the settings.
     Seed,
-    /// In another zone: never a parent, only queried for the version it holds.
+    /// Node of another zone: it never becomes the parent, and is only queried for the version that
+    /// it holds.
     OtherZone,
 }
 
@@ -34,20 +35,22 @@
 struct Candidate {
     source: Source,
     attempts: u32,
-    /// How often it was queried for the version it holds.
+    /// Number of times that the candidate was queried for the version that it holds.
     version_queries: u32,
     not_before: Instant,
     is_unreachable: bool,
 }
 
-/// The nodes that may become the parent, and those of other zones to query for versions.
+/// The nodes that may become the parent of this node, and nodes of other zones, which are only
+/// queried for their version.
 #[derive(Debug, Default)]
 pub struct Candidates {
     known: BTreeMap<SocketAddr, Candidate>,
 }
 
 impl Candidates {
-    /// Adds a candidate. A known one keeps its source unless `source` is [`Source::Root`].
+    /// Adds a candidate. A candidate that is already known keeps its source unless `source` is
+    /// [`Source::Root`].
     pub fn add(&mut self, address: SocketAddr, source: Source, now: Instant) {
         if self.known.len() >= MAX_CANDIDATES && !self.known.contains_key(&address) {
             self.evict_worst();
@@ -97,7 +100,8 @@
 
     /// Returns a candidate other than the parent to query for its version.
     ///
-    /// Takes turns, and prefers the candidates that the parent is least likely to have named.
+    /// Returns the candidate that was queried least often. If several were queried equally often,
+    /// returns the candidate that the parent is least likely to have named.
     pub fn pick_version_source(&mut self, parent: Option<SocketAddr>) -> Option<SocketAddr> {
         let others = self.known.iter_mut();
         let others = others.filter(|(address, _)| Some(**address) != parent);
@@ -136,15 +140,15 @@
             .is_some_and(|candidate| candidate.is_unreachable)
     }
 
-    /// Resets the attempt counts for a new search. Retry delays stay, such as that of a parent that
-    /// was just lost.
+    /// Resets the attempt counts for a new search. Retry delays stay, such as the delay after the
+    /// loss of the last parent.
     pub fn reset_attempts(&mut self) {
         for candidate in self.known.values_mut() {
             candidate.attempts = 0;
         }
     }
 
-    /// Returns the earliest time at which a candidate may be tried.
+    /// Returns the earliest time at which a candidate parent may be tried.
     #[must_use]
     pub fn deadline(&self) -> Option<Instant> {
         let parents = self.known.values();
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -1,9 +1,9 @@
 //! A node's replica of the configuration, and the frames that bring peers up to date.
 //!
 //! A step is applied only to its base version. A node that lacks versions requests them from a
-//! neighbour. Each node retains the latest steps, so that neighbours that missed a few are sent
-//! only those. Neighbours that missed more, or could not apply a version, are sent the full
-//! configuration.
+//! neighbour. Each node retains the latest steps, and sends only the missing steps to a neighbour
+//! that missed a few. A neighbour that missed more steps, or could not apply a version, is sent the
+//! full configuration.
 
 use config::{Digest, Error, Mesh, Patch, Version, VersionedMesh};
 use smol_str::{SmolStr, ToSmolStr};
@@ -12,15 +12,18 @@
 use std::sync::Arc;
 use wire::control::{Chunk, Frame, MAX_CHUNKS};
 
-/// Most steps retained for neighbours that are behind: 25 minutes at 3,700 versions a day.
+/// Maximum number of steps retained for neighbours that are behind: those of 25 minutes, at 3,700
+/// versions a day.
 const MAX_RETAINED_STEPS: usize = 64;
 
-/// Most changes in all retained steps together: about 1 MB at the largest.
+/// Maximum number of changes in all retained steps together; they take up about 1 MB at most.
 const MAX_RETAINED_CHANGES: usize = 2_000;
 
-/// Most changes of a step that is sent to peers: at 46 bytes a route, 100 are 4.6 kB.
+/// Maximum number of changes of a step that is sent to peers: 100 changed routes of 46 bytes each
+/// are 4.6 kB.
 ///
-/// In place of a longer step, the full configuration is sent, which is compressed: 6 bytes a route.
+/// Instead of a longer step, the full configuration is sent, which takes only 6 bytes a route
+/// because it is compressed.
 const MAX_STEP_CHANGES: usize = 100;
 
 /// The step from one version to a later one.
@@ -47,16 +50,16 @@
     }
 }
 
-/// The result of applying a version, or a part of one.
+/// The result of applying a version, or a chunk of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyOutcome {
     /// The version is applied.
     Applied,
-    /// The version is not higher than the one held.
+    /// The version is not higher than the version held.
     Stale,
     /// Earlier versions or chunks are missing.
     Gap,
-    /// The version can't be applied; the one held is unchanged.
+    /// The version can't be applied; the version held is unchanged.
     Refused,
     /// More chunks are needed.
     Partial,
@@ -67,7 +70,7 @@
 struct Assembly {
     version: Version,
     digest: Digest,
-    next: u32,
+    next_index: u32,
     bytes: Vec<u8>,
 }
 
@@ -96,7 +99,8 @@
         self.held.version()
     }
 
-    /// Returns the version above the one held that could not be applied, with the reason.
+    /// Returns the version that could not be applied, with the reason; `None` once that version or
+    /// a higher one is applied.
     #[must_use]
     pub fn refused(&self) -> Option<&(Version, SmolStr)> {
         self.refused.as_ref()
@@ -104,7 +108,8 @@
 
     /// Records that a version is invalid.
     ///
-    /// Returns false if this is already recorded, or if the version is not above the one held.
+    /// Returns false if this version or a higher one is already recorded as invalid, or if this
+    /// version is not above the version held.
     pub fn refuse(&mut self, version: Version, reason: SmolStr) -> bool {
         let known = self.refused.as_ref().map(|(at, _)| *at);
         if version <= self.version() || known >= Some(version) {
@@ -126,11 +131,12 @@
         outcome
     }
 
-    /// Applies a full configuration from the platform, and returns the step that leads to it.
+    /// Applies a full configuration from the platform. Also returns the step from the version held
+    /// before, unless the configuration is not applied or is the first one.
     ///
-    /// The node that reads full configurations computes the step, so that the nodes below it are
-    /// sent only the changes: a version of 350 routes is some 40 kB, and most versions change a few
-    /// routes.
+    /// The node that reads full configurations from the platform computes the steps, so that the
+    /// nodes below it are sent only the changes: a version of 350 routes is some 40 kB, and most
+    /// versions change a few routes.
     pub fn apply_and_diff(&mut self, version: Version, mesh: Mesh) -> (ApplyOutcome, Option<Step>) {
         if version <= self.version() {
             return (ApplyOutcome::Stale, None);
@@ -154,7 +160,7 @@
         (outcome, Some(step))
     }
 
-    /// Applies a full configuration if its version is higher than the one held.
+    /// Applies a full configuration if its version is higher than the version held.
     pub fn apply_full(&mut self, version: Version, mesh: Mesh, digest: Digest) -> ApplyOutcome {
         let result = self.held.replace(version, mesh, digest);
         let outcome = self.record_outcome(version, result);
@@ -168,7 +174,7 @@
 
     /// Adds a chunk of a full configuration, and applies the configuration once it is complete.
     ///
-    /// The chunks of one configuration arrive in order over one link.
+    /// The chunks of a configuration must come in order, as they do over a single link.
     pub fn apply_chunk(&mut self, chunk: &Chunk) -> ApplyOutcome {
         if chunk.version <= self.version() {
             return ApplyOutcome::Stale;
@@ -177,21 +183,21 @@
             self.assembly = Some(Assembly {
                 version: chunk.version,
                 digest: chunk.digest,
-                next: 0,
+                next_index: 0,
                 bytes: Vec::new(),
             });
         }
         let Some(assembly) = &mut self.assembly else {
             return ApplyOutcome::Gap;
         };
-        let is_next = (assembly.version, assembly.digest, assembly.next)
+        let is_next = (assembly.version, assembly.digest, assembly.next_index)
             == (chunk.version, chunk.digest, chunk.index);
         if !is_next {
             return ApplyOutcome::Gap;
         }
         assembly.bytes.extend_from_slice(&chunk.bytes);
-        assembly.next += 1;
-        if assembly.next < chunk.count {
+        assembly.next_index += 1;
+        if assembly.next_index < chunk.count {
             return ApplyOutcome::Partial;
         }
         self.finish_assembly()
@@ -210,10 +216,10 @@
         }
     }
 
-    /// Returns the frames that lead from version `after` to the one held: steps, or the
-    /// full configuration.
+    /// Returns the frames that lead from version `after` to the version held: steps, or the full
+    /// configuration.
     ///
-    /// `full` requests the full configuration in any case.
+    /// If `full`, the full configuration is returned even if steps would suffice.
     #[must_use]
     pub fn frames_after(&self, after: Version, full: bool) -> Vec<Frame> {
         if after >= self.version() {
--- a/crates/fleet/src/rollouts.rs
+++ b/crates/fleet/src/rollouts.rs
@@ -1,9 +1,9 @@
 //! Roll-outs of versions: orders, stages, and the calls counted across the fleet.
 //!
-//! Orders and stages are few and are flooded over all links; stages only advance, so they can be
-//! merged in any order. Counts are summed up on the way to the roots, so that a link carries one
-//! sum, however many nodes are behind it. A node without a path to a root decides by the counts of
-//! its own subtree.
+//! Orders and stages are few and are flooded over all links; stages only advance, so updates can be
+//! merged in any order. Counts of calls are summed up on the way to the roots, so that a link
+//! carries one sum, however many nodes the sum covers. A node without a path to a root decides by
+//! the counts of its own subtree.
 
 use crate::event::{Action, PlatformRequest};
 use crate::link::{Link, LinkKey, Role};
@@ -21,7 +21,7 @@
 /// The counts that a root decides by are a few intervals old.
 const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for which a completed roll-out still applies, so that calls avoid the version that it
+/// Time for which a completed roll-out still applies, so that calls avoid the version that was
 /// replaced.
 const COMPLETED_RETENTION: Duration = Duration::from_secs(10);
 
@@ -36,14 +36,15 @@
 
 /// A roll-out as this node knows it.
 #[derive(Debug)]
-struct Entry {
+struct KnownRollout {
     rollout: Rollout,
-    /// When it was ordered.
+    /// When the roll-out was ordered.
     ordered_at: Instant,
-    /// When its stage last changed, as far as this node knows.
+    /// When the stage of the roll-out last changed, as far as this node knows.
     changed_at: Instant,
     evaluator: Evaluator,
-    /// Whether its completion is being written to the platform, which is retried until it succeeds.
+    /// Whether the completion of the roll-out is being written to the platform; the write is
+    /// retried until it succeeds.
     is_completing: bool,
     /// Counts of this node's own calls.
     local_tally: Tally,
@@ -52,7 +53,7 @@
 /// The roll-outs that a node knows of.
 #[derive(Debug, Default)]
 pub(crate) struct RolloutState {
-    known: BTreeMap<SmolStr, Entry>,
+    known: BTreeMap<SmolStr, KnownRollout>,
     step_at: Option<Instant>,
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-impl Entry {
+impl KnownRollout {
     fn new(now: Instant, rollout: &Rollout) -> Self {
         let age = Duration::from_millis(rollout.age_ms.into());
         Self {
@@ -119,8 +120,9 @@
 
 /// Returns whether `update` is a newer order for the service than `known`.
 ///
-/// An order for the same version is newer only if the known one has ended and the store has not
-/// been restored from a backup since: an order written again after a restore is the same order.
+/// An order for the same version is newer only if the known order has ended and the platform's
+/// store has not been restored from a backup since: an order written again after a restore is the
+/// same order.
 fn is_newer_order(known: &Rollout, update: &Rollout) -> bool {
     let is_later = update.order > known.order;
     if known.target != update.target {
@@ -139,7 +141,7 @@
             let is_changed = if let Some(known) = known {
                 known.merge(now, update)
             } else {
-                let known = Entry::new(now, update);
+                let known = KnownRollout::new(now, update);
                 self.rollouts.known.insert(update.service.clone(), known);
                 true
             };
@@ -147,13 +149,13 @@
                 continue;
             };
             // If the platform shows a stage that is not final, the completion must be written
-            // again: it can't be stored while the order is missing after a restore.
+            // again: an earlier write was not stored if the order was missing after a restore.
             known.is_completing &= origin != Origin::Platform || update.stage.is_final();
             let current = known.to_rollout(now);
             if is_changed {
                 changed.push(current.clone());
             }
-            // An outcome that the platform lacks was not written yet, or has been lost.
+            // Whether the platform lacks the outcome, which was not written yet or has been lost.
             let is_missing = match origin {
                 Origin::Platform => !update.stage.is_final() && current.target == update.target,
                 Origin::Link(_) => is_changed && current.stage == Stage::Stopped,
@@ -165,7 +167,7 @@
         self.flood_rollouts(now, Some(origin), &changed);
     }
 
-    /// Writes the outcome of a roll-out to the platform, if it has one.
+    /// Writes the outcome of a roll-out to the platform, if the roll-out has an outcome already.
     fn write_outcome(&mut self, rollout: Rollout) {
         let stage = match rollout.stage {
             Stage::Stopped => Stage::RolledBack,
@@ -178,7 +180,7 @@
 
     /// Writes all outcomes again, as the platform may have lost them.
     ///
-    /// Only the root with the lowest slot of its zone does so.
+    /// Does nothing on nodes other than the root with the lowest slot of its zone.
     pub(crate) fn rewrite_outcomes(&mut self, now: Instant) {
         if !self.lease.is_root() || !self.lease.has_lowest_slot(&self.settings.local) {
             return;
@@ -201,7 +203,7 @@
         self.apply_rollouts(now);
     }
 
-    /// Applies the roll-outs to calls in their current stages.
+    /// Applies all known roll-outs to calls, each in its current stage.
     fn apply_rollouts(&mut self, now: Instant) {
         let known = self.rollouts.known.values();
         let followed = known.filter(|known| {
@@ -236,9 +238,10 @@
         }
     }
 
-    /// Queries the platform for roll-outs, for a node that hears from no root, if any is active.
+    /// Queries the platform for roll-outs if a known roll-out is active. Called on a node that
+    /// hears from no root.
     pub(crate) fn query_rollouts(&mut self) {
-        if self.rollouts.known.values().any(Entry::is_active) {
+        if self.rollouts.known.values().any(KnownRollout::is_active) {
             self.actions
                 .push(Action::QueryPlatform(PlatformRequest::Rollouts));
         }
@@ -248,8 +251,9 @@
         if self.rollouts.step_at.is_none_or(|at| now < at) {
             return;
         }
-        let is_kept =
-            |known: &Entry| known.is_active() || now < known.changed_at + 2 * COMPLETED_RETENTION;
+        let is_kept = |known: &KnownRollout| {
+            known.is_active() || now < known.changed_at + 2 * COMPLETED_RETENTION
+        };
         let is_needed = self.rollouts.known.values().any(is_kept);
         self.rollouts.step_at = is_needed.then_some(now + STEP_INTERVAL);
         let known = self.rollouts.known.iter();
@@ -294,9 +298,9 @@
             Decision::Advance(_) | Decision::Remain => return,
         };
         if next == Stage::Completed {
-            // Completion takes effect once the platform has stored it. It is written only once:
-            // a write at each step would replace the pending one, and a slow platform would
-            // never finish it.
+            // A completion takes effect once the platform has stored it. Its write is requested
+            // only once: a request at each interval would replace the pending write, and a slow
+            // platform would never finish it.
             if std::mem::replace(&mut known.is_completing, true) {
                 return;
             }
--- a/crates/fleet/src/root_duties.rs
+++ b/crates/fleet/src/root_duties.rs
@@ -11,8 +11,9 @@
 use std::time::{Duration, Instant};
 use wire::control::Frame;
 
-/// Jitter of the attempts to acquire a lease that appears to be free.
-const ACQUIRE_JITTER: Duration = Duration::from_millis(300);
+/// Maximum random delay before a node goes on searching for a parent, after it has requested a
+/// lease or failed to read the leases.
+const SEARCH_DELAY_JITTER: Duration = Duration::from_millis(300);
 
 impl Node {
     pub(crate) fn send_due_lease_requests(&mut self, now: Instant) {
@@ -38,15 +39,16 @@
             .lease
             .slot_to_claim(own, |holder| candidates.is_unreachable(holder.address));
         match free_slot {
-            // A lease that was free some seconds ago is usually taken by now.
+            // A lease that is free in a stale read is usually taken by now, so an exact read comes
+            // first.
             Some(_) if self.search.require_exact_leases(now) => {}
             Some(slot) if self.search.is_active() && !self.is_leaving => {
                 self.request_lease(slot, true);
-                let wait = self.jitter(ACQUIRE_JITTER);
-                self.search.retry_at(now + ACQUIRE_JITTER + wait);
+                let wait = self.jitter(SEARCH_DELAY_JITTER);
+                self.search.retry_at(now + SEARCH_DELAY_JITTER + wait);
             }
             _ => {
-                let wait = self.jitter(ACQUIRE_JITTER / 10);
+                let wait = self.jitter(SEARCH_DELAY_JITTER / 10);
                 self.search.retry_at(now + wait);
             }
         }
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Nominates a child for a free lease of the zone.
+    /// Nominates a child for a vacant lease of the zone, if there is one.
     fn nominate_child(&mut self, now: Instant) {
         let zone = self.settings.local.zone.clone();
         let Some(slot) = self.lease.vacant_slot(&zone) else {
@@ -133,7 +135,8 @@
             self.close(dialled);
         }
         self.propagate_path(vec![self.settings.local.node.clone()]);
-        // A root that does not serve yet also needs to learn the latest version.
+        // A root that does not serve yet watches from version zero, because it also needs to learn
+        // the latest version.
         let after = if self.is_ready() {
             self.version()
         } else {
@@ -152,7 +155,9 @@
             }));
     }
 
-    /// Steps down: another node took the lease while this one was paused or partitioned.
+    /// Handles that another node holds a lease. If this node held the lease, it was paused or
+    /// partitioned when the other node took it, and steps down. If this node only requested the
+    /// lease, it backs off.
     pub(crate) fn on_lease_lost(&mut self, now: Instant, slot: u8) {
         if !self.lease.on_lost(slot) {
             if self.search.is_active() {
@@ -182,11 +187,13 @@
                 self.search.retry_at(now);
             }
             PlatformRequest::Leases { .. } => {
-                let wait = self.jitter(ACQUIRE_JITTER);
+                let wait = self.jitter(SEARCH_DELAY_JITTER);
                 self.search.retry_at(now + wait);
             }
-            PlatformRequest::LatestVersion { .. } => self.gate.record_platform_failure(now),
-            // Retried later, and harmless until then.
+            PlatformRequest::LatestVersion { .. } => {
+                self.readiness_gate.record_platform_failure(now)
+            }
+            // These requests are retried later, and their failure is harmless until then.
             PlatformRequest::RenewLease { .. }
             | PlatformRequest::ReleaseLease { .. }
             | PlatformRequest::FetchLatest { .. }
@@ -197,7 +204,7 @@
     }
 
     pub(crate) fn on_latest_version(&mut self, now: Instant, version: Version) {
-        self.gate.record_platform_version(version);
+        self.readiness_gate.record_platform_version(version);
         self.sync.platform_version = self.sync.platform_version.max(version);
         if self.lease.is_root() {
             self.limit_endpoint_sync(now);
@@ -212,7 +219,7 @@
         digest: Digest,
     ) {
         let step = Step {
-            // The numbers in the journal have no gaps.
+            // The platform's journal numbers the versions without gaps.
             base: Version(version.0.saturating_sub(1)),
             version,
             patch,
--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -12,21 +12,23 @@
 /// Bounds of the backoff between rounds of attempts while nodes answer.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(3));
 
-/// Bounds of the backoff between reads of the platform. 14,000 nodes without
+/// Bounds of the backoff between reads of the leases while no node answers. 14,000 nodes without
 /// any root, each waiting half the maximum on average, read 1,400 times per second.
 const READ_BACKOFF: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(20));
 
-/// Attempts in a row without a wait; each refusal names other nodes that have capacity.
+/// Maximum number of attempts in a row without a wait; each refusal names other nodes that have
+/// capacity.
 const MAX_ATTEMPTS: u32 = 6;
 
 /// Maximum random delay before the first attempt of a new process.
 ///
-/// Each node reads the platform three times at its start. With this delay, 300
-/// nodes that start together stay below the platform's limit of 2,000 reads per
-/// second; beyond that, it tells nodes when to retry.
+/// Each node reads the platform three times at its start. With this delay, 300 nodes that start
+/// together stay below the platform's limit of 2,000 reads per second; if more nodes start
+/// together, the platform tells some of them when to retry.
 const START_JITTER: Duration = Duration::from_millis(500);
 
-/// Maximum wait for the platform's answer before the seeds are asked.
+/// Maximum wait for the leases from the platform before the known candidates, such as the seeds,
+/// are asked.
 const LEASES_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Bounds of the time that a parent may have no path to a root before its children leave it.
@@ -34,9 +36,9 @@
 
 /// Consistency of the next read of the leases.
 ///
-/// The first read may be some seconds stale, which costs the platform a tenth of an exact one and
-/// nearly always names the current roots. Decisions that depend on a root being gone need an exact
-/// read.
+/// The first read may be some seconds stale. A stale read costs the platform a tenth of an exact
+/// read, and nearly always names the current roots. Decisions that depend on a root being gone need
+/// an exact read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Freshness {
     MaybeStale,
@@ -51,11 +53,11 @@
     backoff: Backoff,
     read_backoff: Backoff,
     attempts: u32,
-    /// Whether any node has answered in this round.
-    is_answered: bool,
+    /// Whether any node has answered in this round of attempts.
+    any_node_answered: bool,
     /// Whether to read the leases before the next attempt.
     wants_leases: bool,
-    /// Consistency required of that read.
+    /// Consistency required of the next read of the leases.
     freshness: Freshness,
     pending_dial: Option<(LinkKey, SocketAddr)>,
     /// When to leave a parent that has no path to a root.
@@ -75,7 +77,7 @@
             backoff: Backoff::new(BACKOFF.0, BACKOFF.1),
             read_backoff: Backoff::new(READ_BACKOFF.0, READ_BACKOFF.1),
             attempts: 0,
-            is_answered: false,
+            any_node_answered: false,
             wants_leases: true,
             freshness: Freshness::MaybeStale,
             pending_dial: None,
@@ -98,12 +100,13 @@
         self.next_attempt_at.is_some()
     }
 
-    /// Takes the link that is being opened.
+    /// Takes the link to a candidate that is being opened, if there is one.
     pub(crate) fn take_pending_dial(&mut self) -> Option<LinkKey> {
         self.pending_dial.take().map(|(link, _)| link)
     }
 
-    /// Clears the pending dial if it is of this link; returns the address that was dialled.
+    /// Clears the pending dial if `link` is the link being opened; returns the address that was
+    /// dialled.
     pub(crate) fn finish_dial(&mut self, link: LinkKey) -> Option<SocketAddr> {
         let (_, address) = self
             .pending_dial
@@ -111,15 +114,16 @@
         Some(address)
     }
 
-    /// Continues the search after a failed attempt; `is_answered` if the node answered.
+    /// Continues the search after a failed attempt; `is_answered` tells whether the asked node
+    /// answered.
     pub(crate) fn continue_after_attempt(&mut self, is_answered: bool, now: Instant) {
-        self.is_answered |= is_answered;
+        self.any_node_answered |= is_answered;
         if self.is_active() {
             self.next_attempt_at = Some(now);
         }
     }
 
-    /// Records whether the parent has a path to a root; schedules leaving one that has none.
+    /// Records whether the parent has a path to a root; if it has none, schedules leaving it.
     pub(crate) fn update_parent_rooted<R>(&mut self, has_root: bool, now: Instant, rng: &mut R)
     where
         R: Rng,
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Schedules an exact read of the leases if the last one may have been stale.
+    /// Schedules an exact read of the leases if the last read may have been stale.
     ///
     /// Returns whether a read was scheduled.
     pub(crate) fn require_exact_leases(&mut self, now: Instant) -> bool {
@@ -206,16 +210,20 @@
         }
     }
 
-    /// Waits before the next round.
+    /// Schedules the next round of attempts after a backoff.
     ///
-    /// After a round in which no node answered, the next one begins by reading the leases.
+    /// If no node answered in the last round, the next round begins by reading the leases.
     pub(crate) fn back_off_search(&mut self, now: Instant) {
-        let is_answered = std::mem::take(&mut self.search.is_answered);
+        let is_answered = std::mem::take(&mut self.search.any_node_answered);
         let wait = if is_answered {
             self.search.backoff.next_delay(&mut self.rng)
         } else {
             let zone = &self.settings.local.zone;
-            let nodes = self.table.iter().filter(|one| one.zone == *zone).count();
+            let nodes = self
+                .endpoint_table
+                .iter()
+                .filter(|endpoint| endpoint.zone == *zone)
+                .count();
             let longest = crate::fallback_poll::poll_interval(nodes);
             self.search
                 .read_backoff
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,18 +1,19 @@
 //! Status of a part of the fleet, aggregated in bounded size.
 //!
-//! Each node merges its own status with those of its children and reports the
-//! result to its parent, so a link carries one status, however many nodes are
-//! behind it.
+//! Each node merges its own status with those of its children and reports the result to its parent,
+//! so a link carries one status, however many nodes the status covers.
 
 use config::Version;
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 use wire::control::{RefusedVersion, Status, VersionCount};
 
-/// Maximum number of versions counted separately; a healthy fleet holds one or two.
+/// Maximum number of versions counted separately; the nodes of a healthy fleet hold one or two
+/// versions.
 pub const MAX_VERSION_COUNTS: usize = 8;
 
-/// Maximum number of laggards (nodes below the highest version) in a status, and of refusals.
+/// Maximum number of laggards (nodes below the highest version) that a status lists, and maximum
+/// number of refusals.
 pub const MAX_LISTED_NODES: usize = 8;
 
 /// Maximum length of the reason of a refusal, in bytes.
@@ -70,8 +71,8 @@
     status.counts.iter().map(|count| count.nodes).sum()
 }
 
-/// Keeps the lowest version and the highest ones; nodes of the versions between are added to the
-/// lowest.
+/// Reduces the counts to [`MAX_VERSION_COUNTS`]. The lowest version and the highest ones are kept;
+/// nodes with a version between them are counted with the lowest version.
 fn bound_counts(counts: BTreeMap<Version, u32>) -> Vec<VersionCount> {
     let mut kept: Vec<_> = counts
         .into_iter()
--- a/crates/fleet/src/sync.rs
+++ b/crates/fleet/src/sync.rs
@@ -1,9 +1,9 @@
 //! Distribution of configuration and endpoint updates over the links.
 //!
 //! Steps are pushed down the tree at once. Roots send each other only the version number, since
-//! each gets the step from the platform; a root that still lacks it after a short delay requests
-//! it. Endpoint updates are batched for a short time, and sent to all neighbours but the one that
-//! they came from.
+//! each root gets the step from the platform; a root that still lacks the step after a short delay
+//! requests it from a neighbour. Endpoint updates are batched for a short time, and sent to all
+//! neighbours except the neighbour that they came from.
 
 use crate::endpoints::MergeOutcome;
 use crate::event::{Action, Backend, PlatformRequest};
@@ -23,16 +23,19 @@
 /// stay live for some seconds.
 const ENDPOINT_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for a missing step to arrive by itself, before it is requested.
+/// Time for which a node waits for a missing step to arrive unrequested, before it requests the
+/// step.
 const REQUEST_DELAY: Duration = Duration::from_millis(150);
 
-/// Bounds of the time between repeated requests: a full configuration takes long to send.
+/// Minimum and maximum time between repeated requests for missing versions: a full configuration
+/// takes long to send.
 const REQUEST_RETRY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_mins(1));
 
 /// Time for which a node batches endpoint updates: six hops then add up to 120 ms.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
 
-/// Delay of a view built for endpoint updates alone, and so the time between such views.
+/// Time from an endpoint update to the view that includes it, and so the minimum time between two
+/// views that are built for endpoint updates alone.
 ///
 /// A view of 14,000 endpoints takes a few milliseconds to build, which must not be spent for each
 /// update of a burst.
@@ -41,7 +44,8 @@
 /// Updates that wait to be sent, requested or put into a view.
 #[derive(Debug)]
 pub(crate) struct SyncState {
-    /// Nodes whose endpoints have changed, with the link that the last update came from, if any.
+    /// Names of the nodes whose endpoints have changed, each with the link over which the last
+    /// update arrived, if any.
     changed_nodes: BTreeMap<SmolStr, Option<LinkKey>>,
     flush_at: Option<Instant>,
     view_at: Option<Instant>,
@@ -80,7 +84,8 @@
 }
 
 impl Node {
-    /// Records the version that a peer holds, and requests or sends what one of the two lacks.
+    /// Records the version that a peer holds. If it is higher than this node's version, schedules a
+    /// request for the missing versions; if it is lower, sends them.
     pub(crate) fn on_peer_version(&mut self, now: Instant, key: LinkKey, version: Version) {
         let held = self.version();
         let Some(link) = self.links.get_mut(&key) else {
@@ -104,7 +109,7 @@
         let peer = self.links.get(&key).and_then(|link| link.peer.as_ref());
         if let Some(peer) = peer.filter(|_| is_ready) {
             let is_same_zone = peer.zone == self.settings.local.zone;
-            self.gate
+            self.readiness_gate
                 .record_peer_version(&peer.node, version, is_same_zone);
         }
     }
@@ -117,7 +122,8 @@
         let full = full || self.settings.sends_full;
         let frames = self.replica.frames_after(after, full);
         if frames.len() > 1 {
-            // The heartbeat announces the final version, so that the peer builds one view at the end.
+            // The heartbeat announces the version after the last frame, so that the peer builds
+            // only one view, at that version.
             self.send_heartbeat(key);
         }
         for frame in frames {
@@ -152,7 +158,7 @@
     }
 
     /// Handles the outcome of a step. A step that this node can't apply is still sent to its
-    /// children, so that it doesn't block them.
+    /// children, which may be able to apply it.
     pub(crate) fn finish_step(&mut self, now: Instant, outcome: ApplyOutcome, step: &Step) {
         let is_stuck = outcome == ApplyOutcome::Gap && self.replica.refused().is_some();
         if outcome == ApplyOutcome::Refused || is_stuck {
@@ -177,7 +183,8 @@
         }
     }
 
-    /// Sends on a version that has just been applied, and schedules a view of it.
+    /// Sends a version that has just been applied to the neighbours that lack it, and schedules a
+    /// view of it.
     fn propagate_version(&mut self, now: Instant) {
         self.counters.applied_versions += 1;
         self.sync.request_wait = REQUEST_RETRY.0;
@@ -197,7 +204,7 @@
         let links = self.links.values().filter(|link| link.is_established());
         let highest = links.map(|link| link.version).max();
         if self.sync.platform_version.max(highest.unwrap_or_default()) > held {
-            // A higher version exists and will replace this one shortly.
+            // A higher version exists and will replace the version held shortly.
             self.sync.view_at.get_or_insert(now + VIEW_DELAY);
         } else {
             self.sync.view_at = Some(now);
@@ -210,15 +217,16 @@
                 self.refute(now, endpoint);
                 continue;
             }
-            let merged = self.table.merge(endpoint, now);
+            let merged = self.endpoint_table.merge(endpoint, now);
             if merged != MergeOutcome::Ignored && endpoint.state != State::Gone {
-                self.guard.record_found(&endpoint.node);
+                self.departure_guard.record_found(&endpoint.node);
             }
             self.propagate_endpoint(now, &endpoint.node, merged, Some(key));
         }
     }
 
-    /// Schedules an endpoint update for all links but the one that it came from.
+    /// Schedules sending an endpoint update over all links but `from`, the link over which it
+    /// arrived.
     ///
     /// A refresh without changes causes no new view: with 14,000 endpoints, refreshes arrive all
     /// the time, and a view takes milliseconds to build.
@@ -239,12 +247,14 @@
         }
     }
 
-    /// Refutes an announcement about this node that it didn't make itself.
+    /// Refutes an announcement about this node that was not made by this process and outranks its
+    /// own.
     fn refute(&mut self, now: Instant, endpoint: &Endpoint) {
         let Some(own) = &mut self.local_endpoint else {
-            // The announcement was made by a former process of this VM. It is superseded once the
-            // backend server announces itself.
-            let merged = self.table.merge(&Arc::new(endpoint.clone()), now);
+            // This process has announced nothing yet, so a former process of this VM made the
+            // announcement. That announcement is superseded once the backend server announces
+            // itself to this process.
+            let merged = self.endpoint_table.merge(&Arc::new(endpoint.clone()), now);
             self.propagate_endpoint(now, &endpoint.node, merged, None);
             return;
         };
@@ -274,7 +284,7 @@
             cold_ms: backend.cold_ms,
             state: backend.state,
         };
-        if let Some(known) = self.table.get(&own.node) {
+        if let Some(known) = self.endpoint_table.get(&own.node) {
             supersede(&mut own, known);
         }
         self.local_endpoint = Some(own);
@@ -288,7 +298,7 @@
         };
         own.sequence += 1;
         let endpoint = Arc::new(own.clone());
-        let merged = self.table.merge(&endpoint, now);
+        let merged = self.endpoint_table.merge(&endpoint, now);
         self.propagate_endpoint(now, &endpoint.node, merged, None);
     }
 
@@ -309,8 +319,11 @@
             _ => false,
         };
         let neighbours = self.links.values().filter(is_neighbour).count();
-        for node in self.guard.take_departed(neighbours, self.has_root(), now) {
-            if self.table.mark_gone(&node, now).is_some() {
+        for node in self
+            .departure_guard
+            .take_departed(neighbours, self.has_root(), now)
+        {
+            if self.endpoint_table.mark_gone(&node, now).is_some() {
                 self.counters.departures += 1;
                 self.propagate_endpoint(now, &node, MergeOutcome::Changed, None);
             }
@@ -318,7 +331,7 @@
     }
 
     pub(crate) fn send_checksums(&mut self, key: LinkKey, is_reply: bool) {
-        let checksums = self.table.bucket_checksums().to_vec();
+        let checksums = self.endpoint_table.bucket_checksums().to_vec();
         self.send(
             key,
             Frame::Checksums {
@@ -332,7 +345,7 @@
         if checksums.len() != BUCKET_COUNT {
             return;
         }
-        for list in self.table.differing_endpoints(checksums) {
+        for list in self.endpoint_table.differing_endpoints(checksums) {
             self.send(key, Frame::Endpoints(list));
         }
         if is_reply {
@@ -350,9 +363,9 @@
     /// Limits the wait for the endpoints that other roots know; ends it at once if no other root
     /// is known.
     ///
-    /// Guards against a restarted root that serves the platform's version with no endpoint but
-    /// its own: until such a root was linked to another one, callers at its VM were told that no
-    /// service but its own had an endpoint.
+    /// Guards against a restarted root that serves the platform's version with no endpoint but its
+    /// own: until such a root was linked to another root, callers at its VM were told that only the
+    /// service of the VM's own backend server had an endpoint.
     pub(crate) fn limit_endpoint_sync(&mut self, now: Instant) {
         let own = &self.settings.local.node;
         let mut leases = self.lease.leases().iter();
@@ -372,18 +385,18 @@
         if self.sync.endpoint_sync_deadline.is_some_and(|at| now >= at) {
             self.mark_endpoints_synced();
         }
-        let was_open = self.gate.is_open();
+        let was_open = self.readiness_gate.is_open();
         let held = self.version();
-        if self.gate.begin_platform_query(held, now) {
+        if self.readiness_gate.begin_platform_query(held, now) {
             self.actions
                 .push(Action::QueryPlatform(PlatformRequest::LatestVersion {
                     after: held,
                 }));
         }
-        if self.gate.begin_peer_query(now) {
+        if self.readiness_gate.begin_peer_query(now) {
             self.query_version_source(now);
         }
-        if self.gate.try_open(held) && !was_open {
+        if self.readiness_gate.try_open(held) && !was_open {
             self.sync.view_at = Some(now);
         }
     }
@@ -399,7 +412,7 @@
         }
         if is_due(self.sync.view_at) && self.is_ready() {
             self.sync.view_at = None;
-            let view = View::join(self.replica.held(), self.table.iter().cloned());
+            let view = View::join(self.replica.held(), self.endpoint_table.iter().cloned());
             self.counters.built_views += 1;
             self.actions.push(Action::InstallView(Arc::new(view)));
         } else if is_due(self.sync.view_at) {
@@ -413,7 +426,7 @@
             let list: Vec<_> = nodes
                 .iter()
                 .filter(|(_, from)| **from != Some(key))
-                .filter_map(|(node, _)| self.table.get(node).cloned())
+                .filter_map(|(node, _)| self.endpoint_table.get(node).cloned())
                 .collect();
             for chunk in list.chunks(MAX_ENDPOINTS) {
                 self.send(key, Frame::Endpoints(chunk.to_vec()));
@@ -441,10 +454,10 @@
     }
 }
 
-/// Ranks `own` above what other nodes know of this node.
+/// Ranks `own` above `known`, the announcement about this node that other nodes hold.
 ///
-/// Without this, if the clock was set back between two processes, the dead process's announcement
-/// would prevail forever.
+/// Otherwise, if the clock was set back between two processes of a node, the announcement of the
+/// dead process would prevail forever.
 fn supersede(own: &mut Endpoint, known: &Endpoint) {
     if known.incarnation == own.incarnation {
         own.sequence = own.sequence.max(known.sequence);
--- a/crates/fleet/src/tree.rs
+++ b/crates/fleet/src/tree.rs
@@ -1,8 +1,8 @@
 //! A node's position in its zone's distribution tree: its parent, its path, and cycle prevention.
 //!
-//! Each node sends its path from the root down to its children. A node never joins below itself:
-//! it refuses a parent whose path contains it, and leaves a parent whose path changes to contain
-//! it.
+//! Each node sends its path from the root down to its children. A node never joins one of its own
+//! descendants: it refuses a parent whose path contains this node, and leaves a parent if this node
+//! appears in the parent's path later.
 
 use crate::children;
 use crate::event::{Action, PlatformRequest};
@@ -46,7 +46,7 @@
         link.version = version;
         let name = link.peer.as_ref().map(|peer| peer.node.clone());
         if let Some(name) = name {
-            self.guard.record_found(&name);
+            self.departure_guard.record_found(&name);
             self.stop_redial(&name);
         }
         self.on_peer_version(now, key, version);
@@ -116,11 +116,12 @@
         }
     }
 
-    fn on_refused(&mut self, now: Instant, key: LinkKey, wait: Duration) {
+    fn on_refused(&mut self, now: Instant, key: LinkKey, retry_after: Duration) {
         self.close(key);
         if let Some(address) = self.search.finish_dial(key) {
-            // Jitter of up to half the wait, so that nodes refused together don't retry together.
-            let wait = wait + self.jitter(wait / 2);
+            // A random delay of up to half the wait is added, so that nodes that were refused
+            // together don't retry together.
+            let wait = retry_after + self.jitter(retry_after / 2);
             self.candidates.postpone(address, now + wait);
             self.search.continue_after_attempt(true, now);
         }
@@ -146,7 +147,8 @@
         self.set_path(path);
         self.send_checksums(key, false);
         if std::mem::take(&mut self.search.was_parent_lost) {
-            // The former parent may still run, and count this node as lost.
+            // The former parent may still run and count this node as lost; the announcement shows
+            // that this node runs.
             self.reannounce(now);
         }
     }
@@ -185,7 +187,8 @@
         self.set_path(path);
     }
 
-    /// Sets the path from the parent's path (empty for none), and sends it to the children.
+    /// Sets this node's path from `path`, its parent's path, and sends it to the children. An empty
+    /// `path` means that there is no path to a root.
     pub(crate) fn set_path(&mut self, mut path: Vec<SmolStr>) {
         if !path.is_empty() {
             let own = &self.settings.local.node;
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Drops a link; `is_clean` if it was closed on purpose, not lost.
+    /// Drops a link; `is_clean` tells that the link was closed on purpose and not lost.
     pub(crate) fn drop_link(&mut self, now: Instant, key: LinkKey, is_clean: bool) {
         let Some(link) = self.close(key) else {
             return;
@@ -224,7 +227,7 @@
         };
         if let Some(peer) = &link.peer {
             if is_neighbour && !is_clean {
-                self.guard.record_lost(&peer.node, now);
+                self.departure_guard.record_lost(&peer.node, now);
             }
             if matches!(link.role, Role::Child | Role::RootPeer) {
                 self.start_redial(peer, now);
--- a/crates/fleet/tests/converge.rs
+++ b/crates/fleet/tests/converge.rs
@@ -20,17 +20,18 @@
     }
     assert_eq!(world.serving_count(0), 60);
     let before = world.platform.calls;
-    let bytes = world.bytes;
+    let bytes = world.sent_bytes;
     world.run(60 * S);
     let calls = world.platform.calls - before;
-    // Nine roots, each with a renewal every 3 s and a read every 5 s.
+    // Each of the nine roots renews its lease every 3 s (20 times a minute) and reads the leases
+    // every 5 s (12 times a minute).
     assert!(calls <= 9 * (20 + 12), "{calls} calls in a minute");
-    let bytes = (world.bytes - bytes) / 60 / 60;
+    let bytes = (world.sent_bytes - bytes) / 60 / 60;
     assert!(bytes < 200, "{bytes} idle bytes a second a node");
 }
 
 fn started(zones: usize, per_zone: usize, seed: u64) -> World {
-    // Without seeds, so that zones must recover by themselves.
+    // The processes have no seeds in their settings, so that each zone must recover by itself.
     let mut world = World::start(zones, per_zone, seed, false);
     world.run(15 * S);
     let version = world.propose();
@@ -46,7 +47,8 @@
 
 // A rack that hosts all three roots of a zone fails. The zone's nodes keep the configuration that
 // they hold, but the next version would not reach them, because their only paths to the platform
-// went through these roots. It must be in force within 2 s, long before there are new roots.
+// went through these roots. The next version must be in force within 2 s, long before there are new
+// roots.
 #[test]
 fn roots_killed() {
     for is_vm in [false, true] {
@@ -61,7 +63,7 @@
 }
 
 // A zone can't reach the platform, but reaches the other zones: its nodes must still switch routes
-// together with the others.
+// together with the nodes of the other zones.
 #[test]
 fn platform_cut_from_zone() {
     let mut world = started(3, 10, 3);
@@ -72,15 +74,16 @@
     world.run_until(S, "through other zones", |world| world.all_serve(version));
 }
 
-// A zone is partitioned from all others and gets no updates from the platform. It continues to
-// serve, its list of endpoints stays complete, and after the partition it catches up in one step.
+// A zone is partitioned from all other zones and gets no updates from the platform. The zone must
+// continue to serve with a complete list of endpoints, and must catch up in one step after the
+// partition.
 #[test]
 fn zone_partitioned() {
     let mut world = started(3, 10, 4);
-    let cut = roots(&world, 2);
+    let isolated_roots = roots(&world, 2);
     world.partition(2, 0);
     world.partition(2, 1);
-    world.platform.silent_watchers.extend(&cut);
+    world.platform.silent_watchers.extend(&isolated_roots);
     let mut version = world.propose();
     for _ in 0..99 {
         version = world.propose();
@@ -130,8 +133,8 @@
 }
 
 // During a long outage of the platform (here 600 s), versions of the operators wait and nodes
-// continue to serve. When it ends, the nodes must not overload the platform, and the next version
-// reaches all of them.
+// continue to serve. When the outage ends, the nodes must not overload the platform, and the next
+// version must reach all of them.
 #[test]
 fn platform_outage() {
     let mut world = started(3, 10, 6);
@@ -147,9 +150,9 @@
     world.run_until(S, "after the outage", |world| world.all_serve(version));
 }
 
-// A root is stopped (SIGSTOP) until its lease has expired and another node holds it. When resumed,
-// it still acts as the holder, with an outdated version. Its former children must not go back to
-// that version, and it must stop being a root.
+// A root is stopped (SIGSTOP) until its lease has expired and another node holds it. When the
+// frozen root is resumed, it still acts as the holder of the lease, with an outdated version. Its
+// former children must not go back to that version, and it must stop being a root.
 #[test]
 fn root_frozen() {
     let mut world = started(2, 12, 7);
@@ -190,8 +193,9 @@
 }
 
 // A connection is dead in one direction only: a child gets its parent's heartbeats, but the parent
-// gets nothing and drops the child, which isn't told. The child would get no updates until it
-// dropped the parent in turn. The echo in the heartbeats tells it earlier that its own are lost.
+// gets nothing and drops the child without the child's knowledge. The child would get no updates
+// until it dropped the parent in turn. The echo in the parent's heartbeats shows the child earlier
+// that its own heartbeats are lost.
 #[test]
 fn link_one_way() {
     let mut world = started(2, 12, 10);
@@ -223,8 +227,8 @@
 }
 
 // During an outage of the platform, all VMs of a zone are restarted one after the other. Without
-// acting roots, callers at each would be refused until the outage ends: a new process has no node
-// to ask, and once the zone's roots are gone no other node can take a lease.
+// acting roots, callers at each restarted VM would be refused until the outage ends: a new process
+// has no node to ask, and once the zone's roots are gone no other node can take a lease.
 #[test]
 fn restarts_without_platform() {
     let mut world = started(3, 4, 11);
@@ -271,7 +275,7 @@
 
 // All VMs lose power in the same second and start again. Calls were refused for two seconds longer
 // than the start takes, as each VM knew no endpoint but its own: each had read the leases before
-// the others were roots again, and read them again only 5 s later.
+// the other VMs were roots again, and read the leases again only 5 s later.
 #[test]
 fn all_restarted() {
     let mut world = started(3, 3, 13);
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -138,8 +138,8 @@
     });
 }
 
-/// Crashes that the platform has lost in a restore must be written again, as a fleet that restarts
-/// as a whole reads them from there.
+/// Crashes that the platform has lost in a restore must be written again, because a fleet that
+/// restarts as a whole reads them from the platform.
 #[test]
 fn platform_restored() {
     let mut world = World::serving_nodes(6);
--- a/crates/fleet/tests/endpoints.rs
+++ b/crates/fleet/tests/endpoints.rs
@@ -113,9 +113,9 @@
     assert_eq!(table.checksum(), EndpointTable::default().checksum());
 }
 
-// A switch fails and a parent loses most of its children at once, though they
-// still serve. Removing their endpoints would refuse calls needlessly. The loss of
-// one or two nodes counts as departure, the loss of many as a network fault.
+// A switch fails and a parent loses most of its children at once, though they still serve. Removing
+// their endpoints would refuse calls needlessly. The loss of one or two nodes must count as their
+// departure, and the loss of many as a network fault.
 #[test]
 fn many_nodes_lost() {
     let now = Instant::now();
@@ -161,8 +161,8 @@
         .expect("there are leaves")
 }
 
-// A backend server announces that it is leaving. Nodes in all zones must learn
-// it within 300 ms, to stop sending it work.
+// A backend server announces that it is leaving. Nodes in all zones must learn of this within 300
+// ms, so that they stop sending calls to the backend server.
 #[test]
 fn leaving_propagates() {
     let mut world = started(21);
@@ -174,8 +174,8 @@
     assert!(took <= 300 * MS, "{took:?}");
 }
 
-// The frames that announce a departure are lost. Without comparing the checksums
-// in heartbeats, some nodes would go on sending work there for hours.
+// The frames that announce the departure of a backend server are lost. If nodes did not compare the
+// checksums in heartbeats, some would go on sending calls to this backend server for hours.
 #[test]
 fn lost_departure() {
     let mut world = started(25);
@@ -193,9 +193,9 @@
     });
 }
 
-// A VM fails silently. Its parent detects the silence, waits for the node to appear
-// elsewhere, and then declares it gone. After a restart under the same name it must
-// be back within 3 s.
+// A VM fails silently. Its parent detects the silence, waits for the node to appear elsewhere, and
+// then declares the node gone. After a restart under the same name, the node must be back in all
+// tables within 3 s.
 #[test]
 fn killed_node() {
     let mut world = started(22);
@@ -211,8 +211,8 @@
     world.run_until(3 * S, "back", |world| all_others_see(world, 36));
 }
 
-// A parent no longer hears from a slow node, which then finds another parent. Its
-// backend server serves all the time and must stay in all tables.
+// A parent no longer hears from a slow node, which then finds another parent. The node's backend
+// server serves all the time and must stay in all tables.
 #[test]
 fn changed_parent() {
     let mut world = started(23);
@@ -229,8 +229,8 @@
     assert!(world.all_rooted());
 }
 
-// The clock of a VM is set back and its process restarts. Without a correction, the
-// last announcement of the old process would outrank all those of the new one, forever.
+// The clock of a VM is set back and its process restarts. Without a correction, the last
+// announcement of the old process would outrank all announcements of the new process, forever.
 #[test]
 fn clock_set_back() {
     let mut world = started(24);
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -23,8 +23,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-// A thousand nodes try to join one root at once. It admits a few, tells the others
-// when to retry, and later admits no more than its rate allows.
+// A thousand nodes try to join one root at once. The root must admit a few, tell the others when to
+// retry, and later admit no more than its rate allows.
 #[test]
 fn bounded_admission() {
     let start = Instant::now();
@@ -40,9 +40,9 @@
     assert_eq!(admitted(&mut limiter, start + Duration::from_hours(1)), 8);
 }
 
-// All twenty nodes of a zone restart and join the same root, which sends 20 kB to
-// each. They waited up to 1.3 s, one after the other, because the limiter charged
-// each child the megabyte that it costs in the largest fleet.
+// All twenty nodes of a zone restart and join the same root, which sends 20 kB to each. The nodes
+// waited up to 1.3 s, one after the other, because the limiter charged for each child the megabyte
+// that is sent to a child in the largest fleet.
 #[test]
 fn small_children_together() {
     let start = Instant::now();
@@ -50,10 +50,11 @@
     assert!((0..20).all(|_| limiter.admit(start, 4 * MS).is_ok()));
 }
 
-// A zone that lost power refused all calls for 10 s after it was back, though the platform
-// answered. Its only lease was held by a VM that had been replaced: another VM used its
-// address, so the holder seemed reachable, but was no root. The log had `started` of all
-// nodes at 40.5 to 40.7 s and the first `version_installed` at 51.0 s, when the lease expired.
+// A zone that lost power refused all calls for 10 s after its VMs were back, though the platform
+// answered. The zone's only lease was held by a VM that had been replaced: another VM now used the
+// holder's address, so the holder seemed to be reachable, but the node at that address was not a
+// root. The log had `started` of all nodes at 40.5 to 40.7 s and the first `version_installed` at
+// 51.0 s, when the lease expired.
 #[test]
 fn lease_address_reused() {
     let peer = |node: &str, port| Peer {
@@ -74,8 +75,8 @@
     assert!(lease.slot_to_claim(&peer("kl-a-3", 3), |_| true).is_some());
 }
 
-// In a large fleet, one child alone can cost more than the burst of the limiter. It
-// must still be admitted when no other child is being served.
+// In a large fleet, one child alone can cost more than the burst of the limiter. Such a child must
+// still be admitted while no other child is being served.
 #[test]
 fn oversized_child() {
     let start = Instant::now();
@@ -98,8 +99,8 @@
     );
 }
 
-// All nodes of a zone choose among the same parent candidates; none may get much
-// more than its share of them.
+// All nodes of a zone choose among the same parent candidates; no candidate may be chosen by much
+// more than its share of the nodes.
 #[test]
 fn even_parent_choice() {
     let now = Instant::now();
@@ -133,10 +134,9 @@
     assert_eq!(candidates.pick("vm", now + 100 * MS), Some(address(1)));
 }
 
-// A VM served version 40 when its process was killed, and the platform is down.
-// The new process first hears from a node that was partitioned at version 39, then
-// from one in a zone that lags. It must not serve version 39 before it has heard
-// from a node of its own zone.
+// A VM served version 40 when its process was killed, and the platform is down. The new process
+// first hears from a node that was partitioned at version 39, then from a node in a zone that lags.
+// The process must not serve version 39 before it has heard from a node of its own zone.
 #[test]
 fn lagging_peer() {
     let now = Instant::now();
@@ -168,8 +168,8 @@
     assert!(gate.deadline().is_none());
 }
 
-// As in `lagging_peer`, but many nodes of a lagging zone are heard from first. They
-// filled the bounded set of sources, and the node with the higher version was ignored.
+// As in `lagging_peer`, but many nodes of a lagging zone are heard from first. These nodes filled
+// the bounded set of sources, and the node with the higher version was ignored.
 #[test]
 fn many_lagging_peers() {
     let now = Instant::now();
@@ -278,10 +278,10 @@
     assert!(left && node.path().is_empty(), "{actions:?}");
 }
 
-// A root's VM is restarted under load and acquires its lease again. It served at once
-// with the platform's version but only its own backend server: until it was linked to
-// another root, its callers were told that no other service had an endpoint. The
-// platform's answer about the version also counted as one about endpoints.
+// A root's VM is restarted under load and acquires its lease again. The root served at once, with
+// the platform's version but with no endpoint except its own backend server: until it was linked to
+// another root, its callers were told that no other service had an endpoint. The cause was that the
+// platform's response about the version also counted as knowledge of the endpoints.
 #[yare::parameterized(
     met = { true, true },
     silent = { true, false },
@@ -333,9 +333,10 @@
     }
 }
 
-// Every VM that starts reads the roots of its zone from the platform, and fleets of hundreds of
-// VMs are restarted every day. A read that may be some seconds stale suffices and costs a tenth;
-// but a lease that is free in it may be taken by now, so acquiring one needs an exact read.
+// Every VM that starts reads the roots of its zone from the platform, and fleets of hundreds of VMs
+// are restarted every day. A read that may be some seconds stale suffices, and costs the platform a
+// tenth of an exact read; but a lease that is free in a stale read may be taken by now, so
+// acquiring a lease needs an exact read.
 #[yare::parameterized(
     roots_there = { 3, true },
     none_seen = { 0, false },
--- a/crates/fleet/tests/randomised.rs
+++ b/crates/fleet/tests/randomised.rs
@@ -1,8 +1,8 @@
 //! Long runs of kills, partitions, freezes, outages and races, with fixed seeds.
 //!
-//! The world checks every view that a VM installs: its version is never lower than that of the view
-//! before, also across restarts, and its configuration is complete. A view checks by itself that it
-//! has no dangling references.
+//! The world checks every view that a VM installs: the view's version must never be lower than that
+//! of the VM's previous view, also across restarts, and its configuration must be complete. Each
+//! view checks by itself that its references all resolve.
 
 mod world;
 
@@ -14,7 +14,7 @@
 const NODES: usize = 36;
 const STEPS: usize = 250;
 
-/// Injects one random fault or ends one.
+/// Injects a random fault, or ends faults of a random kind.
 fn inject_fault(world: &mut World) {
     let vm = world.random_index(NODES);
     match world.random_index(18) {
--- a/crates/fleet/tests/refusal.rs
+++ b/crates/fleet/tests/refusal.rs
@@ -55,9 +55,9 @@
     }
 }
 
-// The platform holds a version that the root cannot read. Operators saw that it was
-// not in force, but not why. It must be kept as refused, with its reason, until a higher
-// version is in force; reading it again must not be reported again.
+// The platform holds a version that the root cannot read. Operators saw that this version was not
+// in force, but not why. The version must be kept as refused, with the reason, until a higher
+// version is in force; if it is read again, it must not be reported again.
 #[test]
 fn unreadable_version() {
     let (all, _) = steps(3);
@@ -81,9 +81,9 @@
     assert_eq!(replica.refused(), None);
 }
 
-// A frame is corrupted, or a node's software cannot read a version. The node must
-// apply none of it, report it, and recover with the full configuration of a later
-// version instead of lagging forever.
+// A frame is corrupted, or a node's software cannot read a version. The node must apply no part of
+// the version, report it as refused, and recover with the full configuration of a later version
+// instead of lagging forever.
 #[test]
 fn full_configuration_after_refusal() {
     let (all, held) = steps(4);
@@ -110,8 +110,8 @@
     assert!(replica.refused().is_none(), "no longer reported");
 }
 
-// A node that was away fetches what it lacks: the missing steps if they are still
-// kept, the full configuration otherwise, and never a step with another base version.
+// A node that was away fetches the versions that it lacks: as steps if the steps are still kept, as
+// the full configuration otherwise, and never a step with another base version.
 #[test]
 fn steps_or_full_configuration() {
     let (all, held) = steps(80);
@@ -217,9 +217,9 @@
     assert!(buffer.len() < 2_000, "{} bytes", buffer.len());
 }
 
-// An operator's tool writes full configurations with gaps in their numbers. The
-// descendants of the node that reads them must get only the changes instead of
-// everything each time, and a node that missed a step must not apply the next one.
+// An operator's tool writes full configurations with gaps in their numbers. The node that reads
+// these configurations must send only the changes to its descendants, and not the full
+// configuration each time, and a node that missed a step must not apply the next one.
 #[test]
 fn steps_between_full_configurations() {
     let mesh = |count: u64| {
@@ -259,9 +259,9 @@
     );
 }
 
-// An operator adds 1,640 routes. A root has 16 children and a link of 5 Mbit/s, and
-// the last child served the old version for 2.6 s: the step was too long for a frame,
-// and the full configuration sent instead took 75 kB for each child.
+// An operator adds 1,640 routes. A root has 16 children and a link of 5 Mbit/s, and the last child
+// served the old version for 2.6 s: the step was too long for a frame, and the full configuration
+// that was sent instead took 75 kB for each child.
 #[test]
 fn many_routes_short() {
     let mut mesh = Mesh::default();
@@ -295,7 +295,7 @@
             frame => panic!("not a chunk: {frame:?}"),
         })
         .sum();
-    // 16 children then get it within 0.31 s at 5 Mbit/s.
+    // At 12,000 bytes, 16 children get the configuration within 0.31 s over a link of 5 Mbit/s.
     assert!(bytes < 12_000, "{bytes} bytes");
     let mut child = Replica::default();
     let last = frames
--- a/crates/fleet/tests/rollouts.rs
+++ b/crates/fleet/tests/rollouts.rs
@@ -11,8 +11,8 @@
 /// Duration of a roll-out, as ordered by operators.
 const DURATION: Duration = Duration::from_secs(12);
 
-/// Counts of one proxy after `seconds` seconds, with 4 calls to the new version and 40 to the old
-/// one per second.
+/// Counts of one proxy after `seconds` seconds, with 4 calls per second to the new version and 40
+/// to the old version.
 fn tally(seconds: u32, failed_percent: u32) -> Tally {
     let mut tally = Tally::default();
     tally.trial[0] = Counts {
@@ -26,7 +26,7 @@
 
 /// Runs the world for up to `seconds` seconds while all nodes count calls.
 ///
-/// Returns the second in which all nodes were at stage `end`.
+/// Returns the first second after which all nodes were at stage `end`, or `None` if there was none.
 fn run_with_calls(world: &mut World, seconds: u32, failed_percent: u32, end: Stage) -> Option<u32> {
     for second in 1..=seconds {
         for vm in 0..world.vms.len() {
@@ -73,7 +73,7 @@
     assert_eq!(world.platform.outcome_writes, 1);
 }
 
-/// Partitioned zones must all stop a bad version, which they learn through the platform.
+/// Partitioned zones must all stop a bad version; they learn of the outcome through the platform.
 #[test]
 fn partitioned_zones() {
     let mut world = World::serving_nodes(6);
@@ -86,7 +86,8 @@
     assert!(took.is_some_and(|took| took <= 3), "{took:?}");
 }
 
-/// A bad version must be stopped even if the platform is down, and the outcome be written later.
+/// A bad version must be stopped even if the platform is down, and the outcome must be written once
+/// the platform is back.
 #[test]
 fn platform_down() {
     let mut world = World::serving_nodes(6);
@@ -154,8 +155,8 @@
     }
 }
 
-/// If all roots are lost during a roll-out, it must still end in one outcome, the one that the
-/// calls show.
+/// If all roots are lost during a roll-out, the roll-out must still end in exactly one outcome,
+/// which the results of the calls determine.
 #[yare::parameterized(
     good = { 0, Stage::Completed },
     bad = { 30, Stage::RolledBack },
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -118,7 +118,7 @@
     pub network_faults: NetworkFaults,
     /// Pairs of zones that can't reach each other.
     pub partitions: BTreeSet<(String, String)>,
-    pub bytes: u64,
+    pub sent_bytes: u64,
     /// Bytes of frames with crashes.
     pub crash_report_bytes: u64,
     /// Bytes of frames with roll-outs and tallies.
@@ -134,8 +134,8 @@
     queue: BinaryHeap<Reverse<ScheduledInput>>,
     sequence: u64,
     connections: Vec<Connection>,
-    by_key: BTreeMap<(usize, u64, LinkKey), usize>,
-    by_address: BTreeMap<SocketAddr, usize>,
+    connection_by_key: BTreeMap<(usize, u64, LinkKey), usize>,
+    vm_by_address: BTreeMap<SocketAddr, usize>,
 }
 
 impl World {
@@ -166,9 +166,9 @@
         }
     }
 
-    /// Runs until all of `vms` serve, and checks `is_fit` in the millisecond in which each becomes
-    /// ready.
-    pub fn check_when_ready<F>(&mut self, vms: &[usize], is_fit: F)
+    /// Runs until all of `vms` serve, and checks `is_expected` for each of them in the millisecond
+    /// in which it becomes ready.
+    pub fn check_when_ready<F>(&mut self, vms: &[usize], is_expected: F)
     where
         F: Fn(&Self, usize) -> bool,
     {
@@ -177,7 +177,10 @@
             self.run(MS);
             waiting.retain(|vm| {
                 let is_ready = self.vms[*vm].node.as_ref().is_some_and(Node::is_ready);
-                assert!(!is_ready || is_fit(self, *vm), "node {vm} serves too soon");
+                assert!(
+                    !is_ready || is_expected(self, *vm),
+                    "node {vm} serves too soon"
+                );
                 !is_ready
             });
         }
@@ -192,7 +195,7 @@
             now: Duration::ZERO,
             network_faults: NetworkFaults::default(),
             partitions: BTreeSet::new(),
-            bytes: 0,
+            sent_bytes: 0,
             crash_report_bytes: 0,
             rollout_bytes: 0,
             stopped_rollouts: 0,
@@ -203,12 +206,12 @@
             queue: BinaryHeap::new(),
             sequence: 0,
             connections: Vec::new(),
-            by_key: BTreeMap::new(),
-            by_address: BTreeMap::new(),
+            connection_by_key: BTreeMap::new(),
+            vm_by_address: BTreeMap::new(),
         };
         for index in 0..zones * per_zone {
             let address = SocketAddr::from(([127, 0, 0, 1], u16::try_from(index + 1).unwrap()));
-            world.by_address.insert(address, index);
+            world.vm_by_address.insert(address, index);
             world.vms.push(Vm {
                 peer: Peer {
                     node: format!("vm-{index}").into(),
@@ -246,7 +249,7 @@
     /// Starts a new process on a VM.
     pub fn spawn(&mut self, vm: usize) {
         let now = self.instant();
-        // One in another zone and two in the VM's own (zones alternate).
+        // One seed is in another zone and two are in the VM's own zone (zones alternate).
         let seeds = [vm + 7, vm + 3, vm + 9].map(|other| other % self.vms.len());
         let seeds = seeds.into_iter().filter(|_| self.has_seeds);
         let seeds = seeds.map(|other| self.vms[other].peer.address).collect();
@@ -309,7 +312,7 @@
         self.vms[vm].clock_offset = by;
     }
 
-    /// Drops all that comes to a VM over its present links; new links work.
+    /// Drops everything that is sent to a VM over its present links; new links work.
     pub fn drop_incoming(&mut self, vm: usize) {
         for conn in &mut self.connections {
             for side in 0..2 {
@@ -320,8 +323,8 @@
         }
     }
 
-    /// Drops all that a VM sends over its present links, and the notice when one of them is closed.
-    /// Frames that are sent to the VM still arrive.
+    /// Drops everything that a VM sends over its present links, and the notice when one of these
+    /// links is closed. Frames that are sent to the VM still arrive.
     pub fn drop_outgoing(&mut self, vm: usize) {
         for conn in &mut self.connections {
             for side in 0..2 {
@@ -593,7 +596,8 @@
         let Some(node) = &self.vms[vm].node else {
             return;
         };
-        // A node that asks for a wake-up in the past would loop at one time.
+        // Otherwise a node that asks for a wake-up in the past would be woken again and again
+        // without any passage of virtual time.
         let next = node.next_wake(now).max(now + Duration::from_micros(100));
         let at = next - self.start;
         if at < self.vms[vm].wake_at {
@@ -615,8 +619,9 @@
             (vm, self.vms[vm].incarnation, Some(key)),
         ];
         let conn = self.connections.len();
-        self.by_key.insert((from, ends[0].1, from_key), conn);
-        self.by_key.insert((vm, ends[1].1, key), conn);
+        self.connection_by_key
+            .insert((from, ends[0].1, from_key), conn);
+        self.connection_by_key.insert((vm, ends[1].1, key), conn);
         self.connections.push(Connection {
             ends,
             last_arrival: [Duration::ZERO; 2],
@@ -665,7 +670,7 @@
                 Action::Send { link, frame } => self.send_frame(vm, link, &frame),
                 Action::Close { link } => {
                     let key = (vm, self.vms[vm].incarnation, link);
-                    if let Some(conn) = self.by_key.remove(&key)
+                    if let Some(conn) = self.connection_by_key.remove(&key)
                         && self.connections[conn].is_open
                     {
                         self.close_connection(conn, vm);
@@ -698,7 +703,7 @@
         self.rollout_write_attempts += 1;
         let zone = self.vms[vm].peer.zone.to_string();
         let Some((current, readers)) = self.platform.write_rollout(&zone, &rollout) else {
-            // Retried until it is written.
+            // The write is retried until it succeeds.
             let incarnation = self.vms[vm].incarnation;
             self.schedule_for(vm, incarnation, 300 * MS, Input::RetryRolloutWrite(rollout));
             return;
@@ -800,7 +805,7 @@
     }
 
     fn connect_to(&mut self, vm: usize, link: LinkKey, address: SocketAddr) {
-        let Some(to) = self.by_address.get(&address).copied() else {
+        let Some(to) = self.vm_by_address.get(&address).copied() else {
             return;
         };
         if self.is_partitioned(vm, to) {
@@ -823,12 +828,12 @@
 
     fn send_frame(&mut self, vm: usize, link: LinkKey, frame: &Frame) {
         let key = (vm, self.vms[vm].incarnation, link);
-        let Some(conn) = self.by_key.get(&key).copied() else {
+        let Some(conn) = self.connection_by_key.get(&key).copied() else {
             return;
         };
         let mut buffer = Vec::new();
         wire::codec::encode(&wire::Frame::Control(frame.clone()), &mut buffer).expect("fits");
-        self.bytes += buffer.len() as u64;
+        self.sent_bytes += buffer.len() as u64;
         if matches!(frame, Frame::Crashes(_)) {
             self.crash_report_bytes += buffer.len() as u64;
         }
--- a/crates/fleet/tests/world/platform.rs
+++ b/crates/fleet/tests/world/platform.rs
@@ -41,7 +41,7 @@
     rollouts: BTreeMap<String, Rollout>,
     /// Number of outcomes of roll-outs (completed or rolled back) written.
     pub outcome_writes: u64,
-    /// Watchers that read crashes: one in each zone.
+    /// Watchers that also read crashes: one watcher in each zone.
     crash_readers: BTreeSet<usize>,
     /// Revisions of all leases as last read by each VM.
     seen_revisions: BTreeMap<usize, BTreeMap<(String, u8), u64>>,
@@ -115,8 +115,8 @@
         self.reachable_watchers().collect()
     }
 
-    /// Stores the stage of a roll-out; returns the roll-out as it is then and the watchers to
-    /// notify, if the platform responds.
+    /// Stores the stage of a roll-out; returns the roll-out as stored after the write and the
+    /// watchers to notify, or `None` if the platform does not respond.
     pub fn write_rollout(
         &mut self,
         zone: &str,
@@ -285,8 +285,8 @@
         leases.collect()
     }
 
-    /// Grants a lease. One that another node holds and that has not expired is granted only if its
-    /// revision is still `seen`.
+    /// Grants a lease. If another node holds the lease and it has not expired, it is granted only
+    /// if its revision is still `seen`.
     fn acquire_lease(
         &mut self,
         peer: &Peer,
