--- a/crates/store/src/adaptive_timeout.rs
+++ b/crates/store/src/adaptive_timeout.rs
@@ -3,8 +3,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// Highest number of doublings of the timeout: a call on a connection that has gone silent
-/// must fail within the few seconds in which a version has to be in force.
+/// Maximum number of doublings of the timeout: a call on a connection that has gone silent must
+/// fail within the few seconds in which a version has to be in force.
 const MAX_DOUBLINGS: u32 = 2;
 
 /// Timeout of a call, which doubles while the platform is slow.
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Records that a call got its response after `time`; a fast response resets the timeout.
+    /// Records that a call got its response after `time`; a response in less than half the initial
+    /// timeout resets the timeout to its initial value.
     pub fn record_response(&self, time: Duration) {
         if time < self.base / 2 {
             self.doublings.store(0, Ordering::Relaxed);
--- a/crates/store/src/board.rs
+++ b/crates/store/src/board.rs
@@ -14,7 +14,7 @@
 /// Folder that holds one object per root lease.
 pub const FOLDER: &str = "crashes/";
 
-/// Objects read per list request.
+/// Number of objects read per list request.
 const PAGE_SIZE: usize = 100;
 
 /// Content of an object: the crashes that a root remembers.
@@ -48,7 +48,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform can't be reached, or when another holder writes at the same time.
+    /// Fails when the platform can't be reached, or when another holder of the lease writes at the
+    /// same time.
     pub async fn write(&self, lease: &str, crashes: &[Crash]) -> Result<(), Error> {
         let to_invalid = |error: serde_json::Error| Error::Invalid(error.to_string());
         let values = crashes.iter().map(serde_json::to_value);
--- a/crates/store/src/envelope.rs
+++ b/crates/store/src/envelope.rs
@@ -1,7 +1,8 @@
 //! Immutable values that may exceed the platform's size limit.
 //!
-//! A large value is split into parts, which are written first, under a random nonce. The
-//! object that references them is written last, so that a reader who sees it finds every part.
+//! A large value is split into parts, which are written first, under a random nonce. The object
+//! that references the parts is written last, so that a reader that finds this object also finds
+//! every part.
 
 use crate::MAX_VALUE_BYTES;
 use crate::{Error, Object, Store};
@@ -9,11 +10,11 @@
 use serde_json::Value;
 use smol_str::{SmolStr, format_smolstr};
 
-/// Longest text of one part, in bytes. Escaping it as a JSON string at most doubles its
-/// length, because the text is itself JSON without control characters.
+/// Maximum length of the text of one part, in bytes. Escaping the text as a JSON string at most
+/// doubles its length, because the text is itself JSON without control characters.
 const MAX_PART_BYTES: usize = (MAX_VALUE_BYTES - 1024) / 2;
 
-/// Attempts to write a part when the response is lost.
+/// Maximum number of attempts to write a part while responses are lost.
 const MAX_PART_ATTEMPTS: u32 = 3;
 
 /// Reference to the parts of a value.
@@ -51,8 +52,8 @@
     parts
 }
 
-/// Writes a part. If it exists already, an earlier request of this call wrote it and its
-/// response was lost.
+/// Writes a part. If the part exists already, it was written by an earlier request of this call
+/// whose response was lost.
 async fn write_part<S>(store: &S, name: &str, part: &str) -> Result<(), Error>
 where
     S: Store,
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -7,12 +7,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Ceiling of the first delay before the platform is called again.
+/// Upper bound of the random delay before the platform is called again after a first failure.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
 
-/// Highest ceiling of the delay. The end of an outage of an hour must not cause a burst of
-/// calls, yet recovery must not take longer than the few seconds in which a version has to be
-/// in force.
+/// Upper bound of this delay after any number of failures. The end of an outage of an hour must not
+/// cause a burst of calls, yet recovery must not take longer than the few seconds in which a
+/// version has to be in force.
 const BACKOFF_CAP: Duration = Duration::from_secs(5);
 
 /// What a [`Follower`] returns.
@@ -64,7 +64,9 @@
         self.is_connected
     }
 
-    /// Waits for the next update, across outages. Record numbers only grow, and none is skipped.
+    /// Waits for the next update, across outages. The numbers of the returned records only grow,
+    /// and no record is skipped: a record that is not returned by itself is part of a
+    /// [`JournalUpdate::Reset`].
     pub async fn next(&mut self) -> JournalUpdate {
         loop {
             if let Some(record) = self.next_pending() {
@@ -93,7 +95,7 @@
                 return Some(record);
             }
             if record.number > position {
-                // The watch has skipped a record; reading the journal returns all of them.
+                // The watch has skipped a record; reading the journal returns all records.
                 self.pending.clear();
                 self.watch = None;
             }
@@ -101,8 +103,8 @@
         None
     }
 
-    /// Waits for the next event of the watch; without a watch, reads the missing records and
-    /// opens one.
+    /// Waits for the next event of the watch; without a watch, reads the missing records and opens
+    /// a watch.
     async fn advance(&mut self) -> Result<Option<LoadedJournal>, Error> {
         let Some(watch) = &mut self.watch else {
             return self.catch_up().await;
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -1,14 +1,13 @@
 //! Append-only journals of numbered, immutable records in the platform's store.
 //!
-//! A record is appended by creating the object of the next number if it does
-//! not exist. This creation is the linearization point: of all writers that
-//! try to create a number one succeeds, and the others learn whose record is
-//! stored there. Correctness needs nothing else, neither leases nor
-//! synchronized clocks.
+//! A record is appended by creating the object of the next number if it does not exist. This
+//! creation is the linearization point: of all writers that try to create the object of a number,
+//! one succeeds, and the others learn whose record is stored at that number. Correctness needs
+//! nothing else, neither leases nor synchronized clocks.
 //!
-//! Snapshots let readers start late and old records be removed (see
-//! [`crate::retention`]). The object `head` names the snapshot to start from and
-//! the floor: records up to the floor may have been removed.
+//! Snapshots let readers start late and old records be removed (see [`crate::retention`]). The
+//! object `head` holds the number of the snapshot to start from, and the floor: records up to the
+//! floor may have been removed.
 
 use crate::envelope::{make_envelope, read_envelope};
 use crate::{Error, Object, Revision, Store};
@@ -18,50 +17,50 @@
 use smol_str::SmolStr;
 use std::time::{Duration, Instant, SystemTime};
 
-/// A writer that creates a record longer than this after it read the number as
-/// free checks the number against the floor. Records are kept at least ten
-/// times as long ([`crate::retention::RETENTION`]), which leaves a wide margin
-/// for clocks that differ.
+/// If more than this time passes between reading a number as free and creating its record, the
+/// writer checks that the number is above the floor. Records are kept at least ten times as long
+/// ([`crate::retention::RETENTION`]), which leaves a wide margin for clocks that differ.
 pub const FLOOR_CHECK_AFTER: Duration = Duration::from_mins(1);
 
-/// Attempts at a creation whose response is lost, before the caller gets the error.
+/// Maximum number of attempts to create a record while responses are lost, before the caller gets
+/// the error.
 const MAX_CREATE_ATTEMPTS: u32 = 3;
 
-/// Pause before another attempt.
+/// Pause before another attempt to create a record.
 const ATTEMPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Records read per list request.
+/// Number of records read per list request.
 const PAGE_SIZE: usize = 50;
 
-/// Attempts to load a journal while records are being removed.
+/// Maximum number of attempts to load a journal from which records are being removed.
 const MAX_LOAD_ATTEMPTS: u32 = 8;
 
 /// A record of a journal.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
-    /// Its number; the first is 1.
+    /// Number of the record; the first record of a journal has number 1.
     pub number: u64,
-    /// Identifies the append that wrote it; chosen by the writer.
+    /// Identifies the append that wrote the record; chosen by the writer.
     pub nonce: SmolStr,
-    /// Its content.
+    /// Content of the record.
     pub value: Value,
 }
 
 /// Result of an append whose outcome is certain.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AppendOutcome {
-    /// The record is stored at the number.
+    /// The record is stored at its number.
     Written,
-    /// Another writer's record is stored there.
+    /// Another writer's record is stored at the number.
     Taken(Record),
 }
 
-/// The records after the last one that the reader already has.
+/// The records after the last record that the reader already has.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tail {
     /// The records, in order and without gaps.
     pub records: Vec<Record>,
-    /// The revision at which they were read; a watch from here misses no later record.
+    /// Revision at which the records were read; a watch from this revision misses no later record.
     pub revision: Revision,
 }
 
@@ -70,7 +69,7 @@
 pub struct LoadedJournal {
     /// Number of the last record that the snapshot includes, or 0.
     pub snapshot_number: u64,
-    /// The snapshot, if one has been written.
+    /// The last snapshot, or `None` if no snapshot has been written.
     pub snapshot: Option<Value>,
     /// The records after the snapshot.
     pub tail: Tail,
@@ -196,17 +195,18 @@
         format!("{}/head", self.name)
     }
 
-    /// Writes a record at `number`, which the writer read as free after `free_at`.
+    /// Writes a record at `number`. The writer has read the number as free, and has taken `free_at`
+    /// before that read.
     ///
     /// An append with the same `nonce` may be repeated any number of times; at
     /// most one record is written.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] if the record may have been written or may still be
-    /// written later, [`Error::Gone`] if the number was removed long ago, so
-    /// that only the snapshot shows what was stored there. After any other
-    /// error the record is certainly not written.
+    /// [`Error::Unknown`] if the record may have been written or may still be written later,
+    /// [`Error::Gone`] if the record of the number was removed long ago, so that only the snapshot
+    /// shows what was stored at the number. After any other error the record is certainly not
+    /// written.
     pub async fn append(
         &self,
         number: u64,
@@ -237,9 +237,9 @@
         Err(unknown.unwrap_or_else(|| Error::Unavailable("no attempt was made".into())))
     }
 
-    /// Finds out whose record is stored at a number that is taken.
+    /// Finds out whose record is stored at a number that can't be created.
     ///
-    /// After a lost response it may be the writer's own, which the nonce shows.
+    /// After a lost response the record may be the writer's own, which its nonce shows.
     async fn resolve_conflict(
         &self,
         number: u64,
@@ -255,11 +255,10 @@
 
     /// Confirms that a record that was written is part of the journal.
     ///
-    /// A writer that was paused for hours may find its number free again,
-    /// because the record that was stored there has been removed. Its creation
-    /// then succeeds, but the record is not part of the journal. Records are
-    /// kept much longer than [`FLOOR_CHECK_AFTER`], so only a slow writer has to
-    /// check the floor.
+    /// A writer that was paused for hours may find its number free again, because the record that
+    /// was stored at the number has been removed. The writer can then create a record at the
+    /// number, but this record is not part of the journal. Records are kept much longer than
+    /// [`FLOOR_CHECK_AFTER`], so only a slow writer has to check the floor.
     async fn confirm(&self, number: u64, free_at: Timestamp) -> Result<AppendOutcome, Error> {
         if free_at.max_elapsed(&self.clock) < FLOOR_CHECK_AFTER {
             return Ok(AppendOutcome::Written);
@@ -271,11 +270,12 @@
         }
     }
 
-    /// Reads the record of a number, if there is one.
+    /// Reads the record of a number; `None` if no record is stored at the number.
     ///
     /// # Errors
     ///
-    /// [`Error::Gone`] if the number is at or below the floor.
+    /// [`Error::Gone`] if a record is stored at the number, but the number is at or below the
+    /// floor. Any other error if the platform can't be read.
     pub async fn get(&self, number: u64) -> Result<Option<Record>, Error> {
         let Some(object) = self.store.get(&self.record_name(number)).await? else {
             return Ok(None);
@@ -331,7 +331,8 @@
         }
     }
 
-    /// Decodes the record that an object holds; `None` if its name has no number.
+    /// Decodes the record that an object holds; `None` if the object's name does not end in a
+    /// number.
     pub(crate) async fn decode_record(&self, object: Object) -> Result<Option<Record>, Error> {
         let Some(number) = parse_number(&object.name) else {
             return Ok(None);
--- a/crates/store/src/latest.rs
+++ b/crates/store/src/latest.rs
@@ -6,14 +6,14 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Ceiling of the first delay before the platform is called again.
+/// Upper bound of the random delay before the platform is called again after a first failure.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
 
-/// Highest ceiling of the delay. A version has to be in force 2 s after the platform accepted
-/// it, even if that was the platform's first write after an outage.
+/// Upper bound of this delay after any number of failures. A version has to be in force 2 s after
+/// the platform accepted it, even if that was the platform's first write after an outage.
 const BACKOFF_CAP: Duration = Duration::from_millis(800);
 
-/// Objects read per list request; the folder holds only a few.
+/// Number of objects read per list request; a folder holds fewer.
 const PAGE_SIZE: usize = 100;
 
 /// Follows one object, or all objects of a folder, that are replaced as a whole.
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Receives the next event, or lists the folder and opens the watch if there is none.
+    /// Receives the next event of the watch. If no watch is open, lists the folder and opens a
+    /// watch.
     async fn advance(&mut self) -> Result<(), Error> {
         let Some(watch) = &mut self.watch else {
             return self.list_and_watch().await;
--- a/crates/store/src/lease.rs
+++ b/crates/store/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases, which assign a task to one process at a time. They only avoid duplicate work.
+//! Leases, which assign a task to one process at a time. Leases only avoid duplicate work.
 //!
 //! A lease does not protect its holder's writes: a holder that was paused may still act after
 //! its lease has expired, before it checks the clock. Anything that correctness depends on is
@@ -31,7 +31,7 @@
     pub duration: Duration,
 }
 
-/// Leases read per list request.
+/// Number of leases read per list request.
 const PAGE_SIZE: usize = 100;
 
 /// Reads all leases whose names start with `prefix`. Unless `is_exact`, the result may be some
@@ -124,8 +124,9 @@
 
     /// Returns whether the lease is certainly held now.
     ///
-    /// The duration counts from before the renewal was sent. A holder that was paused learns only
-    /// here that its lease may have expired, so it has to check each time before it acts.
+    /// The lease's duration counts from before its last renewal was sent. A holder that was paused
+    /// learns only from this method that its lease may have expired, so it has to call the method
+    /// each time before it acts.
     #[must_use]
     pub fn is_held(&self) -> bool {
         self.expires_at
@@ -140,7 +141,8 @@
 
     /// Renews the lease, or acquires it when it is free or has expired. Returns whether it is held.
     ///
-    /// Has to be called several times within the lease's duration.
+    /// To keep the lease, the holder has to call this method several times within the lease's
+    /// duration.
     ///
     /// # Errors
     ///
@@ -261,7 +263,7 @@
     /// Returns whether another process's lease has been unchanged for its whole duration.
     ///
     /// The duration counts, by this process's clock, from when it first saw the lease's revision.
-    /// The holder counts from before its write was sent, so it stops acting earlier.
+    /// The holder counts the duration from before its write was sent, so it stops acting earlier.
     fn has_expired(&mut self, object: &Object) -> bool {
         let now = self.clock.now();
         if let Some(observed) = &self.observed
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Events kept for watches that start in the past; a watch that starts before them gets
-/// [`Error::Gone`].
+/// Number of events kept for watches that start in the past; a watch that starts before the oldest
+/// of them gets [`Error::Gone`].
 const MAX_HISTORY: usize = 4096;
 
 /// Interval between the bookmarks of a watch.
@@ -32,7 +32,7 @@
     pub slow_ms: u64,
     /// Number of upcoming writes that take effect, but whose responses are lost.
     pub lose_next: u32,
-    /// Share of writes that take effect, but whose responses are lost, in percent.
+    /// Percentage of writes that take effect, but whose responses are lost.
     pub lose_percent: u8,
     /// Number of upcoming writes whose requests are delayed: they take effect only when
     /// [`MemoryStore::deliver_late_writes`] is called.
@@ -41,7 +41,7 @@
     pub silent_watches: bool,
 }
 
-/// Number of calls received so far; a watch counts once, when it is opened.
+/// Numbers of calls received so far; a watch counts once, when it is opened.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Reads and list requests.
@@ -175,7 +175,9 @@
             object
         };
         let objects = backup.objects.into_iter();
-        state.objects = objects.map(|(name, one)| (name, restore(one))).collect();
+        state.objects = objects
+            .map(|(name, object)| (name, restore(object)))
+            .collect();
         state.revision = Revision {
             era,
             number: backup.number,
@@ -255,9 +257,9 @@
     ) {
         let mut changed = self.changed.subscribe();
         let mut position = from;
-        // Bookmarks are due at fixed times, not after a time without events:
-        // otherwise a steady stream of writes to other folders, which wake this
-        // loop too, would postpone them forever.
+        // Bookmarks are due at fixed times, and not after a period without events. Otherwise a
+        // steady stream of writes to other folders would postpone bookmarks forever, as these
+        // writes wake this loop too.
         let mut bookmarks = tokio::time::interval(BOOKMARK_INTERVAL);
         bookmarks.reset();
         loop {
--- a/crates/store/src/propose.rs
+++ b/crates/store/src/propose.rs
@@ -1,9 +1,8 @@
 //! Proposals: a patch against a version is accepted, refused or never applied.
 //!
-//! A proposal against version N becomes version N + 1 by creating the record of
-//! that number, with the proposal's id as the nonce. A proposal may be submitted
-//! any number of times and from any process: its record is written once or not
-//! at all.
+//! A proposal against version N becomes version N + 1 when record N + 1 of the journal is created
+//! with the proposal's id as its nonce. A proposal may be submitted any number of times and from
+//! any process: its record is written once or not at all.
 
 use crate::journal::AppendOutcome;
 use crate::version::{Entry, Id, JOURNAL, State, Step, load};
@@ -13,8 +12,8 @@
 use smol_str::{SmolStr, format_smolstr};
 use std::time::UNIX_EPOCH;
 
-/// Versions between two snapshots: a reader that starts reads at most this
-/// many steps, and the cost of writing a snapshot is spread over as many.
+/// Number of versions between two snapshots. A reader that starts reads at most this many steps,
+/// and the cost of writing a snapshot is spread over this many versions.
 pub const SNAPSHOT_INTERVAL: usize = 64;
 
 /// A patch that an operator wants applied.
@@ -31,10 +30,11 @@
 /// Why a proposal is refused.
 #[derive(Debug)]
 pub enum Refusal {
-    /// Another proposal has become the version that this one would have become; holds the step to
-    /// that version.
+    /// Another proposal has become the version that this proposal would have become; holds the step
+    /// to that version.
     Crossed(Box<Step>),
-    /// As [`Refusal::Crossed`], but the step to that version is already part of a snapshot.
+    /// As [`Refusal::Crossed`], but the step to that version is already part of a snapshot; holds
+    /// the version.
     Superseded(Version),
     /// The version that the proposal is against doesn't exist; holds the last version.
     NoSuchBase(Version),
@@ -45,17 +45,18 @@
 /// Outcome of a proposal.
 #[derive(Debug)]
 pub enum Outcome {
-    /// It became this version; final.
+    /// The proposal became this version. This outcome is final.
     Accepted(Version),
-    /// It was not applied and never will be.
+    /// The proposal was not applied and never will be.
     Refused(Refusal),
-    /// It was not applied and never will be, although it was valid.
+    /// The proposal was valid, but was not applied and never will be.
     NeverApplied,
     /// This submission wrote nothing, because the platform was unreachable or
     /// refused the load; the outcome of earlier submissions of the same
     /// proposal remains open.
     NotSent(Error),
-    /// Not known yet: it may have been written, or may still be written later.
+    /// The outcome is not known yet: the proposal may have been written, or may still be written
+    /// later.
     Unknown(Error),
 }
 
@@ -96,10 +97,10 @@
 
 /// Finds out the outcome of a proposal and makes it final.
 ///
-/// If the proposal's number is still free, a void version, which changes
-/// nothing, is written there first. A delayed write, still in the network or in
-/// a paused process, then finds the number taken; without that, "never applied"
-/// might turn out false.
+/// If the version number that the proposal asks for is still free, a void version, which changes
+/// nothing, is written at that number first. A delayed write of the proposal, still in the network
+/// or in a paused process, then finds the number taken. Otherwise the outcome "never applied" might
+/// turn out false.
 pub async fn resolve<S, C>(journal: &Journal<S, C>, id: &Id, author: &str) -> Outcome
 where
     S: Store,
@@ -126,8 +127,8 @@
             "the void version can't be encoded as JSON".into(),
         ));
     };
-    // If two callers resolve the same proposal at the same time, only one of their void versions
-    // is written, and both see that one.
+    // If two callers resolve the same proposal at the same time, only one of their two void
+    // versions is written, and both callers see it as the outcome.
     let nonce = format_smolstr!("void-{}", Id::generate(id.base));
     let number = state.version.next().0;
     let appended = journal.append(number, &nonce, &value, free_at).await;
@@ -138,7 +139,8 @@
     }
 }
 
-/// Returns the outcome as of `state`; `None` while the proposal's number is free.
+/// Returns the outcome of a proposal as of `state`; `None` while the version number that the
+/// proposal asks for is free.
 fn known_outcome(state: &State, id: &Id) -> Option<Outcome> {
     let version = id.base.next();
     if version > state.version.next() {
@@ -158,7 +160,8 @@
     })
 }
 
-/// Returns the outcome of a proposal at whose number `holder` is stored.
+/// Returns the outcome of the proposal `id`, if `holder` is the step stored at the version number
+/// that the proposal asks for.
 fn outcome_of_holder(id: &Id, holder: Step) -> Outcome {
     if holder.entry.proposal != *id {
         Outcome::Refused(Refusal::Crossed(Box::new(holder)))
@@ -169,7 +172,8 @@
     }
 }
 
-/// Returns the outcome of a proposal from an append at its number: `written` if that succeeded.
+/// Returns the outcome of the proposal `id` from the result of an append at the version number that
+/// the proposal asks for; `written` if the append succeeded.
 fn outcome_of_append(id: &Id, appended: Result<AppendOutcome, Error>, written: Outcome) -> Outcome {
     match appended {
         Ok(AppendOutcome::Written) => written,
@@ -212,9 +216,10 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Writes a snapshot if [`SNAPSHOT_INTERVAL`] steps were written since the last one.
+/// Writes a snapshot if [`SNAPSHOT_INTERVAL`] steps were written since the last snapshot.
 ///
-/// Snapshots only save readers work: if this fails, the next proposal tries again.
+/// A snapshot only makes reading cheaper, so a failure is ignored and the next proposal tries
+/// again.
 async fn write_snapshot_if_due<S, C>(
     journal: &Journal<S, C>,
     mut state: State,
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -8,23 +8,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time for which a record is kept after a snapshot that contains it was first seen.
+/// Time for which a record is kept after a snapshot that contains the record was first seen.
 ///
-/// It must be far above [`crate::journal::FLOOR_CHECK_AFTER`], and above the longest time that a
-/// reader takes from reading a snapshot to reading the records after it.
+/// This time must be far above [`crate::journal::FLOOR_CHECK_AFTER`], and above the longest time
+/// that a reader takes from reading a snapshot to reading the records after it.
 pub const RETENTION: Duration = Duration::from_mins(10);
 
-/// Highest number of objects removed per call of [`Journal::remove_old`]. Removal thus stays a
-/// small part of the platform's writes, and a page of the largest values fits in a node's memory.
+/// Maximum number of objects removed per call of [`Journal::remove_old`]. Removals thus stay a
+/// small part of the platform's writes, and one page of listed objects with the largest values fits
+/// in a node's memory.
 const MAX_REMOVALS: usize = 8;
 
-/// Attempts to update the head while other processes update it too.
+/// Maximum number of attempts to update the head while other processes update it too.
 const MAX_HEAD_ATTEMPTS: u32 = 4;
 
 /// Tracks how long ago this process first saw each of a journal's snapshots.
 ///
-/// Ages count from that moment, so clocks of different processes need not agree. A process that
-/// has just started therefore removes nothing at first.
+/// The age of a snapshot counts from the moment at which this process first saw it, so the clocks
+/// of different processes need not agree. A process that has just started therefore removes nothing
+/// at first.
 #[derive(Debug, Clone, Default)]
 pub struct RetentionTracker {
     /// When each snapshot was first seen, and its number, oldest first.
@@ -36,7 +38,8 @@
     S: Store,
     C: Clock,
 {
-    /// Writes a snapshot that contains all records up to `number`, and makes readers start there.
+    /// Writes a snapshot that contains all records up to `number`, and makes readers start from
+    /// this snapshot.
     ///
     /// # Errors
     ///
@@ -65,8 +68,8 @@
         Ok(())
     }
 
-    /// Removes some of the objects that no reader needs any more. Returns whether some may be
-    /// left.
+    /// Removes some of the objects that no reader needs any more. Returns whether more such objects
+    /// may be left.
     ///
     /// The last `keep` records before the last snapshot are always kept.
     ///
@@ -82,8 +85,8 @@
         let aged_snapshot =
             retention.observe(Timestamp::now(&self.clock), head.snapshot, &self.clock);
         let floor = aged_snapshot.min(head.snapshot.saturating_sub(keep));
-        // The floor is raised before anything is removed, so that a reader that checks it after
-        // reading can't mistake a gap for the end of the journal.
+        // The floor is raised before anything is removed, so that a reader that checks the floor
+        // after reading records can't mistake a gap for the end of the journal.
         let head = self
             .update_head(|head| Head {
                 floor: head.floor.max(floor),
@@ -129,8 +132,8 @@
             }
             match self.write_head(next, revision).await {
                 Ok(_) => return Ok(next),
-                // Another process updated the head, or this attempt did and the response was
-                // lost; reading it again covers both cases.
+                // Another process updated the head, or this attempt did and the response was lost;
+                // reading the head again covers both cases.
                 Err(Error::Conflict | Error::Unknown(_)) => {}
                 Err(error) => return Err(error),
             }
@@ -151,8 +154,9 @@
 }
 
 impl RetentionTracker {
-    /// Records that `snapshot` is the last one now. Returns the newest snapshot first seen at
-    /// least [`RETENTION`] ago, or 0 if there is none.
+    /// Records that `snapshot` is the number of the last snapshot at `now`. Returns the number of
+    /// the newest snapshot that was first seen at least [`RETENTION`] ago, or 0 if there is no such
+    /// snapshot.
     fn observe<C>(&mut self, now: Timestamp, snapshot: u64, clock: &C) -> u64
     where
         C: Clock,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use tokio::sync::{mpsc, watch};
 
-/// Largest value, in bytes of JSON (the platform's limit is a megabyte).
+/// Maximum size of a value, in bytes of JSON (the platform's limit is a megabyte).
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Position of a write in the order of all the platform's writes.
@@ -40,7 +40,8 @@
     pub revision: Revision,
     /// Content of the object.
     pub value: Value,
-    /// Status reported by the process that acts on the object; null until one has reported.
+    /// Status reported by the process that acts on the object; null until such a process has
+    /// reported.
     pub status: Value,
 }
 
@@ -49,9 +50,9 @@
 pub struct List {
     /// The objects.
     pub items: Vec<Object>,
-    /// Revision of the read; a watch from this revision misses no write.
+    /// Revision at which the objects were read; a watch from this revision misses no later write.
     pub revision: Revision,
-    /// Whether more objects follow the last one.
+    /// Whether more objects follow the last object of this page.
     pub has_more: bool,
 }
 
@@ -89,7 +90,7 @@
     }
 }
 
-/// Events buffered for the reader of a watch before the sender has to wait.
+/// Number of events that are buffered for the reader of a watch before the sender has to wait.
 const WATCH_BUFFER: usize = 64;
 
 /// A running watch, which ends when it is dropped.
@@ -110,8 +111,8 @@
     ///
     /// # Errors
     ///
-    /// Any error ends the watch. [`Error::Gone`] requires a new list, all others a new watch
-    /// from the last event's revision.
+    /// Any error ends the watch. After [`Error::Gone`] the reader has to list the objects again;
+    /// after any other error it has to open a new watch from the revision of the last event.
     pub async fn next(&mut self) -> Result<Event, Error> {
         match self.events.recv().await {
             Some(event) => event,
@@ -188,7 +189,8 @@
         expected: Revision,
     ) -> impl Future<Output = Result<Revision, Error>> + Send;
 
-    /// Deletes an object; if `expected` is given, only while it is at that revision.
+    /// Deletes an object. If `expected` is given, the object is deleted only while it is at that
+    /// revision.
     fn delete(
         &self,
         name: &str,
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -11,22 +11,22 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Name of the journal.
+/// Name of the journal of versions in the platform's store.
 pub const JOURNAL: &str = "versions";
 
-/// Versions whose proposals a snapshot keeps, so that an operator can still
-/// query an outcome the next day (3,700 changes a day).
+/// Number of versions for which a snapshot keeps the proposal, so that an operator can still query
+/// a proposal's outcome the next day (at 3,700 changes a day).
 const MAX_ORIGINS: usize = 4_000;
 
-/// Longest random part of a proposal's id, in bytes.
+/// Maximum length of the random part of a proposal's id, in bytes.
 const MAX_NONCE_LEN: usize = 64;
 
 /// Identifies a proposal: the version that it is against, and a random part.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id {
-    /// The version that the proposal is against: the last one that the operator saw.
+    /// The version that the proposal is against: the last version that the operator saw.
     pub base: Version,
-    /// Distinguishes the proposals against one version.
+    /// Distinguishes the proposals against the same version.
     pub nonce: SmolStr,
 }
 
@@ -34,7 +34,7 @@
     /// Error of parsing a proposal's id.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ParseIdError {
-        /// The text is not a number, a hyphen, and ASCII letters or digits.
+        /// The text does not consist of a version number, a hyphen, and ASCII letters or digits.
         Malformed(text: SmolStr) {
             display("{:?} is no proposal's name, such as 7-3f9a20c1", text)
         }
@@ -98,19 +98,19 @@
 /// Content of a version's record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The proposal that was accepted, or the one that a void version rules out.
+    /// The proposal that was accepted, or the proposal that a void version rules out.
     pub proposal: Id,
     /// Whether the version is void: it changes nothing and only occupies the
     /// number of a proposal whose outcome was unknown.
     #[serde(default)]
     pub void: bool,
-    /// The operator who proposed it.
+    /// The operator who proposed the change.
     pub author: SmolStr,
-    /// When it was written, in milliseconds since the Unix epoch; only for display.
+    /// When the record was written, in milliseconds since the Unix epoch; only for display.
     pub at_ms: u64,
     /// The change.
     pub patch: Patch,
-    /// Digest of the full configuration after it.
+    /// Digest of the full configuration after the change.
     pub digest: Digest,
 }
 
@@ -119,7 +119,7 @@
 pub struct Step {
     /// The version after the step.
     pub version: Version,
-    /// Content of its record.
+    /// Content of the version's record.
     pub entry: Entry,
 }
 
@@ -144,7 +144,7 @@
 pub struct Origin {
     /// The proposal that was accepted or ruled out.
     pub proposal: Id,
-    /// As [`Entry::void`].
+    /// Whether the version is void, as in [`Entry::void`].
     #[serde(default)]
     pub void: bool,
 }
@@ -198,7 +198,8 @@
     ///
     /// # Errors
     ///
-    /// As [`State::build`]; the state is then unchanged.
+    /// If the step is not the next one, or can't be applied, or its digest differs from that of the
+    /// resulting configuration. The state is then unchanged.
     pub fn push(&mut self, step: Step) -> Result<(), Error> {
         let invalid = |why: String| Error::Invalid(format!("version {}: {why}", step.version));
         if step.version != self.version.next() {
@@ -225,7 +226,7 @@
         Ok(())
     }
 
-    /// Returns the origin of a version, if it is still kept.
+    /// Returns the origin of a version, unless the version is too old for its origin to be kept.
     #[must_use]
     pub fn origin(&self, version: Version) -> Option<&Origin> {
         self.origins.get(&version)
@@ -237,11 +238,11 @@
         self.steps.iter().find(|step| step.version == version)
     }
 
-    /// Encodes the state as a snapshot of this version.
+    /// Encodes the state as a snapshot of the last version.
     ///
     /// # Errors
     ///
-    /// Never in practice: all of it can be encoded as JSON.
+    /// Never in practice: every part of the state can be encoded as JSON.
     pub fn snapshot(&self) -> Result<serde_json::Value, Error> {
         let snapshot = Snapshot {
             mesh: self.mesh.clone(),
--- a/crates/store/tests/append.rs
+++ b/crates/store/tests/append.rs
@@ -64,8 +64,8 @@
     assert!(outcome.is_err_and(|error| !error.may_have_taken_effect()));
 }
 
-// All creation requests of an append are delayed and arrive after another writer
-// has taken the number. That writer must keep it.
+// All creation requests of an append are delayed and arrive after another writer has taken the
+// number. That writer must keep the number.
 #[tokio::test(start_paused = true)]
 async fn late_write() {
     let (memory, _, journal) = open();
@@ -128,10 +128,10 @@
     assert_eq!(journal.get(3).await, Ok(None));
 }
 
-// A writer is paused between reading that its number is free and writing, and
-// resumes after the record that was stored there meanwhile has been removed, so
-// that its creation succeeds. The append must fail, or an operator would be told
-// "accepted", and no reader may return the record.
+// A writer is paused between reading that a number is free and creating its record. Meanwhile
+// another record is stored at the number and removed again, so that the creation succeeds when the
+// writer resumes. The append must fail, or an operator would be told "accepted", and no reader may
+// return the record.
 #[tokio::test(start_paused = true)]
 async fn paused_beyond_removal() {
     let (_, clock, journal) = open();
--- a/crates/store/tests/eras.rs
+++ b/crates/store/tests/eras.rs
@@ -7,7 +7,8 @@
 
 const LEASE_DURATION: Duration = Duration::from_secs(10);
 
-/// An update conditional on a lost revision must fail, although a new object reuses its number.
+/// An update conditional on a lost revision must fail, although a new object reuses the number of
+/// that revision.
 #[tokio::test]
 async fn reused_revision() {
     let store = MemoryStore::new();
--- a/crates/store/tests/follower.rs
+++ b/crates/store/tests/follower.rs
@@ -74,7 +74,7 @@
     assert!(follower.is_connected());
 }
 
-// A reader is paused for so long that records it has not read are removed. It must get the
+// A reader is paused for so long that records it has not read are removed. The reader must get the
 // snapshot and all later records instead of a gap.
 #[tokio::test(start_paused = true)]
 async fn reset_after_removal() {
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -174,7 +174,7 @@
     }
 }
 
-/// Delays some writes and delivers them later, while others go on.
+/// Delays some writes and delivers them later, while other writes go on.
 async fn inject_faults(memory: MemoryStore, mut rng: SmallRng) {
     loop {
         let faults = Faults {
@@ -246,8 +246,8 @@
     );
 }
 
-// The check itself must detect a wrong outcome: here an operator is told "never
-// applied", and another one reads the patch afterwards.
+// The check itself must detect a wrong outcome: here an operator is told "never applied", and
+// another operator reads the patch afterwards.
 #[test]
 fn false_never_applied() {
     let id = Id {
--- a/crates/store/tests/lease.rs
+++ b/crates/store/tests/lease.rs
@@ -47,8 +47,8 @@
     assert_eq!(second.acquire_or_renew().await, Ok(true));
 }
 
-// A root's renewals take effect, but their responses are lost: it must keep its lease. When a
-// renewal did not take effect, it must not hold the lease past its expiry.
+// A root's renewals take effect, but their responses are lost: the root must keep its lease. If a
+// renewal did not take effect, the root must not count as the holder after the lease has expired.
 #[tokio::test]
 async fn renewal_response_lost() {
     let (memory, clock, mut first, mut second) = open();
@@ -72,7 +72,7 @@
     assert!(!first.is_held());
 }
 
-// A root is paused for longer than its lease and then continues. It must notice by the clock
+// A root is paused for longer than its lease and then continues. The root must notice by its clock
 // that another process may have acquired the lease.
 #[tokio::test]
 async fn paused_holder() {
--- a/crates/store/tests/proposal.rs
+++ b/crates/store/tests/proposal.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// More writes than a proposal or its resolution makes.
+/// More writes than the submission or the resolution of a proposal makes.
 const ALL_WRITES: u32 = 100;
 
 async fn service_names(journal: &VersionJournal) -> Vec<String> {
@@ -86,8 +86,8 @@
     assert_eq!(load(&journal).await.unwrap().version, Version::ZERO);
 }
 
-// The platform stores a proposal, but its first response is lost. The proposal
-// must be reported as accepted, and so must a later query for its outcome.
+// The platform stores a proposal, but the first response to the proposal is lost. The proposal must
+// be reported as accepted, and so must a later query for its outcome.
 #[tokio::test(start_paused = true)]
 async fn response_lost() {
     let (memory, journal) = open();
@@ -108,9 +108,9 @@
     );
 }
 
-// The write of a proposal is delayed; the operator queries the outcome and is told
-// "never applied". Then the write arrives after all. It must not be applied: the
-// number has to be taken before the outcome is reported.
+// The write of a proposal is delayed; the operator queries the outcome and is told "never applied".
+// Then the write arrives after all. The proposal must not be applied: its version number has to be
+// taken before the outcome is reported.
 #[tokio::test(start_paused = true)]
 async fn never_applied() {
     let (memory, journal) = open();
@@ -129,7 +129,7 @@
     assert!(service_names(&journal).await.is_empty());
 }
 
-// As above, but the write arrives before the query.
+// As in `never_applied`, but the write arrives before the operator queries the outcome.
 #[tokio::test(start_paused = true)]
 async fn delayed_but_accepted() {
     let (memory, journal) = open();
--- a/crates/store/tests/removal_race.rs
+++ b/crates/store/tests/removal_race.rs
@@ -100,7 +100,7 @@
         tokio::time::sleep(Duration::from_secs(rng.random_range(1..120))).await;
         if let Ok(names) = read_all(&journal).await {
             let (number, nonce) = (names.len() as u64, rng.random::<u32>().to_string());
-            // Lost responses and outages are part of the test.
+            // A failure is ignored: lost responses and outages are part of the test.
             drop(journal.write_snapshot(number, &nonce, &json!(names)).await);
         }
         while matches!(journal.remove_old(&mut retention, 2).await, Ok(true)) {}
