--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -19,23 +19,23 @@
     pub path: SmolStr,
     /// End-to-end headers, without hop-by-hop ones.
     pub headers: Vec<Header>,
-    /// Time left until the deadline when sent, in milliseconds.
+    /// Time left until the deadline when the request is sent, in milliseconds.
     pub timeout_ms: u32,
-    /// Time left until the latency target when sent, in milliseconds; an answer by then is worth
-    /// most.
+    /// Time left until the latency target when the request is sent, in milliseconds; an answer by
+    /// then is worth most.
     pub target_ms: Option<u32>,
     /// Class of the call: what it is worth.
     pub class: config::Class,
     /// For a nested call: the class of the call that runs on the sender's own backend server and
-    /// waits for this one.
+    /// waits for this call.
     #[serde(rename = "nested")]
     pub parent_class: Option<config::Class>,
-    /// The caller on whose behalf it runs, for fair sharing.
+    /// The caller on whose behalf the call runs, for fair sharing of capacity.
     pub caller: SmolStr,
     /// Hash of the call's route and method; calls with the same hash take about equally long.
     pub route: u64,
-    /// Bytes of the body that follow, as far as the sender knows: all of them, or those that it has
-    /// read so far.
+    /// Number of bytes of the body that follow, as far as the sender knows: the length of the whole
+    /// body, or of the part that the sender has read so far.
     pub length: u64,
     /// Whether no body follows.
     pub end: bool,
@@ -54,9 +54,9 @@
     pub status: u16,
     /// End-to-end headers, without hop-by-hop ones.
     pub headers: Vec<Header>,
-    /// Calls that run or wait at the inbound proxy, in percent of its slots.
+    /// Number of calls that run or wait at the inbound proxy, in percent of the proxy's slots.
     pub load_percent: u16,
-    /// Time that the call waited there for a slot, in milliseconds.
+    /// Time that the call waited for a slot at the inbound proxy, in milliseconds.
     #[serde(rename = "waited_ms")]
     pub queue_wait_ms: u32,
     /// Whether no body follows.
@@ -95,11 +95,11 @@
 /// The end of an attempt without a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The attempt that is refused.
+    /// The attempt that has ended.
     pub id: Id,
     /// Whether the call may have run.
     pub verdict: Verdict,
-    /// The reason.
+    /// Why there is no complete answer.
     pub reason: Reason,
     /// Time after which the call may be retried, in milliseconds.
     pub retry_after_ms: u32,
@@ -112,22 +112,22 @@
     Request(Request),
     /// Both directions: a chunk of a body.
     Body {
-        /// The attempt.
+        /// The attempt that this frame is about.
         id: Id,
-        /// The bytes.
+        /// Content of this chunk.
         bytes: Bytes,
         /// Whether this is the last chunk.
         end: bool,
     },
     /// Inbound to outbound: the head of an answer.
     Answer(Answer),
-    /// Inbound to outbound: there is no answer, or no more of it.
+    /// Inbound to outbound: the attempt ends without an answer, or in the middle of the answer.
     Refusal(Refusal),
     /// Outbound to inbound: the answer is no longer needed.
     Cancel(Id),
     /// Both directions: the receiver of a body grants credit for more bytes.
     Credit {
-        /// The attempt.
+        /// The attempt that this frame is about.
         id: Id,
         /// Number of further bytes that may be sent.
         bytes: u32,
@@ -135,15 +135,16 @@
     /// Outbound to inbound, first on a link: invalidates whatever still arrives over the sender's
     /// lower-numbered links.
     Open {
-        /// Number of this link; it rises with each link of one incarnation to a peer.
+        /// Number of this link, which is higher than the numbers of all earlier links from the
+        /// sending process to the same peer.
         link: u64,
     },
     /// Outbound to inbound: queries the outcome of an attempt that was sent over an earlier link.
     #[serde(rename = "Ask")]
     QueryOutcome {
-        /// The attempt.
+        /// The attempt that this frame is about.
         id: Id,
-        /// Number of the link that it was sent over.
+        /// Number of the link over which the attempt was sent.
         #[serde(rename = "link")]
         previous_link: u64,
         /// Whether the head of the answer has been received.
@@ -151,7 +152,7 @@
         head_received: bool,
         /// Bytes of the answer's body that have been received.
         received: u64,
-        /// Number of further bytes of it that may be sent.
+        /// Number of further bytes of the answer's body that may be sent.
         #[serde(rename = "room")]
         window: u32,
     },
@@ -181,7 +182,7 @@
     pub serial: u64,
     /// Service that the call is for.
     pub service: SmolStr,
-    /// Hash of its route and method.
+    /// Hash of the call's route and method.
     pub route: u64,
     /// Class of the call: what it is worth.
     pub class: config::Class,
@@ -204,22 +205,22 @@
     /// Whether the call would be admitted.
     #[serde(rename = "takes")]
     pub accepts: bool,
-    /// Time that it would wait for a slot, in milliseconds.
+    /// Time that the call would wait for a slot, in milliseconds.
     pub wait_ms: u32,
-    /// Time that calls of its route run, in milliseconds, if any has run.
+    /// Time that calls with the same route and method run, in milliseconds; `None` if none has run.
     pub run_ms: Option<u32>,
-    /// Calls that run or wait, in percent of the slots.
+    /// Number of calls that run or wait at the inbound proxy, in percent of the proxy's slots.
     pub load_percent: u16,
 }
 
-/// Longest request body, in bytes, that is sent right after the head; nothing of a longer one is
-/// sent before the first [`Frame::Credit`].
+/// Maximum size of a request body, in bytes, that is sent right after the head. Nothing of a longer
+/// body is sent before the first [`Frame::Credit`].
 ///
 /// If a call with a longer body is refused, only its head has been sent in vain. Forms and searches
 /// are a few hundred bytes; waiting for credit would only cost them another round trip.
 pub const MAX_EAGER_BODY_BYTES: usize = 4 << 10;
 
-/// Bytes of an answer's body that may be sent before the first [`Frame::Credit`].
+/// Number of bytes of an answer's body that may be sent before the first [`Frame::Credit`].
 ///
 /// The round trip within a region is about 1 ms, so a body still moves at 64 MB per second, and
 /// a thousand answers that nobody reads hold 64 MB at most.
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -5,7 +5,8 @@
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Longest frame, in bytes: the platform's largest value (1 MB) and its envelope.
+/// Maximum length of a frame, in bytes: room for the platform's largest value (1 MB) and for the
+/// fields around it.
 pub const MAX_FRAME_BYTES: usize = (1 << 20) + (64 << 10);
 
 /// Length of a frame's length prefix, in bytes.
@@ -35,13 +36,13 @@
     Ok(())
 }
 
-/// Decodes the first frame of `bytes`; returns it with the number of bytes it takes up, or `None`
-/// if it is not complete yet.
+/// Decodes the first frame of `bytes`. Returns the frame and the number of bytes that it takes up,
+/// or `None` if the frame is not complete yet.
 ///
 /// # Errors
 ///
-/// If the announced length is over [`MAX_FRAME_BYTES`], which is checked before any
-/// memory is allocated for it, or the bytes are not a valid frame.
+/// If the announced length is over [`MAX_FRAME_BYTES`], which is checked before any memory is
+/// allocated for the frame, or if the bytes are not a valid frame.
 pub fn decode<T>(bytes: &[u8]) -> Result<Option<(T, usize)>, Error>
 where
     T: DeserializeOwned,
@@ -109,7 +110,7 @@
     Ok(())
 }
 
-/// Longest hello, in bytes: names of at most 255 bytes and a few numbers.
+/// Maximum length of a hello, in bytes: a hello holds names of at most 255 bytes and a few numbers.
 pub const MAX_HELLO_BYTES: usize = 1 << 10;
 
 /// Reads the first frame of a link, from a peer that has not identified itself yet.
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -20,22 +20,24 @@
 
 pub use status::{FleetVersions as Status, RefusedVersion, VersionCount};
 
-/// Bytes of a configuration in one [`Chunk`]: short enough not to delay the heartbeats behind it.
+/// Maximum number of bytes in one [`Chunk`]: few enough that a chunk does not delay the heartbeats
+/// sent after it.
 pub const CHUNK_SIZE: usize = 64 << 10;
 
-/// Maximum number of chunks of a configuration: 16 MB, forty times the planned size.
+/// Maximum number of chunks of a configuration: together 16 MB, forty times the planned size.
 pub const MAX_CHUNKS: u32 = 256;
 
-/// Maximum number of endpoints in one frame: about 30 KB.
+/// Maximum number of endpoints in one frame, which is then about 30 KB long.
 pub const MAX_ENDPOINTS: usize = 512;
 
-/// Maximum number of crashes in one frame: about 50 KB.
+/// Maximum number of crashes in one frame, which is then about 50 KB long.
 pub const MAX_CRASHES: usize = 256;
 
-/// Maximum number of roll-outs in one frame: about 40 KB.
+/// Maximum number of roll-outs in one frame, which is then about 40 KB long.
 pub const MAX_ROLLOUTS: usize = 512;
 
-/// Buckets of a table of endpoints; each has a checksum, to find the endpoints that differ.
+/// Number of buckets of an endpoint table; each bucket has a checksum, by which two nodes find the
+/// endpoints that differ.
 pub const BUCKET_COUNT: usize = 256;
 
 /// A node, and where other nodes reach it.
@@ -45,7 +47,7 @@
     pub node: SmolStr,
     /// Availability zone of the node.
     pub zone: SmolStr,
-    /// Where it listens for other nodes.
+    /// Address at which the node listens for other nodes.
     pub address: SocketAddr,
 }
 
@@ -81,11 +83,11 @@
     pub version: Version,
     /// Digest of the configuration.
     pub digest: Digest,
-    /// Index of this chunk.
+    /// Index of this chunk in the configuration, from 0.
     pub index: u32,
-    /// Number of chunks.
+    /// Number of chunks of the configuration.
     pub count: u32,
-    /// The bytes.
+    /// This part of the compressed configuration.
     pub bytes: Bytes,
 }
 
@@ -93,11 +95,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Part")]
 pub struct RolloutTally {
-    /// The service.
+    /// Service whose version is rolled out.
     pub service: SmolStr,
     /// The version that is rolled out.
     pub target: SmolStr,
-    /// The counts.
+    /// The call results.
     pub tally: Tally,
 }
 
@@ -108,14 +110,14 @@
     Join {
         /// Where the sender listens for other nodes.
         address: SocketAddr,
-        /// Version that it holds.
+        /// Version that the sender holds.
         version: Version,
     },
     /// Asks to become a root peer, from root to root; first frame of the connecting side.
     Meet {
         /// Where the sender listens for other nodes.
         address: SocketAddr,
-        /// Version that it holds.
+        /// Version that the sender holds.
         version: Version,
     },
     /// Asks only for the version that the receiver holds; first frame of the connecting side.
@@ -129,7 +131,7 @@
         version: Version,
         /// Whether the sender serves.
         is_ready: bool,
-        /// Other candidates for a parent, in case this one is lost.
+        /// Other candidates for a parent, in case the sender is lost.
         parents: Vec<Peer>,
     },
     /// Refuses a child or a root peer; also the reply to [`Frame::QueryVersion`].
@@ -143,9 +145,10 @@
         /// Other candidates for a parent.
         parents: Vec<Peer>,
     },
-    /// The sender's path from the root has changed; empty if it has none.
+    /// The sender's path from the root has changed; the list is empty if the sender has no path to
+    /// a root.
     Path(Vec<SmolStr>),
-    /// Sent at regular intervals.
+    /// Sent at regular intervals over an established link.
     #[serde(rename = "Beat")]
     Heartbeat(Heartbeat),
     /// The step from one version to a later one.
@@ -159,7 +162,7 @@
         /// Digest of the full configuration after the step.
         digest: Digest,
     },
-    /// Requests everything after a version.
+    /// Requests all versions after the version that the sender holds.
     #[serde(rename = "Want")]
     RequestUpdates {
         /// The version that the sender holds.
@@ -206,11 +209,10 @@
 
 /// Compresses a full configuration and splits it into chunks.
 ///
-/// Without compression a version with many routes takes seconds to reach the
-/// fleet: 1,640 routes take up 75 kB, each inner node sends them to up to 16
-/// children, and the links of the smallest VMs carry 5 Mbit/s, which takes
-/// 1.9 s. Compressed they take up 9.7 kB (`fleet/tests/refusal.rs`,
-/// `many_routes_short`).
+/// Without compression a version with many routes takes seconds to reach the fleet: 1,640 routes
+/// take up 75 kB, a root sends them to up to 16 children, and the links of the smallest VMs carry 5
+/// Mbit/s, so that sending takes 1.9 s. Compressed, these routes take up 9.7 kB
+/// (`fleet/tests/refusal.rs`, `many_routes_short`).
 ///
 /// # Errors
 ///
@@ -242,7 +244,8 @@
 /// If the bytes are not a configuration, or it is too long.
 pub fn decode_chunks(bytes: &[u8]) -> Result<Mesh, Error> {
     let mut config = Vec::new();
-    // A few compressed bytes of a peer may expand to a huge configuration.
+    // The size is limited because a few compressed bytes from a peer may expand to a huge
+    // configuration.
     let decoder = DeflateDecoder::new(bytes).take(MAX_FULL_BYTES + 1);
     { decoder }.read_to_end(&mut config)?;
     if config.len() as u64 > MAX_FULL_BYTES {
--- a/crates/wire/src/reserve.rs
+++ b/crates/wire/src/reserve.rs
@@ -26,8 +26,8 @@
         /// The result.
         reply: Reply,
     },
-    /// To the owner: the outcome of a granted claim, which is a completion or a release. It gets no
-    /// reply.
+    /// To the owner: the outcome of a granted claim, which is a completion or a release. This frame
+    /// gets no reply.
     #[serde(rename = "Note")]
     Outcome(Entry),
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -10,7 +10,7 @@
 use wire::{Error, Frame, Hello, LinkKind, PROTOCOL_VERSION};
 
 /// Number of random inputs per property.
-const CASES: u32 = 500;
+const CASES_PER_PROPERTY: u32 = 500;
 
 fn run<S, F>(strategy: &S, test: F)
 where
@@ -18,7 +18,7 @@
     F: Fn(S::Value) -> Result<(), TestCaseError>,
 {
     let config = Config {
-        cases: CASES,
+        cases: CASES_PER_PROPERTY,
         failure_persistence: None,
         ..Config::default()
     };
@@ -145,7 +145,8 @@
     run(
         &proptest::collection::vec(any::<u8>(), 0..600),
         |mut bytes| {
-            // As they are, and as the body of a frame with a correct length prefix.
+            // The bytes are decoded as they are, and as the body of a frame with a correct length
+            // prefix.
             if let Ok(Some((_, used))) = decode::<Frame>(&bytes) {
                 prop_assert!(used <= bytes.len());
             }
@@ -166,7 +167,7 @@
         let mut buffer = encode_all(&[frame]);
         let index = PREFIX_LEN + index.index(buffer.len() - PREFIX_LEN);
         buffer[index] ^= 1 << bit;
-        // An error or another frame; never a panic.
+        // The result must be an error or another frame, never a panic.
         if let Ok(Some((_, used))) = decode::<Frame>(&buffer) {
             prop_assert_eq!(used, buffer.len());
         }
@@ -247,8 +248,8 @@
     };
     let mut buffer = Vec::new();
     encode(&hello, &mut buffer).unwrap();
-    // Later versions append fields after the known ones, so that the version
-    // number can still be read and reported.
+    // Later protocol versions append fields after the known fields, so that the version number can
+    // still be read and reported.
     buffer.extend([1, 2, 3]);
     let length = u32::try_from(buffer.len() - PREFIX_LEN).unwrap();
     buffer[..PREFIX_LEN].copy_from_slice(&length.to_le_bytes());
