--- a/crates/fleet/src/children.rs
+++ b/crates/fleet/src/children.rs
@@ -110,11 +110,11 @@
         if self.child_capacity() == 0 {
             return Err(RETRY_AFTER_FULL);
         }
-        self.join_limiter.admit(now, self.join_cost())
+        self.join_limiter.admit(now, self.join_sending_time())
     }
 
     /// Returns the time to send the configuration and the endpoints to a new child.
-    fn join_cost(&self) -> Duration {
+    fn join_sending_time(&self) -> Duration {
         let count = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         let endpoints = count(self.endpoint_table.iter().count()).saturating_mul(ENDPOINT_BYTES);
         let routes = count(self.replica.held().mesh().routes.len()).saturating_mul(ROUTE_BYTES);
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -89,7 +89,7 @@
     pub(crate) is_leaving: bool,
     pub(crate) counters: Counters,
     pub(crate) actions: Vec<Action>,
-    next_link: u64,
+    next_link_key: u64,
     heartbeat_at: Instant,
     expire_at: Instant,
     reannounce_at: Instant,
@@ -132,7 +132,7 @@
             is_leaving: false,
             counters: Counters::default(),
             actions: Vec::new(),
-            next_link: 0,
+            next_link_key: 0,
             heartbeat_at,
             expire_at: now + EXPIRY_INTERVAL,
             reannounce_at,
@@ -282,7 +282,7 @@
             Role::Accepted => self.on_handshake(now, key, &frame),
             Role::Dialled(purpose) => self.on_handshake_reply(now, key, purpose, frame),
             Role::Parent | Role::Child | Role::RootPeer => {
-                self.on_established_frame(now, key, frame)
+                self.on_established_frame(now, key, frame);
             }
         }
     }
@@ -368,8 +368,8 @@
     }
 
     pub(crate) fn add_link(&mut self, role: Role, peer: Option<Peer>, now: Instant) -> LinkKey {
-        let key = LinkKey(self.next_link);
-        self.next_link += 1;
+        let key = LinkKey(self.next_link_key);
+        self.next_link_key += 1;
         self.links.insert(key, Link::new(role, peer, now));
         key
     }
--- a/crates/fleet/src/root_duties.rs
+++ b/crates/fleet/src/root_duties.rs
@@ -191,7 +191,7 @@
                 self.search.retry_at(now + wait);
             }
             PlatformRequest::LatestVersion { .. } => {
-                self.readiness_gate.record_platform_failure(now)
+                self.readiness_gate.record_platform_failure(now);
             }
             // These requests are retried later, and their failure is harmless until then.
             PlatformRequest::RenewLease { .. }
--- a/crates/store/src/lease.rs
+++ b/crates/store/src/lease.rs
@@ -82,8 +82,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ObservedLease {
     revision: Revision,
-    /// When this process first saw the revision.
-    since: Instant,
+    /// When this process first saw the lease at this revision.
+    first_seen: Instant,
     duration: Duration,
 }
 
@@ -269,7 +269,7 @@
         if let Some(observed) = &self.observed
             && observed.revision == object.revision
         {
-            return now.duration_since(observed.since) >= observed.duration;
+            return now.duration_since(observed.first_seen) >= observed.duration;
         }
         let content = parse_content(object);
         let duration = content.map_or(self.duration, |content| {
@@ -277,7 +277,7 @@
         });
         self.observed = Some(ObservedLease {
             revision: object.revision,
-            since: now,
+            first_seen: now,
             duration,
         });
         false
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -88,7 +88,7 @@
 #[derive(Debug, Clone)]
 pub struct Backup {
     objects: BTreeMap<SmolStr, Object>,
-    number: u64,
+    last_write_number: u64,
 }
 
 /// The fault that is injected into a write.
@@ -162,7 +162,7 @@
         let state = self.lock();
         Backup {
             objects: state.objects.clone(),
-            number: state.revision.number,
+            last_write_number: state.revision.number,
         }
     }
 
@@ -180,7 +180,7 @@
             .collect();
         state.revision = Revision {
             era,
-            number: backup.number,
+            number: backup.last_write_number,
         };
         state.compacted_revision = state.revision;
         state.history.clear();
--- a/crates/store/src/propose.rs
+++ b/crates/store/src/propose.rs
@@ -150,7 +150,7 @@
         return None;
     }
     if let Some(step) = state.step(version) {
-        return Some(outcome_of_holder(id, step.clone()));
+        return Some(outcome_of_stored_step(id, step.clone()));
     }
     Some(match state.origin(version) {
         Some(origin) if origin.proposal != *id => Outcome::Refused(Refusal::Superseded(version)),
@@ -160,15 +160,15 @@
     })
 }
 
-/// Returns the outcome of the proposal `id`, if `holder` is the step stored at the version number
+/// Returns the outcome of the proposal `id`, if `stored` is the step stored at the version number
 /// that the proposal asks for.
-fn outcome_of_holder(id: &Id, holder: Step) -> Outcome {
-    if holder.entry.proposal != *id {
-        Outcome::Refused(Refusal::Crossed(Box::new(holder)))
-    } else if holder.entry.void {
+fn outcome_of_stored_step(id: &Id, stored: Step) -> Outcome {
+    if stored.entry.proposal != *id {
+        Outcome::Refused(Refusal::Crossed(Box::new(stored)))
+    } else if stored.entry.void {
         Outcome::NeverApplied
     } else {
-        Outcome::Accepted(holder.version)
+        Outcome::Accepted(stored.version)
     }
 }
 
@@ -178,7 +178,7 @@
     match appended {
         Ok(AppendOutcome::Written) => written,
         Ok(AppendOutcome::Taken(record)) => match Step::parse(&record) {
-            Ok(step) => outcome_of_holder(id, step),
+            Ok(step) => outcome_of_stored_step(id, step),
             Err(error) => Outcome::Unknown(error),
         },
         Err(error @ (Error::Unknown(_) | Error::Gone)) => Outcome::Unknown(error),
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -205,7 +205,7 @@
 }
 
 /// Maximum size of a full configuration before compression, in bytes.
-const MAX_FULL_BYTES: u64 = MAX_CHUNKS as u64 * CHUNK_SIZE as u64;
+const MAX_CONFIG_BYTES: u64 = MAX_CHUNKS as u64 * CHUNK_SIZE as u64;
 
 /// Compresses a full configuration and splits it into chunks.
 ///
@@ -246,9 +246,9 @@
     let mut config = Vec::new();
     // The size is limited because a few compressed bytes from a peer may expand to a huge
     // configuration.
-    let decoder = DeflateDecoder::new(bytes).take(MAX_FULL_BYTES + 1);
+    let decoder = DeflateDecoder::new(bytes).take(MAX_CONFIG_BYTES + 1);
     { decoder }.read_to_end(&mut config)?;
-    if config.len() as u64 > MAX_FULL_BYTES {
+    if config.len() as u64 > MAX_CONFIG_BYTES {
         return Err(Error::TooLong(config.len()));
     }
     Ok(postcard::from_bytes(&config)?)
