--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -14,7 +14,7 @@
 /// A complete HTTP response.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
     /// Headers.
     pub headers: HeaderMap,
@@ -119,11 +119,12 @@
         })
     }
 
-    /// Like [`send`](Self::send), with a time limit.
+    /// Like [`send`](Self::send), but gives up after `limit`.
     ///
     /// # Errors
     ///
-    /// As for `send`, and when `limit` has passed; the connection is then closed.
+    /// As for `send`, and when the response is not complete after `limit`; the connection is then
+    /// closed.
     pub async fn send_within(&self, call: &Call, limit: Duration) -> Result<Answer, Error> {
         match tokio::time::timeout(limit, self.send(call)).await {
             Ok(answer) => answer,
@@ -137,7 +138,7 @@
             let Some(mut connection) = idle else {
                 return self.connect().await;
             };
-            // Fails when the peer has closed the connection in the meantime.
+            // `ready` fails if the peer has closed the connection in the meantime.
             if connection.ready().await.is_ok() {
                 return Ok(connection);
             }
@@ -153,7 +154,7 @@
         stream.set_nodelay(true)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
-            // `SendRequest` returns the connection's error to the sender.
+            // The error is ignored here, because `SendRequest` returns it to the code that sends.
             drop(connection.await);
         });
         Ok(sender)
--- a/crates/bench/src/converge.rs
+++ b/crates/bench/src/converge.rs
@@ -1,4 +1,5 @@
-//! Measures how long an accepted version takes to come into force on every node, and what that costs.
+//! Measures how long an accepted version takes to come into force on every node, and the bytes,
+//! calls to the platform, memory and CPU time that its distribution costs.
 //!
 //! The fleet consists of real node processes in a few availability zones, each
 //! with an announced endpoint. Convergence is measured from right before the
@@ -23,17 +24,18 @@
 /// Number of services that the nodes' endpoints belong to; the other services have no endpoints.
 const SERVICES_WITH_ENDPOINTS: usize = 12;
 
-/// Interval between proposals.
+/// Interval between the starts of two proposals.
 const PROPOSAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for the tree to become stable, duration of the idle measurement after that, and
-/// duration of a platform outage.
-pub(crate) const SETTLE_TIME: Duration = Duration::from_secs(10);
+/// Duration of each of these: the wait for the distribution tree to become stable, the idle
+/// measurement after that wait, a platform outage, and the pause after a round of faults.
+pub(crate) const PHASE_DURATION: Duration = Duration::from_secs(10);
 
-/// Time limit for the fleet to put a version into force, and for other awaited conditions.
+/// Time limit for the fleet to put a version into force, for an announcement to be accepted, and
+/// for all endpoints to be known.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Interval at which nodes are polled.
+/// Interval at which nodes are polled while waiting for a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Options of the experiment.
@@ -47,7 +49,7 @@
     pub versions: usize,
     /// Number of services, and of routes, in the configuration.
     pub services: usize,
-    /// How versions reach the nodes: tree, whole or watch.
+    /// How versions reach the nodes; the setting `distribution`: tree, whole or watch.
     pub distribution: String,
     /// Fault to inject, if any.
     pub fault: Option<Fault>,
@@ -60,20 +62,23 @@
     pub nodes: usize,
     /// Number of versions measured.
     pub versions: usize,
-    /// Time from right before the proposal until the version is in force, over all nodes and versions: median.
+    /// Time from right before the proposal until the version is in force on a node, over all nodes
+    /// and versions: median.
     pub convergence_p50_ms: f64,
-    /// The same, 99th percentile.
+    /// Time from right before the proposal until the version is in force on a node: 99th
+    /// percentile.
     pub convergence_p99_ms: f64,
-    /// The same, maximum: the last node of the slowest version.
+    /// Time from right before the proposal until the version is in force on a node: maximum, which
+    /// is that of the last node for the slowest version.
     pub convergence_max_ms: f64,
-    /// Mean duration of a proposal, which is part of the times above.
+    /// Mean duration of a proposal, which is a part of each convergence time.
     pub propose_mean_ms: f64,
     /// Mean size of a version's patch as JSON, in bytes.
     pub patch_bytes: f64,
-    /// Bytes received between nodes per node and version, less the idle traffic.
-    /// Unknown if the fault kills nodes, as their counters are lost.
+    /// Control bytes received by nodes, per node and version, minus the idle traffic. Unknown if
+    /// the fault kills nodes, because the counters of killed nodes are lost.
     pub control_bytes_per_node_per_version: Option<f64>,
-    /// Bytes received between nodes per node and second while nothing changes.
+    /// Control bytes received by nodes, per node and second, while nothing changes.
     pub idle_control_bytes_per_node_s: f64,
     /// Calls to the platform from the start of the first process until the fleet is stable.
     pub platform_calls_start: u64,
@@ -87,18 +92,19 @@
     pub node_rss_mb_max: f64,
     /// Mean CPU use of a node over the whole experiment, in per cent of a core.
     pub node_cpu_pct_mean: f64,
-    /// Times that a VM put a lower version into force after a higher one.
+    /// Number of times that a VM put a lower version into force after a higher version.
     pub reverts: usize,
-    /// Nodes whose version or routes are not those of the last accepted version, or that count a revert.
+    /// Number of nodes whose version or routes are not those of the last accepted version, or that
+    /// count a revert.
     pub partial: usize,
-    /// Routes in force whose services have no endpoints known to the node.
+    /// Routes in force at a node that knows no endpoints of their services, summed over the nodes.
     pub dangling: usize,
-    /// Rounds in which a node did not reach the version in time, plus pairs of node and version
-    /// without a log line.
+    /// Number of fault rounds in which a node did not put the version into force in time, plus the
+    /// number of pairs of node and version for which the log of the node has no line.
     pub not_converged: usize,
 }
 
-/// A running experiment.
+/// A running experiment: the options, the fleet and what has been found so far.
 pub(crate) struct Experiment {
     pub(crate) options: Options,
     pub(crate) deployment: Deployment,
@@ -157,15 +163,15 @@
     let mut experiment = start(options).await?;
     experiment.wait_version().await?;
     experiment.wait_endpoints().await?;
-    tokio::time::sleep(SETTLE_TIME).await;
+    tokio::time::sleep(PHASE_DURATION).await;
     let (calls_before, received_before) = (
         experiment.count_calls().await?,
         experiment.sum_received().await?,
     );
-    tokio::time::sleep(SETTLE_TIME).await;
+    tokio::time::sleep(PHASE_DURATION).await;
     let calls_after = experiment.count_calls().await?;
     let idle = experiment.sum_received().await? - received_before;
-    let rate = |count: u64| to_f64(count) / SETTLE_TIME.as_secs_f64();
+    let rate = |count: u64| to_f64(count) / PHASE_DURATION.as_secs_f64();
     let nodes = to_f64(experiment.options.nodes);
     let mut report = Report {
         nodes: experiment.options.nodes,
@@ -173,7 +179,7 @@
         platform_calls_per_s: rate(sum_calls(calls_after) - sum_calls(calls_before)),
         platform_writes_per_s: rate(calls_after.writes - calls_before.writes),
         platform_watches_per_s: rate(calls_after.watches - calls_before.watches),
-        idle_control_bytes_per_node_s: idle / SETTLE_TIME.as_secs_f64() / nodes,
+        idle_control_bytes_per_node_s: idle / PHASE_DURATION.as_secs_f64() / nodes,
         ..Report::default()
     };
     let (received_before, start) = (experiment.sum_received().await?, Instant::now());
@@ -183,12 +189,12 @@
     }
     let received = experiment.sum_received().await? - received_before;
     let idle = report.idle_control_bytes_per_node_s * nodes * start.elapsed().as_secs_f64();
-    let versions = to_f64(experiment.proposer.proposed.len().max(1));
+    let versions = to_f64(experiment.proposer.proposal_times.len().max(1));
     let keeps_counters = !experiment.options.fault.is_some_and(Fault::kills_nodes);
     report.control_bytes_per_node_per_version =
         keeps_counters.then(|| (received - idle) / nodes / versions);
     report.patch_bytes = to_f64(experiment.proposer.patch_bytes) / versions;
-    report.versions = experiment.proposer.proposed.len();
+    report.versions = experiment.proposer.proposal_times.len();
     experiment.report_times(&mut report)?;
     experiment
         .report_nodes(&mut report, started.elapsed())
@@ -203,9 +209,9 @@
         let zone = format!("zone-{}", index % options.zones + 1);
         let mut spec = VmSpec::new(&format!("vm-{index}"), &zone, None);
         let line = format!("distribution = {}", options.distribution);
-        spec.settings.push(("fleet".to_owned(), line));
+        spec.extra_settings.push(("fleet".to_owned(), line));
         if index % options.zones == options.zones - 1 {
-            spec.platform = Some(platform_relay.address);
+            spec.platform_address = Some(platform_relay.address);
         }
         deployment.add(spec)?;
     }
@@ -239,11 +245,11 @@
         }
     }
 
-    /// Proposes a version as an operator would: a route gets another target service.
+    /// Proposes a version in which one route has another target service, as an operator would.
     pub(crate) async fn propose_next(&mut self) -> Result<(), Error> {
-        let index = self.proposer.proposed.len() % self.options.services;
+        let index = self.proposer.proposal_times.len() % self.options.services;
         let other =
-            service_name((index + 1 + self.proposer.proposed.len()) % self.options.services);
+            service_name((index + 1 + self.proposer.proposal_times.len()) % self.options.services);
         let prefix = format!("/{}", service_name(index));
         let change = put_route(&prefix, &other, Class::Refresh, Repeat::ByMethod);
         self.proposer.propose(vec![change]).await
@@ -305,7 +311,7 @@
     }
 
     async fn count_calls(&self) -> Result<Counts, Error> {
-        node::read_counts(self.deployment.platform_address).await
+        node::read_platform_counts(self.deployment.platform_address).await
     }
 
     async fn sum_received(&mut self) -> Result<f64, Error> {
@@ -326,7 +332,7 @@
         let mut times =
             Histogram::<u64>::new(3).map_err(|error| Error::Unexpected(error.to_string()))?;
         report.not_converged = self.not_converged;
-        for (version, (at_ms, _)) in &self.proposer.proposed {
+        for (version, (at_ms, _)) in &self.proposer.proposal_times {
             for log in &logs {
                 let first = log
                     .iter()
@@ -342,11 +348,11 @@
         report.convergence_max_ms = to_f64(times.max());
         let propose = self
             .proposer
-            .proposed
+            .proposal_times
             .values()
             .map(|(_, time)| time.as_secs_f64());
         report.propose_mean_ms =
-            propose.sum::<f64>() / to_f64(self.proposer.proposed.len().max(1)) * 1_000.0;
+            propose.sum::<f64>() / to_f64(self.proposer.proposal_times.len().max(1)) * 1_000.0;
         Ok(())
     }
 
@@ -366,9 +372,9 @@
         Ok(())
     }
 
-    /// Compares a node's routes with those of the configuration and with the services whose
-    /// endpoints it knows. Returns whether the node deviates from the configuration, and the number
-    /// of dangling routes.
+    /// Compares a node's routes with the routes of the configuration and with the services whose
+    /// endpoints the node knows. Returns whether the node deviates from the configuration or counts
+    /// a revert, and the number of dangling routes: those whose services have no known endpoints.
     async fn check_routes(&self, vm: &Vm) -> Result<(bool, usize), Error> {
         let status = node::read_status(vm).await?;
         let metrics: Metrics = node::read_metrics(vm).await?;
@@ -392,7 +398,7 @@
     }
 }
 
-/// Counts how often a VM put a lower version into force after a higher one.
+/// Counts how often a VM put a lower version into force right after a higher version.
 fn count_reverts(log: &[InstalledVersion]) -> usize {
     let pairs = log.windows(2);
     pairs
--- a/crates/bench/src/converge_fault.rs
+++ b/crates/bench/src/converge_fault.rs
@@ -1,29 +1,29 @@
 //! Faults that are injected while versions converge.
 
-use crate::converge::{Experiment, SETTLE_TIME};
+use crate::converge::{Experiment, PHASE_DURATION};
 use crate::error::Error;
 use crate::node;
 use rustix::process::Signal;
 use std::str::FromStr;
 
-/// Number of times that a fault is injected.
+/// Number of rounds, in each of which the fault is injected once.
 const ROUNDS: usize = 4;
 
 /// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The platform answers no calls for a while; the version is proposed right after that.
+    /// The platform answers no calls for a while; a version is proposed right after the outage.
     PlatformOutage,
-    /// All roots of a zone are killed right before the version is proposed.
+    /// All roots of a zone are killed right before a version is proposed.
     RootsKilled,
     /// A zone is cut off from the platform, but not from the other zones.
     Partition,
-    /// All nodes of a zone are killed and started again right before the version is proposed.
+    /// All nodes of a zone are killed and started again right before a version is proposed.
     ZoneRestart,
 }
 
 impl Fault {
-    /// Returns whether the fault kills nodes, whose byte counters are lost with them.
+    /// Returns whether the fault kills nodes; the byte counters of a killed node are lost.
     pub(crate) fn kills_nodes(self) -> bool {
         matches!(self, Self::RootsKilled | Self::ZoneRestart)
     }
@@ -54,13 +54,13 @@
             match fault {
                 Fault::PlatformOutage => {
                     self.set_platform_down(true).await?;
-                    tokio::time::sleep(SETTLE_TIME).await;
+                    tokio::time::sleep(PHASE_DURATION).await;
                     self.set_platform_down(false).await?;
                 }
                 Fault::Partition => {
                     self.platform_relay.set_stalled(true);
                     // Long enough for watches to time out and leases to expire.
-                    tokio::time::sleep(SETTLE_TIME + SETTLE_TIME / 2).await;
+                    tokio::time::sleep(PHASE_DURATION + PHASE_DURATION / 2).await;
                 }
                 Fault::RootsKilled => killed = self.kill(&zone, true).await?,
                 Fault::ZoneRestart => {
@@ -77,7 +77,7 @@
                 self.restart(&killed).await?;
             }
             self.platform_relay.set_stalled(false);
-            tokio::time::sleep(SETTLE_TIME).await;
+            tokio::time::sleep(PHASE_DURATION).await;
         }
         Ok(())
     }
@@ -88,7 +88,8 @@
         Ok(())
     }
 
-    /// Kills all nodes of a zone, or only its roots. Returns their indexes.
+    /// Kills all nodes of a zone, or only the roots of the zone. Returns the indexes of the killed
+    /// nodes.
     async fn kill(&mut self, zone: &str, only_roots: bool) -> Result<Vec<usize>, Error> {
         let mut killed = Vec::new();
         for (index, vm) in self.deployment.vms.iter().enumerate() {
@@ -99,7 +100,7 @@
                 }
             }
         }
-        // Signals all before reaping any, so that they die at the same time.
+        // Signals all nodes before reaping the first, so that they die at the same time.
         for index in &killed {
             self.deployment.vms[*index].node.signal(Signal::KILL)?;
         }
--- a/crates/bench/src/deadly.rs
+++ b/crates/bench/src/deadly.rs
@@ -1,9 +1,9 @@
-//! Measures how a deadly request, one that crashes the backend server that runs it, affects
-//! all other requests.
+//! Measures how a deadly request affects all other requests. A deadly request crashes the backend
+//! server on which it runs.
 //!
-//! Callers send look-ups with distinct paths to all nodes at a steady rate. After a while, a
-//! deadly request is sent as well, four times a second: to the nodes in turn, or to all nodes
-//! at once. Crashed backend servers are started again after 1.5 s.
+//! Callers send look-ups with distinct paths to all nodes at a steady rate. After 3 s, a deadly
+//! request is sent as well, four times a second: to the nodes in turn, or to all nodes at once.
+//! Crashed backend servers are started again after 1.5 s.
 
 use crate::caller::{Call, Caller};
 use crate::deployment::{Deployment, Vm, put_route, put_service, service_vms};
@@ -29,33 +29,33 @@
 /// Duration of the load after the last deadly request.
 const LOAD_AFTER: Duration = Duration::from_secs(3);
 
-/// Timeout of a call.
+/// Time limit of a look-up.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time limit for the fleet to start serving.
 const START_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Interval at which the backend servers' processes are polled.
+/// Interval at which the backend servers' processes are checked for crashes.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Name of the only service.
 const SERVICE: &str = "records";
 
 /// Microseconds per second.
-const SECOND_US: u64 = 1_000_000;
+const US_PER_SECOND: u64 = 1_000_000;
 
 /// Options of the experiment.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// VMs in each of three availability zones, all of one service.
+    /// Number of VMs in each of three availability zones; all VMs are of one service.
     pub per_zone: usize,
-    /// Rate of the calls that are not deadly, in calls per second over all nodes.
+    /// Rate of the look-ups that are not deadly, in calls per second over all nodes.
     pub rate: u32,
     /// Kind of the deadly request.
     pub kind: DeadlyKind,
-    /// How long the deadly request is repeated.
+    /// Time for which the deadly request is repeated.
     pub duration: Duration,
-    /// Folder of the programs to run; by default the folder of this program.
+    /// Folder of the programs to run; empty for the folder of this program.
     pub programs: PathBuf,
 }
 
@@ -66,30 +66,30 @@
     pub vms: usize,
     /// Runs of the deadly request that crashed a backend server.
     pub crashes: usize,
-    /// Runs of the deadly request that began more than 3 s after its third crash.
+    /// Runs of the deadly request that began more than 3 s after the third crash.
     pub runs_after_bound: usize,
-    /// Share of the other calls that succeeded before the first deadly request.
+    /// Share of the look-ups that succeeded before the first deadly request.
     pub served_before: f64,
-    /// Share of the other calls that succeeded while the deadly request was repeated.
+    /// Share of the look-ups that succeeded while the deadly request was repeated.
     pub served_during: f64,
-    /// Share of the other calls that succeeded afterwards.
+    /// Share of the look-ups that succeeded after the last deadly request.
     pub served_after: f64,
-    /// Other calls that were refused because they were mistaken for the deadly request.
+    /// Look-ups that were refused because nodes mistook them for the deadly request.
     pub innocents_held: usize,
-    /// Time from the third crash until at least 99% of the other calls succeeded in every
+    /// Time after the third crash from which at least 99% of the look-ups succeeded in every
     /// second, in seconds; none if that was not reached.
     pub recovered_s: Option<u64>,
 }
 
-/// Result of a call that is not deadly.
+/// Result of a look-up, which is not deadly.
 #[derive(Debug, Clone, Copy)]
-struct Lookup {
+struct LookupResult {
     sent_us: u64,
     is_served: bool,
     is_held: bool,
 }
 
-type LookupLog = Arc<Mutex<Vec<Lookup>>>;
+type LookupLog = Arc<Mutex<Vec<LookupResult>>>;
 
 /// Parses the options from the command line.
 #[must_use]
@@ -143,26 +143,26 @@
         .map(|address| Caller::new(*address))
         .collect();
     let start = Instant::now();
-    let (begin, end) = (start + LOAD_BEFORE, start + LOAD_BEFORE + options.duration);
-    let stop = end + LOAD_AFTER;
+    let (deadly_start, deadly_end) = (start + LOAD_BEFORE, start + LOAD_BEFORE + options.duration);
+    let load_end = deadly_end + LOAD_AFTER;
     let log = LookupLog::default();
-    let load = tokio::spawn(send_load(callers, options.rate, stop, Arc::clone(&log)));
-    supervise(&mut target, begin).await?;
-    let begin_us = now_us();
+    let load = tokio::spawn(send_load(callers, options.rate, load_end, Arc::clone(&log)));
+    supervise(&mut target, deadly_start).await?;
+    let deadly_start_us = now_us();
     let series = DeadlySeries {
         kind: options.kind,
         name: "one".to_owned(),
     };
-    let deadly = tokio::spawn(series.send(addresses, end));
-    supervise(&mut target, end).await?;
-    let end_us = now_us();
-    supervise(&mut target, stop).await?;
+    let deadly = tokio::spawn(series.send(addresses, deadly_end));
+    supervise(&mut target, deadly_end).await?;
+    let deadly_end_us = now_us();
+    supervise(&mut target, load_end).await?;
     for task in [deadly, load] {
         task.await
             .map_err(|error| Error::Unexpected(error.to_string()))?;
     }
     let lookups = log.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    report(&target, &lookups, begin_us, end_us)
+    report(&target, &lookups, deadly_start_us, deadly_end_us)
 }
 
 async fn spawn(per_zone: usize, programs: &Path) -> Result<Target, Error> {
@@ -189,7 +189,7 @@
     Ok(Target::new(deployment, Vec::new(), files))
 }
 
-/// Restarts crashed backend servers until `end`.
+/// Restarts crashed backend servers until `end`, and then until all that crashed run again.
 async fn supervise(target: &mut Target, end: Instant) -> Result<(), Error> {
     let mut pending_restarts: Vec<(Instant, usize)> = Vec::new();
     while Instant::now() < end || !pending_restarts.is_empty() {
@@ -208,13 +208,14 @@
     Ok(())
 }
 
-/// Sends calls at a steady rate to all nodes in turn, each with a path of its own.
-async fn send_load(callers: Vec<Caller>, rate: u32, stop: Instant, log: LookupLog) {
+/// Sends look-ups at a steady rate to the nodes in turn, until `end`. Each look-up has a path of
+/// its own.
+async fn send_load(callers: Vec<Caller>, rate: u32, end: Instant, log: LookupLog) {
     let mut ticks = tokio::time::interval(Duration::from_secs(1) / rate);
     let mut calls = JoinSet::new();
     for (number, caller) in (0..).zip(callers.iter().cycle()) {
         ticks.tick().await;
-        if Instant::now() >= stop {
+        if Instant::now() >= end {
             break;
         }
         let (caller, log) = (caller.clone(), Arc::clone(&log));
@@ -222,7 +223,7 @@
             let call = Call::get(&format!("/records/{number}"));
             let sent_us = now_us();
             let answer = caller.send_within(&call, CALL_TIMEOUT).await;
-            let lookup = Lookup {
+            let lookup = LookupResult {
                 sent_us,
                 is_served: answer.as_ref().is_ok_and(|one| one.status.is_success()),
                 is_held: answer.is_ok_and(|one| is_held(&String::from_utf8_lossy(&one.body))),
@@ -236,9 +237,9 @@
 
 fn report(
     target: &Target,
-    lookups: &[Lookup],
-    begin_us: u64,
-    end_us: u64,
+    lookups: &[LookupResult],
+    deadly_start_us: u64,
+    deadly_end_us: u64,
 ) -> Result<Report, Error> {
     let deadly = read_deadly_runs(target)?;
     let runs = deadly.into_values().next().unwrap_or_default();
@@ -250,16 +251,17 @@
         vms: target.deployment.vms.len(),
         crashes: crash_times.len(),
         runs_after_bound: count_runs_after_bound(&runs),
-        served_before: served_share(lookups, 0, begin_us),
-        served_during: served_share(lookups, begin_us, end_us),
-        served_after: served_share(lookups, end_us, u64::MAX),
+        served_before: served_share(lookups, 0, deadly_start_us),
+        served_during: served_share(lookups, deadly_start_us, deadly_end_us),
+        served_after: served_share(lookups, deadly_end_us, u64::MAX),
         innocents_held: lookups.iter().filter(|one| one.is_held).count(),
         recovered_s: third_crash.and_then(|crash_us| find_recovery(lookups, crash_us)),
     })
 }
 
-/// Returns the share of the calls sent in a time span that succeeded; 1 if none was sent.
-fn served_share(lookups: &[Lookup], from_us: u64, to_us: u64) -> f64 {
+/// Returns the share of the look-ups sent in a time span that succeeded; 1 if no look-up was sent
+/// then.
+fn served_share(lookups: &[LookupResult], from_us: u64, to_us: u64) -> f64 {
     let sent = lookups
         .iter()
         .filter(|one| (from_us..to_us).contains(&one.sent_us));
@@ -272,14 +274,14 @@
     f64::from(served) / f64::from(count)
 }
 
-/// Returns how many seconds after `from_us` the calls had recovered: from then on, at least 99%
-/// of the calls in every second succeeded.
-fn find_recovery(lookups: &[Lookup], from_us: u64) -> Option<u64> {
+/// Returns the number of seconds after `from_us` from which at least 99% of the look-ups in every
+/// second succeeded; none if that was not reached.
+fn find_recovery(lookups: &[LookupResult], from_us: u64) -> Option<u64> {
     let last_us = lookups.iter().map(|one| one.sent_us).max()?;
-    let seconds = last_us.checked_sub(from_us)? / SECOND_US;
+    let seconds = last_us.checked_sub(from_us)? / US_PER_SECOND;
     let is_bad = |second: &u64| {
-        let start = from_us + second * SECOND_US;
-        served_share(lookups, start, start + SECOND_US) < 0.99
+        let start = from_us + second * US_PER_SECOND;
+        served_share(lookups, start, start + US_PER_SECOND) < 0.99
     };
     let recovered = (0..seconds).rfind(is_bad).map_or(0, |bad| bad + 1);
     (recovered < seconds).then_some(recovered)
--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -21,37 +21,38 @@
 /// Patch that splits a route between two services.
 const NEXT_PATCH: &str = r#"{"put_route": {"prefix": "/parts", "route": {"targets": [{"service": "records", "percent": 80}, {"service": "claims", "percent": 20}]}}}"#;
 
-/// Time limit of each step that the demo waits for.
+/// Time limit of each step of the demo, such as a run of the command line.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time limit of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Interval at which a node's status is polled: short compared with a convergence of tens of milliseconds.
+/// Interval at which a node's status is polled; short, because convergence takes only tens of
+/// milliseconds.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How long calls are sent.
+/// Duration of the time in which calls are sent.
 const LOAD_DURATION: Duration = Duration::from_secs(8);
 
-/// When a VM is killed, from the start of the calls.
+/// Time from the start of the calls at which a VM is killed.
 const KILL_AT: Duration = Duration::from_secs(2);
 
-/// When another VM is drained, from the start of the calls.
+/// Time from the start of the calls at which another VM is drained.
 const DRAIN_AT: Duration = Duration::from_secs(5);
 
-/// Interval between look-ups that enter at one node: 50 per second.
+/// Interval between the look-ups that callers send to one node: 50 per second.
 const LOOKUP_PERIOD: Duration = Duration::from_millis(20);
 
-/// Interval between bookings that enter at one node: 10 per second.
+/// Interval between the bookings that callers send to one node: 10 per second.
 const BOOKING_PERIOD: Duration = Duration::from_millis(100);
 
-/// Names of the series of calls, by index.
+/// Names of the series of calls, by index of the series.
 const SERIES_NAMES: [&str; 2] = ["look-ups", "bookings"];
 
-/// Index of the VM that is killed: records in the second availability zone.
+/// Index of the VM that is killed: the VM of the service records in the second availability zone.
 const KILLED_VM: usize = 3;
 
-/// Index of the VM that is drained: jobs in the third availability zone.
+/// Index of the VM that is drained: the VM of the service jobs in the third availability zone.
 const DRAINED_VM: usize = 8;
 
 /// Results of the demo.
@@ -59,9 +60,11 @@
 pub struct Report {
     /// Number of nodes.
     pub nodes: usize,
-    /// Time from the write of the second patch until it is in force on the last node, in milliseconds.
+    /// Time from the write of the second patch until that patch is in force on the last node, in
+    /// milliseconds.
     pub convergence_ms: u64,
-    /// Control bytes sent between nodes in that time, per node.
+    /// Control bytes that a node sent, on average, while the second patch was proposed and
+    /// distributed.
     pub control_bytes_per_node: u64,
     /// Calls sent.
     pub calls: u64,
@@ -69,7 +72,7 @@
     pub answered: u64,
     /// Calls refused with the assurance that they did not run.
     pub not_run: u64,
-    /// Calls that may have run, as their VM was killed.
+    /// Calls reported as "may have run", because the VM that they ran on was killed.
     pub may_have_run: u64,
     /// Calls with any other result.
     pub others: u64,
@@ -111,7 +114,7 @@
         KILL_AT.as_secs(),
         DRAIN_AT.as_secs()
     ));
-    let summaries = load(&mut deployment).await?;
+    let summaries = run_load(&mut deployment).await?;
     print_summaries(&summaries);
     print_reports(&deployment)?;
 
@@ -151,7 +154,8 @@
     Ok(())
 }
 
-/// Polls a node's status until it meets the condition, and returns the wall-clock time.
+/// Polls a node's status until the status meets the condition. Returns the wall-clock time at which
+/// this was seen.
 async fn wait_status<F>(vm: &Vm, condition: F) -> Result<SystemTime, Error>
 where
     F: Fn(&Value) -> bool,
@@ -174,8 +178,8 @@
     )))
 }
 
-/// Proposes a patch. Returns the milliseconds until it is in force on the last node, and the
-/// control bytes sent in that time.
+/// Proposes a patch and waits until it is in force on all nodes. Returns the milliseconds from the
+/// write of the patch until then, and the control bytes that the nodes sent meanwhile.
 async fn propose_and_wait(
     deployment: &Deployment,
     patch: &str,
@@ -217,7 +221,7 @@
     Ok((millis, bytes))
 }
 
-/// Reads when the last version was written, from the output of `bluebellpick log`.
+/// Returns the time at which the last version was written, from the output of `bluebellpick log`.
 fn read_proposal_time(deployment: &Deployment) -> Result<SystemTime, Error> {
     let platform = deployment.platform_address.to_string();
     let arguments = ["log", "--limit", "1", "--json", "--platform", &platform];
@@ -244,8 +248,9 @@
     Ok(sum)
 }
 
-/// Sends calls to nodes that stay up, while one VM is killed and another drained.
-async fn load(deployment: &mut Deployment) -> Result<Vec<SeriesSummary>, Error> {
+/// Sends calls to six nodes, none of them on the VM that is killed or the VM that is drained
+/// meanwhile.
+async fn run_load(deployment: &mut Deployment) -> Result<Vec<SeriesSummary>, Error> {
     let planned = plan_load(deployment);
     let (outcomes, kill_result) = tokio::join!(
         send_planned(planned, CALL_TIMEOUT),
@@ -257,7 +262,8 @@
 
 fn plan_load(deployment: &Deployment) -> Vec<PlannedCall> {
     let mut planned = Vec::new();
-    // Callers in the killed VM's zone use the node of another VM.
+    // No caller uses the nodes of the killed VM and of the drained VM: callers in their zones use
+    // the node of another VM.
     let entries = deployment.vms.iter().enumerate();
     let entries = entries.filter(|(index, _)| ![KILLED_VM, DRAINED_VM].contains(index));
     for (index, vm) in entries.take(6) {
@@ -366,7 +372,7 @@
         print_line(&format!("\n$ bluebellpick {verb}"));
         let mut arguments = vec![verb, "--platform", &platform, "--timeout", "1"];
         arguments.extend(nodes.iter().map(String::as_str));
-        // The exit code is 1, since the killed VM does not answer, which its line of the report shows.
+        // The exit code is ignored: it is 1, because the node of the killed VM does not answer.
         let (_, output) = deployment.run_cli(&arguments, WAIT_TIMEOUT)?;
         print!("{output}");
     }
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -18,7 +18,7 @@
 const NODES_PORT: u16 = 7003;
 /// Port of a node's listener for operators.
 const OPERATORS_PORT: u16 = 7004;
-/// Port on which a backend server takes calls.
+/// Port on which a backend server accepts calls.
 const BACKEND_PORT: u16 = 7005;
 /// Port of the platform stand-in.
 const PLATFORM_PORT: u16 = 7000;
@@ -26,35 +26,36 @@
 /// Maximum number of a deployment's VMs in one block of 256 loopback addresses.
 const VMS_PER_BLOCK: usize = 200;
 
-/// Time limit of a call to a listener of the deployment.
+/// Time limit of a call that the bench itself sends to a process of the deployment.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Interval at which awaited conditions are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Timeout of the calls of a route, in milliseconds.
+/// Timeout of the calls of every route that [`put_route`] returns, in milliseconds.
 const ROUTE_TIMEOUT_MS: u32 = 5_000;
 
-/// Bearer token of the deployment's operators.
+/// Bearer token that operators' writes to the deployment's nodes must carry.
 pub const OPERATOR_TOKEN: &str = "bench-operators-token";
 
 /// Description of a VM to start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VmSpec {
-    /// Name of its node.
+    /// Name of the VM's node.
     pub name: String,
     /// Availability zone.
     pub zone: String,
     /// Region.
     pub region: String,
-    /// Service of its backend server. Without it, the VM runs only a node.
+    /// Service of the VM's backend server. Without a service, the VM runs only a node.
     pub service: Option<String>,
     /// Additional arguments of the backend server's stand-in.
     pub backend_args: Vec<String>,
-    /// Address at which the node reaches the platform, if it is not the deployment's platform address.
-    pub platform: Option<SocketAddr>,
+    /// Address at which the node reaches the platform; by default the address of the deployment's
+    /// platform stand-in.
+    pub platform_address: Option<SocketAddr>,
     /// Additional lines of the node's settings file, as pairs of section and line.
-    pub settings: Vec<(String, String)>,
+    pub extra_settings: Vec<(String, String)>,
 }
 
 impl VmSpec {
@@ -67,8 +68,8 @@
             region: "region-1".to_owned(),
             service: service.map(str::to_owned),
             backend_args: Vec::new(),
-            platform: None,
-            settings: Vec::new(),
+            platform_address: None,
+            extra_settings: Vec::new(),
         }
     }
 }
@@ -91,15 +92,15 @@
 /// A VM with its processes.
 #[derive(Debug)]
 pub struct Vm {
-    /// The description that it was started from.
+    /// Description that the VM was started from.
     pub spec: VmSpec,
-    /// Its loopback address.
+    /// Loopback address of the VM.
     pub ip: IpAddr,
     /// The node's process.
     pub node: Process,
     /// The backend server's process, if the VM has one.
     pub backend: Option<Process>,
-    settings: PathBuf,
+    settings_file: PathBuf,
     programs: PathBuf,
 }
 
@@ -116,7 +117,7 @@
         SocketAddr::new(self.ip, NODES_PORT)
     }
 
-    /// Address of the node's listener where the backend server announces itself.
+    /// Address of the node's listener at which the backend server announces itself.
     #[must_use]
     pub fn announce_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, ANNOUNCE_PORT)
@@ -128,7 +129,7 @@
         SocketAddr::new(self.ip, OPERATORS_PORT)
     }
 
-    /// Address on which the backend server takes calls.
+    /// Address on which the backend server accepts calls.
     #[must_use]
     pub fn backend_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, BACKEND_PORT)
@@ -140,7 +141,7 @@
     ///
     /// When the program can't be started.
     pub fn restart_node(&mut self) -> Result<(), Error> {
-        self.node = spawn_node(&self.programs, &self.settings, &self.node.log)?;
+        self.node = spawn_node(&self.programs, &self.settings_file, &self.node.log)?;
         Ok(())
     }
 
@@ -151,7 +152,7 @@
     /// When the program can't be started.
     pub fn restart_backend(&mut self) -> Result<(), Error> {
         if let Some(service) = &self.spec.service {
-            let log = self.settings.with_extension("backend.log");
+            let log = self.settings_file.with_extension("backend.log");
             let programs = &self.programs;
             self.backend = Some(spawn_backend(programs, self.ip, service, &self.spec, &log)?);
         }
@@ -159,7 +160,7 @@
     }
 }
 
-/// A running fleet. Dropping it kills its processes.
+/// A running fleet. When a deployment is dropped, its processes are killed.
 #[derive(Debug)]
 pub struct Deployment {
     folder: TempDir,
@@ -169,9 +170,10 @@
     pub platform_address: SocketAddr,
     /// The VMs, in the order of their descriptions.
     pub vms: Vec<Vm>,
-    /// Second and third byte of the deployment's first block of loopback addresses.
-    base: [u8; 2],
-    /// Folder of the programs; empty for this program's own folder.
+    /// Second and third byte of the addresses in the deployment's first block of loopback
+    /// addresses.
+    first_block: [u8; 2],
+    /// Folder of the programs to run; empty for the default folder, as [`Process::spawn`] finds it.
     programs: PathBuf,
 }
 
@@ -185,7 +187,7 @@
         Self::spawn_from(Path::new(""), specs, platform_arguments).await
     }
 
-    /// Like [`Deployment::spawn`], with the programs of another folder.
+    /// Like [`Deployment::spawn`], but runs the programs in the folder `programs`.
     ///
     /// # Errors
     ///
@@ -197,8 +199,8 @@
     ) -> Result<Self, Error> {
         let folder = tempfile::Builder::new().prefix("bluebellpick-").tempdir()?;
         // A random block of loopback addresses, so that deployments can run side by side.
-        let base = [rand::random_range(1..=254), rand::random_range(0..=250)];
-        let address = SocketAddr::new(loopback_address(base, 0), PLATFORM_PORT);
+        let first_block = [rand::random_range(1..=254), rand::random_range(0..=250)];
+        let address = SocketAddr::new(loopback_address(first_block, 0), PLATFORM_PORT);
         let programs = programs.to_owned();
         let platform = spawn_platform(&programs, address, platform_arguments, folder.path())?;
         let mut deployment = Self {
@@ -206,7 +208,7 @@
             platform,
             platform_address: address,
             vms: Vec::new(),
-            base,
+            first_block,
             programs,
         };
         deployment.wait_platform().await?;
@@ -216,10 +218,10 @@
         Ok(deployment)
     }
 
-    /// Returns the address of the VM that is added next.
+    /// Returns the IP address that the next VM to be added will have.
     #[must_use]
     pub fn next_ip(&self) -> IpAddr {
-        loopback_address(self.base, self.vms.len() + 1)
+        loopback_address(self.first_block, self.vms.len() + 1)
     }
 
     /// Starts another VM.
@@ -241,7 +243,7 @@
             format_settings(
                 &spec,
                 ip,
-                spec.platform.unwrap_or(self.platform_address),
+                spec.platform_address.unwrap_or(self.platform_address),
                 &seeds,
             ),
         )?;
@@ -259,13 +261,14 @@
             ip,
             node,
             backend,
-            settings,
+            settings_file: settings,
             programs: self.programs.clone(),
         });
         Ok(())
     }
 
-    /// Returns the folder of settings and logs, which is removed with the deployment.
+    /// Returns the folder of settings files and logs, which is deleted when the deployment is
+    /// dropped.
     #[must_use]
     pub fn folder(&self) -> &Path {
         self.folder.path()
@@ -292,7 +295,7 @@
     ///
     /// # Errors
     ///
-    /// When they are not accepted.
+    /// When the changes are not accepted.
     pub fn propose(&self, changes: &[Change], base: u64) -> Result<String, Error> {
         let name = format!("patch-{:016x}.jsonl", rand::random::<u64>());
         let file = self.folder.path().join(name);
@@ -314,7 +317,7 @@
     ///
     /// # Errors
     ///
-    /// When the stand-in refuses it.
+    /// When the stand-in refuses the fault.
     pub async fn set_platform_fault(&self, fault: &str) -> Result<Answer, Error> {
         send_fault(self.platform_address, fault).await
     }
@@ -323,7 +326,8 @@
     ///
     /// # Errors
     ///
-    /// When a node has not answered so within `limit`. The error contains its last answer.
+    /// When a node has not answered with success within `limit`; the error contains the node's last
+    /// answer.
     pub async fn wait_served(&self, path: &str, limit: Duration) -> Result<(), Error> {
         let start = Instant::now();
         for vm in &self.vms {
@@ -365,7 +369,7 @@
 ///
 /// # Errors
 ///
-/// When the stand-in refuses it.
+/// When the stand-in refuses the fault.
 pub async fn send_fault(address: SocketAddr, fault: &str) -> Result<Answer, Error> {
     let call = Call::new(Method::POST, "/fault").body(fault.to_owned().into());
     let answer = Caller::new(address)
@@ -395,7 +399,8 @@
     Ok(text)
 }
 
-/// Removes null fields: programs of an earlier build may not know a field that is not set.
+/// Removes null fields, because the programs of an earlier build may not know the fields that are
+/// not set.
 fn remove_nulls(value: &mut serde_json::Value) {
     if let serde_json::Value::Object(fields) = value {
         fields.retain(|_, field| !field.is_null());
@@ -433,10 +438,16 @@
     }
 }
 
-fn loopback_address(base: [u8; 2], index: usize) -> IpAddr {
+fn loopback_address(first_block: [u8; 2], index: usize) -> IpAddr {
     let block = u8::try_from(index / VMS_PER_BLOCK).unwrap_or(u8::MAX);
     let last = u8::try_from(index % VMS_PER_BLOCK + 1).unwrap_or(u8::MAX);
-    Ipv4Addr::new(127, base[0], base[1].saturating_add(block), last).into()
+    Ipv4Addr::new(
+        127,
+        first_block[0],
+        first_block[1].saturating_add(block),
+        last,
+    )
+    .into()
 }
 
 fn format_settings(
@@ -472,7 +483,10 @@
     for (section, lines) in sections {
         text.push(format!("[{section}]"));
         text.push(lines);
-        let additional = spec.settings.iter().filter(|(name, _)| name == section);
+        let additional = spec
+            .extra_settings
+            .iter()
+            .filter(|(name, _)| name == section);
         text.extend(additional.map(|(_, line)| line.clone()));
     }
     text.join("\n")
--- a/crates/bench/src/error.rs
+++ b/crates/bench/src/error.rs
@@ -36,11 +36,11 @@
             display("link: {}", source)
             source(source)
         }
-        /// An awaited condition did not hold in time.
+        /// A call was not answered, or an awaited condition not met, within the time limit.
         Timeout(what: String) {
             display("timed out: {}", what)
         }
-        /// A program, or the platform, returned an unexpected result.
+        /// A program, the platform or a library returned an unexpected result.
         Unexpected(what: String) {
             display("{}", what)
         }
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -16,21 +16,22 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Services of the fleet: `claims` and `jobs` take bookings, which must run at most once;
-/// `records` takes look-ups.
+/// Services of the fleet: `claims` and `jobs` receive bookings, which must run at most once;
+/// `records` receives look-ups.
 pub(crate) const SERVICES: [&str; 3] = ["claims", "jobs", "records"];
 
 /// Duration of a fault, in milliseconds.
 pub(crate) const FAULT_DURATION_MS: std::ops::Range<u64> = 300..2_500;
 
-/// Pause within which calls that were affected by a fault end.
+/// Pause after a fault; long enough for the calls that it affected to end.
 pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(CALL_TIMEOUT_MS + 1_500);
 
-/// Pause after each restart of a rolling restart: a node and its backend server are up again
-/// well within it.
+/// Pause after each restart of a rolling restart: a node and the backend server on its VM are up
+/// again well within this time.
 const ROLLING_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Wait before the records are read, so that violations by late requests and retries show.
+/// Wait between the end of the callers and the reading of the records, so that the records include
+/// violations by late requests and retries.
 pub(crate) const LATE_EFFECT_WAIT: Duration = Duration::from_secs(5);
 
 /// Time limit for the fleet to start serving.
@@ -46,7 +47,7 @@
     pub seed: u64,
     /// Duration of the load.
     pub duration: Duration,
-    /// Whether to inject no faults and only restart every node and backend server in turn.
+    /// Whether to restart every node and backend server in turn instead of injecting faults.
     pub rolling: bool,
 }
 
@@ -149,7 +150,7 @@
         spec.backend_args = record_args(&file);
         let front = SocketAddr::new(deployment.next_ip(), FORWARDER_PORT);
         let advertised = format!("advertised = {front}");
-        spec.settings.push(("listen".to_owned(), advertised));
+        spec.extra_settings.push(("listen".to_owned(), advertised));
         deployment.add(spec)?;
         let nodes = deployment.vms[index].nodes_address();
         forwarders.push(Forwarder::spawn(front, nodes).await?);
@@ -196,7 +197,8 @@
         }
     }
 
-    /// Restarts every node and backend server in turn, until `end`.
+    /// Restarts every node and backend server once, in turn; skips those for which no time is left
+    /// before `end`.
     async fn restart_all(&mut self, target: &mut Target, end: Instant) -> Result<(), Error> {
         let from_us = now_us();
         for vm in 0..target.deployment.vms.len() {
@@ -225,12 +227,13 @@
         self.graceful_spans.push(Span { from_us, to_us });
     }
 
-    /// Runs one round: every third one restarts processes gracefully, the others inject faults.
+    /// Runs one round: every third round restarts processes gracefully, the other rounds inject
+    /// faults.
     async fn run_round(&mut self, target: &mut Target) -> Result<(), Error> {
         self.rounds += 1;
         if self.rounds.is_multiple_of(3) {
-            // A connection that drops bytes stays faulty until it is closed; one that has been idle
-            // since its fault would affect the calls of this round.
+            // A connection that drops bytes stays faulty until it is closed. A faulty connection
+            // that has been idle since its fault would affect the calls of this round.
             target.forwarders.iter().for_each(Forwarder::close_lossy);
             tokio::time::sleep(SETTLE_TIME).await;
             self.restart_some(target).await
@@ -261,8 +264,8 @@
         Ok(())
     }
 
-    /// Restarts a node and then a backend server gracefully, and waits after each until the
-    /// calls in flight have ended.
+    /// Restarts a random node and then a random backend server gracefully, with a pause after each
+    /// restart until the calls in flight have ended.
     async fn restart_some(&mut self, target: &mut Target) -> Result<(), Error> {
         let vms = target.deployment.vms.len();
         let from_us = now_us();
--- a/crates/bench/src/faults_callers.rs
+++ b/crates/bench/src/faults_callers.rs
@@ -1,5 +1,5 @@
 //! Callers that send bookings and look-ups, retry bookings that may not have run, and record
-//! the outcomes that were reported to them.
+//! the outcomes that were reported to the callers.
 
 use crate::caller::{Answer, Call, Caller};
 use crate::error::Error;
@@ -16,22 +16,23 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Number of concurrent callers.
-const CALLERS: usize = 16;
+/// Number of concurrent callers that send bookings and look-ups.
+const CALLER_COUNT: usize = 16;
 
-/// Number of callers that don't read their responses, when a plan of faults is played.
-const STALLED_READERS: u64 = 2;
+/// Number of additional callers that don't read their responses, while a plan of faults is played.
+const STALLED_READER_COUNT: u64 = 2;
 
-/// How long a caller that doesn't read its response keeps the connection open, in milliseconds.
+/// Range of the time for which a caller that doesn't read its response keeps the connection open,
+/// in milliseconds.
 const STALL_MS: std::ops::Range<u64> = 500..7_000;
 
-/// Size of a response that exceeds the socket buffers on its path.
+/// Size of a response that exceeds the socket buffers on its path, in bytes.
 const STALLED_RESPONSE_BYTES: usize = 20 << 20;
 
 /// Maximum number of requests with the same idempotency key.
 const MAX_REQUESTS_PER_KEY: u32 = 6;
 
-/// Timeout of a call, in milliseconds.
+/// Timeout that a caller sends with its call, in milliseconds.
 pub const CALL_TIMEOUT_MS: u64 = 2_000;
 
 /// Time after which a caller gives up on a node that doesn't respond.
@@ -40,13 +41,13 @@
 /// Maximum number of characters of a response body that are kept for messages.
 const MAX_DETAIL_CHARS: usize = 100;
 
-/// Pause between two calls of one caller, in milliseconds.
+/// Range of the pause between two calls of one caller, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 5..40;
 
-/// Upper limit of the retry delay that a caller accepts from a response.
+/// Maximum time that a caller waits because a response asks for a delay before the retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Pause before a retry, in milliseconds.
+/// Range of the pause before a retry, in milliseconds.
 const RETRY_DELAY_MS: std::ops::Range<u64> = 20..400;
 
 /// Invocations recorded by all callers so far; clones share them.
@@ -74,7 +75,7 @@
     body_fingerprint: String,
 }
 
-/// Returns the wall clock time, in microseconds since the Unix epoch.
+/// Returns the wall-clock time, in microseconds since the Unix epoch.
 #[must_use]
 pub fn now_us() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -83,7 +84,8 @@
     })
 }
 
-/// Starts all callers; they send calls as long as `keep_running` returns true.
+/// Starts the callers of bookings and look-ups, which send calls as long as `keep_running` returns
+/// true.
 pub(crate) fn spawn<F>(
     seed: u64,
     addresses: &[SocketAddr],
@@ -93,7 +95,7 @@
 where
     F: Fn() -> bool + Clone + Send + 'static,
 {
-    (0..CALLERS)
+    (0..CALLER_COUNT)
         .map(|index| {
             let keep_running = keep_running.clone();
             let run = run(index, seed, addresses.to_vec(), keep_running, log.clone());
@@ -102,7 +104,8 @@
         .collect()
 }
 
-/// Starts callers that request long responses and don't read them.
+/// Starts callers that request long responses and don't read them, as long as `keep_running`
+/// returns true.
 pub(crate) fn spawn_stalled_readers<F>(
     seed: u64,
     addresses: &[SocketAddr],
@@ -111,7 +114,7 @@
 where
     F: Fn() -> bool + Clone + Send + 'static,
 {
-    (0..STALLED_READERS)
+    (0..STALLED_READER_COUNT)
         .map(|index| {
             let rng = SmallRng::seed_from_u64(seed.wrapping_sub(index + 1));
             tokio::spawn(run_stalled_reader(
@@ -146,7 +149,7 @@
 ///
 /// # Errors
 ///
-/// When one of them failed.
+/// When the task of a caller panicked.
 pub(crate) async fn join(callers: Vec<JoinHandle<()>>) -> Result<(), Error> {
     for caller in callers {
         if caller.await.is_err() {
@@ -156,7 +159,8 @@
     Ok(())
 }
 
-/// Sends calls as long as `keep_running` returns true, each request to a random node.
+/// Runs one caller: sends calls as long as `keep_running` returns true, each request to a random
+/// node.
 async fn run<F>(
     index: usize,
     seed: u64,
@@ -176,7 +180,7 @@
     let mut calls = 0;
     while keep_running() {
         calls += 1;
-        task.make_call(calls).await;
+        task.run_call(calls).await;
         task.pause(PAUSE_MS).await;
     }
 }
@@ -196,7 +200,7 @@
         tokio::time::sleep(pause).await;
     }
 
-    async fn make_call(&mut self, number: u64) {
+    async fn run_call(&mut self, number: u64) {
         let is_booking = self.rng.random_bool(0.6);
         let key = is_booking.then(|| format!("key-{}-{number}", self.index));
         let path = match (is_booking, self.rng.random_bool(0.5)) {
@@ -218,8 +222,8 @@
         }
         call.headers
             .push(("bluebellpick-timeout-ms", CALL_TIMEOUT_MS.to_string()));
-        // A few responses are larger; most of these exceed the size that a node sends without
-        // flow-control credit.
+        // One in 20 responses is larger; most of the larger responses exceed the size that a node
+        // sends without flow-control credit.
         if self.rng.random_ratio(1, 20) {
             let bytes = self.rng.random_range(1_000..200_000);
             call.headers.push(("x-answer-bytes", bytes.to_string()));
@@ -240,7 +244,7 @@
 
     /// Sends one request to a node that accepts the connection, and records the invocation.
     ///
-    /// Returns the reported outcome and the retry delay from the response.
+    /// Returns the reported outcome, and the delay before a retry that the response asks for.
     async fn request(&mut self, call: &Call, key: Option<&String>) -> (ReportedOutcome, Duration) {
         self.requests += 1;
         let request = format!("r-{}-{}", self.index, self.requests);
@@ -255,10 +259,10 @@
                     break (
                         classify_answer(&answer),
                         retry_after(&answer),
-                        summarize(node, &answer),
+                        summarize_answer(node, &answer),
                     );
                 }
-                // The connection failed before anything was sent.
+                // The connection could not be opened, so nothing was sent.
                 Err(Error::Io(_)) => self.pause(RETRY_DELAY_MS).await,
                 Err(error) => {
                     break (
@@ -289,13 +293,13 @@
 }
 
 /// Summarizes a response for messages.
-pub(crate) fn summarize(node: usize, answer: &Answer) -> String {
+pub(crate) fn summarize_answer(node: usize, answer: &Answer) -> String {
     let text = String::from_utf8_lossy(&answer.body);
     let text: String = text.chars().take(MAX_DETAIL_CHARS).collect();
     format!("VM {node}: {} {text}", answer.status)
 }
 
-/// Returns the outcome of the call that a response reports.
+/// Returns the outcome that a response reports to the caller.
 pub(crate) fn classify_answer(answer: &Answer) -> ReportedOutcome {
     let description = serde_json::from_slice::<ResponseBody>(&answer.body);
     match (answer.header("bluebellpick-verdict"), description) {
--- a/crates/bench/src/faults_forward.rs
+++ b/crates/bench/src/faults_forward.rs
@@ -1,5 +1,5 @@
-//! TCP forwarders in front of nodes that drop, hold or delay the bytes of their connections,
-//! separately for each direction.
+//! TCP forwarders in front of nodes. A forwarder can drop, hold back or delay the bytes of its
+//! connections, separately for each direction.
 
 use crate::error::Error;
 use std::net::SocketAddr;
@@ -13,25 +13,25 @@
 /// What a forwarder does with the bytes of one direction of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardMode {
-    /// Forwards them.
+    /// Forwards the bytes.
     Pass,
-    /// Drops them silently; the connection stays open.
+    /// Drops the bytes silently; the connection stays open.
     Drop,
-    /// Holds them back until the mode changes.
+    /// Holds the bytes back until the mode changes.
     Hold,
-    /// Forwards each chunk after a delay of 40 ms.
+    /// Forwards each chunk of bytes after a delay of 40 ms.
     Delay,
 }
 
-/// Delay of each chunk, as between distant regions.
-const DELAY: Duration = Duration::from_millis(40);
+/// Delay of each chunk of bytes in [`ForwardMode::Delay`], as between distant regions.
+const CHUNK_DELAY: Duration = Duration::from_millis(40);
 
-type Direction = watch::Sender<ForwardMode>;
+type ModeSender = watch::Sender<ForwardMode>;
 
 /// A forwarder in front of one node; clones share its connections.
 #[derive(Debug, Clone, Default)]
 pub struct Forwarder {
-    connections: Arc<Mutex<Vec<(Direction, Direction)>>>,
+    connections: Arc<Mutex<Vec<(ModeSender, ModeSender)>>>,
 }
 
 impl Forwarder {
@@ -72,8 +72,8 @@
         connections.clear();
     }
 
-    /// Closes the connections that drop bytes, as if a device that had lost their state had been
-    /// replaced.
+    /// Closes the connections that drop bytes, as if a network device that had lost the state of
+    /// these connections had been replaced.
     pub fn close_lossy(&self) {
         let mut connections = self
             .connections
@@ -97,8 +97,8 @@
             let (near_read, near_write) = near.into_split();
             let (far_read, far_write) = far.into_split();
             let (up, down) = (
-                Direction::new(ForwardMode::Pass),
-                Direction::new(ForwardMode::Pass),
+                ModeSender::new(ForwardMode::Pass),
+                ModeSender::new(ForwardMode::Pass),
             );
             tokio::spawn(copy(near_read, far_write, up.subscribe()));
             tokio::spawn(copy(far_read, near_write, down.subscribe()));
@@ -115,9 +115,9 @@
     while mode.changed().await.is_ok() {}
 }
 
-/// Sets the mode of one direction. A direction that drops bytes keeps doing so: forwarding
-/// the rest would leave a gap in the byte stream.
-fn switch_mode(direction: &Direction, mode: ForwardMode) {
+/// Sets the mode of one direction of a connection. A direction that drops bytes keeps this mode,
+/// because forwarding the later bytes would leave a gap in the byte stream.
+fn switch_mode(direction: &ModeSender, mode: ForwardMode) {
     direction.send_if_modified(|current| {
         let changes = *current != ForwardMode::Drop && *current != mode;
         if changes {
@@ -144,10 +144,11 @@
         };
         let is_dropped = chosen == ForwardMode::Drop;
         if chosen == ForwardMode::Delay {
-            tokio::time::sleep(DELAY).await;
+            tokio::time::sleep(CHUNK_DELAY).await;
         }
         if count == 0 && is_dropped {
-            // The end of the stream is dropped too, until the connection is closed.
+            // The end of the stream is not forwarded either; the direction ends when the forwarder
+            // closes the connection.
             while mode.changed().await.is_ok() {}
             return;
         }
--- a/crates/bench/src/faults_history.rs
+++ b/crates/bench/src/faults_history.rs
@@ -1,9 +1,10 @@
-//! Histories of callers and backend servers, and a consistency check of them.
+//! Histories of callers and backend servers, and a check whether these histories are consistent.
 //!
 //! Callers record their requests and the reported outcomes, backend servers record their runs.
-//! The check is independent of the system between them. It requires that an idempotency key
-//! ran at most once, that a request reported as "not run" is in no record, that a response
-//! belongs to its own request, and that a graceful stop cuts no call off.
+//! The check uses nothing from the nodes between callers and backend servers. The check requires
+//! that each idempotency key runs at most once, that a request reported as "not run" is in no
+//! record, that a caller gets the response to its own request or to another request with the same
+//! key, and that a graceful stop cuts no call off.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
@@ -13,9 +14,9 @@
 pub enum ReportedOutcome {
     /// A backend server responded.
     Answered {
-        /// Name of the request that the response belongs to.
+        /// Name of the request that ran, according to the response.
         request: String,
-        /// Fingerprint of that request's body.
+        /// Fingerprint of the body of the request that ran, according to the response.
         fingerprint: String,
     },
     /// The request did not run.
@@ -25,7 +26,7 @@
     /// The request ran, but its response is no longer stored or was an error of the backend
     /// server.
     Ran,
-    /// The connection broke, or no response came in time.
+    /// The connection broke, or the caller got no response in time.
     Broken,
 }
 
@@ -36,11 +37,11 @@
     pub request: String,
     /// Idempotency key, if the call must not run more than once.
     pub key: Option<String>,
-    /// Fingerprint of the request body.
+    /// Fingerprint of the body of the request.
     pub fingerprint: String,
-    /// When it was sent, in microseconds since the Unix epoch.
+    /// When the request was sent, in microseconds since the Unix epoch.
     pub sent_us: u64,
-    /// When the outcome was reported, in microseconds since the Unix epoch.
+    /// When the outcome was reported to the caller, in microseconds since the Unix epoch.
     pub told_us: u64,
     /// Outcome that was reported to the caller.
     pub told: ReportedOutcome,
@@ -48,37 +49,37 @@
     pub detail: String,
 }
 
-/// A run as a backend server recorded it.
+/// A run of a request, as a backend server recorded it.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Run {
-    /// Number of the run at this backend server.
+    /// Number of the run at the process of the backend server.
     pub run: usize,
-    /// Idempotency key, or empty.
+    /// Idempotency key of the request, or empty.
     pub key: String,
     /// Name of the request, or empty.
     pub request: String,
-    /// When the work began, in microseconds since the Unix epoch.
+    /// When the run began, in microseconds since the Unix epoch.
     pub start_us: u64,
-    /// When it ended, in microseconds since the Unix epoch.
+    /// When the run ended, in microseconds since the Unix epoch; `None` if no end was recorded.
     pub end_us: Option<u64>,
 }
 
-/// Record of one process of a backend server.
+/// What is known of one process of a backend server.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ProcessRecord {
-    /// Its runs.
+    /// Runs that the process recorded.
     pub runs: Vec<Run>,
-    /// Time spans from each request to stop this process or its node until the stopped process had
-    /// ended.
+    /// Time spans of the graceful stops of this process or of the node on its VM, each from the
+    /// request to stop until the stopped process had ended.
     pub stop_spans: Vec<Span>,
 }
 
 /// A time span, in microseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Span {
-    /// Its start.
+    /// Start of the time span.
     pub from_us: u64,
-    /// Its end.
+    /// End of the time span.
     pub to_us: u64,
 }
 
@@ -100,7 +101,7 @@
     pub calls: usize,
     /// Requests with an idempotency key.
     pub keyed_calls: usize,
-    /// Requests that were answered, or reported as run.
+    /// Requests that were answered, or reported as "ran".
     pub answered: usize,
     /// Requests that were reported as "not run".
     pub not_run: usize,
@@ -108,27 +109,28 @@
     pub may_have_run: usize,
     /// Requests whose connection broke, or that got no response in time.
     pub broken: usize,
-    /// Keys for which the callers never learned whether they ran.
+    /// Idempotency keys of calls for which the callers never learned whether they ran.
     pub unsettled_keys: usize,
-    /// Keys that ran more than once.
+    /// Idempotency keys whose calls ran more than once.
     pub double_runs: usize,
     /// Requests that ran although they were reported as "not run".
     pub false_not_run: usize,
     /// Responses that belong to another request.
     pub mixed_answers: usize,
-    /// Requests that a graceful stop cut off.
+    /// Requests that were cut off, or got an unknown outcome, during graceful stops without faults.
     pub cut_in_flight: usize,
-    /// Longest time from a request to stop a process until the last start of new work, in seconds.
+    /// Longest time, over all stops, from the request to stop until the last start of new work at
+    /// the backend server, in seconds.
     pub new_work_after_leave_max_s: f64,
     /// Descriptions of the violations.
     #[serde(skip)]
     pub violations: Vec<String>,
-    /// Descriptions of the requests of each unsettled key.
+    /// Descriptions of the unsettled keys, each with the requests and runs of the key.
     #[serde(skip)]
     pub unsettled: Vec<String>,
 }
 
-/// Checks a history.
+/// Checks whether a history is consistent, and counts the outcomes.
 #[must_use]
 pub fn check(history: &History) -> CheckResult {
     let mut result = CheckResult {
@@ -211,7 +213,8 @@
     }
 }
 
-/// Checks that each response belongs to its request or to another one with the same key.
+/// Checks that each response belongs to the answered request, or to another request with the same
+/// key.
 fn check_answers(result: &mut CheckResult, history: &History) {
     let mut by_key: HashMap<&str, HashSet<&str>> = HashMap::new();
     for one in &history.invocations {
@@ -242,19 +245,22 @@
 /// Checks that every call within a span of graceful stops ended with a response or a definite
 /// refusal.
 ///
-/// A retry counts from the first request with its key: an outcome that is unknown because of a
-/// fault before the stop stays unknown. A call that ended after the span may have been affected
-/// by the next fault, and is left out.
+/// A retry counts as a call that began with the first request with the same key: an outcome that is
+/// unknown because of a fault before the stop stays unknown. A call that ended after the span is
+/// left out, because the next fault may have affected the call.
 fn check_graceful_stops(result: &mut CheckResult, history: &History) {
-    let mut first: HashMap<&str, u64> = HashMap::new();
+    let mut first_sent_us: HashMap<&str, u64> = HashMap::new();
     for one in &history.invocations {
         if let Some(key) = &one.key {
-            let sent_us = first.entry(key).or_insert(one.sent_us);
+            let sent_us = first_sent_us.entry(key).or_insert(one.sent_us);
             *sent_us = one.sent_us.min(*sent_us);
         }
     }
     for one in &history.invocations {
-        let from_us = one.key.as_deref().map_or(one.sent_us, |key| first[key]);
+        let from_us = one
+            .key
+            .as_deref()
+            .map_or(one.sent_us, |key| first_sent_us[key]);
         let within = |span: &Span| span.from_us <= from_us && one.told_us <= span.to_us;
         let cut = matches!(
             one.told,
@@ -284,7 +290,8 @@
     latest.max().unwrap_or(0) as f64 / 1e6
 }
 
-/// Returns the time from a request to stop until the last start of new work in its span.
+/// Returns the time from the start of a stop span until the last start of a run in the span, in
+/// microseconds.
 fn work_after_stop(record: &ProcessRecord, span: Span) -> u64 {
     let starts = record.runs.iter().map(|run| run.start_us);
     let within = starts.filter(|start| (span.from_us..=span.to_us).contains(start));
--- a/crates/bench/src/faults_inject.rs
+++ b/crates/bench/src/faults_inject.rs
@@ -1,4 +1,4 @@
-//! Injects faults into a running fleet and recovers from them.
+//! Injects faults into a running fleet and ends them.
 
 use crate::deployment::{Deployment, encode_patch, put_service};
 use crate::error::Error;
@@ -26,35 +26,35 @@
 pub enum Fault {
     /// SIGKILL of a node.
     KillNode(usize),
-    /// SIGSTOP of a node, followed by SIGCONT.
+    /// SIGSTOP of a node, and SIGCONT at the end of the fault.
     FreezeNode(usize),
     /// SIGKILL of a backend server.
     KillServer(usize),
-    /// SIGSTOP of a backend server, followed by SIGCONT.
+    /// SIGSTOP of a backend server, and SIGCONT at the end of the fault.
     FreezeServer(usize),
-    /// The connections to a node drop the bytes towards it.
+    /// The connections to a node drop the bytes towards the node.
     LoseUp(usize),
-    /// The connections to a node drop the bytes from it.
+    /// The connections to a node drop the bytes from the node.
     LoseDown(usize),
-    /// The connections to a node hold the bytes towards it and deliver them later.
+    /// The connections to a node hold back the bytes towards the node until the end of the fault.
     HoldUp(usize),
     /// The connections to a node drop the bytes in both directions.
     Silence(usize),
     /// The connections to a node delay the bytes in both directions.
     Lag(usize),
-    /// The connections to a node are closed; new ones work.
+    /// The connections to a node are closed; new connections work.
     Reset(usize),
     /// SIGHUP of a node.
     Hangup(usize),
     /// The platform responds after 0.8 s.
     PlatformSlow,
-    /// The platform's watches stay open but deliver nothing more.
+    /// The platform's watches stay open but deliver no more changes.
     SilentWatches,
     /// The platform executes requests but drops half of the responses.
     LoseAnswers,
     /// The platform is down.
     PlatformDown,
-    /// Two operators propose changes to the same version.
+    /// Two operators propose changes against the same version at the same time.
     Race,
 }
 
@@ -83,7 +83,7 @@
         faults[rng.random_range(0..faults.len())]
     }
 
-    /// Returns the affected VM, if the fault affects a single one.
+    /// Returns the affected VM, if the fault affects a single VM.
     pub(crate) fn vm(self) -> Option<usize> {
         match self {
             Self::KillNode(vm)
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Returns whether two faults can be active at once without one undoing the other.
+    /// Returns whether two faults can be active at once without the end of one ending the other.
     #[must_use]
     pub fn is_compatible_with(self, other: Self) -> bool {
         match (self.vm(), other.vm()) {
@@ -125,13 +125,13 @@
     Server(usize),
 }
 
-/// A graceful stop that has been requested.
+/// A graceful stop that has been requested and whose end has not been seen.
 #[derive(Debug, Clone, Copy)]
 pub struct PendingStop {
     /// The process that was requested to stop.
     pub stop: Stop,
-    since: Instant,
-    from_us: u64,
+    requested_at: Instant,
+    requested_us: u64,
 }
 
 impl Stop {
@@ -147,7 +147,7 @@
     /// Returns whether the time limit for the stop has passed.
     #[must_use]
     pub fn is_overdue(&self) -> bool {
-        self.since.elapsed() > STOP_TIMEOUT
+        self.requested_at.elapsed() > STOP_TIMEOUT
     }
 }
 
@@ -156,16 +156,18 @@
 pub struct Target {
     /// The fleet.
     pub deployment: Deployment,
-    /// A forwarder in front of each VM's node.
+    /// Forwarders in front of the nodes, one per VM; empty if there are no forwarders.
     pub forwarders: Vec<Forwarder>,
-    /// Record files by VM, one per backend server process, with the process's stop spans.
+    /// Record files by index of the VM, one file per process of the backend server, each with the
+    /// stop spans of the process.
     records: HashMap<usize, Vec<(PathBuf, Vec<Span>)>>,
     proposers: Vec<Process>,
-    races: u32,
+    race_count: u32,
 }
 
 impl Target {
-    /// Creates a target from a fleet whose backend servers record to `files`, in the order of the VMs.
+    /// Creates a target from a fleet. `files` are the record files of the backend servers, in the
+    /// order of the VMs.
     #[must_use]
     pub fn new(deployment: Deployment, forwarders: Vec<Forwarder>, files: Vec<PathBuf>) -> Self {
         let records = files.into_iter().map(|file| vec![(file, Vec::new())]);
@@ -174,11 +176,11 @@
             forwarders,
             records: records.enumerate().collect(),
             proposers: Vec::new(),
-            races: 0,
+            race_count: 0,
         }
     }
 
-    /// Injects a fault.
+    /// Begins a fault.
     ///
     /// # Errors
     ///
@@ -254,7 +256,7 @@
     ///
     /// # Errors
     ///
-    /// When it does not end in time, or can't be started again.
+    /// When the process does not end in time, or can't be started again.
     pub async fn restart_gracefully(&mut self, stop: Stop) -> Result<(), Error> {
         self.stop_and_wait(stop).await?;
         self.start(stop)
@@ -264,7 +266,7 @@
     ///
     /// # Errors
     ///
-    /// When it does not end in time.
+    /// When the process does not end in time.
     pub async fn stop_and_wait(&mut self, stop: Stop) -> Result<(), Error> {
         let pending = self.request_stop(stop)?;
         while !self.has_ended(&pending)? {
@@ -276,35 +278,36 @@
         Ok(())
     }
 
-    /// Requests a process to stop gracefully.
+    /// Requests a process to stop gracefully, if it is still running.
     ///
     /// # Errors
     ///
-    /// When there is no such process.
+    /// When the VM has no such process, or the signal can't be sent.
     pub fn request_stop(&mut self, stop: Stop) -> Result<PendingStop, Error> {
         let process = self.process(stop)?;
-        // A deadly request may have crashed it.
+        // A deadly request may have crashed the process.
         if process.is_running() {
             process.signal(Signal::TERM)?;
         }
         Ok(PendingStop {
             stop,
-            since: Instant::now(),
-            from_us: now_us(),
+            requested_at: Instant::now(),
+            requested_us: now_us(),
         })
     }
 
-    /// Returns whether a process that was requested to stop has ended; if so, records the stop span.
+    /// Returns whether a process that was requested to stop has ended. If the process has ended,
+    /// records the stop span.
     ///
     /// # Errors
     ///
-    /// When there is no such process.
+    /// When the VM has no such process.
     pub fn has_ended(&mut self, pending: &PendingStop) -> Result<bool, Error> {
         if self.process(pending.stop)?.is_running() {
             return Ok(false);
         }
         let span = Span {
-            from_us: pending.from_us,
+            from_us: pending.requested_us,
             to_us: now_us(),
         };
         let records = self.records.entry(pending.stop.vm()).or_default();
@@ -323,7 +326,7 @@
         self.process(stop)?.kill()
     }
 
-    /// Returns the paths of all record files.
+    /// Returns the paths of the record files of all processes.
     pub fn record_files(&self) -> impl Iterator<Item = &std::path::Path> {
         self.records
             .values()
@@ -335,7 +338,7 @@
     ///
     /// # Errors
     ///
-    /// When it can't be killed or started.
+    /// When the backend server can't be killed or started.
     pub fn kill_and_restart(&mut self, vm: usize) -> Result<(), Error> {
         self.server(vm)?.kill()?;
         self.restart_server(vm)
@@ -345,7 +348,7 @@
     ///
     /// # Errors
     ///
-    /// When it can't be started.
+    /// When the process can't be started.
     pub fn start(&mut self, stop: Stop) -> Result<(), Error> {
         match stop {
             Stop::Node(vm) => self.deployment.vms[vm].restart_node(),
@@ -395,8 +398,8 @@
         self.deployment.set_platform_fault(fault).await.map(drop)
     }
 
-    /// Starts a backend server again. The new process gets a record file of its own: in the same
-    /// file, it would overwrite the record of the previous process.
+    /// Starts a backend server again. The new process gets a record file of its own, because it
+    /// would overwrite the record of the previous process in the same file.
     pub(crate) fn restart_server(&mut self, vm: usize) -> Result<(), Error> {
         let files = self.records.entry(vm).or_default();
         let file = record_file(self.deployment.folder(), vm, files.len());
@@ -406,16 +409,17 @@
         server.restart_backend()
     }
 
-    /// Starts two concurrent proposals with the same base version; which one wins is not checked.
+    /// Starts two concurrent proposals with the same base version. Which of the two is accepted, if
+    /// any, is not checked.
     fn race(&mut self) -> Result<(), Error> {
-        self.races += 1;
+        self.race_count += 1;
         self.proposers.retain_mut(Process::is_running);
         let platform = self.deployment.platform_address.to_string();
         for proposer in 0..2 {
-            let service = format!("race-{}-{proposer}", self.races);
+            let service = format!("race-{}-{proposer}", self.race_count);
             let file = self.deployment.folder().join(format!("{service}.jsonl"));
             std::fs::write(&file, encode_patch(&[put_service(&service)])?)?;
-            let (file, base) = (file.display().to_string(), self.races.to_string());
+            let (file, base) = (file.display().to_string(), self.race_count.to_string());
             let arguments = ["propose", &file, "--base", &base, "--platform", &platform];
             let log = self.deployment.folder().join(format!("{service}.log"));
             self.proposers
@@ -425,8 +429,8 @@
     }
 }
 
-/// Reads a record file. A missing file counts as empty: its process was killed before it
-/// created the file, and has run nothing.
+/// Reads a record file. A missing file counts as empty: the process was killed before it created
+/// the file, and has run nothing.
 pub(crate) fn read_record(file: &std::path::Path) -> Result<String, Error> {
     match std::fs::read_to_string(file) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(String::new()),
@@ -454,8 +458,9 @@
     ]
 }
 
-/// Parses the lines of a record. The last line of a run is the most complete one; a last line
-/// without a newline, which a killed process may leave, is ignored.
+/// Parses the lines of a record. If several lines are about the same run, the last of them is used,
+/// because it is the most complete. A line without a newline at the end of the file, which a killed
+/// process may leave, is ignored.
 pub(crate) fn read_runs(text: &str) -> Result<Vec<Run>, Error> {
     let complete = text.rsplit_once('\n').map_or("", |(complete, _)| complete);
     let mut runs: HashMap<usize, Run> = HashMap::new();
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -6,13 +6,14 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Largest latency that a histogram records, in microseconds; longer ones count as this.
+/// Largest latency that a histogram records, in microseconds; longer latencies are recorded as this
+/// value.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Significant decimal digits of a histogram's values.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Time before a scheduled send at which [`wait_until`] stops sleeping and busy-waits: the
+/// Time before a scheduled send at which [`wait_until`] stops sleeping and begins to busy-wait: the
 /// runtime's timer has a granularity of 1 ms and fires up to 1 ms late.
 const BUSY_WAIT: Duration = Duration::from_micros(2_500);
 
@@ -20,7 +21,7 @@
 #[derive(Debug, Clone)]
 pub struct LatencySeries {
     histogram: Histogram<u64>,
-    /// Calls that failed or were not answered with success.
+    /// Number of calls that failed or were not answered with success.
     pub errors: u64,
 }
 
@@ -69,9 +70,9 @@
 pub struct PlannedCall {
     /// Scheduled send time, since the start of the run.
     pub at: Duration,
-    /// Index of the series that it belongs to.
+    /// Index of the series that the call belongs to.
     pub series: usize,
-    /// Client that sends it.
+    /// Client that sends the call.
     pub caller: Caller,
     /// Request to send.
     pub call: Call,
@@ -80,18 +81,18 @@
 /// Result of a planned call.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Index of the series that it belongs to.
+    /// Index of the series that the call belongs to.
     pub series: usize,
     /// Scheduled send time, since the start of the run.
     pub at: Duration,
     /// Time from the scheduled send time to the complete answer or the error.
     pub latency: Duration,
-    /// The answer, or why there is none.
+    /// The answer, or why the call got no answer.
     pub result: Result<Answer, Error>,
 }
 
-/// Sends every call at its scheduled time, however late the answers are, and returns the results
-/// in the order in which they came in.
+/// Sends every call at its scheduled time, however late the answers to earlier calls are. Gives up
+/// on a call after `limit`. Returns the outcomes in the order in which the calls ended.
 pub async fn send_planned(plan: Vec<PlannedCall>, limit: Duration) -> Vec<Outcome> {
     send_planned_with(plan, move |planned| async move {
         planned.caller.send_within(&planned.call, limit).await
@@ -99,7 +100,7 @@
     .await
 }
 
-/// Like [`send_planned`], with `send` to send one call.
+/// Like [`send_planned`], but sends each call with `send`.
 pub async fn send_planned_with<F, S>(mut plan: Vec<PlannedCall>, send: F) -> Vec<Outcome>
 where
     F: Fn(PlannedCall) -> S,
@@ -123,7 +124,7 @@
                 latency,
                 result,
             };
-            // The receiver lives until it has every outcome.
+            // Sending can't fail: the receiver is kept until it has received every outcome.
             let _received = sender.send(outcome);
         });
     }
@@ -135,8 +136,8 @@
     outcomes
 }
 
-/// Sleeps until shortly before `due` and busy-waits the rest, yielding so that the runtime still
-/// serves its sockets.
+/// Sleeps until shortly before `due` and busy-waits for the rest of the time. The busy wait yields
+/// to other tasks, so that the runtime still serves its sockets.
 async fn wait_until(due: Instant) {
     if let Some(sleep) = due
         .checked_duration_since(Instant::now())
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -72,15 +72,16 @@
     ])
 }
 
-// Single-threaded: the task that waits for the next send time yields to the tasks
-// of its calls on the same thread, so that their sockets are served without delay.
+// The runtime has one thread: the task that waits for the next send time yields to the tasks of the
+// calls on the same thread, so that the sockets of these calls are served without delay.
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     let command = parse_command()
         .to_options()
         .descr("Load, experiments and failures against real processes")
         .run();
-    // A signal drops the run and with it its process handles, which kills the processes.
+    // On a signal, the future of the run is dropped, and with it the handles of the processes,
+    // which kills the processes.
     let result = tokio::select! {
         report = run(command) => report,
         () = wait_signal() => Err(Error::Unexpected("interrupted by a signal".to_owned())),
@@ -137,12 +138,12 @@
             Ok((to_json(&report)?, report.is_clean()))
         }
         Command::Soak(options) if options.shrink => {
-            let tally = soak_repeat::shrink(&options).await?;
-            Ok((to_json(&tally)?, tally.failed == 0))
+            let totals = soak_repeat::shrink(&options).await?;
+            Ok((to_json(&totals)?, totals.failed == 0))
         }
         Command::Soak(options) if options.repeat > 1 => {
-            let tally = soak_repeat::run(&options).await?;
-            Ok((to_json(&tally)?, tally.failed == 0))
+            let totals = soak_repeat::run(&options).await?;
+            Ok((to_json(&totals)?, totals.failed == 0))
         }
         Command::Soak(options) => {
             let report = soak::run(options).await?;
--- a/crates/bench/src/node.rs
+++ b/crates/bench/src/node.rs
@@ -1,4 +1,4 @@
-//! Reads a node's status, metrics and log, and sends it announcements.
+//! Reads a node's status, metrics and log, and announces backend servers to a node.
 
 use crate::caller::{Call, Caller};
 use crate::deployment::Vm;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use store::memory::Counts;
 
-/// Time limit of a call.
+/// Time limit of a call to a node or to the platform stand-in.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Reads a node's status.
@@ -28,7 +28,7 @@
     serde_json::from_slice(&answer.body).map_err(|error| Error::Unexpected(error.to_string()))
 }
 
-/// A node's metrics, by name including labels.
+/// Values of a node's metrics, by name and labels as they are written in the output.
 #[derive(Debug, Clone, Default)]
 pub struct Metrics(BTreeMap<String, f64>);
 
@@ -39,13 +39,13 @@
         self.0.get(name).copied().unwrap_or_default()
     }
 
-    /// Returns the total of control bytes that the node has sent.
+    /// Returns the number of control bytes that the node has sent since its start.
     #[must_use]
     pub fn control_sent(&self) -> f64 {
         self.get("bluebellpick_control_bytes_total{direction=\"sent\"}")
     }
 
-    /// Returns the total of control bytes that the node has received.
+    /// Returns the number of control bytes that the node has received since its start.
     #[must_use]
     pub fn control_received(&self) -> f64 {
         self.get("bluebellpick_control_bytes_total{direction=\"received\"}")
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 ///
-/// When it does not answer.
+/// When the node does not answer.
 pub async fn read_metrics(vm: &Vm) -> Result<Metrics, Error> {
     let call = Call::get("/metrics");
     let answer = Caller::new(vm.operators_address())
@@ -72,7 +72,7 @@
 }
 
 /// Announces a backend server to a node, at the address of the VM's backend server. If the VM has
-/// none, nothing listens there.
+/// no backend server, nothing listens on that address.
 ///
 /// # Errors
 ///
@@ -95,12 +95,12 @@
     }
 }
 
-/// Reads the numbers of calls that the platform stand-in has counted.
+/// Reads how many calls of each kind the platform stand-in has received.
 ///
 /// # Errors
 ///
-/// When it does not answer.
-pub async fn read_counts(platform: SocketAddr) -> Result<Counts, Error> {
+/// When the stand-in does not answer, or its answer is malformed.
+pub async fn read_platform_counts(platform: SocketAddr) -> Result<Counts, Error> {
     let call = Call::get("/counts");
     let answer = Caller::new(platform)
         .send_within(&call, CALL_TIMEOUT)
@@ -111,13 +111,14 @@
 /// A version that a node put into force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstalledVersion {
-    /// The version.
+    /// Number of the version.
     pub version: Version,
-    /// When it came into force, in milliseconds since the Unix epoch.
+    /// Time at which the version came into force, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// Reads the versions that a node put into force from its log, which covers all its processes.
+/// Reads the versions that a node put into force from the node's log, which contains the lines of
+/// all processes of the node so far.
 ///
 /// # Errors
 ///
@@ -149,7 +150,8 @@
         clock.next()?.ok()?,
         clock.next()?.ok()?,
     );
-    // Counts days in years that begin in March, so that a leap day is the last day of its year.
+    // The days are counted in years that begin in March, so that a leap day is the last day of its
+    // year. 719,468 is the number of days from 0000-03-01 to 1970-01-01.
     let (year, month) = if month > 2 {
         (year, month - 3)
     } else {
--- a/crates/bench/src/options.rs
+++ b/crates/bench/src/options.rs
@@ -13,7 +13,7 @@
         .map(Duration::from_secs)
 }
 
-/// Number of services in the fleet that the project is designed for.
+/// Default number of services: that of the fleet that the project is designed for.
 const DEFAULT_SERVICES: usize = 410;
 
 /// Parses `--services`: the number of services in the configuration.
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -1,8 +1,9 @@
 //! Measures goodput, latency and fairness under overload, in comparison with a plain baseline.
 //!
-//! Four nodes with one backend server each receive from half to ten times the capacity of the
-//! backend servers. The baseline sends the same calls at the same times directly to the same
-//! backend servers: round robin, with unbounded FIFO queues and three retries.
+//! Callers send calls to four nodes with one backend server each, at rates from half to ten times
+//! the capacity of the backend servers. The baseline sends the same calls at the same times
+//! directly to the same backend servers: round robin, with practically unbounded FIFO queues and
+//! three retries.
 
 use crate::count::to_f64;
 use crate::deployment::{Deployment, VmSpec, put_route, put_service, send_fault};
@@ -10,7 +11,8 @@
 use crate::load::Outcome;
 use crate::options;
 use crate::overload_calls::{
-    CALL_TIMEOUT, CAPACITY, EntryPoint, Flow, FlowTally, PROBE_SERIES, SERVERS, WORK_MS, send_flows,
+    CALL_TIMEOUT, CAPACITY_PER_S, EntryPoint, Flow, FlowTally, PROBE_SERIES, SERVER_COUNT, WORK_MS,
+    send_flows,
 };
 use bpaf::{Parser, construct, long};
 use config::{Change, Class, Repeat, Retry};
@@ -21,9 +23,10 @@
 /// Options of the experiment.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Duration of each run.
+    /// Duration of a run at one load. The runs for fairness and for a slow backend server are 1 s
+    /// and 2 s longer, and the run with the burst has a fixed duration.
     pub duration: Duration,
-    /// The only part to run; all parts if there is none.
+    /// The only part to run; `None` to run all parts.
     pub only: Option<Part>,
 }
 
@@ -32,7 +35,7 @@
 pub enum Part {
     /// Loads from half to ten times the capacity.
     Levels,
-    /// One caller that sends more than all others together.
+    /// One caller that sends more calls than all other callers together.
     Fairness,
     /// One backend server that is ten times slower than the others.
     Slow,
@@ -88,30 +91,30 @@
     pub refusal_p90_ms: f64,
     /// Latency of the refusals, 99th percentile.
     pub refusal_p99_ms: f64,
-    /// Latency of probes, which bypass the nodes and are answered by backend servers at once, 99th
-    /// percentile.
+    /// 99th percentile of the latency of probes, which bypass the nodes and which backend servers
+    /// answer at once.
     pub wire_p99_ms: f64,
-    /// Successful responses after the deadline.
+    /// Number of successful responses after the deadline of their calls.
     pub late_answers: u64,
 }
 
 /// Results with one hot caller.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Fairness {
-    /// Share of the hot caller in all calls answered in time.
+    /// Share of the hot caller's calls in all calls answered in time.
     pub hot_caller_share: f64,
-    /// Share of calls answered in time: the lowest among the other callers.
+    /// Share of a caller's calls that were answered in time: the lowest among the other callers.
     pub fair_share_min: f64,
-    /// Share of calls answered in time: all other callers together.
+    /// Share of calls that were answered in time, over all other callers together.
     pub fair_share_mean: f64,
 }
 
-/// Results with one backend server ten times slower.
+/// Results with one backend server that is ten times slower than the others.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Slow {
-    /// Latency without a slow backend server, 99th percentile.
+    /// Latency of the calls answered in time without a slow backend server, 99th percentile.
     pub healthy_p99_ms: f64,
-    /// Latency with a slow backend server, 99th percentile.
+    /// Latency of the calls answered in time with a slow backend server, 99th percentile.
     pub slow_p99_ms: f64,
     /// Share of calls answered in time with a slow backend server.
     pub slow_share: f64,
@@ -122,7 +125,8 @@
 pub struct Burst {
     /// Share of commits and look-ups answered in time during the burst.
     pub share_in_burst: f64,
-    /// Time after the end of the burst until share and latency were normal again, in seconds.
+    /// Time from the end of the burst until the share of calls answered in time and their latency
+    /// were normal again, in seconds.
     pub normal_after_s: f64,
 }
 
@@ -164,7 +168,7 @@
 /// Pause between two runs, in which the queues drain.
 const RUN_PAUSE: Duration = Duration::from_secs(2);
 
-/// First series of each class; every caller of a class has a series of its own.
+/// First series of each group of callers; every caller of a group has a series of its own.
 const COMMIT_SERIES: usize = 0;
 const LOOKUP_SERIES: usize = 100;
 const REFRESH_SERIES: usize = 200;
@@ -214,10 +218,11 @@
 }
 
 async fn start() -> Result<Deployment, Error> {
-    let specs = (1..=SERVERS).map(|index| {
+    let specs = (1..=SERVER_COUNT).map(|index| {
         let mut spec = VmSpec::new(&format!("vm-{index}"), "zone-1", Some("desk"));
         let work = WORK_MS.to_string();
-        // The baseline queues calls at the backend servers, practically without a bound.
+        // The baseline queues calls at the backend servers; a bound of a million calls is
+        // practically none.
         let arguments = ["--work-ms", &work, "--queue", "1000000"];
         spec.backend_args = arguments.map(str::to_owned).to_vec();
         spec
@@ -262,7 +267,7 @@
     change
 }
 
-fn make_flow(series: usize, load: f64, span: (f64, f64)) -> Flow {
+fn make_flow(series: usize, load_factor: f64, span_s: (f64, f64)) -> Flow {
     let (class, callers) = match series {
         COMMIT_SERIES => (Class::Commit, ("clerk", 30)),
         REFRESH_SERIES => (Class::Refresh, ("parent", 30)),
@@ -273,8 +278,8 @@
         series,
         class,
         callers,
-        load,
-        span,
+        load_factor,
+        span_s,
     }
 }
 
@@ -290,7 +295,8 @@
     let mut levels = Vec::new();
     for load in LOAD_FACTORS {
         tokio::time::sleep(RUN_PAUSE).await;
-        // A fifth are commits, so that at four times the capacity the commits alone still fit.
+        // A fifth of the calls are commits, so that the commits alone still fit into the capacity
+        // at a load of four times the capacity.
         let span = (0.0, seconds);
         let flows = [
             make_flow(COMMIT_SERIES, 0.2 * load, span),
@@ -306,7 +312,7 @@
 }
 
 fn tally_level(outcomes: &[Outcome], load: f64, seconds: f64) -> Level {
-    // The first second is left out: the queues fill up.
+    // The first second is left out, because the queues fill up in that time.
     let is_measured = |outcome: &Outcome| outcome.at >= Duration::from_secs(1);
     let tally_series = |series| {
         FlowTally::count(outcomes, |outcome| {
@@ -321,10 +327,10 @@
         [COMMIT_SERIES, LOOKUP_SERIES, REFRESH_SERIES].map(tally_series);
     Level {
         load,
-        goodput_ratio: to_f64(all.in_time.count()) / (CAPACITY * (seconds - 1.0)),
-        commit_share: commits.share(),
-        lookup_share: lookups.share(),
-        refresh_share: refreshes.share(),
+        goodput_ratio: to_f64(all.in_time.count()) / (CAPACITY_PER_S * (seconds - 1.0)),
+        commit_share: commits.in_time_share(),
+        lookup_share: lookups.in_time_share(),
+        refresh_share: refreshes.in_time_share(),
         commit_p99_ms: commits.in_time.quantile_ms(0.99),
         lookup_p99_ms: lookups.in_time.quantile_ms(0.99),
         refusal_p50_ms: all.refused.quantile_ms(0.5),
@@ -358,13 +364,13 @@
         FlowTally::count(&outcomes, |outcome| {
             is_measured(outcome) && outcome.series == series
         })
-        .share()
+        .in_time_share()
     });
     let answers = hot.in_time.count() + others.in_time.count();
     Fairness {
         hot_caller_share: to_f64(hot.in_time.count()) / to_f64(answers.max(1)),
         fair_share_min: shares.fold(1.0, f64::min),
-        fair_share_mean: others.share(),
+        fair_share_mean: others.in_time_share(),
     }
 }
 
@@ -378,7 +384,8 @@
         make_flow(COMMIT_SERIES, 0.05, span),
         make_flow(LOOKUP_SERIES, 0.35, span),
     ];
-    // The first two seconds are left out: the nodes learn of the slow backend server in them.
+    // The first two seconds are left out, because the nodes learn in that time that a backend
+    // server is slow.
     let is_measured =
         |outcome: &Outcome| outcome.series < PROBE_SERIES && outcome.at >= Duration::from_secs(2);
     let mut tallies = Vec::new();
@@ -393,14 +400,14 @@
     let slow = Slow {
         healthy_p99_ms: tallies[0].in_time.quantile_ms(0.99),
         slow_p99_ms: tallies[1].in_time.quantile_ms(0.99),
-        slow_share: tallies[1].share(),
+        slow_share: tallies[1].in_time_share(),
     };
     eprintln!("{entry_point:?} {slow:?}");
     Ok(slow)
 }
 
-/// Start and end of the burst, in seconds.
-const BURST_SPAN: (f64, f64) = (3.0, 5.0);
+/// Start and end of the burst, in seconds from the start of the run.
+const BURST_SPAN_S: (f64, f64) = (3.0, 5.0);
 
 /// Duration of the run with the burst, in seconds.
 const BURST_RUN_S: f64 = 12.0;
@@ -417,7 +424,7 @@
     let flows = [
         make_flow(COMMIT_SERIES, 0.1, span),
         make_flow(LOOKUP_SERIES, 0.5, span),
-        make_flow(REFRESH_SERIES, 8.0, BURST_SPAN),
+        make_flow(REFRESH_SERIES, 8.0, BURST_SPAN_S),
     ];
     let outcomes = send_flows(deployment, &flows, entry_point).await;
     let within = |from: f64, to: f64| {
@@ -426,20 +433,21 @@
             from <= at && at < to && outcome.series < REFRESH_SERIES
         })
     };
-    let baseline_p99_ms = within(1.0, BURST_SPAN.0).in_time.quantile_ms(0.99);
+    let baseline_p99_ms = within(1.0, BURST_SPAN_S.0).in_time.quantile_ms(0.99);
     let mut normal_after_s = 0.0;
-    let mut from = BURST_SPAN.1;
+    let mut from = BURST_SPAN_S.1;
     while from + WINDOW_S <= BURST_RUN_S - CALL_TIMEOUT.as_secs_f64() {
         let tally = within(from, from + WINDOW_S);
-        // A window has few calls, so its 95th percentile is compared in place of the 99th.
+        // A window has few calls, so the 95th percentile of the window is compared with the 99th
+        // percentile before the burst.
         let slow = tally.in_time.quantile_ms(0.95) > 1.5 * baseline_p99_ms;
-        if tally.share() < NORMAL_SHARE || slow {
-            normal_after_s = from + WINDOW_S - BURST_SPAN.1;
+        if tally.in_time_share() < NORMAL_SHARE || slow {
+            normal_after_s = from + WINDOW_S - BURST_SPAN_S.1;
         }
         from += WINDOW_S;
     }
     Burst {
-        share_in_burst: within(BURST_SPAN.0, BURST_SPAN.1).share(),
+        share_in_burst: within(BURST_SPAN_S.0, BURST_SPAN_S.1).in_time_share(),
         normal_after_s,
     }
 }
--- a/crates/bench/src/overload_calls.rs
+++ b/crates/bench/src/overload_calls.rs
@@ -1,4 +1,5 @@
-//! Calls of the overload experiment, and the baseline's way to send them.
+//! Calls of the overload experiment, sent to the nodes or, for the baseline, to the backend
+//! servers.
 
 use crate::caller::{Answer, Call, Caller};
 use crate::count::to_f64;
@@ -14,44 +15,45 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Mean work of a call, in milliseconds. It is long compared with the bench's own cost per call,
-/// so that the bench can send ten times the capacity.
+/// Mean duration of a call's work at a backend server, in milliseconds: long compared with the CPU
+/// time that the bench needs per call, so that the bench can send ten times the capacity.
 pub const WORK_MS: u32 = 60;
 
 /// Number of backend servers, each with six slots.
-pub const SERVERS: u32 = 4;
+pub const SERVER_COUNT: u32 = 4;
 
 /// Number of slots of all backend servers.
-const SLOTS: u32 = SERVERS * 6;
+const SLOT_COUNT: u32 = SERVER_COUNT * 6;
 
 /// Capacity of all backend servers, in calls per second.
-pub const CAPACITY: f64 = SLOTS as f64 * 1000.0 / WORK_MS as f64;
+pub const CAPACITY_PER_S: f64 = SLOT_COUNT as f64 * 1000.0 / WORK_MS as f64;
 
 /// Timeout of a call.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Attempts of the baseline per call: the first one and three retries.
+/// Maximum number of attempts of the baseline per call: the first attempt and three retries.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Seed of the calls' send times, callers and nodes.
+/// Seed of the random choices: the send time, caller and node of each call.
 const SEED: u64 = 6;
 
 /// Calls of one class by a group of callers.
 #[derive(Debug, Clone, Copy)]
 pub struct Flow {
-    /// Series of the first caller; the callers' series follow one another.
+    /// Series of the first caller; the series of the other callers follow it.
     pub series: usize,
     /// Class of the calls.
     pub class: Class,
-    /// Name prefix and number of the callers; each call is made by a random one.
+    /// Prefix of the callers' names, and the number of callers; each call is made by a random
+    /// caller.
     pub callers: (&'static str, u32),
     /// Rate of the calls, as a multiple of the capacity.
-    pub load: f64,
-    /// Start and end of the calls, in seconds.
-    pub span: (f64, f64),
+    pub load_factor: f64,
+    /// Start and end of the time in which calls are sent, in seconds from the start of the run.
+    pub span_s: (f64, f64),
 }
 
-/// Where the calls are sent.
+/// Where the bench sends the calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryPoint {
     /// To the nodes.
@@ -75,7 +77,8 @@
     let mut plan = plan_calls(flows, &targets);
     plan.extend(plan_probes(deployment, flows));
     match entry_point {
-        // The node ends a call at its deadline; this limit only keeps the bench from hanging.
+        // The node ends a call at the call's deadline; this time limit only keeps the bench from
+        // hanging.
         EntryPoint::Nodes => send_planned(plan, 5 * CALL_TIMEOUT).await,
         EntryPoint::Servers => send_round_robin(plan, targets).await,
     }
@@ -99,7 +102,8 @@
     .await
 }
 
-/// Sends a call to up to four backend servers, round robin, each with a quarter of the timeout.
+/// Sends a call to backend servers, round robin, until an attempt succeeds or four have failed.
+/// Each attempt may take a quarter of the timeout.
 async fn send_with_retries(
     call: &Call,
     targets: &[Caller],
@@ -121,13 +125,13 @@
 /// Series of the probes.
 pub const PROBE_SERIES: usize = 1_000;
 
-/// Interval of the probes.
+/// Interval between the sends of two probes.
 const PROBE_PERIOD: Duration = Duration::from_millis(10);
 
-/// Plans probes, calls that a backend server answers at once. They measure the latency that the
-/// network and the machine add during the run.
+/// Plans probes, which are calls that a backend server answers at once. Probes measure the latency
+/// that the network and the machine add during the run.
 fn plan_probes(deployment: &Deployment, flows: &[Flow]) -> Vec<PlannedCall> {
-    let end = flows.iter().map(|flow| flow.span.1).fold(0.0, f64::max);
+    let end = flows.iter().map(|flow| flow.span_s.1).fold(0.0, f64::max);
     let mut planned = Vec::new();
     let mut at = Duration::ZERO;
     for vm in deployment.vms.iter().cycle() {
@@ -145,15 +149,16 @@
     planned
 }
 
-/// Plans calls with independent random send times (a Poisson process), as those of many callers.
+/// Plans the calls of all flows with independent random send times (a Poisson process), like those
+/// of many independent callers.
 fn plan_calls(flows: &[Flow], targets: &[Caller]) -> Vec<PlannedCall> {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut planned = Vec::new();
     for flow in flows {
-        let mut at = flow.span.0;
+        let mut at = flow.span_s.0;
         loop {
-            at -= (1.0 - rng.random::<f64>()).ln() / (flow.load * CAPACITY);
-            if at >= flow.span.1 {
+            at -= (1.0 - rng.random::<f64>()).ln() / (flow.load_factor * CAPACITY_PER_S);
+            if at >= flow.span_s.1 {
                 break;
             }
             let caller = rng.random_range(0..flow.callers.1);
@@ -184,21 +189,21 @@
         )
 }
 
-/// Totals of a set of outcomes.
+/// Counts and latencies of a set of calls.
 #[derive(Debug)]
 pub struct FlowTally {
-    /// Latencies of the successful responses in time.
+    /// Latencies of the calls that were answered with success within their timeout.
     pub in_time: LatencySeries,
-    /// Latencies of the refusals.
+    /// Latencies of the calls that were answered with an error status.
     pub refused: LatencySeries,
-    /// Number of calls.
+    /// Number of calls, with or without a response.
     pub sent: u64,
-    /// Number of successful responses after the deadline.
+    /// Number of calls that were answered with success only after their timeout.
     pub late: u64,
 }
 
 impl FlowTally {
-    /// Counts the outcomes for which `is_selected` returns true.
+    /// Counts the calls for whose outcomes `is_selected` returns true.
     pub fn count<F>(outcomes: &[Outcome], is_selected: F) -> Self
     where
         F: Fn(&Outcome) -> bool,
@@ -231,7 +236,7 @@
 
     /// Returns the share of the calls that were answered in time.
     #[must_use]
-    pub fn share(&self) -> f64 {
+    pub fn in_time_share(&self) -> f64 {
         to_f64(self.in_time.count()) / to_f64(self.sent.max(1))
     }
 }
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -24,32 +24,34 @@
 /// Options of the experiment.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Calls per second of each series and VM.
+    /// Calls per second, for each pair of a series and a VM.
     pub rate: u32,
-    /// Duration of a measurement.
+    /// Duration of each measurement.
     pub duration: Duration,
     /// Number of VMs, with a backend server each.
     pub vms: usize,
-    /// Folder of other programs, measured alternately with those in this program's folder.
+    /// Folder of other programs, which are measured alternately with the programs in this program's
+    /// folder.
     pub against: Option<PathBuf>,
-    /// Number of measurements of each fleet, with `against`.
+    /// Number of measurements of each fleet, if there is a folder in `against`.
     pub turns: u32,
 }
 
-/// Results of both fleets, and ratios of the first to the second.
+/// Results of two fleets: `here` runs the programs in this program's folder, `there` those in the
+/// folder given with `--against`. Ratios are here to there.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct Pair {
+pub struct Comparison {
     /// Results of the programs in this program's folder.
     pub here: Report,
     /// Results of the programs in the other folder.
     pub there: Report,
-    /// Ratio of the CPU times per call, here to there: median of the turns.
+    /// Ratio of the nodes' CPU times per call: median of the turns.
     pub cpu_ratio: f64,
-    /// The same, smallest and largest of the turns.
+    /// Smallest and largest ratio of the nodes' CPU times per call in any turn.
     pub cpu_ratio_range: [f64; 2],
-    /// Ratio of the latencies that two nodes add at the median, here to there: median of the turns.
+    /// Ratio of the latencies that two nodes add to the median: median of the turns.
     pub added_remote_p50_ratio: f64,
-    /// The same at the 99th percentile.
+    /// Ratio of the latencies that two nodes add to the 99th percentile: median of the turns.
     pub added_remote_p99_ratio: f64,
     /// Calls of both fleets that failed or were not answered with success.
     pub errors: u64,
@@ -70,13 +72,15 @@
     pub remote_p50_ms: f64,
     /// Calls through another VM's node, 99th percentile in milliseconds.
     pub remote_p99_ms: f64,
-    /// Latency that the node of the backend server's VM adds at the 99th percentile, in milliseconds.
+    /// 99th percentile through the node of the backend server's VM minus that of direct calls, in
+    /// milliseconds.
     pub added_local_p99_ms: f64,
-    /// Latency that two nodes add at the 99th percentile, in milliseconds.
+    /// 99th percentile through another VM's node, so through two nodes, minus that of direct calls,
+    /// in milliseconds.
     pub added_remote_p99_ms: f64,
-    /// CPU time of all nodes per call through them, in microseconds.
+    /// CPU time of all nodes together, per call through nodes, in microseconds.
     pub node_cpu_us_a_call: f64,
-    /// Voluntary context switches of all nodes per call through them.
+    /// Voluntary context switches of all nodes together, per call through nodes.
     pub node_switches_a_call: f64,
     /// Largest resident memory of a node, in megabytes.
     pub node_rss_mb_max: f64,
@@ -86,7 +90,7 @@
     pub errors: u64,
 }
 
-/// How long unmeasured calls are sent at first, to open connections and warm caches.
+/// Duration of the calls that are sent first and not measured, to open connections and warm caches.
 const WARM_UP: Duration = Duration::from_secs(2);
 
 /// Time limit of a call.
@@ -152,22 +156,22 @@
 /// # Errors
 ///
 /// When a program can't be started, or a fleet doesn't start serving.
-pub async fn run_pair(options: &Options, against: &Path) -> Result<Pair, Error> {
+pub async fn run_pair(options: &Options, against: &Path) -> Result<Comparison, Error> {
     let here = start(options, Path::new("")).await?;
     let there = start(options, against).await?;
     let mut turns = Vec::new();
     for turn in 0..options.turns {
-        // The fleet that is measured first in a turn finds the caches in another state than the
-        // second one, so the order alternates.
-        let is_first = turn % 2 == 0;
-        let (first, second) = if is_first {
+        // The fleet that is measured first in a turn finds the CPU caches in another state than the
+        // fleet that is measured second, so the order alternates.
+        let here_first = turn % 2 == 0;
+        let (first, second) = if here_first {
             (&here, &there)
         } else {
             (&there, &here)
         };
         let first = measure(first, options).await?;
         let second = measure(second, options).await?;
-        turns.push(if is_first {
+        turns.push(if here_first {
             (first, second)
         } else {
             (second, first)
@@ -220,7 +224,7 @@
     Ok(report)
 }
 
-fn compare(turns: &[(Report, Report)]) -> Pair {
+fn compare(turns: &[(Report, Report)]) -> Comparison {
     let ratios = |of: fn(&Report) -> f64| {
         let ratios = turns.iter().map(|(here, there)| of(here) / of(there));
         let mut ratios: Vec<_> = ratios.collect();
@@ -233,7 +237,7 @@
     };
     let cpu = ratios(|report| report.node_cpu_us_a_call);
     let median = |of| ratios(of)[turns.len() / 2];
-    Pair {
+    Comparison {
         here: median_report(turns.iter().map(|turn| turn.0).collect()),
         there: median_report(turns.iter().map(|turn| turn.1).collect()),
         cpu_ratio: cpu[turns.len() / 2],
@@ -247,7 +251,8 @@
     }
 }
 
-/// Sums the CPU time and context switches of all nodes, and takes the largest resident memory.
+/// Returns the sums of the CPU times and of the context switches of all nodes, and the largest
+/// resident memory of a node.
 fn read_usage(deployment: &Deployment) -> Result<Usage, Error> {
     let mut total = Usage {
         resident_bytes: 0,
@@ -295,7 +300,8 @@
         for (series, address) in entries.into_iter().enumerate() {
             let caller = Caller::new(address);
             let call = Call::get(&format!("/service-{index}/item"));
-            // Offsets within the period, so that the series don't queue behind each other.
+            // Each pair of VM and series has its own offset within the period, so that the calls of
+            // different series don't queue behind each other.
             let slot = index * entries.len() + series;
             let offset = period * u32::try_from(slot).unwrap_or(0)
                 / u32::try_from(deployment.vms.len() * entries.len()).unwrap_or(1);
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -12,17 +12,18 @@
 /// Environment variable with the folder of the programs under test.
 const PROGRAMS_VARIABLE: &str = "BLUEBELLPICK_PROGRAMS";
 
-/// Poll interval while waiting for a process to end.
+/// Interval at which a process is polled while waiting for it to end.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Clock ticks per second in `/proc/PID/stat` (`USER_HZ`); fixed by the kernel's interface.
+/// Clock ticks per second in `/proc/PID/stat` (`USER_HZ`), which is a constant of the kernel's
+/// interface.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// A child process. Dropping the handle kills it.
+/// A handle of a child process. When the handle is dropped, the process is killed.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// File that receives its standard output and error.
+    /// File that receives the standard output and standard error of the process.
     pub log: PathBuf,
 }
 
@@ -31,9 +32,9 @@
 pub struct Usage {
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
-    /// CPU time since its start.
+    /// CPU time since the start of the process.
     pub cpu_time: Duration,
-    /// Voluntary context switches of its live threads since they started.
+    /// Voluntary context switches of the process's live threads since each thread started.
     pub voluntary_switches: u64,
 }
 
@@ -94,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// When it has not ended after `limit`.
+    /// When the process has not ended after `limit`.
     pub fn wait(&mut self, limit: Duration) -> Result<ExitStatus, Error> {
         let start = Instant::now();
         while start.elapsed() < limit {
@@ -106,7 +107,7 @@
         Err(Error::Timeout(format!("process {} did not end", self.id())))
     }
 
-    /// Returns whether the process has ended and `signal` ended it.
+    /// Returns whether the process has been terminated by `signal`.
     pub fn was_ended_by(&mut self, signal: Signal) -> bool {
         let ended = self.child.try_wait().ok().flatten();
         ended.is_some_and(|status| status.signal() == Some(signal.as_raw()))
@@ -131,14 +132,15 @@
         Ok(Usage {
             resident_bytes: resident,
             cpu_time: self.read_cpu_time().unwrap_or_else(|| {
-                // A kernel without schedstats has no nanosecond figures.
+                // A kernel without schedstats reports CPU time only in ticks.
                 Duration::from_secs_f64(ticks / TICKS_PER_SECOND)
             }),
             voluntary_switches: self.count_voluntary_switches()?,
         })
     }
 
-    /// Reads the CPU time of all live threads from `schedstat`, in nanosecond resolution.
+    /// Reads the CPU time of all live threads from `schedstat`, with nanosecond resolution. Returns
+    /// `None` if the kernel does not report it.
     fn read_cpu_time(&self) -> Option<Duration> {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.id())).ok()?;
         let mut all = Duration::ZERO;
@@ -175,7 +177,8 @@
 
 /// Sums the user and system ticks in `/proc/PID/stat`.
 ///
-/// Fields are counted from the last `)`, as the program name in parentheses may contain spaces.
+/// Fields are counted from the last `)`, because the program name in parentheses may contain
+/// spaces.
 fn parse_cpu_ticks(stat: &str) -> Option<f64> {
     let fields = stat.rsplit_once(')')?.1;
     let mut ticks = fields.split_whitespace().skip(11);
@@ -197,8 +200,8 @@
     Some(kilobytes * 1024)
 }
 
-/// Finds a program in the folder of [`PROGRAMS_VARIABLE`] or, without it, in this program's folder,
-/// where cargo puts all programs of the workspace.
+/// Finds a program in the folder that [`PROGRAMS_VARIABLE`] names or, if the variable is not set,
+/// in this program's folder, where cargo puts all programs of the workspace.
 fn find_program(name: &str) -> Result<PathBuf, Error> {
     let folder = match std::env::var_os(PROGRAMS_VARIABLE) {
         Some(folder) => PathBuf::from(folder),
--- a/crates/bench/src/proposer.rs
+++ b/crates/bench/src/proposer.rs
@@ -12,20 +12,20 @@
 use store::propose::{Outcome, Proposal, propose};
 use store::version::{Id, JOURNAL};
 
-/// Changes per proposal of the initial configuration.
+/// Maximum number of changes in one proposal of the initial configuration.
 const INITIAL_BATCH_SIZE: usize = 400;
 
-/// A proposer with the configuration that was accepted so far.
+/// Proposes versions, and keeps the last accepted configuration.
 #[derive(Debug)]
 pub struct Proposer {
     /// The last accepted version.
     pub version: Version,
-    /// Its configuration.
+    /// Configuration of the last accepted version.
     pub mesh: Mesh,
-    /// For each version, the time right before its proposal in milliseconds
-    /// since the Unix epoch, and how long the proposal took.
-    pub proposed: BTreeMap<Version, (u64, Duration)>,
-    /// Total size of the proposed versions' patches as JSON, in bytes.
+    /// For each version, the time right before the proposal, in milliseconds since the Unix epoch,
+    /// and the duration of the proposal.
+    pub proposal_times: BTreeMap<Version, (u64, Duration)>,
+    /// Total size of the patches of the versions in `proposal_times`, as JSON, in bytes.
     pub patch_bytes: usize,
     journal: Journal<Client, System>,
 }
@@ -38,17 +38,18 @@
         Self {
             version: Version::ZERO,
             mesh: Mesh::default(),
-            proposed: BTreeMap::new(),
+            proposal_times: BTreeMap::new(),
             patch_bytes: 0,
             journal: Journal::open(store, System, JOURNAL),
         }
     }
 
-    /// Proposes `count` services with a route each. They are not counted in `proposed` and `patch_bytes`.
+    /// Proposes `count` services with a route each. The versions are not counted in
+    /// `proposal_times` and `patch_bytes`, which are cleared.
     ///
     /// # Errors
     ///
-    /// When they are not accepted.
+    /// When a proposal is not accepted.
     pub async fn propose_services(&mut self, count: usize) -> Result<(), Error> {
         let mut changes = Vec::new();
         for index in 0..count {
@@ -60,7 +61,7 @@
         for part in changes.chunks(INITIAL_BATCH_SIZE) {
             self.propose(part.to_vec()).await?;
         }
-        self.proposed.clear();
+        self.proposal_times.clear();
         self.patch_bytes = 0;
         Ok(())
     }
@@ -69,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// When they are not accepted.
+    /// When the changes are not accepted.
     pub async fn propose(&mut self, changes: Vec<Change>) -> Result<(), Error> {
         let patch = Patch::from(changes);
         let json = serde_json::to_vec(&patch);
@@ -83,7 +84,8 @@
         match propose(&self.journal, &proposal).await {
             Outcome::Accepted(version) => {
                 self.version = version;
-                self.proposed.insert(version, (at_ms, start.elapsed()));
+                self.proposal_times
+                    .insert(version, (at_ms, start.elapsed()));
                 self.patch_bytes += json.len();
                 let next = proposal.patch.apply(&self.mesh);
                 self.mesh = next.map_err(|error| Error::Unexpected(error.to_string()))?;
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -13,7 +13,7 @@
 /// A running relay.
 #[derive(Debug)]
 pub struct Relay {
-    /// Address on which it listens.
+    /// Address on which the relay listens.
     pub address: SocketAddr,
     stalled: watch::Sender<bool>,
 }
@@ -32,7 +32,7 @@
 }
 
 impl Relay {
-    /// Holds back all bytes, on open and new connections, or forwards them again.
+    /// Sets whether the relay holds back all bytes, on open and on new connections.
     pub fn set_stalled(&self, is_stalled: bool) {
         self.stalled.send_replace(is_stalled);
     }
--- a/crates/bench/src/rolling.rs
+++ b/crates/bench/src/rolling.rs
@@ -2,13 +2,13 @@
 //!
 //! Callers of every node send calls at times fixed beforehand, over persistent connections. If a
 //! node refuses the connection, nothing has been sent, and the caller connects to the next VM's
-//! node. Every other call without a complete response counts as lost.
+//! node. Every other call without an answer, or a report that it ran, counts as lost.
 
 use crate::caller::{Call, Caller};
 use crate::deployment::{Deployment, Vm, service_vms};
 use crate::error::Error;
 use crate::faults::{SERVICES, deploy_services};
-use crate::faults_callers::{InvocationLog, classify_answer, now_us, summarize};
+use crate::faults_callers::{InvocationLog, classify_answer, now_us, summarize_answer};
 use crate::faults_history::{CheckResult, History, Invocation, ReportedOutcome, Span, check};
 use crate::faults_inject::{Stop, Target, record_args, record_file};
 use bpaf::{Parser, construct, long};
@@ -24,27 +24,27 @@
 use tokio::task::JoinSet;
 
 /// Number of endpoints of each service, one in each availability zone.
-const ZONES: u64 = 3;
+const ENDPOINTS_PER_SERVICE: u64 = 3;
 
-/// Timeout of a call, in milliseconds.
+/// Timeout that a caller sends with its call, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 5_000;
 
 /// Time after which a caller gives up on a node that doesn't respond.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(CALL_TIMEOUT_MS + 1_000);
 
-/// One in this many calls is long, so that calls are in flight at every stop.
+/// One in this many calls is long, so that some calls are in flight at every stop.
 const LONG_CALL_ONE_IN: u32 = 25;
 
-/// Work of a long call, in milliseconds, as a header value.
+/// Duration of a long call's work at the backend server, in milliseconds, as a header value.
 const LONG_WORK_MS: &str = "300";
 
-/// Pause before a caller connects to the next node.
+/// Pause before a caller connects to another node after a refused connection.
 const NEXT_NODE_DELAY: Duration = Duration::from_millis(10);
 
-/// Interval at which a restarted VM is polled.
+/// Interval at which the status of a VM's node is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time limit for a restarted VM to serve.
+/// Time limit for a new or restarted VM to serve.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Duration of the load before the first stop and after the last restart.
@@ -57,16 +57,16 @@
     pub seed: u64,
     /// Calls per second at each node.
     pub rate: u32,
-    /// Number of VMs to restart in each round; all by default.
+    /// Number of VMs to restart in each round; all VMs by default.
     pub vms: usize,
-    /// What each round restarts.
+    /// What to restart on each VM, for each round.
     pub rounds: Vec<Round>,
 }
 
 /// What a round restarts on each VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Round {
-    /// The backend server and the node, which is stopped after the backend server has ended.
+    /// The backend server and the node; the node is stopped after the backend server has ended.
     Vm,
     /// Only the node.
     Node,
@@ -79,23 +79,24 @@
 pub struct Report {
     /// Number of calls.
     pub calls: usize,
-    /// Calls that were answered, or reported as run.
+    /// Calls that were answered, or reported as "ran".
     pub answered: usize,
-    /// All other calls, whatever was reported.
+    /// Calls that were neither answered nor reported as "ran", whatever was reported.
     pub lost: usize,
     /// Lost calls that were reported as "not run".
     pub not_run_told: usize,
     /// Lost calls that were reported as "may have run".
     pub may_have_run_told: usize,
-    /// Lost calls that were cut off, or whose outcome is unknown.
+    /// Lost calls that were cut off, or whose outcome is unknown to the caller.
     pub cut_in_flight: usize,
-    /// Keys that ran more than once.
+    /// Idempotency keys whose calls ran more than once.
     pub double_runs: usize,
     /// Calls that ran although they were reported as "not run".
     pub false_not_run: usize,
     /// Responses that belong to another call.
     pub mixed_answers: usize,
-    /// Longest time from a request to stop a process until the last start of new work, in seconds.
+    /// Longest time, over all stops, from the request to stop until the last start of new work at
+    /// the backend server, in seconds.
     pub new_work_after_leave_max_s: f64,
     /// Number of restarts.
     pub restarts: usize,
@@ -104,7 +105,7 @@
 }
 
 impl Report {
-    /// Returns whether there were calls, and none was lost or violated a requirement.
+    /// Returns whether calls were answered, no call was lost, and no requirement was violated.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         let violations =
@@ -229,15 +230,15 @@
         files.push(file);
     }
     deploy_services(&deployment).await?;
-    // A new fleet first connects its availability zones. A stop before that would leave nodes
-    // without endpoints of a service.
+    // A new fleet first has to connect its availability zones. A stop before these connections
+    // exist would leave nodes without endpoints of a service.
     for vm in &deployment.vms {
         wait_status(vm, knows_all_endpoints).await?;
     }
     Ok(Target::new(deployment, Vec::new(), files))
 }
 
-/// Restarts the processes that `round` selects and waits until the VM serves.
+/// Restarts the processes that `round` selects on a VM and waits until the VM serves.
 async fn restart(target: &mut Target, round: Round, vm: usize) -> Result<(), Error> {
     match round {
         Round::Vm => {
@@ -252,7 +253,7 @@
     wait_status(&target.deployment.vms[vm], backend_serves).await
 }
 
-/// Waits until a node is ready and its status satisfies `is_wanted`.
+/// Waits until the node of a VM is ready and the node's status satisfies `is_wanted`.
 async fn wait_status<F>(vm: &Vm, is_wanted: F) -> Result<(), Error>
 where
     F: Fn(&Value) -> bool,
@@ -273,16 +274,16 @@
     Err(Error::Timeout(format!("{} to serve", vm.spec.name)))
 }
 
-/// Returns whether the node's own backend server serves.
+/// Returns whether the backend server on the node's VM serves, according to the node's status.
 fn backend_serves(status: &Value) -> bool {
     status["backend"]["leaving"] == Value::Bool(false)
 }
 
-/// Returns whether the node knows all endpoints of all services.
+/// Returns whether the node knows all endpoints of all services, according to the node's status.
 fn knows_all_endpoints(status: &Value) -> bool {
     SERVICES
         .iter()
-        .all(|service| status["endpoints"][*service] == ZONES)
+        .all(|service| status["endpoints"][*service] == ENDPOINTS_PER_SERVICE)
 }
 
 /// Load on all nodes, with one [`Pacer`] per node.
@@ -392,20 +393,20 @@
     }
 }
 
-/// A call to send.
+/// A call to send, with its names in the history.
 struct PreparedCall {
     request: String,
     key: Option<String>,
     call: Call,
 }
 
-async fn send(one: PreparedCall, callers: Arc<[Caller]>, first: usize, log: InvocationLog) {
+async fn send(one: PreparedCall, callers: Arc<[Caller]>, first_node: usize, log: InvocationLog) {
     let sent_us = now_us();
-    let mut node = first;
+    let mut node = first_node;
     let (told, detail) = loop {
         match callers[node].send_within(&one.call, RESPONSE_TIMEOUT).await {
-            Ok(answer) => break (classify_answer(&answer), summarize(node, &answer)),
-            // The connection failed before anything was sent.
+            Ok(answer) => break (classify_answer(&answer), summarize_answer(node, &answer)),
+            // The connection could not be opened, so nothing was sent.
             Err(Error::Io(_)) => {
                 node = (node + 1) % callers.len();
                 tokio::time::sleep(NEXT_NODE_DELAY).await;
--- a/crates/bench/src/soak.rs
+++ b/crates/bench/src/soak.rs
@@ -2,10 +2,10 @@
 //! afterwards.
 //!
 //! Faults are injected into real processes from outside only: by signals, by forwarders between
-//! them and by the platform's stand-in. Meanwhile callers send calls over persistent
+//! the processes and by the platform stand-in. Meanwhile callers send calls over persistent
 //! connections, operators propose versions, and processes are stopped, paused, killed and
-//! started in overlapping sequences. Such a period is a storm. After it comes a calm: all faults
-//! end, and then every node must serve and get the version that is proposed then.
+//! started in overlapping sequences. Such a period is a storm. After a storm comes a calm, a period
+//! without faults: every node must then serve, and must put a newly proposed version into force.
 
 use crate::deployment::Vm;
 use crate::error::Error;
@@ -22,8 +22,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Assumed duration of a storm and its calm, to choose the number of storms in a plan: 12 s of
-/// faults, and the rest for the calm.
+/// Assumed duration of a storm with the calm after it, to compute the number of storms in a plan:
+/// 12 s for the storm, and the rest for the calm.
 const STORM_AND_CALM_DURATION: Duration = Duration::from_secs(20);
 
 /// Options of the soak test.
@@ -31,27 +31,29 @@
 pub struct Options {
     /// Seed of all random choices.
     pub seed: u64,
-    /// Duration of the soak test.
+    /// Duration of the soak test; a plan from a file has a duration of its own.
     pub duration: Duration,
     /// Number of VMs of each service in each availability zone. With three services and three zones,
     /// the fleet has nine times as many VMs.
     pub per_zone: usize,
-    /// Whether to generate all faults in advance as a plan, including the kinds that only plans have.
+    /// Whether to generate a plan with all faults before the first fault; such a plan includes
+    /// kinds of faults that are not chosen during a run.
     pub planned: bool,
-    /// File of a plan to play, instead of generated faults.
-    pub plan: Option<PathBuf>,
+    /// File of a plan to play instead of generating faults.
+    pub plan_file: Option<PathBuf>,
     /// File to write the plan to.
     pub write_plan: Option<PathBuf>,
     /// Number of runs.
     pub repeat: usize,
     /// Number of concurrent runs.
     pub jobs: usize,
-    /// Whether each run uses the next seed.
+    /// Whether each run uses the seed after that of the run before; otherwise all use the same
+    /// seed.
     pub next_seeds: bool,
-    /// Whether to shrink the plan: to remove events as long as it still fails.
+    /// Whether to shrink the plan: to remove events from the plan as long as it still fails.
     pub shrink: bool,
     /// Folder to copy the logs to after a violation or an error.
-    pub keep: Option<PathBuf>,
+    pub keep_folder: Option<PathBuf>,
 }
 
 /// Results of the soak test.
@@ -64,28 +66,32 @@
     pub check_result: CheckResult,
     /// Number of injected faults, including graceful stops.
     pub faults_injected: usize,
-    /// Number of calms: times that all faults ended and the fleet was checked.
+    /// Number of calms: times that all faults were ended and the fleet was checked.
     pub calms: usize,
-    /// Calms in which some node didn't serve in time.
+    /// Number of calms in which some node didn't serve in time.
     pub not_served: usize,
-    /// Calms in which a version didn't reach all nodes in time.
+    /// Number of calms in which the proposed version didn't come into force on all nodes in time.
     pub not_in_force: usize,
-    /// Nodes, counted in each calm, that have been offered a view older than their current one.
+    /// Number of nodes that have refused to replace their view with an older view, summed over the
+    /// calms.
     pub reverts: u64,
-    /// Unexpected exits of nodes.
+    /// Number of unexpected exits of nodes.
     pub ended_by_themselves: usize,
-    /// Graceful stops that exceeded their time limit.
+    /// Number of graceful stops that exceeded their time limit.
     pub stops_late: usize,
-    /// Half-closed sockets that nodes still held 2 s after the other checks of a calm.
+    /// Number of half-closed sockets that nodes still held 2 s after the other checks of a calm.
     pub half_closed: usize,
-    /// Runs that began more than 2 s after their backend server's leave request was acknowledged.
+    /// Number of runs that began more than 2 s after the leave request of their backend server had
+    /// been acknowledged.
     pub late_runs: usize,
-    /// Kinds of calls that nodes still held after the last caller had ended, summed over the nodes.
+    /// Number of kinds of calls that a node still held after the last caller had ended, summed over
+    /// the nodes.
     pub unended: usize,
-    /// Runs of deadly requests that began more than 3 s after the third crash, not counting three
-    /// for each request.
+    /// Number of runs of deadly requests that began more than 3 s after the third crash; three such
+    /// runs of each request are allowed and not counted.
     pub deadly_runs: usize,
-    /// Requests of other callers that were refused because they were mistaken for deadly ones.
+    /// Number of requests of other callers that were refused because nodes mistook them for deadly
+    /// requests.
     pub innocents_held: usize,
 }
 
@@ -112,7 +118,7 @@
         .guard(|count| (1..=12).contains(count), "between 1 and 12")
         .fallback(1)
         .display_fallback();
-    let keep = long("keep")
+    let keep_folder = long("keep")
         .help("Folder that the logs of all processes are copied to when something is wrong")
         .argument::<PathBuf>("FOLDER")
         .optional();
@@ -120,7 +126,7 @@
     let planned = long("planned")
         .help("Draw all faults before the first one, with the kinds that only plans have")
         .switch();
-    let plan = long("plan")
+    let plan_file = long("plan")
         .help("Play the plan in this file; seed, size and length are its own")
         .argument::<PathBuf>("FILE")
         .optional();
@@ -149,9 +155,9 @@
     construct!(Options {
         seed,
         per_zone,
-        keep,
+        keep_folder,
         planned,
-        plan,
+        plan_file,
         write_plan,
         repeat,
         jobs,
@@ -162,13 +168,13 @@
 }
 
 impl Options {
-    /// Returns the plan to play; none if the faults are to be chosen during the run.
+    /// Returns the plan to play, or `None` if the faults are to be chosen during the run.
     ///
     /// # Errors
     ///
     /// When the plan's file can't be read.
     pub fn find_plan(&self) -> Result<Option<Plan>, Error> {
-        if let Some(file) = &self.plan {
+        if let Some(file) = &self.plan_file {
             return Plan::read(file).map(Some);
         }
         let storms = self
@@ -240,7 +246,7 @@
         Err(error) => Err(error),
     };
     let is_clean = report.as_ref().is_ok_and(Report::is_clean);
-    if let Some(folder) = options.keep.filter(|_| !is_clean) {
+    if let Some(folder) = options.keep_folder.filter(|_| !is_clean) {
         copy_files(runner.target.deployment.folder(), &folder)?;
     }
     report
--- a/crates/bench/src/soak_cleanup.rs
+++ b/crates/bench/src/soak_cleanup.rs
@@ -1,5 +1,5 @@
-//! Checks for what must not remain after faults have ended: half-closed sockets, calls in
-//! flight, and runs that began after a backend server's leave request.
+//! Checks that after faults have ended, no half-closed sockets and no calls in flight remain, and
+//! that no runs have begun after a backend server's leave request.
 
 use crate::deployment::Vm;
 use crate::error::Error;
@@ -16,15 +16,16 @@
 /// microseconds.
 const LEAVE_GRACE_US: u64 = 2_000_000;
 
-/// Time limit for calls in flight to end after the last caller has ended: nodes wait at most 5 s
-/// for a response to be read.
+/// Time limit for calls in flight to end after the last caller has ended; it is longer than the 5 s
+/// that nodes wait at most for a response to be read.
 const CALL_END_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Interval at which the nodes are polled.
+/// Interval at which the metrics of the nodes are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Lists the sockets of a process that the peer has closed but the process has not, as local and
-/// remote port: the local port identifies the listener, the remote port the peer.
+/// Lists the half-closed sockets of a process: those that the peer has closed but the process has
+/// not. Each is described by its local port, which identifies the listener, and its remote port,
+/// which identifies the peer.
 ///
 /// # Errors
 ///
@@ -51,15 +52,15 @@
     Ok(half_closed.collect())
 }
 
-/// Returns the port of an address from `/proc/net/tcp`, where it is hexadecimal.
+/// Returns the port of an address from `/proc/net/tcp`, in which ports are hexadecimal.
 fn parse_port(address: &str) -> String {
     let port = address.rsplit(':').next();
     let port = port.and_then(|port| u16::from_str_radix(port, 16).ok());
     port.map_or_else(|| address.to_owned(), |port| port.to_string())
 }
 
-/// Counts the runs that began at backend servers too long after their leave requests had been
-/// acknowledged.
+/// Counts the runs that began at a backend server more than `LEAVE_GRACE_US` after the leave
+/// request of that backend server had been acknowledged.
 ///
 /// # Errors
 ///
@@ -84,7 +85,8 @@
     Ok(count)
 }
 
-/// Reads when a backend server's leave request was acknowledged, if it was.
+/// Reads the time at which the leave request of a backend server was acknowledged; `None` if there
+/// was no leave request.
 fn read_leave_time(file: &Path) -> Result<Option<u64>, Error> {
     match std::fs::read_to_string(file) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
@@ -93,8 +95,8 @@
     }
 }
 
-/// Counts the kinds of calls that nodes still hold after all callers have ended, summed over the
-/// nodes.
+/// Waits until no node holds calls of any kind, after all callers have ended. Returns the number of
+/// kinds of calls that a node still holds at the time limit, summed over the nodes.
 pub async fn count_unended(vms: &[Vm]) -> usize {
     let start = Instant::now();
     loop {
--- a/crates/bench/src/soak_deadly.rs
+++ b/crates/bench/src/soak_deadly.rs
@@ -1,8 +1,8 @@
 //! Deadly requests, which crash the backend servers that run them, in a soak test.
 //!
-//! A stand-in exits when it runs a deadly request, and is started again after [`RESTART_DELAY`].
-//! The check uses only the records of the backend servers and the outcomes that were reported to
-//! callers.
+//! A stand-in of a backend server exits when it runs a deadly request, and is started again after
+//! [`RESTART_DELAY`]. The checks use only the records of the backend servers and the outcomes that
+//! were reported to callers.
 
 use crate::caller::{Call, Caller};
 use crate::error::Error;
@@ -16,17 +16,18 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Text that makes a request deadly if its path contains it.
+/// Text in the path of a request that makes the request deadly.
 pub const DEADLY_MARKER: &str = "deadly";
 
-/// Time after a deadly request's third crash that its quarantine may take to reach all nodes, in
-/// microseconds; only runs that begin later are counted.
+/// Time that the quarantine of a deadly request may take to reach all nodes after the third crash,
+/// in microseconds; only runs that begin later are counted.
 const QUARANTINE_BOUND_US: u64 = 3_000_000;
 
-/// Number of runs that may begin more than [`QUARANTINE_BOUND_US`] after the third crash.
+/// Number of runs of a deadly request that may begin more than [`QUARANTINE_BOUND_US`] after the
+/// third crash.
 const MAX_RUNS_AFTER_BOUND: usize = 3;
 
-/// Interval of the requests of a series.
+/// Interval at which a series sends its request, to one node or to all nodes at once.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Delay between a crash and the restart of the backend server.
@@ -78,7 +79,7 @@
             .header("bluebellpick-timeout-ms", &CALL_TIMEOUT_MS.to_string())
     }
 
-    /// Sends the request to the nodes in turn, or to all nodes at once, until `end`.
+    /// Sends the request repeatedly until `end`: to the nodes in turn, or each time to all nodes.
     pub async fn send(self, addresses: Vec<SocketAddr>, end: Instant) {
         let at_once = match self.kind {
             DeadlyKind::Burst => addresses.len(),
@@ -100,7 +101,8 @@
     }
 }
 
-/// Reads the runs of deadly requests from the backend servers' records, by name of the series.
+/// Reads the runs of deadly requests from the backend servers' records. Returns them by name of the
+/// series.
 ///
 /// # Errors
 ///
@@ -120,7 +122,7 @@
     Ok(all)
 }
 
-/// Counts the runs of deadly requests that exceed the number allowed after the third crash.
+/// Counts the runs of deadly requests that exceed `MAX_RUNS_AFTER_BOUND`.
 ///
 /// # Errors
 ///
@@ -139,7 +141,7 @@
     Ok(excess)
 }
 
-/// Counts the runs that began more than 3 s after the third crash.
+/// Counts the runs of one deadly request that began more than 3 s after the third crash.
 #[must_use]
 pub fn count_runs_after_bound(runs: &[Entry]) -> usize {
     let ended = runs.iter().filter(|run| run.outcome == Outcome::Crashed);
@@ -152,7 +154,7 @@
     runs.iter().filter(later).count()
 }
 
-/// Returns whether a response body says that the request is held in quarantine.
+/// Returns whether a response body says that the request was refused because it is in quarantine.
 #[must_use]
 pub fn is_held(body: &str) -> bool {
     body.contains("\"reason\":\"held\"")
@@ -169,8 +171,8 @@
     Ok(entries.into_values().collect())
 }
 
-/// Counts the requests of other callers that were refused because they were mistaken for deadly
-/// ones.
+/// Counts the requests of other callers that were refused because nodes mistook them for deadly
+/// requests.
 #[must_use]
 pub fn count_innocents_held(invocations: &[Invocation]) -> usize {
     let held = invocations.iter().filter(|one| is_held(&one.detail));
--- a/crates/bench/src/soak_plan.rs
+++ b/crates/bench/src/soak_plan.rs
@@ -1,8 +1,9 @@
 //! Plans of faults: generated from a seed before they are played, and stored in files.
 //!
-//! Faults that are chosen during a run depend on the wall clock, so that a seed that failed once
-//! may pass in many later runs. A plan lists each fault with its time. The file of a plan has one
-//! JSON object per line, the header first; lines that begin with `#` are comments.
+//! Faults that are chosen during a run depend on the timing of that run, so a run that failed with
+//! a seed may pass many times with the same seed. A plan lists each fault with its time. The file
+//! of a plan has one JSON object per line, the header first; lines that begin with `#` are
+//! comments.
 
 use crate::error::Error;
 use crate::faults::FAULT_DURATION_MS;
@@ -13,8 +14,8 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Time between the starts of two faults, in milliseconds. Faults last up to 2.5 s, so about three
-/// are active at once.
+/// Range of the time between the starts of two events, in milliseconds. Faults last up to 2.5 s, so
+/// about three faults are active at once.
 pub(crate) const EVENT_GAP_MS: std::ops::Range<u64> = 100..900;
 
 /// One in this many events is a graceful stop instead of a fault.
@@ -26,23 +27,23 @@
 /// Duration of a storm, the time between two calms, in milliseconds.
 pub(crate) const STORM_MS: u64 = 12_000;
 
-/// Planned duration of a graceful stop, in milliseconds; most end within it.
+/// Planned duration of a graceful stop, in milliseconds; most graceful stops end within this time.
 const PLANNED_STOP_MS: u64 = 3_000;
 
-/// How long a deadly request is repeated, in milliseconds: a backend server that it crashes is
-/// restarted twice within this time.
+/// Time for which a deadly request is repeated, in milliseconds: a backend server that the request
+/// crashes is restarted twice within this time.
 const DEADLY_MS: u64 = 9_000;
 
-/// One in this many events is of a kind that only plans have.
+/// One in this many planned events is of a kind that is not chosen during a run without a plan.
 const PLAN_ONLY_ONE_IN: u32 = 6;
 
 /// Number of availability zones of a soak test's fleet.
-pub(crate) const ZONES: usize = 3;
+pub(crate) const ZONE_COUNT: usize = 3;
 
 /// Number of services of a soak test's fleet.
-const SERVICES: usize = 3;
+const SERVICE_COUNT: usize = 3;
 
-/// Header of a plan: the fleet and the seed that it is made for.
+/// Header of a plan: the seed, the size of the fleet and the number of storms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanHeader {
     /// Seed of the plan and of the callers.
@@ -53,28 +54,29 @@
     pub storms: usize,
 }
 
-/// Something that an event does to the fleet.
+/// What an event does to the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// A fault.
+    /// Injects a fault for the duration of the event.
     Fault(Fault),
     /// Kills the nodes of all VMs that have no active fault or stop.
     KillAll,
-    /// All connections to the nodes of an availability zone drop the bytes in both directions; new
-    /// ones work.
+    /// Makes all connections to the nodes of an availability zone drop the bytes in both
+    /// directions; new connections work.
     SilenceZone(usize),
-    /// A graceful stop.
+    /// Stops a process gracefully, and starts it again after its end.
     Stop(Stop),
-    /// Graceful stops of a VM's node and its backend server at the same time.
+    /// Stops a VM's backend server and node gracefully at the same time, and starts each again
+    /// after its end.
     StopBoth(usize),
     /// Kills a backend server and starts it again immediately, at the same address.
     Bounce(usize),
-    /// A deadly request is sent repeatedly, to the nodes in turn.
+    /// Sends a deadly request repeatedly for the duration of the event.
     Deadly(DeadlyKind),
 }
 
-/// An action with its time.
+/// An action with its time in the plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// Number of the storm that the event belongs to.
@@ -90,7 +92,7 @@
 /// A plan of faults.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// The fleet and the seed that the plan is made for.
+    /// The seed, the size of the fleet and the number of storms.
     pub header: PlanHeader,
     /// Events in the order of their starts.
     pub events: Vec<Event>,
@@ -130,7 +132,8 @@
     ///
     /// # Errors
     ///
-    /// When the file can't be read, or a line is malformed; the error names the line.
+    /// When the file can't be read, a line is malformed (the error names the line), or an event
+    /// does not fit the fleet.
     pub fn read(file: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(file)?;
         let lines = text.lines().enumerate();
@@ -155,11 +158,11 @@
 
     /// Checks that every event refers to an existing VM, availability zone and storm.
     fn check(&self) -> Result<(), Error> {
-        let vms = ZONES * SERVICES * self.header.per_zone;
+        let vms = ZONE_COUNT * SERVICE_COUNT * self.header.per_zone;
         for event in &self.events {
             let exists = event.storm < self.header.storms
                 && event.action.vm().is_none_or(|vm| vm < vms)
-                && !matches!(event.action, Action::SilenceZone(zone) if zone >= ZONES);
+                && !matches!(event.action, Action::SilenceZone(zone) if zone >= ZONE_COUNT);
             if !exists {
                 return Err(Error::Unexpected(format!("not in this fleet: {event:?}")));
             }
@@ -176,7 +179,7 @@
         Ok(std::fs::write(file, self.to_lines()?)?)
     }
 
-    /// Returns the content of the plan's file.
+    /// Returns the plan as the text of a plan file.
     ///
     /// # Errors
     ///
@@ -204,7 +207,7 @@
 }
 
 impl Action {
-    /// Returns the affected VM, if the action affects a single one.
+    /// Returns the affected VM, if the action affects a single VM.
     #[must_use]
     pub fn vm(self) -> Option<usize> {
         match self {
@@ -217,14 +220,14 @@
 }
 
 fn sample_action(rng: &mut SmallRng, per_zone: usize) -> Action {
-    let vms = ZONES * SERVICES * per_zone;
+    let vms = ZONE_COUNT * SERVICE_COUNT * per_zone;
     let vm = rng.random_range(0..vms);
     if rng.random_ratio(1, KILL_ALL_ONE_IN) {
         return Action::KillAll;
     }
     if rng.random_ratio(1, PLAN_ONLY_ONE_IN) {
         return match rng.random_range(0..4) {
-            0 => Action::SilenceZone(rng.random_range(0..ZONES)),
+            0 => Action::SilenceZone(rng.random_range(0..ZONE_COUNT)),
             1 => Action::StopBoth(vm),
             2 => Action::Bounce(vm),
             _ => Action::Deadly(sample_kind(rng)),
@@ -250,7 +253,7 @@
     kinds[rng.random_range(0..kinds.len())]
 }
 
-/// Returns whether two events are apart in time, or can be active at once without one undoing
+/// Returns whether two events don't overlap in time, or can be active at once without one undoing
 /// the other.
 fn is_compatible_with(one: &Event, other: &Event) -> bool {
     let is_apart = one.storm != other.storm
--- a/crates/bench/src/soak_repeat.rs
+++ b/crates/bench/src/soak_repeat.rs
@@ -13,15 +13,15 @@
 /// Interval at which the runs are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time limit for a run that is stopped early.
+/// Time limit for a run to end after SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Number of leading words of a violation that make up its kind.
+/// Number of words of a violation's text that make up its kind, as [`violation_kind`] selects them.
 const KIND_WORDS: usize = 4;
 
 /// Totals of many runs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Tally {
+pub struct RunTotals {
     /// Number of runs.
     pub runs: usize,
     /// Number of runs that failed.
@@ -38,25 +38,25 @@
 }
 
 impl Drop for SoakRun {
-    /// Terminates a run with SIGTERM, so that it ends the processes that it started. If it were
-    /// killed, they would be left behind.
+    /// Terminates a run with SIGTERM, so that the run ends the processes that it started. If the
+    /// run were killed, these processes would be left behind.
     fn drop(&mut self) {
         if self.process.is_running() {
-            // Errors are ignored: the process handle kills the run if it is still there.
+            // Errors are ignored: the process handle kills the run if it is still running.
             drop(self.process.signal(Signal::TERM));
             drop(self.process.wait(STOP_TIMEOUT));
         }
     }
 }
 
-/// Runs the soak test as often as the options say, and counts the violations.
+/// Runs the soak test as often as the options say, and counts the runs with each kind of violation.
 ///
 /// # Errors
 ///
 /// When a run can't be started.
-pub async fn run(options: &Options) -> Result<Tally, Error> {
+pub async fn run(options: &Options) -> Result<RunTotals, Error> {
     let folder = tempfile::Builder::new().prefix("soaks-").tempdir()?;
-    let mut tally = Tally::default();
+    let mut totals = RunTotals::default();
     let mut running: Vec<SoakRun> = Vec::new();
     let mut started = 0;
     while started < options.repeat || !running.is_empty() {
@@ -69,14 +69,14 @@
             if run.process.is_running() {
                 running.push(run);
             } else {
-                tally.add_run(options, &mut run)?;
+                totals.add_run(options, &mut run)?;
             }
         }
     }
-    Ok(tally)
+    Ok(totals)
 }
 
-impl Tally {
+impl RunTotals {
     /// Counts a run that has ended and prints its result.
     fn add_run(&mut self, options: &Options, run: &mut SoakRun) -> Result<(), Error> {
         let is_clean = run.process.wait(POLL_INTERVAL)?.success();
@@ -96,7 +96,7 @@
         for kind in kinds {
             *self.violations.entry(kind).or_default() += 1;
         }
-        if let Some(keep) = options.keep.as_ref().filter(|_| !is_clean) {
+        if let Some(keep) = options.keep_folder.as_ref().filter(|_| !is_clean) {
             let folder = keep.join(format!("run-{}", run.number));
             std::fs::create_dir_all(&folder)?;
             std::fs::copy(&run.process.log, folder.join("trace"))?;
@@ -105,8 +105,8 @@
     }
 }
 
-/// Returns the kind of a violation: its first words, leaving out words with digits, which differ
-/// from run to run.
+/// Returns the kind of a violation: the first words of its text, without words that contain digits,
+/// which differ from run to run.
 fn violation_kind(violation: &str) -> String {
     let words = violation.split_whitespace();
     let words = words.filter(|word| !word.contains(|letter: char| letter.is_ascii_digit()));
@@ -128,10 +128,10 @@
     if options.planned {
         arguments.push("--planned".to_owned());
     }
-    if let Some(plan) = &options.plan {
+    if let Some(plan) = &options.plan_file {
         arguments.push(format!("--plan={}", plan.display()));
     }
-    if let Some(keep) = &options.keep {
+    if let Some(keep) = &options.keep_folder {
         let folder = keep.join(format!("run-{number}"));
         arguments.push(format!("--keep={}", folder.display()));
     }
@@ -144,13 +144,14 @@
     })
 }
 
-/// Removes events from a plan as long as one of `repeat` runs of it fails, beginning with
-/// halves.
+/// Removes events from a plan as long as at least one of `repeat` runs of the shorter plan fails.
+/// Tries to remove halves of the plan first, then ever smaller parts. Returns the totals of the
+/// last runs that failed.
 ///
 /// # Errors
 ///
 /// When there is no plan, the plan doesn't fail, or a run can't be started.
-pub async fn shrink(options: &Options) -> Result<Tally, Error> {
+pub async fn shrink(options: &Options) -> Result<RunTotals, Error> {
     let missing = || Error::Unexpected("--shrink needs --plan or --planned".to_owned());
     let mut plan = options.find_plan()?.ok_or_else(missing)?;
     let file = tempfile::Builder::new().prefix("plan-").tempfile()?;
@@ -163,10 +164,10 @@
         let mut start = 0;
         while start < plan.events.len() {
             let shorter = plan.without(start, start + size);
-            let tally = run_plan(options, &shorter, file.path()).await?;
-            if tally.failed > 0 {
+            let totals = run_plan(options, &shorter, file.path()).await?;
+            if totals.failed > 0 {
                 plan = shorter;
-                last = tally;
+                last = totals;
                 eprintln!("the plan still fails with {} events", plan.events.len());
                 if let Some(kept) = &options.write_plan {
                     plan.write(kept)?;
@@ -180,11 +181,11 @@
     Ok(last)
 }
 
-async fn run_plan(options: &Options, plan: &Plan, file: &Path) -> Result<Tally, Error> {
+async fn run_plan(options: &Options, plan: &Plan, file: &Path) -> Result<RunTotals, Error> {
     plan.write(file)?;
     let options = Options {
-        plan: Some(file.to_owned()),
-        keep: None,
+        plan_file: Some(file.to_owned()),
+        keep_folder: None,
         ..options.clone()
     };
     run(&options).await
--- a/crates/bench/src/soak_runner.rs
+++ b/crates/bench/src/soak_runner.rs
@@ -14,7 +14,7 @@
     DeadlyKind, DeadlySeries, RESTART_DELAY, count_excess_runs, count_innocents_held,
 };
 use crate::soak_plan::{
-    Action, EVENT_GAP_MS, Event, KILL_ALL_ONE_IN, Plan, STOP_ONE_IN, STORM_MS, ZONES,
+    Action, EVENT_GAP_MS, Event, KILL_ALL_ONE_IN, Plan, STOP_ONE_IN, STORM_MS, ZONE_COUNT,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -22,28 +22,29 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-/// Duration of a storm, the time between two calms.
+/// Duration of a storm, the time between two calms; [`STORM_MS`] as a `Duration`.
 const STORM_DURATION: Duration = Duration::from_millis(STORM_MS);
 
-/// Time limit for every node to serve after all faults have ended, as guaranteed to callers.
+/// Time limit for every node to serve after all faults have ended; this is the time that callers
+/// are guaranteed.
 const SERVE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time limit for a version to reach all nodes.
-const VERSION_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time limit for a version to come into force on all nodes.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Maximum number of attempts to propose a version while other operators propose too.
 const MAX_PROPOSE_ATTEMPTS: u32 = 5;
 
-/// Interval at which the nodes are polled.
+/// Interval at which the nodes' versions are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Interval of the checks for due actions while a plan is played.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time in a calm within which half-closed sockets must be gone.
+/// Time after the other checks of a calm within which half-closed sockets must be closed.
 const SOCKET_CLOSE_TIME: Duration = Duration::from_secs(2);
 
-/// State of a soak test: the active faults, and the findings so far.
+/// State of a running soak test: the active faults, and the violations counted so far.
 pub(crate) struct SoakRunner {
     rng: SmallRng,
     pub(crate) target: Target,
@@ -57,10 +58,10 @@
     not_in_force: usize,
     reverts: u64,
     unexpected_exits: usize,
-    /// Tasks that send deadly requests.
+    /// Tasks of the running series of deadly requests.
     deadly_series: Vec<JoinHandle<()>>,
     deadly_count: usize,
-    /// Crashed backend servers with the times of their restarts.
+    /// Crashed backend servers, by index of the VM, with the times at which to restart them.
     pending_restarts: Vec<(Instant, usize)>,
 }
 
@@ -103,7 +104,8 @@
         Ok(())
     }
 
-    /// Waits until `at`; in the meantime, ends faults and restarts processes when they are due.
+    /// Waits until `at`. In the meantime, ends each fault that is due and restarts processes that
+    /// have ended.
     async fn wait_until(&mut self, at: Instant) -> Result<(), Error> {
         loop {
             let now = Instant::now();
@@ -182,8 +184,8 @@
 
     /// Returns whether an action is compatible with all active faults and stops.
     ///
-    /// A planned action may still conflict with a kill of all nodes, or with a stop that takes longer
-    /// than planned.
+    /// The actions of a generated plan are compatible with one another, but an action may conflict
+    /// with a kill of all nodes, or with a stop that takes longer than planned.
     fn can_apply(&self, action: Action) -> bool {
         let vm = action.vm();
         let is_stopping = |pending: &PendingStop| Some(pending.stop.vm()) == vm;
@@ -200,15 +202,15 @@
 
     async fn silence_zone(&mut self, zone: usize) -> Result<(), Error> {
         let vms = self.target.deployment.vms.len();
-        let vms_per_zone = vms / ZONES;
+        let vms_per_zone = vms / ZONE_COUNT;
         for vm in zone * vms_per_zone..(zone + 1) * vms_per_zone {
             self.target.inject(Fault::Silence(vm)).await?;
         }
         Ok(())
     }
 
-    /// Restarts processes that have stopped gracefully, and kills and restarts those that exceed the
-    /// time limit.
+    /// Restarts the processes that have stopped gracefully, and kills and restarts the processes
+    /// that have exceeded the time limit.
     fn finish_stops(&mut self) -> Result<(), Error> {
         for pending in std::mem::take(&mut self.stopping) {
             if self.target.has_ended(&pending)? {
@@ -226,7 +228,7 @@
     }
 
     pub(crate) async fn run_until(&mut self, end: Instant) -> Result<(), Error> {
-        while Instant::now() + SETTLE_TIME + VERSION_TIMEOUT < end {
+        while Instant::now() + SETTLE_TIME + PROPAGATION_TIMEOUT < end {
             self.inject_until(end.min(Instant::now() + STORM_DURATION))
                 .await?;
             self.run_calm().await?;
@@ -234,7 +236,7 @@
         Ok(())
     }
 
-    /// Starts and ends random faults until `until`.
+    /// Injects and ends random faults until `until`.
     async fn inject_until(&mut self, until: Instant) -> Result<(), Error> {
         while Instant::now() < until {
             self.recover_due(Instant::now()).await?;
@@ -254,8 +256,8 @@
 
     /// Restarts nodes that have exited unexpectedly, as the supervisor of a process does.
     ///
-    /// A SIGHUP that arrives before the process has installed its handler terminates it, which no
-    /// code can prevent; any other exit is a violation.
+    /// A SIGHUP that arrives before the process has installed its handler for this signal
+    /// terminates the process, which no code can prevent. Any other exit is a violation.
     fn restart_ended_nodes(&mut self) -> Result<(), Error> {
         for (index, vm) in self.target.deployment.vms.iter_mut().enumerate() {
             let kill = Fault::KillNode(index);
@@ -335,7 +337,8 @@
         Ok(())
     }
 
-    /// Ends all faults, and checks whether every node serves and gets a new version in time.
+    /// Ends all faults, and checks whether every node serves and puts a new version into force in
+    /// time, and whether half-closed sockets are left.
     async fn run_calm(&mut self) -> Result<(), Error> {
         for (_, fault) in std::mem::take(&mut self.active_faults) {
             self.target.recover(fault).await?;
@@ -361,7 +364,7 @@
         let version = self.propose_version()?;
         let proposed_at = Instant::now();
         while !self.has_version_everywhere(version).await {
-            if proposed_at.elapsed() > VERSION_TIMEOUT {
+            if proposed_at.elapsed() > PROPAGATION_TIMEOUT {
                 eprintln!("violation: version {version} is not in force everywhere");
                 self.not_in_force += 1;
                 break;
@@ -373,7 +376,8 @@
         self.count_half_closed()
     }
 
-    /// Counts the sockets of nodes that the peer has closed but the node has not.
+    /// Counts the half-closed sockets of nodes: those that the peer has closed but the node has
+    /// not.
     fn count_half_closed(&mut self) -> Result<(), Error> {
         for vm in &self.target.deployment.vms {
             let sockets = list_half_closed(vm.node.id())?;
@@ -392,7 +396,8 @@
 
     /// Proposes a version as an operator does, and returns its number.
     ///
-    /// The proposals of a [`Fault::Race`] may still be running, and win over this one.
+    /// The proposals of a [`Fault::Race`] may still be running and may take the number of this
+    /// proposal, so there are several attempts.
     fn propose_version(&self) -> Result<u64, Error> {
         let deployment = &self.target.deployment;
         let change = put_service(&format!("calm-{}", self.calms));
@@ -407,7 +412,7 @@
         outcome.map(|_| 0)
     }
 
-    /// Reads the number of the latest version.
+    /// Returns the number of the last version, from the output of `bluebellpick log`.
     fn last_version(&self) -> Result<u64, Error> {
         let deployment = &self.target.deployment;
         let platform = deployment.platform_address.to_string();
@@ -419,7 +424,7 @@
         listed[0]["version"].as_u64().ok_or_else(unexpected)
     }
 
-    /// Returns whether every node has installed `version` or a later one.
+    /// Returns whether `version` or a later version is in force on every node.
     async fn has_version_everywhere(&self, version: u64) -> bool {
         for vm in &self.target.deployment.vms {
             let held = read_status(vm).await.map(|status| status.version.0);
@@ -452,8 +457,8 @@
         let history = History {
             invocations,
             records: self.target.read_records()?,
-            // Faults overlap all the time, so calls may be cut off. The experiments `faults` and
-            // `rolling` check that graceful stops alone cut no call off.
+            // Faults overlap all the time, so calls may be cut off during graceful stops. The
+            // experiments `faults` and `rolling` check that graceful stops alone cut no call off.
             graceful_spans: Vec::new(),
         };
         let check_result = check(&history);
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -1,8 +1,9 @@
-//! Measures what a large fleet's state and churn cost one node: memory, CPU time and control bytes.
+//! Measures the memory, CPU time and control bytes that the configuration and endpoints of a large
+//! fleet, and their churn, cost one node.
 //!
 //! The experiment runs one real node and opens links to it. One link, the feeder,
-//! acts as a child that sends the state of the whole fleet to the node. Further
-//! links act as children to which the node relays that state.
+//! acts as a child that sends the endpoints of the whole fleet to the node. Further
+//! links act as children to which the node relays these endpoints.
 
 use crate::deployment::{Deployment, VmSpec, put_route};
 use crate::error::Error;
@@ -26,8 +27,8 @@
 /// Configuration versions per day.
 const VERSIONS_PER_DAY: f64 = 3_700.0;
 
-/// Changes of endpoints per day: 4,800 VMs restart or are replaced, each with
-/// a leave and a new announcement, and some are lost.
+/// Changes of endpoints per day: 4,800 VMs restart or are replaced, each with a leave request and a
+/// new announcement, and some VMs are lost.
 const EVENTS_PER_DAY: f64 = 10_000.0;
 
 /// Interval at which an endpoint is announced again, in seconds.
@@ -35,20 +36,21 @@
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Time for the node to put the state into force after it has arrived.
+/// Time for the node to apply the configuration and the endpoints after receiving them.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// Time limit for the state to arrive, and for a child to be admitted.
+/// Time limit for the configuration and the endpoints to arrive at the node, and for a child to be
+/// admitted.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Interval at which the node is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval at which the feeder sends the events that have become due.
+/// Interval at which the feeder sends the announcements that have become due.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Maximum number of simulated children: the node is a root, which takes sixteen children, and
-/// the feeder is one of them.
+/// Maximum number of simulated children besides the feeder: the node is a root, which admits
+/// sixteen children, and the feeder is one of them.
 const MAX_CHILDREN: usize = 15;
 
 /// Options of the experiment.
@@ -56,12 +58,12 @@
 pub struct Options {
     /// Number of services, and of routes, in the configuration.
     pub services: usize,
-    /// Number of endpoints of the fleet.
+    /// Number of endpoints in the fleet.
     pub endpoints: usize,
     /// Number of children that the node relays to, besides the feeder.
     pub children: usize,
-    /// Rate of the churn, as a multiple of that of 14,000 nodes.
-    pub speed: f64,
+    /// Rate of the churn, as a multiple of the churn in a fleet of 14,000 nodes.
+    pub churn_factor: f64,
     /// Duration of the measurement.
     pub duration: Duration,
 }
@@ -73,21 +75,22 @@
     pub services: usize,
     /// Number of endpoints that the node knows.
     pub endpoints: usize,
-    /// Number of children that it relays to, besides the feeder.
+    /// Number of children that the node relays to, besides the feeder.
     pub children: usize,
-    /// Rate of the churn, as a multiple of that of 14,000 nodes.
-    pub speed: f64,
+    /// Rate of the churn, as a multiple of the churn in a fleet of 14,000 nodes.
+    #[serde(rename = "speed")]
+    pub churn_factor: f64,
     /// Versions accepted during the measurement.
     pub versions: usize,
-    /// Announcements sent during the measurement.
+    /// Announcements that the feeder sent during the measurement.
     pub announcements: u32,
-    /// Resident memory before the state arrived, in MB.
+    /// Resident memory of the node before the configuration and the endpoints arrived, in MB.
     pub node_rss_empty_mb: f64,
-    /// Resident memory at the end, in MB.
+    /// Resident memory of the node at the end, in MB.
     pub node_rss_mb: f64,
-    /// CPU use, in per cent of a core.
+    /// CPU use of the node, in per cent of a core.
     pub node_cpu_pct: f64,
-    /// Control bytes per second, sent and received.
+    /// Control bytes per second that the node sent and received.
     pub control_bytes_s: f64,
 }
 
@@ -113,7 +116,7 @@
         )
         .fallback(0)
         .display_fallback();
-    let speed = long("speed")
+    let churn_factor = long("speed")
         .help("Times the churn of 14,000 nodes")
         .argument::<f64>("TIMES")
         .fallback(1.0)
@@ -123,16 +126,17 @@
         services,
         endpoints,
         children,
-        speed,
+        churn_factor,
         duration
     })
 }
 
-/// Starts the node, loads it with the fleet's state, applies churn and returns what that costs.
+/// Starts the node, sends the configuration and the endpoints of the fleet to it, applies churn and
+/// returns what the churn costs.
 ///
 /// # Errors
 ///
-/// When a program can't be started or the state doesn't arrive.
+/// When a program can't be started, or the configuration and the endpoints don't arrive in time.
 pub async fn run(options: Options) -> Result<Report, Error> {
     let specs = vec![VmSpec::new("vm-0", "zone-1", None)];
     let deployment = Deployment::spawn(specs, &[]).await?;
@@ -173,8 +177,8 @@
         services: options.services,
         endpoints: options.endpoints,
         children: options.children,
-        speed: options.speed,
-        versions: proposer.proposed.len(),
+        churn_factor: options.churn_factor,
+        versions: proposer.proposal_times.len(),
         announcements,
         node_rss_empty_mb: to_mb(resident_empty),
         node_rss_mb: to_mb(after.resident_bytes),
@@ -183,7 +187,8 @@
     })
 }
 
-/// Sends announcements and proposes versions at the rates of a fleet of 14,000 nodes, times the speed.
+/// Sends announcements and proposes versions for the duration of the measurement, at the rates of a
+/// fleet of 14,000 nodes times the churn factor. Returns the number of announcements.
 async fn churn(
     options: Options,
     feeder: &Arc<Mutex<OwnedWriteHalf>>,
@@ -191,9 +196,9 @@
     proposer: &mut Proposer,
 ) -> Result<u32, Error> {
     let count = f64::from(u32::try_from(endpoints.len()).unwrap_or(u32::MAX));
-    let event_rate = EVENTS_PER_DAY / SECONDS_PER_DAY * options.speed;
-    let refresh_rate = count / REFRESH_INTERVAL_S * options.speed;
-    let version_rate = VERSIONS_PER_DAY / SECONDS_PER_DAY * options.speed;
+    let event_rate = EVENTS_PER_DAY / SECONDS_PER_DAY * options.churn_factor;
+    let refresh_rate = count / REFRESH_INTERVAL_S * options.churn_factor;
+    let version_rate = VERSIONS_PER_DAY / SECONDS_PER_DAY * options.churn_factor;
     let started = Instant::now();
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -202,7 +207,8 @@
         ticks.tick().await;
         let elapsed = started.elapsed().as_secs_f64();
         while f64::from(events) < event_rate * elapsed {
-            // A new incarnation under the same name: the node has to build a new view.
+            // The announcement has a new incarnation under the same name, so that the node has to
+            // build a new view.
             let endpoint = pick_endpoint(endpoints, events + refreshes);
             endpoint.incarnation += 1;
             endpoint.started_ms += 1;
@@ -255,7 +261,8 @@
     }
 }
 
-/// Joins the node as a child that answers its heartbeats.
+/// Joins the node as a child, which answers the node's heartbeats. Returns the sending half of the
+/// link.
 async fn connect_child(
     address: SocketAddr,
     index: usize,
--- a/crates/bench/tests/history.rs
+++ b/crates/bench/tests/history.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// A booking that was answered on a retry with the same key, a refused one, one with an unknown
-/// outcome, and a look-up.
+/// Returns the history of a booking that was answered on a retry with the same key, a booking that
+/// was refused, a booking with an unknown outcome, and a look-up that was answered.
 fn consistent_history() -> History {
     History {
         invocations: vec![
@@ -85,7 +85,7 @@
     assert!((result.new_work_after_leave_max_s - 0.000_2).abs() < 1e-9);
 }
 
-/// A change to the consistent history, with or without a violation.
+/// A change to the consistent history, which may or may not be a violation.
 #[derive(Debug, Clone, Copy)]
 enum Change {
     RunTwice,
@@ -115,7 +115,8 @@
             (retry.sent_us, retry.told_us) = (2_700_000, 2_800_000);
             calls.push(retry);
         }
-        // Not caused by the stop: the outcome was unknown before it, or the call ended after it.
+        // The next two changes are not violations by the graceful stop: the outcome was unknown
+        // before the stop, or the call ended after the stop.
         Change::UnknownBefore => {
             let mut retry = invoke("r6", Some("k3"), ReportedOutcome::MayHaveRun);
             (retry.sent_us, retry.told_us) = (2_500_000, 2_600_000);
--- a/crates/bench/tests/plan.rs
+++ b/crates/bench/tests/plan.rs
@@ -22,8 +22,8 @@
     assert!(plan.events.iter().any(|event| event.storm == 1));
 }
 
-// Two faults of one VM at once could undo each other, and playing a stored plan would then have
-// fewer effects than it lists.
+// Two faults of the same VM at the same time could undo each other. A stored plan would then have
+// fewer effects than it lists when it is played.
 #[test]
 fn no_conflicting_events() {
     for seed in 0..200 {
@@ -69,7 +69,8 @@
     assert!(error.contains(message), "{error}");
 }
 
-// The check must detect a half-closed socket: the peer has closed it, the process has not.
+// The soak test's check must detect a half-closed socket, which the peer has closed but the process
+// has not.
 #[test]
 fn half_closed_detected() {
     let before = list_half_closed(std::process::id()).unwrap().len();
