--- a/crates/burn/src/counts.rs
+++ b/crates/burn/src/counts.rs
@@ -5,7 +5,7 @@
 use std::ops::AddAssign;
 use std::time::Duration;
 
-/// The outcome of a call for its caller.
+/// Outcome of a call, as the objectives of the called service count it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The service answered.
@@ -15,7 +15,7 @@
     },
     /// No answer, an error of the service, or a refusal for lack of capacity.
     Failed,
-    /// A refusal because of an error of the caller; it is not counted.
+    /// A refusal because of an error of the caller; such a call is not counted.
     CallerFault,
 }
 
@@ -69,7 +69,8 @@
     }
 }
 
-/// The windows in table 5-8 of the Site Reliability Workbook, shortest first.
+/// A time window over which calls are counted. The windows are those in table 5-8 of the Site
+/// Reliability Workbook, shortest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Window {
     /// Five minutes.
@@ -125,7 +126,7 @@
     }
 }
 
-/// The counts of each window.
+/// Call counts of one service, by window.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Tally(BTreeMap<Window, Counts>);
@@ -137,7 +138,7 @@
         self.0.get(&window).copied().unwrap_or_default()
     }
 
-    /// Adds to the counts of a window.
+    /// Adds `counts` to those of a window.
     pub fn add(&mut self, window: Window, counts: Counts) {
         *self.0.entry(window).or_default() += counts;
     }
--- a/crates/burn/src/history.rs
+++ b/crates/burn/src/history.rs
@@ -3,16 +3,18 @@
 use crate::counts::{Counts, Outcome, Tally, Window};
 use std::time::Duration;
 
-/// Bucket width for the windows up to an hour: a fifth of the shortest window.
+/// Width of the buckets for the windows up to an hour: a fifth of the shortest window.
 const FINE_BUCKET_WIDTH: Duration = Duration::from_mins(1);
 
-/// Bucket width for the windows of several hours: a twelfth of six hours.
+/// Width of the buckets for the windows longer than an hour: a twelfth of six hours, the shorter
+/// of these windows.
 const COARSE_BUCKET_WIDTH: Duration = Duration::from_mins(30);
 
 /// Call counts of one time slot.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
-    /// Number of the time slot since the start; distinguishes a stale bucket from a current one.
+    /// Number of the time slot, counted from the start of the time. Buckets are reused for later
+    /// slots; this number tells which slot the counts belong to.
     slot: u64,
     counts: Counts,
 }
@@ -50,8 +52,8 @@
         bucket.counts.record(outcome);
     }
 
-    /// Returns the sum of the buckets in the window. The current bucket is still filling, so the
-    /// sum covers up to one bucket less than the window.
+    /// Returns the sum of the buckets in the window that ends at `now`. The latest of these buckets
+    /// is still filling, so the sum covers up to one bucket width less than the window.
     fn sum(&self, now: Duration, window: Window) -> Counts {
         let slot = self.slot(now);
         let first = (slot + 1).saturating_sub(window.length().as_secs() / self.width.as_secs());
@@ -82,7 +84,7 @@
 }
 
 impl History {
-    /// Counts a call that ended at `now`, which is measured from any fixed start.
+    /// Counts a call that ended at `now`, the time since any fixed start.
     pub fn record(&mut self, now: Duration, outcome: Outcome) {
         self.fine.record(now, outcome);
         self.coarse.record(now, outcome);
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,7 +1,7 @@
 //! Burn rates: how fast services use up their error budgets.
 //!
 //! Each node keeps a [`History`] of the outcomes of its callers' calls per service;
-//! the command line adds up the [`Tally`]s of all nodes and compares them with the
+//! the command line adds up the [`Tally`]s of all nodes and compares the sums with the
 //! objectives in the configuration. Windows and thresholds are those of
 //! "multiwindow, multi-burn-rate alerts" in Google's *Site Reliability
 //! Workbook*, chapter 5.
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -6,12 +6,12 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// Objectives are in parts per million.
-const MILLION: u32 = 1_000_000;
+/// The share 1 in parts per million, the unit of objectives.
+const FULL_SHARE_PPM: u32 = 1_000_000;
 
 /// Alert rules: a short window, a long window, the burn rate that both must reach, and the alert.
 ///
-/// From table 5-8 of the workbook: a burn rate of 14.4 spends 2 % of a budget of
+/// From table 5-8 of the Site Reliability Workbook: a burn rate of 14.4 spends 2 % of a budget of
 /// 30 days in an hour, 6 spends 5 % in six hours, 1 spends 10 % in three days. The
 /// short window ends the alert soon after the errors end.
 const ALERT_RULES: [(Window, Window, f64, Alert); 3] = [
@@ -20,12 +20,12 @@
     (Window::SixHours, Window::ThreeDays, 1.0, Alert::Ticket),
 ];
 
-/// Minimum number of bad calls in the long window for an alert.
+/// Minimum number of bad calls in the long window of an alert rule for its alert.
 ///
-/// Guards against a page because of a single call: if a service receives three calls an hour at
-/// night and one of them fails, its burn rate is hundreds of times too high. With fewer than five
-/// bad calls, one more or less changes the burn rate by more than a fifth, so it is not yet
-/// significant.
+/// Prevents a page because of a single call: if a service receives three calls an hour at night and
+/// one of these calls fails, the burn rate is hundreds of times the allowed rate. With fewer than
+/// five bad calls, one call more or less changes the burn rate by more than a fifth, so the burn
+/// rate is not yet significant.
 const MIN_BAD_CALLS: u64 = 5;
 
 /// What a node reports about one service.
@@ -42,9 +42,9 @@
 pub struct NodeCounts {
     /// Name of the node.
     pub node: SmolStr,
-    /// Configuration version of the objectives.
+    /// Version of the configuration that the objectives are from.
     pub version: Version,
-    /// How long the node has counted, in seconds; a new process starts from zero.
+    /// How long the node has been counting calls, in seconds; a new process starts from zero.
     pub counted_s: u64,
     /// Counts of the services, by name.
     pub services: BTreeMap<SmolStr, ServiceCounts>,
@@ -66,15 +66,16 @@
 /// State of the error budget of one objective.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BudgetStatus {
-    /// Remaining share of the budget of three days; below zero if overspent.
+    /// Remaining share of the error budget for three days; below zero if it is overspent.
     pub budget_left: f64,
-    /// Burn rate per window: how many times faster than allowed the budget is spent.
+    /// Burn rate per window: the rate at which the budget is spent, as a multiple of the allowed
+    /// rate.
     pub burn: BTreeMap<Window, f64>,
     /// The most urgent alert whose rule applies.
     pub alert: Alert,
 }
 
-/// Burn rates of a service.
+/// Call count, objective and error budgets of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceReport {
     /// Name of the service.
@@ -89,7 +90,8 @@
     pub latency: Option<BudgetStatus>,
 }
 
-/// Adds up the counts of all nodes; the objective is that of the highest configuration version.
+/// Adds up the counts of all nodes by service. If the nodes differ in the objective of a service,
+/// the objective from the highest configuration version is used.
 #[must_use]
 pub fn merge(nodes: &[NodeCounts]) -> BTreeMap<SmolStr, ServiceCounts> {
     let mut by_version = nodes.iter().collect::<Vec<_>>();
@@ -114,7 +116,8 @@
             (counts.failed, counts.calls)
         })
     };
-    // Failed calls are left out, as they are already charged to the availability budget.
+    // The latency budget leaves out failed calls, which are already charged to the availability
+    // budget.
     let latency = |objective: Objective| {
         evaluate_objective(windows, objective.latency_ppm, |counts| {
             (counts.slow, counts.calls - counts.failed)
@@ -129,13 +132,13 @@
     }
 }
 
-fn evaluate_objective<F>(windows: &Tally, objective_ppm: u32, split: F) -> BudgetStatus
+fn evaluate_objective<F>(windows: &Tally, objective_ppm: u32, count_bad_and_all: F) -> BudgetStatus
 where
     F: Fn(Counts) -> (u64, u64),
 {
     let burn = Window::ALL
         .map(|window| {
-            let (bad, all) = split(windows.counts(window));
+            let (bad, all) = count_bad_and_all(windows.counts(window));
             (window, burn_rate(bad, all, objective_ppm))
         })
         .into_iter()
@@ -143,7 +146,7 @@
     let alert = ALERT_RULES
         .iter()
         .filter(|(short, long, limit, _)| burn[short] >= *limit && burn[long] >= *limit)
-        .filter(|(_, long, ..)| split(windows.counts(*long)).0 >= MIN_BAD_CALLS)
+        .filter(|(_, long, ..)| count_bad_and_all(windows.counts(*long)).0 >= MIN_BAD_CALLS)
         .map(|(.., alert)| *alert)
         .max()
         .unwrap_or_default();
@@ -156,8 +159,8 @@
 
 /// Returns the ratio of the share of bad calls to the allowed share.
 ///
-/// An objective of 100 % would leave no budget to divide by; it counts as all but one call in a
-/// million.
+/// An objective of 100 % allows no bad calls, so there would be no budget to divide by; it is
+/// treated as an objective that allows one bad call in a million.
 #[expect(
     clippy::cast_precision_loss,
     reason = "counts stay far below 2^52, and a ratio needs no more digits"
@@ -166,6 +169,7 @@
     if all == 0 {
         return 0.0;
     }
-    let allowed = f64::from(MILLION.saturating_sub(objective_ppm).max(1)) / f64::from(MILLION);
+    let allowed =
+        f64::from(FULL_SHARE_PPM.saturating_sub(objective_ppm).max(1)) / f64::from(FULL_SHARE_PPM);
     bad as f64 / all as f64 / allowed
 }
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -43,12 +43,14 @@
     record_minutes(&mut history, 0..55, 0);
     record_minutes(&mut history, 55..60, 144);
     let budget = evaluate_at(&history, 59).availability.unwrap();
-    // 5 minutes: 144 in 1,000 failed, where 1 in 1,000 is allowed. An hour: a twelfth of that.
-    let close = |window: Window, expected: f64| (budget.burn[&window] - expected).abs() < 1e-9;
-    assert!(close(Window::FiveMinutes, 144.0), "{budget:?}");
-    assert!(close(Window::Hour, 12.0), "{budget:?}");
+    // In the last 5 minutes, 144 calls in 1,000 failed, where 1 in 1,000 is allowed. Over the
+    // last hour, the share of failed calls is a twelfth of that.
+    let is_close = |window: Window, expected: f64| (budget.burn[&window] - expected).abs() < 1e-9;
+    assert!(is_close(Window::FiveMinutes, 144.0), "{budget:?}");
+    assert!(is_close(Window::Hour, 12.0), "{budget:?}");
     assert!((budget.budget_left + 11.0).abs() < 1e-9, "{budget:?}");
-    // The hour is below 14.4; half an hour (24) and six hours (12) are above 6.
+    // The burn rate over one hour (12) is below the threshold 14.4, but those over half an hour
+    // (24) and six hours (12) exceed 6, which pages too.
     assert_eq!(budget.alert, Alert::Page);
 }
 
@@ -92,8 +94,8 @@
     }
 }
 
-// Guards against a page because of one failed call at night: it is one of three calls in that
-// hour, too few for a meaningful share.
+// Guards against a page because of one failed call at night, when a service receives only three
+// calls an hour: these are too few for a meaningful share of failed calls.
 #[parameterized(
     one_of_three = { 2, 1, Alert::None },
     four = { 1, 4, Alert::None },
--- a/crates/cli/src/burn_report.rs
+++ b/crates/cli/src/burn_report.rs
@@ -13,7 +13,7 @@
     services: Vec<burn::ServiceReport>,
     /// Number of nodes whose counts are in the report.
     nodes: usize,
-    /// Longest time for which one of the nodes has counted, in seconds.
+    /// Longest time, over all nodes, for which a node has been counting calls, in seconds.
     counted_s: u64,
     unreachable: Vec<Unreachable>,
 }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -25,7 +25,7 @@
     let mesh = match base {
         None => None,
         Some(Version::ZERO) => Some(Mesh::default()),
-        Some(version) => Some(find_mesh(&session.versions()?, version).await?),
+        Some(version) => Some(find_mesh(&session.open_journal()?, version).await?),
     };
     if let Some(mesh) = &mesh {
         patch
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How often the number of calls in flight is read while waiting.
+/// Interval at which the number of calls in flight is read while waiting for these calls to end.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) async fn drain_vm(session: &Session, vm: &str, wait: Duration) -> Result<Exit, Error> {
@@ -31,11 +31,15 @@
             status.node, status.in_flight
         );
     }
-    let is_late = !wait.is_zero() && status.in_flight > 0;
-    Ok(if is_late { Exit::Failed } else { Exit::Done })
+    let has_timed_out = !wait.is_zero() && status.in_flight > 0;
+    Ok(if has_timed_out {
+        Exit::Failed
+    } else {
+        Exit::Done
+    })
 }
 
-/// Returns the address of the node's operators' listener; `vm` is that address or the node's name.
+/// Returns the address of a node's operators' listener; `vm` is this address or the node's name.
 async fn find_address(session: &Session, vm: &str) -> Result<SocketAddr, Error> {
     if let Ok(address) = vm.parse() {
         return Ok(address);
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the verbs.
+//! Errors of the command line's verbs.
 
 use crate::exit::Exit;
 use config::Version;
@@ -36,11 +36,11 @@
             display("{}", source)
             source(source)
         }
-        /// The version does not exist yet.
+        /// The requested version does not exist yet.
         NoSuchVersion(version: Version, last: Version) {
             display("there is no version {} yet; the last one is {}", version, last)
         }
-        /// The version's record has been removed.
+        /// The requested version can no longer be shown, because its record has been removed.
         Removed(version: Version, oldest: Version) {
             display("version {} is no longer kept; the oldest that can be shown is {}", version, oldest)
         }
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -10,8 +10,8 @@
 use std::io::{self, BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-/// Node name for lines from standard input that do not contain one.
-const UNNAMED: &str = "node";
+/// Name of the node for lines from standard input that do not contain the name of a node.
+const UNNAMED_NODE: &str = "node";
 
 /// Events of a node, rather than of a call, that can explain the outcome of a call.
 const NODE_EVENTS: [&str; 9] = [
@@ -50,7 +50,7 @@
 pub(crate) fn explain_call(session: &Session, id: &str, files: &[PathBuf]) -> Result<Exit, Error> {
     let mut lines = Vec::new();
     if files.is_empty() {
-        read_lines(io::stdin().lock(), UNNAMED, &mut lines)
+        read_lines(io::stdin().lock(), UNNAMED_NODE, &mut lines)
             .map_err(|error| Error::File("standard input".into(), error))?;
     }
     for file in files {
@@ -97,14 +97,15 @@
     Ok(())
 }
 
-/// Returns whether a line belongs to the call, or to a nested call made on its behalf.
+/// Returns whether a line belongs to the call `id`, or to a nested call made on behalf of that
+/// call.
 fn belongs_to(line: &LogLine, id: &str) -> bool {
     let rest = line.get("id").strip_prefix(id);
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
 }
 
-/// Returns the node events of the nodes involved in a call: those during the call and the last
-/// few before it.
+/// Returns the [`NODE_EVENTS`] of the nodes involved in a call: the events during the call and the
+/// last [`NODE_EVENTS_BEFORE`] before the call.
 fn find_node_events<'a>(lines: &'a [LogLine], call_lines: &[&LogLine]) -> Vec<&'a LogLine> {
     let (Some(first), Some(last)) = (call_lines.first(), call_lines.last()) else {
         return Vec::new();
@@ -129,7 +130,8 @@
     found
 }
 
-/// Describes the cause of the call's outcome, from the last log line that reports the outcome.
+/// Describes the cause of the call's outcome, mainly from the last log line that reports an outcome
+/// to the caller.
 fn find_cause(id: &str, call_lines: &[&LogLine]) -> String {
     let is_final = |line: &&&LogLine| line.get("id") == id && line.event.starts_with("call_");
     let mut finals = call_lines
@@ -194,7 +196,7 @@
     }
 }
 
-/// Describes why an answer was late or an error.
+/// Describes the answer to a call and why it was an error or took so long.
 fn describe_answer(call_lines: &[&LogLine], id: &str, end: &LogLine) -> String {
     let status = end.get("status");
     let nested = call_lines.iter().filter(|line| {
--- a/crates/cli/src/fetch.rs
+++ b/crates/cli/src/fetch.rs
@@ -17,7 +17,7 @@
 
 /// Body of an error response.
 #[derive(Debug, Deserialize)]
-struct Refusal {
+struct ErrorBody {
     error: String,
 }
 
@@ -39,8 +39,8 @@
         return serde_json::from_slice(&body)
             .map_err(|error| Error::Node(address, format!("not understood: {error}")));
     }
-    let why = match serde_json::from_slice::<Refusal>(&body) {
-        Ok(refusal) => format!("{status}: {}", refusal.error),
+    let why = match serde_json::from_slice::<ErrorBody>(&body) {
+        Ok(body) => format!("{status}: {}", body.error),
         Err(_) => status.to_string(),
     };
     Err(Error::Node(address, why))
@@ -52,7 +52,8 @@
 ) -> Result<(StatusCode, Bytes), Box<dyn std::error::Error + Send + Sync>> {
     let stream = TcpStream::connect(address).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    // The task ends with the sender, which also receives the errors of the connection.
+    // The task ends when `sender` is dropped. Its result is not needed, because `sender` returns
+    // the errors of the connection too.
     tokio::spawn(connection);
     let response = sender.send_request(request).await?;
     let status = response.status();
@@ -60,7 +61,7 @@
     Ok((status, body.collect().await?.to_bytes()))
 }
 
-/// Builds a request without a body; requests that write carry `token`.
+/// Builds a request without a body. A `token` is needed for requests that change something.
 pub(crate) fn make_request(
     address: SocketAddr,
     method: Method,
--- a/crates/cli/src/history.rs
+++ b/crates/cli/src/history.rs
@@ -2,7 +2,7 @@
 
 use crate::error::Error;
 use crate::exit::Exit;
-use crate::session::{Session, Versions, to_json};
+use crate::session::{Session, VersionJournal, to_json};
 use crate::table::render_table;
 use config::{Digest, Mesh, Patch, Version};
 use serde::Serialize;
@@ -21,7 +21,7 @@
     session: &Session,
     version: Option<Version>,
 ) -> Result<Exit, Error> {
-    let state = find_state(&session.versions()?, version).await?;
+    let state = find_state(&session.open_journal()?, version).await?;
     let digest = Digest::of(&state.mesh);
     if session.json {
         session.print_json(&VersionReport {
@@ -41,9 +41,9 @@
     old: Version,
     new: Version,
 ) -> Result<Exit, Error> {
-    let versions = session.versions()?;
-    let old = find_mesh(&versions, old).await?;
-    let new = find_mesh(&versions, new).await?;
+    let journal = session.open_journal()?;
+    let old = find_mesh(&journal, old).await?;
+    let new = find_mesh(&journal, new).await?;
     let patch = config::diff(&old, &new);
     if session.json {
         session.print_json(&patch);
@@ -54,7 +54,7 @@
 }
 
 pub(crate) async fn list_versions(session: &Session, limit: u64) -> Result<Exit, Error> {
-    let mut steps = read_steps(&session.versions()?, limit).await?;
+    let mut steps = read_steps(&session.open_journal()?, limit).await?;
     steps.reverse();
     if session.json {
         session.print_json(&steps);
@@ -81,11 +81,11 @@
     Ok(Exit::Done)
 }
 
-/// Reads the last `limit` steps, or fewer if older records were removed.
-async fn read_steps(versions: &Versions, limit: u64) -> Result<Vec<Step>, Error> {
-    let loaded = versions.load().await?;
+/// Reads the steps to the last `limit` versions, or fewer if older records were removed.
+async fn read_steps(journal: &VersionJournal, limit: u64) -> Result<Vec<Step>, Error> {
+    let loaded = journal.load().await?;
     let before = loaded.last_number().saturating_sub(limit);
-    let tail = versions.read_after(before).await?;
+    let tail = journal.read_after(before).await?;
     let records = tail.map_or(loaded.tail.records, |tail| tail.records);
     let steps = records
         .iter()
@@ -95,19 +95,19 @@
     Ok(steps)
 }
 
-/// Returns the configuration at a version.
-pub(crate) async fn find_mesh(versions: &Versions, version: Version) -> Result<Mesh, Error> {
+/// Returns the configuration of a version.
+pub(crate) async fn find_mesh(journal: &VersionJournal, version: Version) -> Result<Mesh, Error> {
     if version == Version::ZERO {
         return Ok(Mesh::default());
     }
-    Ok(find_state(versions, Some(version)).await?.mesh)
+    Ok(find_state(journal, Some(version)).await?.mesh)
 }
 
-/// Returns the state at a version, by default the last one.
+/// Returns the state at `version`, or at the last version if `version` is `None`.
 ///
-/// A version before the last snapshot needs all records from the first one on.
-async fn find_state(versions: &Versions, version: Option<Version>) -> Result<State, Error> {
-    let mut loaded = versions.load().await?;
+/// A version before the last snapshot is rebuilt from all records from the first one on.
+async fn find_state(journal: &VersionJournal, version: Option<Version>) -> Result<State, Error> {
+    let mut loaded = journal.load().await?;
     let last = Version(loaded.last_number());
     let version = version.unwrap_or(last);
     if version > last {
@@ -115,7 +115,7 @@
     }
     if version.0 < loaded.snapshot_number {
         let oldest = Version(loaded.snapshot_number);
-        let from_first = versions.read_after(0).await?;
+        let from_first = journal.read_after(0).await?;
         let tail = from_first.ok_or(Error::Removed(version, oldest))?;
         loaded = LoadedJournal {
             tail,
--- a/crates/cli/src/log_line.rs
+++ b/crates/cli/src/log_line.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-/// Maximum length of a line, in bytes; longer ones are skipped. The lines that nodes write are at
-/// most a tenth as long.
+/// Maximum length of a line, in bytes; longer lines are skipped. The lines that nodes write are at
+/// most a tenth of this.
 const MAX_LINE_BYTES: usize = 16 << 10;
 
 /// One line of a node's log.
@@ -15,15 +15,15 @@
     pub(crate) node: String,
     /// Name of the event.
     pub(crate) event: String,
-    /// Keys and values of the event.
+    /// Values of the event, by key.
     pub(crate) values: BTreeMap<String, String>,
 }
 
 impl LogLine {
     /// Parses a line; returns `None` if it is not a log line of a node.
     ///
-    /// Text before the first `[` comes from a log collector; its last word is the name of the node.
-    /// Without such text, the node's name is `file`.
+    /// Text before the first `[` comes from a log collector; the last word of that text is the name
+    /// of the node. Without such text, the name of the node is `file`.
     pub(crate) fn parse(text: &str, file: &str) -> Option<Self> {
         if text.len() > MAX_LINE_BYTES {
             return None;
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -23,23 +23,23 @@
 pub enum Verb {
     /// Proposes a patch.
     Propose(Propose),
-    /// Finds out and fixes the outcome of a proposal.
+    /// Finds out the outcome of a proposal and makes it final.
     Outcome {
-        /// Author of a version without changes, if one must be written.
+        /// Author of the version without changes that may have to be written.
         author: String,
-        /// Name of the proposal.
+        /// Id of the proposal.
         id: Id,
     },
     /// Shows the status of nodes.
     Status,
     /// Shows a configuration.
     Show {
-        /// Its version; the last one if absent.
+        /// Version of the configuration; the last version if absent.
         version: Option<Version>,
     },
     /// Lists versions.
     Log {
-        /// Number of versions.
+        /// Maximum number of versions to list.
         limit: u64,
     },
     /// Shows what changed between two versions.
@@ -51,14 +51,14 @@
     },
     /// Takes a VM out of service.
     Drain {
-        /// Maximum wait for its calls in flight.
+        /// Maximum wait for the end of the calls in flight at the VM.
         wait: Duration,
-        /// Name of its node, or the address of the node's operators' listener.
+        /// Name of the VM's node, or the address of that node's operators' listener.
         vm: String,
     },
     /// Checks a patch file.
     Check {
-        /// The version that the patch applies to.
+        /// Version to check the patch against; if absent, only the form of the patch is checked.
         base: Option<Version>,
         /// The patch file.
         file: PathBuf,
@@ -67,7 +67,7 @@
     Burn,
     /// Explains what happened to one call, from the logs of nodes.
     Explain {
-        /// Id of the call, as its caller chose it and as the log lines have it.
+        /// Id of the call, as the caller chose it and as the log lines contain it.
         id: String,
         /// Log files, one per node; standard input if there are none.
         files: Vec<PathBuf>,
@@ -79,7 +79,7 @@
 pub struct Propose {
     /// The version that the patch applies to.
     pub base: Version,
-    /// Name of an earlier proposal, to retry it; a new name is generated if absent.
+    /// Id of an earlier proposal, to retry that proposal; a new id is generated if absent.
     pub id: Option<Id>,
     /// Author of the proposal.
     pub author: String,
@@ -98,22 +98,22 @@
     pub platform: Option<SocketAddr>,
     /// Addresses of the operators' listeners of nodes.
     pub nodes: Vec<SocketAddr>,
-    /// File that contains the token.
+    /// File that contains the token for operators' writes.
     pub token_file: Option<PathBuf>,
-    /// Maximum wait for one answer.
+    /// Maximum wait for the answer of a node or of the platform.
     pub timeout: Option<Duration>,
 }
 
-/// Exit codes, for the help texts.
-const EXIT_CODES: &str = "Exit codes: 0 done, or accepted; 1 the platform or a node failed; \
+/// Description of the exit codes for the help texts.
+const EXIT_CODES_HELP: &str = "Exit codes: 0 done, or accepted; 1 the platform or a node failed; \
     2 wrong command line, settings or patch; 3 refused; 4 never applied; 5 not known yet.";
 
-/// Default of `propose --wait`, in seconds. The platform should answer within some seconds; after
-/// a longer wait it is better to report "not known yet" to the operator.
+/// Default of `propose --wait`, in seconds. The platform should answer within some seconds; if it
+/// does not, the operator is better served by the report "not known yet" than by a longer wait.
 const DEFAULT_WAIT_S: u64 = 10;
 
 /// Default number of versions that `log` lists.
-const DEFAULT_LIMIT: u64 = 20;
+const DEFAULT_LOG_LIMIT: u64 = 20;
 
 /// Returns the parser of the whole command line.
 #[must_use]
@@ -140,7 +140,7 @@
              patch came first or breaks a rule, or never applied. `bluebellpick VERB --help` \
              tells more of each verb.",
         )
-        .footer(EXIT_CODES)
+        .footer(EXIT_CODES_HELP)
 }
 
 fn parse_seconds(name: &'static str, help: &'static str) -> impl Parser<Duration> {
@@ -235,7 +235,7 @@
              first. The proposal's name is written to standard error before anything is sent: \
              should this program be cut off, `bluebellpick outcome ID` settles what became of it.",
         )
-        .footer(EXIT_CODES)
+        .footer(EXIT_CODES_HELP)
         .command("propose")
         .help("Proposes a patch")
 }
@@ -251,7 +251,7 @@
             "Where the proposal's number is still free, a version without changes takes it, so \
              that a write that is still on its way can't be applied later. The answer is final then.",
         )
-        .footer(EXIT_CODES)
+        .footer(EXIT_CODES_HELP)
         .command("outcome")
         .help("Settles what became of a proposal")
 }
@@ -279,7 +279,7 @@
     let limit = long("limit")
         .help("How many versions, from the last one back")
         .argument("N")
-        .fallback(DEFAULT_LIMIT);
+        .fallback(DEFAULT_LOG_LIMIT);
     let verb = construct!(Verb::Log { limit });
     make_options(verb)
         .to_options()
--- a/crates/cli/src/propose.rs
+++ b/crates/cli/src/propose.rs
@@ -4,7 +4,7 @@
 use crate::error::Error;
 use crate::exit::Exit;
 use crate::options::Propose;
-use crate::session::{Session, Versions};
+use crate::session::{Session, VersionJournal};
 use config::Version;
 use rand::Rng as _;
 use serde::Serialize;
@@ -24,11 +24,13 @@
 struct Report {
     outcome: &'static str,
     proposal: Id,
-    /// The version that the proposal became, or the one that took its number.
+    /// The version that the proposal became, or the other version that took the proposal's number;
+    /// if the base does not exist yet, the last version.
     version: Option<Version>,
     /// Why the proposal has this outcome.
     reason: Option<String>,
-    /// The step that took the proposal's number.
+    /// The step to the other version that took the proposal's number, if the program has read this
+    /// step.
     holder: Option<Step>,
 }
 
@@ -67,29 +69,32 @@
         author: SmolStr::from(flags.author.as_str()),
         patch,
     };
-    let versions = session.versions()?;
+    let journal = session.open_journal()?;
     // Printed before anything is sent, so that an operator whose program is interrupted from here
     // on can still find out the outcome.
     eprintln!("proposal {id}");
-    let is_first = flags.id.is_none();
-    let outcome = propose_with_retries(&versions, &proposal, flags.wait, is_first).await;
+    let is_new = flags.id.is_none();
+    let outcome = propose_with_retries(&journal, &proposal, flags.wait, is_new).await;
     let (report, exit) = describe_outcome(&id, outcome);
     print_report(session, &report);
     Ok(exit)
 }
 
-/// Sends a proposal, with retries, until its outcome is known or the time is over.
+/// Sends a proposal, with retries, until the outcome is known or `wait` has passed.
+///
+/// `is_new` is whether this run generated the proposal's id. If not, an earlier run may have stored
+/// the proposal.
 async fn propose_with_retries(
-    versions: &Versions,
+    journal: &VersionJournal,
     proposal: &Proposal,
     wait: Duration,
-    is_first: bool,
+    is_new: bool,
 ) -> Outcome {
     let deadline = Instant::now() + wait;
     let mut bound = BACKOFF_BASE;
-    let mut may_be_stored = !is_first;
+    let mut may_be_stored = !is_new;
     loop {
-        let outcome = propose(versions, proposal).await;
+        let outcome = propose(journal, proposal).await;
         let (error, was_sent) = match outcome {
             Outcome::Unknown(error) => (error, true),
             Outcome::NotSent(error) => (error, false),
@@ -121,7 +126,7 @@
     id: &Id,
     author: &str,
 ) -> Result<Exit, Error> {
-    let outcome = resolve(&session.versions()?, id, author).await;
+    let outcome = resolve(&session.open_journal()?, id, author).await;
     let (report, exit) = describe_outcome(id, outcome);
     print_report(session, &report);
     Ok(exit)
@@ -142,8 +147,8 @@
             let reason = "its number is taken by a version without changes";
             (report.reason(reason), Exit::NeverApplied)
         }
-        // Only returned if this run chose the proposal's name and none of its attempts was sent:
-        // nobody else knows the name, so the proposal can't be applied.
+        // Only returned if this run generated the proposal's id and sent none of its attempts:
+        // nobody else knows the id, so the proposal can't be applied.
         Outcome::NotSent(error) => {
             let report = Report::new("never_applied", id);
             let reason = format!("nothing was written: {error}");
--- a/crates/cli/src/session.rs
+++ b/crates/cli/src/session.rs
@@ -1,4 +1,4 @@
-//! Runs a verb with the addresses and files that flags and settings give.
+//! Runs a verb, with addresses and files from flags and settings.
 
 use crate::error::Error;
 use crate::exit::Exit;
@@ -18,7 +18,7 @@
 use store::version::JOURNAL;
 
 /// The journal of versions in the platform.
-pub(crate) type Versions = Journal<Client, System>;
+pub(crate) type VersionJournal = Journal<Client, System>;
 
 /// Addresses, files and output format of one run, from flags and settings.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     pub(crate) json: bool,
 }
 
-/// The answer of a node, or why there is none.
+/// The answer of a node, or why the node did not answer.
 #[derive(Debug)]
 pub(crate) struct Reply<T> {
     pub(crate) address: SocketAddr,
@@ -91,8 +91,8 @@
         })
     }
 
-    /// Returns the journal of versions.
-    pub(crate) fn versions(&self) -> Result<Versions, Error> {
+    /// Opens the journal of versions in the platform.
+    pub(crate) fn open_journal(&self) -> Result<VersionJournal, Error> {
         let address = self.platform.ok_or(Error::Usage(
             "the platform's address is needed: give --platform ADDRESS, or platform in the settings file",
         ))?;
@@ -165,7 +165,7 @@
     serde_json::to_string(value).expect("every printed value can be serialized as JSON")
 }
 
-/// Separates answers from failures.
+/// Separates the answers of nodes from the failures of other nodes.
 pub(crate) fn partition_replies<T>(
     replies: Vec<Reply<T>>,
 ) -> (Vec<(SocketAddr, T)>, Vec<Unreachable>) {
--- a/crates/cli/src/status_report.rs
+++ b/crates/cli/src/status_report.rs
@@ -13,7 +13,8 @@
 /// Output of `status --json`.
 #[derive(Debug, Serialize)]
 struct Report {
-    /// The last accepted version; `None` if the platform's address is unknown or it does not answer.
+    /// The last accepted version; `None` if the platform's address is unknown or the platform does
+    /// not answer.
     accepted: Option<Version>,
     /// Versions that the fleet holds, according to the node that knows of the most nodes.
     fleet: FleetVersions,
@@ -43,14 +44,14 @@
     Ok(print_unreachable(&report.unreachable))
 }
 
-/// Returns the last accepted version, or `None` on a failure: `status` must also show nodes during an
-/// outage of the platform.
+/// Returns the last accepted version, or `None` if it can't be read: `status` must show nodes
+/// during an outage of the platform too.
 async fn read_accepted(session: &Session) -> Option<Version> {
     if !session.has_platform() {
         return None;
     }
-    let versions = session.versions().ok()?;
-    match load(&versions).await {
+    let journal = session.open_journal().ok()?;
+    match load(&journal).await {
         Ok(state) => Some(state.version),
         Err(error) => {
             eprintln!("bluebellpick: the last accepted version is not known: {error}");
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-/// Spaces between two columns.
+/// Number of spaces between two columns.
 const COLUMN_GAP: usize = 2;
 
 /// Renders rows with aligned columns; the first row is the heading.
--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -7,7 +7,7 @@
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-/// Returns whether a table row of the page starts with these cells.
+/// Returns whether a table row of the operators' page starts with these cells.
 fn has_row(cells: &[&str]) -> bool {
     let start = format!("| {} |", cells.join(" | "));
     PAGE.lines().any(|line| line.starts_with(&start))
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -70,9 +70,9 @@
     );
 }
 
-// An engineer on call has the id of a booking that "may have run", and the logs
-// of all nodes. The explanation must name the node whose connection broke and the
-// events of that node at that time.
+// An operator has the id of a booking that "may have run", and the logs of all nodes. The
+// explanation must name the node whose connection broke, and include what happened to that node at
+// the time.
 #[test]
 fn steps_of_lost_call() {
     let explanation = explain("8584", &["--json"]).json();
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -72,7 +72,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_node() {
     let node = Node::spawn("jobs-1").await;
-    // Accepts connections and never answers.
+    // A listener whose connections open but never get an answer.
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let silent = format!("--node={}", silent.local_addr().unwrap());
     let result = run_program(&["status", &node.flag(), &silent, "--timeout=1", "--json"]);
@@ -143,7 +143,7 @@
         .find(|line| line.starts_with("jobs "))
         .unwrap();
     let cells = row.split_whitespace().collect::<Vec<_>>();
-    // 20 of 1,000 failed where 1 is allowed: a burn rate of 20.
+    // 20 of 1,000 calls failed where 1 is allowed: a burn rate of 20.
     assert_eq!(
         cells,
         [
--- a/crates/cli/tests/history.rs
+++ b/crates/cli/tests/history.rs
@@ -6,7 +6,7 @@
 use support::{Harness, run_program};
 use yare::parameterized;
 
-/// Proposes one service after another, each as a version.
+/// Opens a harness and proposes the services one after another, each as a version of its own.
 async fn open_with_services(names: &[&str]) -> Harness {
     let harness = Harness::open(&MemoryStore::new()).await;
     for (base, name) in names.iter().enumerate() {
@@ -59,8 +59,8 @@
     assert_eq!(json[3]["entry"]["author"], "ann");
 }
 
-// An early version must still be shown after many more: readers now start from a snapshot, so the
-// early records must be read separately.
+// An early version must still be shown after many later versions: readers then start from a
+// snapshot, so the records before the snapshot must be read separately.
 #[tokio::test(flavor = "multi_thread")]
 async fn before_snapshot() {
     let names = (0..70).map(|index| format!("s{index}")).collect::<Vec<_>>();
--- a/crates/cli/tests/propose.rs
+++ b/crates/cli/tests/propose.rs
@@ -10,7 +10,7 @@
 const SERVICE: &str = r#"{"put_service":{"name":"jobs","service":{}}}"#;
 const OTHER: &str = r#"{"put_service":{"name":"claims","service":{}}}"#;
 
-/// Returns the proposal's name, which the program prints before it sends anything.
+/// Returns the proposal's id, which the program prints before it sends anything.
 fn read_id(errors: &str) -> &str {
     let line = errors.lines().next().unwrap();
     line.strip_prefix("proposal ").unwrap()
@@ -74,7 +74,7 @@
 }
 
 // The platform is down for the whole time of `--wait`. Nothing was written and
-// nobody else knows the proposal's name, so the outcome is "never applied".
+// nobody else knows the proposal's id, so the outcome is "never applied".
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_down() {
     let memory = MemoryStore::new();
@@ -103,9 +103,9 @@
     );
 }
 
-// The write of a proposal is delayed until after the time of `--wait`: the outcome is not known yet.
-// `outcome` then reports that it is never applied, which must stay true after the delayed write
-// arrives.
+// The write of a proposal is delayed until after the time of `--wait`, so `propose` reports that
+// the outcome is not known yet. `outcome` then reports that the proposal is never applied, which
+// must stay true after the delayed write arrives.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_write() {
     let memory = MemoryStore::new();
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -52,14 +52,14 @@
         path.display().to_string()
     }
 
-    /// Runs the program with the platform's address.
+    /// Runs the program with the arguments and the address of the platform stand-in.
     pub fn run(&self, arguments: &[&str]) -> RunResult {
         let platform = format!("--platform={}", self.platform);
         run_program(&[arguments, &[&platform, "--timeout=2"]].concat())
     }
 }
 
-/// Runs the program.
+/// Runs the program with the arguments, as the user `ann`.
 pub fn run_program(arguments: &[&str]) -> RunResult {
     let output = Command::new(env!("CARGO_BIN_EXE_bluebellpick"))
         .args(arguments)
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// A clock that only moves when it is advanced; clones share one time.
+/// A clock whose time changes only when it is advanced; clones share the time.
 #[derive(Debug, Clone)]
 pub struct Manual {
     start: Instant,
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -41,8 +41,8 @@
         document
     }
 
-    /// Parses one line. Lines go through the INI library one at a time, because the library does
-    /// not keep line numbers.
+    /// Parses one line. The INI library gets one line at a time, because it does not report line
+    /// numbers.
     fn add_line(&mut self, line: usize, text: &str, keys: &[Key]) {
         let option = ParseOption {
             enabled_quote: false,
@@ -101,8 +101,8 @@
         });
     }
 
-    /// Parses the value of a key, or its default; an invalid or missing value adds a diagnostic
-    /// and returns `None`.
+    /// Parses the value of a key, or the key's default if the text does not set the key. If the
+    /// value is invalid, or missing without a default, adds a diagnostic and returns `None`.
     pub fn read<T>(&mut self, key: &Key) -> Option<T>
     where
         T: Value,
@@ -132,23 +132,24 @@
         None
     }
 
-    /// Returns the line of a key, or that of its section if the key is not set.
+    /// Returns the line that sets a key, or else the line of the section's header, or else the last
+    /// line.
     #[must_use]
     pub fn line_of(&self, section: &str, key: &str) -> usize {
         self.find(section, key)
             .map_or_else(|| self.line_of_section(section), |entry| entry.line)
     }
 
-    /// Adds a diagnostic.
+    /// Records an error at a line, so that `finish` fails.
     pub fn add_diagnostic(&mut self, line: usize, message: String) {
         self.diagnostics.push(Diagnostic { line, message });
     }
 
-    /// Returns the settings if there are no diagnostics; `file` names the text in errors.
+    /// Returns the settings if there are no diagnostics. `file` is the name of the text in errors.
     ///
     /// # Errors
     ///
-    /// Lists all diagnostics, sorted by line.
+    /// When there are diagnostics; the error lists all of them, sorted by line.
     pub fn finish<T>(mut self, settings: Option<T>, file: &str) -> Result<T, Error> {
         self.diagnostics.sort_by_key(|diagnostic| diagnostic.line);
         match settings {
@@ -185,7 +186,7 @@
     unique.join(", ")
 }
 
-/// Reads a file; returns its text and its name for errors.
+/// Reads a file. Returns its text, and its name for error messages.
 pub(crate) fn read_file(path: &Path) -> Result<(String, String), Error> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::io;
 
-/// One error in a settings file and its line.
+/// An error in a settings file, with its line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
     /// Line number in the file, starting at 1.
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// Lists all errors in the file, sorted by line.
+    /// When the file can't be read or has errors, which are all listed, sorted by line.
     pub fn open<P>(path: P) -> Result<Self, Error>
     where
         P: AsRef<Path>,
@@ -83,11 +83,11 @@
         Self::parse(&text, &file)
     }
 
-    /// Parses settings from `text`; `file` names it in errors.
+    /// Parses settings from `text`. `file` is the name of the text in error messages.
     ///
     /// # Errors
     ///
-    /// Lists all errors in the text, sorted by line.
+    /// When the text has errors, which are all listed, sorted by line.
     pub fn parse(text: &str, file: &str) -> Result<Self, Error> {
         let mut document = Document::new(text, Self::KEYS);
         let settings = Self::read(&mut document);
@@ -104,8 +104,8 @@
         self.advertised.unwrap_or(self.nodes)
     }
 
-    /// Returns the longest wait for calls in flight at a graceful stop; it ends before
-    /// `kill_timeout`.
+    /// Returns the longest wait for calls in flight at a graceful stop: `drain_timeout`, or less if
+    /// the wait would not end before `kill_timeout`.
     #[must_use]
     pub fn stop_limit(&self) -> Duration {
         let before_kill = self
@@ -114,7 +114,7 @@
         before_kill.map_or(self.drain_timeout, |limit| limit.min(self.drain_timeout))
     }
 
-    /// Returns the addresses of the four listeners with the names of their keys.
+    /// Returns the addresses of the four listeners, each with the key that sets it.
     #[must_use]
     pub fn listeners(&self) -> [(&'static str, SocketAddr); 4] {
         [
@@ -176,11 +176,12 @@
     }
 }
 
-/// Time reserved before `kill_timeout` to send the last frames: a process on a VM with a fifth of
-/// a core is scheduled late.
+/// Time reserved before `kill_timeout` to send the last frames, because a process on a VM with a
+/// fifth of a core is scheduled late.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 
-/// Maximum number of threads of a node: more than the cores of any VM that it is meant for.
+/// Maximum number of threads of a node: more than the number of cores of any VM that nodes are
+/// meant for.
 const MAX_THREADS: u16 = 64;
 
 /// Returns whether two listeners would receive each other's connections.
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     ///
-    /// Lists all errors in the file, sorted by line.
+    /// When the file can't be read or has errors, which are all listed, sorted by line.
     pub fn open<P>(path: P) -> Result<Self, Error>
     where
         P: AsRef<Path>,
@@ -34,11 +34,11 @@
         Self::parse(&text, &file)
     }
 
-    /// Parses settings from `text`; `file` names it in errors.
+    /// Parses settings from `text`. `file` is the name of the text in error messages.
     ///
     /// # Errors
     ///
-    /// Lists all errors in the text, sorted by line.
+    /// When the text has errors, which are all listed, sorted by line.
     pub fn parse(text: &str, file: &str) -> Result<Self, Error> {
         let mut document = Document::new(text, Self::KEYS);
         let settings = Self::read(&mut document);
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// Returns the default from the optional `= "default"` part of a table row.
+/// Returns the default from the optional `= "default"` part of a table row, or `None` without it.
 #[must_use]
 pub const fn find_default(parts: &[&'static str]) -> Option<&'static str> {
     match parts {
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -6,10 +6,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Maximum length of the name of a node, availability zone or region: that of a DNS label.
+/// Maximum length of the name of a node, service, availability zone or region, in bytes: that of a
+/// DNS label.
 const MAX_NAME_LEN: usize = 63;
 
-/// Minimum length of a token: 16 hexadecimal digits are 64 bits.
+/// Minimum length of a token, in characters: 16 hexadecimal digits hold 64 bits.
 const MIN_TOKEN_LEN: usize = 16;
 
 /// Units of time and their length in milliseconds. `ms` is tried before `s`, because a text that
@@ -38,11 +39,12 @@
     fn parse(text: &str) -> Result<Self, ParseError>;
 }
 
-/// A secret that `Debug` does not show; `None` refuses every operator's write.
+/// The secret that operators' writes must carry; with `None`, every write is refused. `Debug` does
+/// not show the secret.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Token(pub Option<String>);
 
-/// Text of a token setting for which no token is configured.
+/// Value of a token setting that configures no token.
 const NO_TOKEN: &str = "none";
 
 impl fmt::Debug for Token {
@@ -117,13 +119,13 @@
     }
 }
 
-/// The interface that callers, backend servers and operators' configurations use: headers,
+/// The API that callers, backend servers and operators' configurations use: its headers,
 /// announcements and stored objects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApiKind {
-    /// The product's own.
+    /// The product's own API.
     Own,
-    /// That of the platform that the VMs run on.
+    /// The API of the platform that the VMs run on.
     Platform,
 }
 
@@ -197,8 +199,8 @@
     const EXPECTED: &str = "a share from 0 to 1, such as 0.2";
 
     fn parse(text: &str) -> Result<Self, ParseError> {
-        let millionths = parse_fraction(text, MILLION)?;
-        if millionths > MILLION {
+        let millionths = parse_fraction(text, MILLIONTHS_PER_UNIT)?;
+        if millionths > MILLIONTHS_PER_UNIT {
             return Err(ParseError::Malformed);
         }
         Ok(Self(millionths))
@@ -207,13 +209,13 @@
 
 /// A number of events that a fleet, or a part of it, is allowed, in millionths.
 ///
-/// Part of a fleet gets the corresponding part of the fleet's budget, which is rarely a whole
+/// A part of a fleet gets the corresponding part of the fleet's number, which is rarely a whole
 /// number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quota(u64);
 
 impl Quota {
-    /// Returns the number.
+    /// Returns the number of events.
     #[must_use]
     pub fn get(self) -> f64 {
         millionths_to_f64(self.0)
@@ -224,7 +226,7 @@
     const EXPECTED: &str = "a number from 0, such as 50 or 30.7";
 
     fn parse(text: &str) -> Result<Self, ParseError> {
-        parse_fraction(text, MILLION).map(Self)
+        parse_fraction(text, MILLIONTHS_PER_UNIT).map(Self)
     }
 }
 
@@ -242,7 +244,7 @@
     }
 }
 
-/// Kilobits in a megabit.
+/// Factor from megabits, the unit of the setting, to kilobits, the unit of [`LinkRate`].
 const KILOBITS_PER_MEGABIT: u64 = 1_000;
 
 /// Maximum capacity that can be set: a terabit per second.
@@ -315,16 +317,16 @@
     }
 }
 
-/// Millionths in one.
-const MILLION: u64 = 1_000_000;
+/// Factor from a share or quota to the millionths in which it is stored.
+const MILLIONTHS_PER_UNIT: u64 = 1_000_000;
 
 /// Nanoseconds in a millisecond, the unit of [`TIME_UNITS`].
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// Parses a number that may have a fraction, as a multiple of 1 / `parts`.
+/// Parses a number that may have a fraction, and returns it multiplied by `parts`.
 ///
-/// Rounds down, as these numbers are limits, but a number above zero gives at least 1: a small
-/// allowance must not become none.
+/// The result is rounded down, because these numbers are limits. But a number above zero gives at
+/// least 1, so that a small allowance does not become zero.
 fn parse_fraction(text: &str, parts: u64) -> Result<u64, ParseError> {
     if let Ok(count) = parse_count(text) {
         return count.checked_mul(parts).ok_or(ParseError::Malformed);
@@ -351,7 +353,8 @@
     Ok(if number > 0.0 { whole.max(1) } else { 0 })
 }
 
-/// Smallest number of parts, 2^63, that is refused as too large.
+/// Smallest number that [`parse_fraction`] refuses as too large after the multiplication by
+/// `parts`: 2^63.
 const PARTS_LIMIT: f64 = 9_223_372_036_854_775_808.0;
 
 fn millionths_to_f64(millionths: u64) -> f64 {
@@ -360,7 +363,8 @@
     millionths / 1e6
 }
 
-/// Parses a count, which is digits only; every count in settings is a limit, so zero is refused.
+/// Parses a count, which consists of digits only. Every count in settings is a limit, so zero is
+/// refused.
 fn parse_count(text: &str) -> Result<u64, ParseError> {
     if text.is_empty() || !text.chars().all(|c| c.is_ascii_digit()) {
         return Err(ParseError::Malformed);
--- a/crates/settings/tests/node.rs
+++ b/crates/settings/tests/node.rs
@@ -42,9 +42,9 @@
     assert_eq!(settings.stop_limit(), Duration::from_millis(limit_ms));
 }
 
-// Guards against a fleet in which no node starts because of the format of one number: in a
-// deployment scaled down to a fourteenth of its size, the platform wrote the remaining part of a
-// budget as 30.714285714285715, while the key only accepted whole numbers.
+// Guards against a fleet in which no node starts because of the format of one number: for a
+// deployment scaled down to a fourteenth of its size, the platform wrote a budget, scaled down
+// likewise, as 30.714285714285715, while the key accepted only whole numbers.
 #[parameterized(
     part_of_budget = { "repeat_extra = 30.714285714285715", 30.714_285, 0.0 },
     small_budget = { "repeat_extra = 0.0000001", 0.000_001, 0.0 },
--- a/crates/settings/tests/property.rs
+++ b/crates/settings/tests/property.rs
@@ -23,7 +23,8 @@
         .unwrap();
 }
 
-/// Checks that every diagnostic refers to a line of the text.
+/// Checks that a text that can't be parsed gives diagnostics, each of which refers to a line of the
+/// text.
 fn check_diagnostics(text: &str) -> Result<(), TestCaseError> {
     let Err(error) = Settings::parse(text, "node.ini") else {
         return Ok(());
--- a/crates/status/src/lib.rs
+++ b/crates/status/src/lib.rs
@@ -6,25 +6,25 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The node's local backend server.
+/// The backend server on the VM of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Service that it implements.
+    /// Service that the backend server implements.
     pub service: SmolStr,
-    /// Address on which it accepts calls.
+    /// Address on which the backend server accepts calls.
     pub address: SocketAddr,
-    /// Number of concurrent calls that it advertises.
+    /// Number of concurrent calls that the backend server announces it can run.
     pub slots: u16,
-    /// Whether it is leaving.
+    /// Whether the backend server is leaving.
     pub leaving: bool,
 }
 
 /// The number of nodes that hold a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCount {
-    /// The version.
+    /// Version that the nodes hold.
     pub version: Version,
-    /// Number of nodes that hold it.
+    /// Number of nodes that hold this version.
     pub nodes: u32,
 }
 
@@ -33,52 +33,55 @@
 pub struct RefusedVersion {
     /// Name of the node.
     pub node: SmolStr,
-    /// The version.
+    /// Version that the node could not apply.
     pub version: Version,
-    /// Why the node could not apply it.
+    /// Why the node could not apply the version.
     pub reason: SmolStr,
 }
 
-/// The versions that a fleet, or a part of it, holds; bounded in size.
+/// Versions that the nodes of a fleet, or of a part of a fleet, hold; bounded in size.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetVersions {
     /// Number of nodes per version, lowest version first.
     pub counts: Vec<VersionCount>,
     /// Some of the nodes that are behind the highest version.
     pub laggards: Vec<SmolStr>,
-    /// Some of the versions that could not be applied.
+    /// Some of the versions that nodes could not apply.
     pub refusals: Vec<RefusedVersion>,
 }
 
-/// A node's part in the distribution of configurations.
+/// State of a node in the distribution of configurations, and what the node knows of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Distribution {
-    /// Version held; calls are served by it once the process is ready.
+    /// Version that the node holds; calls are routed by this version once the process is ready.
     #[serde(rename = "held")]
     pub held_version: Version,
-    /// Nodes on the path from its root to this node; empty if it is cut off from every root.
+    /// Nodes on the path from the root of the distribution tree to this node; empty if this node is
+    /// cut off from every root.
     pub path: Vec<SmolStr>,
-    /// Number of its children in the distribution tree.
+    /// Number of the node's children in the distribution tree.
     pub children: usize,
-    /// Number of roots that it has links to, if it is a root itself.
+    /// Number of other roots that the node has links to, if the node is a root.
     pub roots: usize,
-    /// Number of versions applied since the process started.
+    /// Number of versions that the node has applied since its process started.
     #[serde(rename = "versions")]
     pub applied_versions: u64,
-    /// Number of versions that could not be applied.
+    /// Number of versions that the node could not apply since its process started.
     #[serde(rename = "refusals")]
     pub refused_versions: u64,
-    /// Number of parents that it has had since the process started.
+    /// Number of times that the node has joined a parent since its process started.
     #[serde(rename = "parents")]
     pub parent_joins: u64,
-    /// Number of nodes that it declared departed.
+    /// Number of other nodes that this node has declared departed since its process started.
     pub departures: u64,
-    /// Number of views built, after changes of the configuration or of endpoints.
+    /// Number of views (configuration joined with endpoints) that the node has built after changes
+    /// of the configuration or of endpoints.
     #[serde(rename = "views")]
     pub built_views: u64,
-    /// Number of views with an older version than the view before; must stay zero.
+    /// Number of views that the node refused because their version was older than that of the view
+    /// in use; must stay zero.
     pub reverts: u64,
-    /// The versions that the fleet holds.
+    /// Versions that the fleet holds, as far as this node knows.
     pub fleet: FleetVersions,
 }
 
@@ -89,13 +92,13 @@
     pub callers: usize,
     /// Calls that are queued for the local backend server or run on it.
     pub calls: usize,
-    /// Calls of other nodes whose answers have not been read yet.
+    /// Calls from other nodes whose answers those nodes have not read yet.
     pub answers: usize,
     /// Running calls with an idempotency key, whether or not their callers are still connected.
     pub keyed: usize,
     /// 1 while the last outcomes of keyed calls are written to the platform.
     pub outcomes: usize,
-    /// 1 while the node tells other nodes that it is leaving.
+    /// 1 while the node announces to other nodes that it is leaving.
     pub farewell: usize,
     /// 1 while the listeners for the backend server and operators close.
     pub listeners: usize,
@@ -130,24 +133,24 @@
     pub incarnation: u64,
     /// How long the process has run, in seconds.
     pub uptime_s: u64,
-    /// Version of the configuration by which calls are served.
+    /// Version of the configuration by which the node routes calls.
     pub version: Version,
-    /// Why the node does not accept calls; empty if it does.
+    /// Reasons why the node is not ready for calls; empty if the node is ready.
     pub not_ready: Vec<String>,
     /// Whether the node is leaving.
     pub leaving: bool,
     /// Calls that are queued for the local backend server or run on it.
     pub in_flight: usize,
-    /// What its graceful stop waits for, or would wait for if it started now.
+    /// What the node's graceful stop waits for, or would wait for if the stop began now.
     #[serde(default)]
     pub waits: StopWaits,
     /// The local backend server, once it is announced.
     pub backend: Option<Backend>,
     /// Number of endpoints that accept new calls, by service.
     pub endpoints: BTreeMap<SmolStr, usize>,
-    /// Routes that are withheld until the services they name exist.
+    /// Routes that are withheld because none of the services that they name has an endpoint.
     pub withheld_routes: Vec<SmolStr>,
-    /// Its part in the distribution of configurations.
+    /// State of the node in the distribution of configurations.
     #[serde(default)]
     pub distribution: Distribution,
 }
