--- a/crates/bench/src/converge.rs
+++ b/crates/bench/src/converge.rs
@@ -19,7 +19,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::time::{Duration, Instant};
-use store::memory::Counts;
+use store::memory::RequestCounts;
 
 /// Number of services that the nodes' endpoints belong to; the other services have no endpoints.
 const SERVICES_WITH_ENDPOINTS: usize = 12;
@@ -310,7 +310,7 @@
         Ok(())
     }
 
-    async fn count_calls(&self) -> Result<Counts, Error> {
+    async fn count_calls(&self) -> Result<RequestCounts, Error> {
         node::read_platform_counts(self.deployment.platform_address).await
     }
 
@@ -406,7 +406,7 @@
         .count()
 }
 
-fn sum_calls(counts: Counts) -> u64 {
+fn sum_calls(counts: RequestCounts) -> u64 {
     counts.reads + counts.watches + counts.writes
 }
 
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -48,7 +48,7 @@
     /// Duration of the load.
     pub duration: Duration,
     /// Whether to restart every node and backend server in turn instead of injecting faults.
-    pub rolling: bool,
+    pub rolling_restart: bool,
 }
 
 /// Results of the experiment.
@@ -77,13 +77,13 @@
 pub fn parse() -> impl Parser<Options> {
     let seed = options::parse_seed();
     let duration = options::parse_seconds(60);
-    let rolling = long("rolling")
+    let rolling_restart = long("rolling")
         .help("Restart every node and backend server in turn instead, which must cut nothing off")
         .switch();
     construct!(Options {
         seed,
         duration,
-        rolling
+        rolling_restart
     })
 }
 
@@ -107,7 +107,7 @@
         faults_callers::spawn(options.seed, &addresses, move || Instant::now() < end, &log);
     let mut injector = FaultInjector::new(options.seed);
     while Instant::now() + SETTLE_TIME < end {
-        if options.rolling {
+        if options.rolling_restart {
             injector.restart_all(&mut target, end).await?;
         } else {
             injector.run_round(&mut target).await?;
--- a/crates/bench/src/node.rs
+++ b/crates/bench/src/node.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use store::memory::Counts;
+use store::memory::RequestCounts;
 
 /// Time limit of a call to a node or to the platform stand-in.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -100,7 +100,7 @@
 /// # Errors
 ///
 /// When the stand-in does not answer, or its answer is malformed.
-pub async fn read_platform_counts(platform: SocketAddr) -> Result<Counts, Error> {
+pub async fn read_platform_counts(platform: SocketAddr) -> Result<RequestCounts, Error> {
     let call = Call::get("/counts");
     let answer = Caller::new(platform)
         .send_within(&call, CALL_TIMEOUT)
--- a/crates/node/benches/reserve.rs
+++ b/crates/node/benches/reserve.rs
@@ -227,7 +227,7 @@
         let time = granted.get(last * percent / 100);
         time.map_or(f64::NAN, |time| time.as_secs_f64() * 1e3)
     };
-    let counts = platform.counts();
+    let counts = platform.request_counts();
     let seconds = RUN_DURATION.as_secs_f64();
     let rate = |calls: u64| f64::from(u32::try_from(calls).unwrap_or(u32::MAX)) / seconds;
     println!(
--- a/crates/node/src/control/link.rs
+++ b/crates/node/src/control/link.rs
@@ -89,10 +89,10 @@
 {
     let (frames, queue) = mpsc::channel(SEND_QUEUE_LENGTH);
     let (source, sink) = stream.into_split();
-    let received = shared.metrics.control_received();
+    let received_bytes = shared.metrics.control_received();
     let reader = tokio::spawn(async move {
         // The state machine handles all ends of a link alike, so the error is dropped.
-        drop(read(key, source, &inbox, &received).await);
+        drop(read(key, source, &inbox, &received_bytes).await);
         drop(inbox.send(Input::Closed { link: key }).await);
     });
     let writer = tokio::spawn(write(sink, queue, shared.metrics.control_sent()));
@@ -107,7 +107,7 @@
     key: LinkKey,
     mut source: OwnedReadHalf,
     inbox: &mpsc::Sender<Input>,
-    received: &Counter,
+    received_bytes: &Counter,
 ) -> Result<(), Error> {
     let mut buffer = Vec::new();
     loop {
@@ -117,7 +117,7 @@
         let mut used = 0;
         while let Some((frame, length)) = codec::decode(&buffer[used..])? {
             used += length;
-            received.inc_by(length as u64);
+            received_bytes.inc_by(length as u64);
             let wire::Frame::Control(frame) = frame else {
                 return Ok(());
             };
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -111,7 +111,7 @@
     loop {
         tokio::select! {
             () = wait_any(&mut terminate, &mut interrupt) => break,
-            _ = hangup.recv() => current = reload(current, path),
+            _ = hangup.recv() => current = check_settings_file(current, path),
         }
     }
     tokio::select! {
@@ -129,7 +129,7 @@
 /// locality by which callers and other nodes already know this node, or a limit of a listener or
 /// connection that is already open. An invalid file is reported at once, and not by a process that
 /// fails to start later. Returns the settings to compare the next reload with.
-fn reload(current: Settings, path: &Path) -> Settings {
+fn check_settings_file(current: Settings, path: &Path) -> Settings {
     match Settings::open(path) {
         Ok(next) if next == current => {
             info!("settings_unchanged");
--- a/crates/node/tests/calls/keyed.rs
+++ b/crates/node/tests/calls/keyed.rs
@@ -351,9 +351,9 @@
         slow_ms: 400,
         ..Faults::default()
     });
-    let before = nodes.store.counts();
+    let before = nodes.store.request_counts();
     let first = tokio::spawn(async move { book(address, "k1", "r1", "0").await });
-    while nodes.store.counts() == before {
+    while nodes.store.request_counts() == before {
         tokio::task::yield_now().await;
     }
     front.set_modes(Mode::Pass, Mode::Drop);
--- a/crates/node/tests/reserve.rs
+++ b/crates/node/tests/reserve.rs
@@ -301,7 +301,7 @@
     for claim in claims.collect::<Vec<_>>() {
         let _grant = claim.await.unwrap();
     }
-    let writes = memory.counts().writes;
+    let writes = memory.request_counts().writes;
     assert!(writes <= 96, "{writes} writes for 960 keys");
 }
 
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -417,7 +417,7 @@
     }
 
     /// Returns whether the next call picked with `args` is to test an ejected backend server.
-    pub(crate) fn has_half_open(&mut self, now: Instant, args: &PickArgs<'_>) -> bool {
+    pub(crate) fn will_test_ejected(&mut self, now: Instant, args: &PickArgs<'_>) -> bool {
         args.repeatable && self.find_half_open(now, args.tried).is_some()
     }
 
--- a/crates/policy/src/load_probe.rs
+++ b/crates/policy/src/load_probe.rs
@@ -176,7 +176,7 @@
         let near: Vec<_> = results.iter().filter(is_near).copied().collect();
         let near = self.find_best(&near, &call);
         let best = self.find_best(results, &call);
-        let (Some(best), false) = (best, self.has_half_open(now, args)) else {
+        let (Some(best), false) = (best, self.will_test_ejected(now, args)) else {
             return self.pick(now, args, rng);
         };
         let chosen = match near {
--- a/crates/policy/tests/body_scheduler.rs
+++ b/crates/policy/tests/body_scheduler.rs
@@ -156,7 +156,7 @@
                     report.checks_in_time += u32::from(now + CHECK_RUN < *sent + CHECK_TIMEOUT);
                 }
                 QueuedItem::Whole { sent, bytes } => {
-                    record_upload(&mut report, now, *sent, *bytes);
+                    count_if_in_time(&mut report, now, *sent, *bytes);
                 }
                 QueuedItem::Chunk { key, bytes } => {
                     let (key, bytes) = (*key, *bytes);
@@ -176,7 +176,7 @@
                                 (done.received - done.length).abs() < 1.0,
                                 "the whole body is received"
                             );
-                            record_upload(&mut report, now, done.sent, done.length);
+                            count_if_in_time(&mut report, now, done.sent, done.length);
                         }
                     }
                 }
@@ -187,7 +187,7 @@
     report
 }
 
-fn record_upload(report: &mut Report, now: Instant, sent: Instant, bytes: f64) {
+fn count_if_in_time(report: &mut Report, now: Instant, sent: Instant, bytes: f64) {
     if now + UPLOAD_RUN < sent + UPLOAD_TIMES.0 {
         report.uploads_in_time += 1;
         report.bytes_in_time += bytes;
--- a/crates/policy/tests/load/herding.rs
+++ b/crates/policy/tests/load/herding.rs
@@ -12,7 +12,7 @@
     let scenario = Scenario {
         flows: Flow::new(Class::Lookup, 0.7 * CAPACITY).split(0..40),
         servers,
-        proxies: vec![0; 50],
+        proxy_zones: vec![0; 50],
         seconds: 16.0,
         ..Scenario::default()
     };
--- a/crates/policy/tests/load/large_fleet.rs
+++ b/crates/policy/tests/load/large_fleet.rs
@@ -37,7 +37,7 @@
     Scenario {
         flows: flow.split(0..400),
         servers: servers.collect(),
-        proxies: (0..195).map(|index| index % 5).collect(),
+        proxy_zones: (0..195).map(|index| index % 5).collect(),
         seconds: 14.0,
         probes,
         uniform_service_times: true,
--- a/crates/policy/tests/load/scenario.rs
+++ b/crates/policy/tests/load/scenario.rs
@@ -103,7 +103,7 @@
     /// lost.
     pub is_dead: fn(f64) -> bool,
     /// Interval, in seconds, in which the backend server is in the views of the outbound proxies.
-    pub in_view: (f64, f64),
+    pub in_view_span_s: (f64, f64),
 }
 
 impl Default for Server {
@@ -115,7 +115,7 @@
             slowdown: |_| 1.0,
             is_failing: |_| false,
             is_dead: |_| false,
-            in_view: (0.0, f64::MAX),
+            in_view_span_s: (0.0, f64::MAX),
         }
     }
 }
@@ -128,7 +128,7 @@
     pub flows: Vec<Flow>,
     pub servers: Vec<Server>,
     /// Availability zone of each outbound proxy.
-    pub proxies: Vec<u32>,
+    pub proxy_zones: Vec<u32>,
     /// How often callers themselves retry after a refusal or failure.
     pub caller_retries: u32,
     /// How the time that a caller has waited before a retry counts.
@@ -150,7 +150,7 @@
             seconds: 10.0,
             flows: Vec::new(),
             servers: vec![Server::default(); 4],
-            proxies: vec![0; 4],
+            proxy_zones: vec![0; 4],
             caller_retries: 0,
             caller_retry: CallerRetry::NewCall,
             attempt_timeout: f64::MAX,
--- a/crates/policy/tests/load/sim.rs
+++ b/crates/policy/tests/load/sim.rs
@@ -154,7 +154,7 @@
             wake_at: None,
         });
     }
-    for round_robin in 0..scenario.proxies.len() {
+    for round_robin in 0..scenario.proxy_zones.len() {
         sim.outbound.push(Outbound {
             balancer: Balancer::new(),
             budget: RetryBudget::new(start, 10),
@@ -226,9 +226,10 @@
 
     fn sync_views(&mut self) {
         let now = self.at(self.now);
-        for (outbound, zone) in self.outbound.iter_mut().zip(&self.scenario.proxies) {
-            let is_in_view =
-                |server: &Server| server.in_view.0 <= self.now && self.now < server.in_view.1;
+        for (outbound, zone) in self.outbound.iter_mut().zip(&self.scenario.proxy_zones) {
+            let is_in_view = |server: &Server| {
+                server.in_view_span_s.0 <= self.now && self.now < server.in_view_span_s.1
+            };
             let candidates = (0..).zip(&self.scenario.servers);
             let candidates = candidates.filter(|(_, server)| is_in_view(server));
             outbound.balancer.sync(
@@ -380,7 +381,7 @@
         });
         let attempt = self.attempts.len() - 1;
         let zones = [
-            self.scenario.proxies[self.calls[call].proxy],
+            self.scenario.proxy_zones[self.calls[call].proxy],
             self.scenario.servers[server].zone,
         ];
         self.report
@@ -421,8 +422,9 @@
         let outbound = &mut self.outbound[self.calls[call].proxy];
         match self.system {
             System::Baseline => {
-                let is_in_view =
-                    |server: &Server| server.in_view.0 <= self.now && self.now < server.in_view.1;
+                let is_in_view = |server: &Server| {
+                    server.in_view_span_s.0 <= self.now && self.now < server.in_view_span_s.1
+                };
                 for _ in 0..self.scenario.servers.len() {
                     outbound.round_robin += 1;
                     let server = outbound.round_robin % self.scenario.servers.len();
--- a/crates/policy/tests/load/uneven_zone.rs
+++ b/crates/policy/tests/load/uneven_zone.rs
@@ -19,7 +19,7 @@
     Scenario {
         flows: flow.split(0..60),
         servers: (0..).zip(slowdowns).map(server).collect(),
-        proxies: vec![0, 1, 2],
+        proxy_zones: vec![0, 1, 2],
         seconds: 20.0,
         ..Scenario::default()
     }
--- a/crates/policy/tests/load/zone_recovery.rs
+++ b/crates/policy/tests/load/zone_recovery.rs
@@ -13,12 +13,12 @@
         ..Server::default()
     };
     let lost = Server {
-        in_view: (0.0, 3.0),
+        in_view_span_s: (0.0, 3.0),
         ..Server::default()
     };
     let recovered = Server {
         slowdown: warm_up,
-        in_view: (6.0, f64::MAX),
+        in_view_span_s: (6.0, f64::MAX),
         ..Server::default()
     };
     let servers = [
@@ -35,7 +35,7 @@
     let scenario = Scenario {
         flows,
         servers: servers.to_vec(),
-        proxies: vec![0, 0, 1, 1],
+        proxy_zones: vec![0, 0, 1, 1],
         seconds: 20.0,
         ..Scenario::default()
     };
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -95,7 +95,7 @@
         return Ok(response);
     }
     Ok(match (request.method(), path.as_str()) {
-        (&Method::GET, "/counts") => json_response(StatusCode::OK, &shared.memory.counts()),
+        (&Method::GET, "/counts") => json_response(StatusCode::OK, &shared.memory.request_counts()),
         (&Method::POST, "/copy") => {
             *shared.backup.lock() = Some(shared.memory.backup());
             json_response(StatusCode::OK, &Value::Null)
@@ -213,7 +213,7 @@
     let name = format!("{kind}/{leaf}");
     let expected = current_era_revision(memory, item.metadata.revision.unwrap_or_default());
     let replaced = memory.update(&name, &item.spec, expected).await;
-    write_response(memory, &name, replaced).await
+    respond_to_write(memory, &name, replaced).await
 }
 
 /// Replaces the status of an object; if the revision of the object isn't the expected one, responds
@@ -227,10 +227,10 @@
     let name = format!("{kind}/{leaf}");
     let expected = current_era_revision(memory, item.metadata.revision.unwrap_or_default());
     let replaced = memory.update_status(&name, &item.status, expected).await;
-    write_response(memory, &name, replaced).await
+    respond_to_write(memory, &name, replaced).await
 }
 
-async fn write_response(
+async fn respond_to_write(
     memory: &MemoryStore,
     name: &str,
     written: Result<Revision, store::Error>,
--- a/crates/standin/tests/object_api.rs
+++ b/crates/standin/tests/object_api.rs
@@ -111,7 +111,7 @@
         tokio::time::sleep(Duration::from_millis(8)).await;
     }
     while next_change(&mut watch).await.unwrap().revision() < last {}
-    let requests = memory.counts().watches;
+    let requests = memory.request_counts().watches;
     assert!((2..10).contains(&requests), "{requests} watch requests");
 }
 
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -43,7 +43,7 @@
 
 /// Numbers of calls received so far; a watch counts once, when it is opened.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct RequestCounts {
     /// Reads and list requests.
     pub reads: u64,
     /// Watches opened.
@@ -72,7 +72,7 @@
     compacted_revision: Revision,
     faults: Faults,
     delayed: Vec<Write>,
-    counts: Counts,
+    request_counts: RequestCounts,
     rng: SmallRng,
 }
 
@@ -117,7 +117,7 @@
                 compacted_revision: Revision::default(),
                 faults: Faults::default(),
                 delayed: Vec::new(),
-                counts: Counts::default(),
+                request_counts: RequestCounts::default(),
                 rng: SmallRng::seed_from_u64(seed),
             })),
             changed: watch::Sender::new(Revision::default()),
@@ -139,8 +139,8 @@
 
     /// Returns the number of calls so far.
     #[must_use]
-    pub fn counts(&self) -> Counts {
-        self.lock().counts
+    pub fn request_counts(&self) -> RequestCounts {
+        self.lock().request_counts
     }
 
     /// Applies the delayed writes now.
@@ -215,7 +215,7 @@
     }
 
     async fn write(&self, write: Write) -> Result<Revision, Error> {
-        self.lock().counts.writes += 1;
+        self.lock().request_counts.writes += 1;
         self.apply_common_faults().await?;
         let mut state = self.lock();
         let fault = state.sample_fault();
@@ -227,7 +227,7 @@
         }
         let outcome = state.apply(write);
         if outcome == Err(Error::Conflict) {
-            state.counts.conflicts += 1;
+            state.request_counts.conflicts += 1;
         }
         let revision = state.revision;
         drop(state);
@@ -244,7 +244,7 @@
     where
         F: FnOnce(&State) -> T,
     {
-        self.lock().counts.reads += 1;
+        self.lock().request_counts.reads += 1;
         self.apply_common_faults().await?;
         Ok(query(&self.lock()))
     }
@@ -473,7 +473,7 @@
     }
 
     async fn watch(&self, folder: &str, from: Revision) -> Result<Watch, Error> {
-        self.lock().counts.watches += 1;
+        self.lock().request_counts.watches += 1;
         self.apply_common_faults().await?;
         let (sender, watch) = Watch::channel();
         tokio::spawn(self.clone().run_watch(folder.into(), from, sender));
