--- a/crates/bench/src/faults_callers.rs
+++ b/crates/bench/src/faults_callers.rs
@@ -19,7 +19,8 @@
 /// Number of concurrent callers that send bookings and look-ups.
 const CALLER_COUNT: usize = 16;
 
-/// Number of additional callers that don't read their responses, while a plan of faults is played.
+/// Number of additional callers that run while the faults of a plan are injected and don't read
+/// their responses.
 const STALLED_READER_COUNT: u64 = 2;
 
 /// Range of the time for which a caller that doesn't read its response keeps the connection open,
--- a/crates/bench/src/faults_history.rs
+++ b/crates/bench/src/faults_history.rs
@@ -245,9 +245,9 @@
 /// Checks that every call within a span of graceful stops ended with a response or a definite
 /// refusal.
 ///
-/// A retry counts as a call that began with the first request with the same key: an outcome that is
-/// unknown because of a fault before the stop stays unknown. A call that ended after the span is
-/// left out, because the next fault may have affected the call.
+/// A retry is treated as sent when the first request with its key was sent, because a fault before
+/// the stop may have left the outcome unknown. Calls that ended after the span are ignored, because
+/// the next fault may have affected them.
 fn check_graceful_stops(result: &mut CheckResult, history: &History) {
     let mut first_sent_us: HashMap<&str, u64> = HashMap::new();
     for one in &history.invocations {
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -112,11 +112,13 @@
 /// Results with one backend server that is ten times slower than the others.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Slow {
-    /// Latency of the calls answered in time without a slow backend server, 99th percentile.
+    /// 99th percentile of the latency of calls answered in time, in a run without a slow backend
+    /// server.
     pub healthy_p99_ms: f64,
-    /// Latency of the calls answered in time with a slow backend server, 99th percentile.
+    /// 99th percentile of the latency of calls answered in time, in a run with a slow backend
+    /// server.
     pub slow_p99_ms: f64,
-    /// Share of calls answered in time with a slow backend server.
+    /// Share of calls that were answered in time, in the run with a slow backend server.
     pub slow_share: f64,
 }
 
--- a/crates/bench/src/rolling.rs
+++ b/crates/bench/src/rolling.rs
@@ -393,7 +393,7 @@
     }
 }
 
-/// A call to send, with its names in the history.
+/// A call to send, with the request name and the idempotency key that the history records for it.
 struct PreparedCall {
     request: String,
     key: Option<String>,
--- a/crates/bench/src/soak_deadly.rs
+++ b/crates/bench/src/soak_deadly.rs
@@ -101,8 +101,8 @@
     }
 }
 
-/// Reads the runs of deadly requests from the backend servers' records. Returns them by name of the
-/// series.
+/// Reads the runs of deadly requests from the records of the backend servers, grouped by the name
+/// of the request series that they belong to.
 ///
 /// # Errors
 ///
@@ -171,8 +171,8 @@
     Ok(entries.into_values().collect())
 }
 
-/// Counts the requests of other callers that were refused because nodes mistook them for deadly
-/// requests.
+/// Counts the requests of callers of ordinary requests that were refused because nodes mistook them
+/// for deadly requests.
 #[must_use]
 pub fn count_innocents_held(invocations: &[Invocation]) -> usize {
     let held = invocations.iter().filter(|one| is_held(&one.detail));
--- a/crates/bench/src/soak_runner.rs
+++ b/crates/bench/src/soak_runner.rs
@@ -41,7 +41,8 @@
 /// Interval of the checks for due actions while a plan is played.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time after the other checks of a calm within which half-closed sockets must be closed.
+/// Time limit for half-closed sockets to be closed, from the end of the other checks in a calm, the
+/// period without faults after a storm.
 const SOCKET_CLOSE_TIME: Duration = Duration::from_secs(2);
 
 /// State of a running soak test: the active faults, and the violations counted so far.
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -60,7 +60,8 @@
     pub services: usize,
     /// Number of endpoints in the fleet.
     pub endpoints: usize,
-    /// Number of children that the node relays to, besides the feeder.
+    /// Number of children that the node relays to, besides the feeder, the simulated child that
+    /// sends the endpoints to the node.
     pub children: usize,
     /// Rate of the churn, as a multiple of the churn in a fleet of 14,000 nodes.
     pub churn_factor: f64,
@@ -75,7 +76,8 @@
     pub services: usize,
     /// Number of endpoints that the node knows.
     pub endpoints: usize,
-    /// Number of children that the node relays to, besides the feeder.
+    /// Number of children that the node relays to, besides the feeder, the simulated child that
+    /// sends the endpoints to the node.
     pub children: usize,
     /// Rate of the churn, as a multiple of the churn in a fleet of 14,000 nodes.
     #[serde(rename = "speed")]
--- a/crates/call/src/table.rs
+++ b/crates/call/src/table.rs
@@ -79,6 +79,7 @@
     call: S,
 }
 
+/// The state of the links from one peer: an incarnation of an outbound proxy.
 #[derive(Debug)]
 struct Peer {
     /// Links with lower numbers are invalid.
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -25,7 +25,7 @@
     Propose(Propose),
     /// Finds out the outcome of a proposal and makes it final.
     Outcome {
-        /// Author of the version without changes that may have to be written.
+        /// Author to record if an empty version has to be written to make the outcome final.
         author: String,
         /// Id of the proposal.
         id: Id,
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -50,7 +50,7 @@
     Watch {
         /// The version held by this node.
         after: Version,
-        /// Whether this is the root of its zone that polls at the full rate and also reads the
+        /// Whether this node is the root of its zone that polls at the full rate and also reads the
         /// crashes that other roots write.
         is_primary: bool,
     },
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -60,8 +60,8 @@
     read_at: Instant,
     leases: Vec<RootLease>,
     had_vacancy: bool,
-    /// Whether the next read of the leases must be exact. Periodic reads may be some seconds stale,
-    /// which costs the platform a tenth of an exact read.
+    /// Whether the next read of the leases must be exact. Periodic reads accept data that is some
+    /// seconds old, because such a read costs the platform a tenth of an exact one.
     wants_exact_read: bool,
 }
 
--- a/crates/fleet/tests/converge.rs
+++ b/crates/fleet/tests/converge.rs
@@ -226,9 +226,10 @@
     world.run_until(S, "after lost responses", |world| world.all_serve(version));
 }
 
-// During an outage of the platform, all VMs of a zone are restarted one after the other. Without
-// acting roots, callers at each restarted VM would be refused until the outage ends: a new process
-// has no node to ask, and once the zone's roots are gone no other node can take a lease.
+// During an outage of the platform, all VMs of a zone are restarted one after the other. A new
+// process has no node to ask, and once the zone's roots are gone no other node can take a lease.
+// Callers at each restarted VM would be refused until the outage ends, if nodes could not become
+// acting roots, which serve as roots without a lease until the platform answers.
 #[test]
 fn restarts_without_platform() {
     let mut world = started(3, 4, 11);
--- a/crates/fleet/tests/endpoints.rs
+++ b/crates/fleet/tests/endpoints.rs
@@ -211,8 +211,8 @@
     world.run_until(3 * S, "back", |world| all_others_see(world, 36));
 }
 
-// A parent no longer hears from a slow node, which then finds another parent. The node's backend
-// server serves all the time and must stay in all tables.
+// A node no longer receives anything over its links, and finds another parent. Its backend server
+// serves all the time and must stay in all tables.
 #[test]
 fn changed_parent() {
     let mut world = started(23);
--- a/crates/fleet/tests/world/platform.rs
+++ b/crates/fleet/tests/world/platform.rs
@@ -35,7 +35,7 @@
     /// Watchers, each with its zone and the last version that was sent to it.
     watchers: BTreeMap<usize, (String, Version)>,
     writes: u64,
-    /// Crashes as written by the holders of leases.
+    /// Crashes that each root wrote last, by the zone and slot of its lease.
     written_crashes: BTreeMap<(String, u8), Vec<Crash>>,
     pub crash_writes: u64,
     rollouts: BTreeMap<String, Rollout>,
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -128,7 +128,7 @@
 /// Changes take effect only at the next start, because each setting is either an address or
 /// locality by which callers and other nodes already know this node, or a limit of a listener or
 /// connection that is already open. An invalid file is reported at once, and not by a process that
-/// fails to start later. Returns the settings to compare the next reload with.
+/// fails to start later. Returns the settings to compare the file with at the next check.
 fn check_settings_file(current: Settings, path: &Path) -> Settings {
     match Settings::open(path) {
         Ok(next) if next == current => {
--- a/crates/node/src/outbound/service.rs
+++ b/crates/node/src/outbound/service.rs
@@ -101,7 +101,8 @@
     pub(crate) endpoint: Endpoint,
     pub(crate) outcome: Outcome,
     rollouts: Arc<Rollouts>,
-    /// The attempt as counted by a roll-out of the service, if there is one.
+    /// Counts this attempt in the tally of the service's roll-out; `None` if no roll-out is in
+    /// progress.
     rollout_call: Option<RolloutCall>,
 }
 
--- a/crates/policy/src/body_scheduler.rs
+++ b/crates/policy/src/body_scheduler.rs
@@ -31,13 +31,13 @@
 /// upper bound is the window of bodies that aren't scheduled by their link.
 const OUTSTANDING_BYTES_RANGE: (f64, f64) = (8_192.0, 262_144.0);
 
-/// Number of chunks that the outstanding credit is divided into: each chunk that arrives makes room
-/// for the next.
+/// Maximum number of chunks outstanding on a link. A chunk is this fraction of the maximum
+/// outstanding credit, so that the arrival of one chunk allows the next to be requested.
 const MAX_OUTSTANDING_CHUNKS: u64 = 4;
 
-/// Number of chunks that one body may have outstanding. The first body proceeds at nearly the rate
-/// of the link, because bodies that shared the link evenly would all be late together; the rest of
-/// the credit keeps the link busy while a sender is slow.
+/// Maximum number of chunks that one body may have outstanding. The first body proceeds at nearly
+/// the rate of the link, because bodies that shared the link evenly would all be late together; the
+/// rest of the credit keeps the link busy while a sender is slow.
 const MAX_OUTSTANDING_CHUNKS_OF_BODY: u64 = 3;
 
 /// Maximum number of bodies that are transferred at once: a slow sender must not leave the link
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -186,8 +186,8 @@
 
     /// Ends a probe whose time is up.
     ///
-    /// Calls that stream for minutes don't end, so a probe that checked its time only at the
-    /// end of a call would keep the other slots closed.
+    /// A streaming call can last for minutes. If the time were checked only at the end of a call,
+    /// the probe could halve the slots for that long.
     pub(crate) fn end_probe(&mut self, now: Instant) {
         if self.probe.is_some_and(|probe| now >= probe.ends_at()) {
             self.probe = None;
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -92,7 +92,8 @@
         let records = self.requests.entry(crash.request).or_default();
         records.push(record);
         if records.len() > MAX_CRASHES_PER_REQUEST {
-            // The order is total, so that all nodes evict the same record.
+            // Records that expire at the same time are ordered by id, so that nodes evict the same
+            // one.
             let order = |index: &usize| (records[*index].expires_at, records[*index].crash.id);
             let oldest = (0..records.len()).min_by_key(order);
             let dropped = oldest.map(|index| records.remove(index));
--- a/crates/policy/src/retry_quota.rs
+++ b/crates/policy/src/retry_quota.rs
@@ -5,11 +5,11 @@
 //! sends them at once to a service that is in trouble.
 //!
 //! Operators therefore limit the fleet as a whole, by a share of the requests plus a fixed
-//! number of extra retries in any window of some seconds. The share needs no coordination, as
-//! the shares of the nodes add up; the extra retries are divided equally among the nodes. A
-//! node doesn't know what its previous process has spent, so a new process earns its part over
-//! a whole window. The node count used is the highest one seen recently: a node that is cut off
-//! sees few others and would otherwise take all of the extra retries.
+//! number of extra retries in any window of some seconds. The share needs no coordination: if
+//! every node keeps to it, so does the fleet. The extra retries are divided equally among the
+//! nodes. A node doesn't know what its previous process has spent, so a new process earns its
+//! part over a whole window. The node count used is the highest one seen recently: a node that is
+//! cut off sees few others and would otherwise take all of the extra retries.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -47,13 +47,15 @@
 /// Failure rate that any version is assumed to have.
 const MIN_FAILURE_RATE: f64 = 0.02;
 
-/// Failure rate above that of the old version at which the new one is bad.
+/// Difference between the failure rates of the new and the old version under the hypothesis that
+/// the new version is bad.
 const EXCESS_FAILURE_RATE: f64 = 0.12;
 
 /// Rate of slow calls that any version is assumed to have: backend servers of one service differ.
 const MIN_SLOW_RATE: f64 = 0.04;
 
-/// Rate of slow calls above that of the old version at which the new one is bad.
+/// Difference between the slow-call rates of the new and the old version under the hypothesis that
+/// the new version is bad.
 const EXCESS_SLOW_RATE: f64 = 0.3;
 
 /// Minimum number of calls to the old version for its own rates to be used.
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -133,13 +133,17 @@
         self.answers = 0;
     }
 
-    /// Returns a score for evening out load: the lower, the less work is ahead of a further call.
-    /// `mean_duration` is the mean duration of the service's calls in seconds.
+    /// Returns the load with one more call, multiplied by a factor for slowness and failures; the
+    /// server with the lowest score is preferred.
+    ///
+    /// `mean_duration` is the mean duration of the service's calls in seconds. Failures weigh more
+    /// if the call is not `repeatable`, because it is then lost if it fails.
     pub(crate) fn load_score(&self, now: Instant, mean_duration: f64, repeatable: bool) -> f64 {
         (self.load(now) + 1.0 / self.slots) * self.cost_factor(now, mean_duration, repeatable)
     }
 
-    /// Returns how soon a further call would be answered, in multiples of its normal duration.
+    /// Returns how soon a further call would be answered, in multiples of its normal duration. The
+    /// arguments are those of [`Self::load_score`].
     pub(crate) fn expected_finish(
         &self,
         now: Instant,
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -1,8 +1,9 @@
 //! Measured throughput of a backend server, and the backlog of work that it refused.
 //!
 //! Refused callers retry during an overload. With a constant Retry-After that is too short, the
-//! same calls are refused again and again; with one that is too long, slots stay idle. The rate is
-//! therefore measured, and refused work is counted as a virtual queue that drains at this rate.
+//! same calls are refused again and again; with one that is too long, slots stay idle. Retry-After
+//! is therefore computed: refused work is counted as a virtual queue that drains at the measured
+//! throughput.
 
 use std::time::Instant;
 
--- a/crates/policy/tests/body_scheduler.rs
+++ b/crates/policy/tests/body_scheduler.rs
@@ -187,6 +187,7 @@
     report
 }
 
+/// Counts an upload whose body has arrived, if the upload ends within its latency target.
 fn count_if_in_time(report: &mut Report, now: Instant, sent: Instant, bytes: f64) {
     if now + UPLOAD_RUN < sent + UPLOAD_TIMES.0 {
         report.uploads_in_time += 1;
--- a/crates/policy/tests/load/scenario.rs
+++ b/crates/policy/tests/load/scenario.rs
@@ -102,7 +102,7 @@
     /// Whether the backend server has no power at the given second, so that anything sent to it is
     /// lost.
     pub is_dead: fn(f64) -> bool,
-    /// Interval, in seconds, in which the backend server is in the views of the outbound proxies.
+    /// Time span, in seconds, in which the backend server is in the views of the outbound proxies.
     pub in_view_span_s: (f64, f64),
 }
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -230,6 +230,7 @@
     respond_to_write(memory, &name, replaced).await
 }
 
+/// Responds to a write with the present object, also if the write failed with a conflict.
 async fn respond_to_write(
     memory: &MemoryStore,
     name: &str,
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -41,7 +41,7 @@
     pub silent_watches: bool,
 }
 
-/// Numbers of calls received so far; a watch counts once, when it is opened.
+/// Numbers of requests received so far; a watch counts once, when it is opened.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCounts {
     /// Reads and list requests.
@@ -137,7 +137,7 @@
         self.lock().faults.clone()
     }
 
-    /// Returns the number of calls so far.
+    /// Returns the numbers of requests received so far.
     #[must_use]
     pub fn request_counts(&self) -> RequestCounts {
         self.lock().request_counts
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -23,12 +23,13 @@
     void: bool,
 }
 
-/// An operation of an operator, with its outcome once it is known.
+/// What an operator's proposal or read has returned; `Started` until it returns.
 #[derive(Debug, Clone)]
 enum Operation {
     Started,
     Accepted(Id),
     NeverApplied(Id),
+    /// The proposal was refused because another one holds its number.
     Crossed(Id, Holder),
     NoSuchBase(Id),
     Read(u64, BTreeSet<String>),
